--- a/internal/batch/accept.go
+++ b/internal/batch/accept.go
@@ -15,8 +15,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// codeStoreAway names refusals because the store, or this process's lease, is away.
-const codeStoreAway = "store_away"
+// codeStoreUnavailable names refusals because the store, or this process's lease, is away.
+const codeStoreUnavailable = "store_away"
 
 // Accept takes a batch, here or at the process that owns its model's batches.
 // It returns once the store holds it, also from an earlier try; any other end is
@@ -25,21 +25,21 @@
 // The batches of one model have one owner: it alone knows how many slots of the
 // model's samplers are taken, and goes on using its connections from step to step.
 func (b *Board) Accept(ctx context.Context, batch *statepb.Batch) error {
-	if b.isKnown(batch.GetId()) {
+	if b.isAccepted(batch.GetId()) {
 		return nil
 	}
-	for _, host := range b.homes(batch.GetModel()) {
+	for _, host := range b.preferredOwners(batch.GetModel()) {
 		if host == b.Process {
-			return b.acceptOwn(ctx, batch, attempt{isHome: true})
+			return b.acceptOwn(ctx, batch, attempt{isPreferred: true})
 		}
-		acceptance, err := b.askHome(ctx, host, batch)
+		acceptance, err := b.askPreferredOwner(ctx, host, batch)
 		switch {
 		case acceptance == Taken:
 			return nil
 		case acceptance == Pending:
-			return errSilent()
+			return errCommitUnknown()
 		case err != nil:
-			return b.acceptOwn(ctx, batch, attempt{isUnsure: true})
+			return b.acceptOwn(ctx, batch, attempt{mayBeAccepted: true})
 		}
 	}
 	return b.acceptOwn(ctx, batch, attempt{})
@@ -47,10 +47,10 @@
 
 // attempt is what is known of a try to take a batch here.
 type attempt struct {
-	// isUnsure says that an earlier try may have taken it.
-	isUnsure bool
-	// isHome says that this process should own it, so that it may run it early.
-	isHome bool
+	// mayBeAccepted says that an earlier try may have taken it.
+	mayBeAccepted bool
+	// isPreferred says that this process should own it, so that it may run it early.
+	isPreferred bool
 }
 
 // acceptOwn takes a batch here.
@@ -59,64 +59,64 @@
 // reached the store, or the batch runs early, no later one can promise that,
 // whatever it is told itself.
 func (b *Board) acceptOwn(ctx context.Context, batch *statepb.Batch, attempt attempt) error {
-	if b.drains() && b.earlyOf(batch.GetId()) == nil && !attempt.isUnsure {
-		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").After(storeAgain)
+	if b.drains() && b.earlyRunOf(batch.GetId()) == nil && !attempt.mayBeAccepted {
+		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").After(storeRetryAfter)
 	}
-	ctx, cancel := context.WithTimeout(ctx, acceptTime)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	if attempt.isHome {
-		begin := time.AfterFunc(earlyAfter, func() { b.beginEarly(batch) })
+	if attempt.isPreferred {
+		begin := time.AfterFunc(earlyStartDelay, func() { b.startEarly(batch) })
 		defer begin.Stop()
 	}
 	for {
-		if early := b.earlyOf(batch.GetId()); early != nil {
+		if early := b.earlyRunOf(batch.GetId()); early != nil {
 			return b.awaitEarly(ctx, early, batch.GetId())
 		}
-		err := b.accept(ctx, batch)
+		err := b.commitBatch(ctx, batch)
 		if err == nil {
 			return nil
 		}
-		if attempt.isHome && isStoreAway(err) {
-			b.beginEarly(batch)
+		if attempt.isPreferred && isStoreUnavailable(err) {
+			b.startEarly(batch)
 		}
-		if b.earlyOf(batch.GetId()) != nil {
+		if b.earlyRunOf(batch.GetId()) != nil {
 			continue
 		}
-		attempt.isUnsure = attempt.isUnsure || !refusal.IsNotRun(err) && !isNothingDone(err)
-		if !attempt.isUnsure && refusal.IsNotRun(err) {
+		attempt.mayBeAccepted = attempt.mayBeAccepted || !refusal.IsNotRun(err) && !isNotCommitted(err)
+		if !attempt.mayBeAccepted && refusal.IsNotRun(err) {
 			return err
 		}
-		if !attempt.isUnsure {
-			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "the store does not take the batch").After(storeAgain)
+		if !attempt.mayBeAccepted {
+			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the store does not take the batch").After(storeRetryAfter)
 		}
 		klog.InfoS("batch: not known whether the store holds it", "batch", batch.GetId(), "err", err.Error())
-		if !pause.For(ctx, writePause) {
-			return errSilent()
+		if !pause.For(ctx, writeRetryDelay) {
+			return errCommitUnknown()
 		}
 	}
 }
 
-// isStoreAway reports whether a batch wasn't taken for want of the store alone.
-func isStoreAway(err error) bool {
-	return !refusal.IsNotRun(err) || refusal.Of(err).Code == codeStoreAway
+// isStoreUnavailable reports whether a batch wasn't taken for want of the store alone.
+func isStoreUnavailable(err error) bool {
+	return !refusal.IsNotRun(err) || refusal.Of(err).Code == codeStoreUnavailable
 }
 
-// isNothingDone reports whether an error of the store proves that it changed nothing.
-func isNothingDone(err error) bool {
+// isNotCommitted reports whether an error of the store proves that it changed nothing.
+func isNotCommitted(err error) bool {
 	var away *platform.UnavailableError
 	return errors.As(err, &away) && platform.IsTurnedAway(away.Status)
 }
 
-func (b *Board) isKnown(id string) bool {
+func (b *Board) isAccepted(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
-	return b.open[id] || b.held[id] != nil && b.runsEarly(id) == nil
+	return b.open[id] || b.owned[id] != nil && b.earlyRunLocked(id) == nil
 }
 
-func (b *Board) accept(ctx context.Context, batch *statepb.Batch) error {
+func (b *Board) commitBatch(ctx context.Context, batch *statepb.Batch) error {
 	lease := b.Lease()
 	if lease == 0 {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "this process is not known to the store").After(storeAgain)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "this process is not known to the store").After(storeRetryAfter)
 	}
 	id := batch.GetId()
 	data, err := proto.Marshal(batch)
@@ -155,7 +155,7 @@
 	}
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "the lease of this process has ended").After(storeAgain)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the lease of this process has ended").After(storeRetryAfter)
 	}
 	if err != nil {
 		return err
@@ -163,7 +163,7 @@
 	klog.InfoS("batch: accepted", "batch", id, "account", batch.GetAccount(), "step", batch.GetStep(), "model", batch.GetModel(), "items", len(batch.GetItems()), "owner", revision)
 	b.lock()
 	defer b.mutex.Unlock()
-	b.taken(batch, Title{Revision: revision, Lease: lease})
+	b.markAccepted(batch, Title{Revision: revision, Lease: lease})
 	return nil
 }
 
--- a/internal/batch/board.go
+++ b/internal/batch/board.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// claimStep is the time between the claims of two candidates: a few answers
+	// claimStagger is the time between the claims of two candidates: a few answers
 	// of the store, so that the second usually finds the first one's.
-	claimStep = 150 * time.Millisecond
-	// ownerHead is how long the others leave a batch to its last owner. When the
+	claimStagger = 150 * time.Millisecond
+	// ownerHeadStart is how long the others leave a batch to its last owner. When the
 	// store is back after longer than a lease, all have lost theirs and get new ones
 	// shortly after each other; a batch that another one takes then loses what
 	// came of it while the store was away.
-	ownerHead = 400 * time.Millisecond
-	// leaseLook is the time between two looks for a lease by a process that has just
+	ownerHeadStart = 400 * time.Millisecond
+	// leasePollInterval is the time between two looks for a lease by a process that has just
 	// started: its trainers wait.
-	leaseLook = 10 * time.Millisecond
-	// claimLook is the time between two looks at batches without an owner.
-	claimLook = 100 * time.Millisecond
-	// acceptTime bounds how long it is tried to learn what became of a batch
+	leasePollInterval = 10 * time.Millisecond
+	// claimPollInterval is the time between two looks at batches without an owner.
+	claimPollInterval = 100 * time.Millisecond
+	// acceptTimeout bounds how long it is tried to learn what became of a batch
 	// whose write got no answer.
-	acceptTime = 1500 * time.Millisecond
-	// storeAgain is when a trainer should come back while the store is away.
-	storeAgain = 300 * time.Millisecond
-	// placeTime bounds the wait for another process to take a batch: many times
+	acceptTimeout = 1500 * time.Millisecond
+	// storeRetryAfter is when a trainer should come back while the store is away.
+	storeRetryAfter = 300 * time.Millisecond
+	// peerAcceptTimeout bounds the wait for another process to take a batch: many times
 	// what it takes while the store is well. After that this process takes it.
-	placeTime = 600 * time.Millisecond
-	// handoverTime bounds what a process that stops does for a batch: the end of a write
+	peerAcceptTimeout = 600 * time.Millisecond
+	// handoverTimeout bounds what a process that stops does for a batch: the end of a write
 	// under way, two calls of next owners, keepers, and the store.
-	handoverTime = 2500 * time.Millisecond
+	handoverTimeout = 2500 * time.Millisecond
 )
 
 // Store is what batches need of the platform's store.
@@ -98,12 +98,12 @@
 	Metrics prometheus.Registerer
 
 	mutex sync.Mutex
-	held  map[string]*held
+	owned map[string]*ownedBatch
 	// open holds the batches that aren't ended, owners who owns them.
 	open   map[string]bool
 	owners map[string]string
 	// unowned are the batches without an owner.
-	unowned map[string]unowned
+	unowned map[string]unownedBatch
 	// ownerRevisions are those of the owners' keys, openRevisions those of the keys
 	// of open batches.
 	ownerRevisions map[string]uint64
@@ -118,32 +118,32 @@
 	removing   map[string]bool
 	isDraining bool
 	// ctx is that of all work on batches, which may begin before Run does.
-	ctx     context.Context
-	end     context.CancelFunc
-	running sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
 	// leftovers are texts that later batches may ask for again.
 	leftovers leftovers
 	wake      chan struct{}
 	metrics   *metrics
 }
 
-// unowned is a batch without an owner.
-type unowned struct {
+// unownedBatch is a batch without an owner.
+type unownedBatch struct {
 	since clock.Boot
-	// last is the owner before; "" if none is known.
-	last string
+	// lastOwner is the owner before; "" if none is known.
+	lastOwner string
 }
 
-// held is a batch that this process owns, or has owned.
-type held struct {
+// ownedBatch is a batch that this process owns, or has owned.
+type ownedBatch struct {
 	*owner
 
 	cancel context.CancelFunc
 	ended  bool
 	// early is nil unless the batch was begun before the store was known to hold it.
-	early    *early
-	total    uint64
-	accepted clock.Boot
+	early      *earlyRun
+	total      uint64
+	acceptedAt clock.Boot
 	// stopped is closed once the owner and its ledger have stopped.
 	stopped chan struct{}
 }
@@ -156,15 +156,15 @@
 	for ctx.Err() == nil {
 		now := clock.Now()
 		for _, id := range b.claimable(now) {
-			b.running.Go(func() { b.claim(ctx, id) })
+			b.tasks.Go(func() { b.claim(ctx, id) })
 		}
-		for _, id := range b.outdated(now) {
-			b.running.Go(func() { b.remove(ctx, id) })
+		for _, id := range b.expired(now) {
+			b.tasks.Go(func() { b.remove(ctx, id) })
 		}
 		select {
 		case <-ctx.Done():
 		case <-b.wake:
-		case <-time.After(claimLook):
+		case <-time.After(claimPollInterval):
 		}
 	}
 	return nil
@@ -173,17 +173,17 @@
 // finish ends all work and waits for it.
 func (b *Board) finish() {
 	b.lock()
-	b.end()
+	b.cancel()
 	b.mutex.Unlock()
-	b.running.Wait()
+	b.tasks.Wait()
 }
 
-// work begins work on a batch, unless the board has ended: a watch may bring
+// startTask begins work on a batch, unless the board has ended: a watch may bring
 // changes as long as the process lives, and what began now would not be waited
 // for. The mutex is held.
-func (b *Board) work(do func()) {
+func (b *Board) startTask(task func()) {
 	if b.ctx.Err() == nil {
-		b.running.Go(do)
+		b.tasks.Go(task)
 	}
 }
 
@@ -195,22 +195,22 @@
 }
 
 func (b *Board) prepare() {
-	if b.held != nil {
+	if b.owned != nil {
 		return
 	}
-	b.held = map[string]*held{}
+	b.owned = map[string]*ownedBatch{}
 	b.open = map[string]bool{}
 	b.openRevisions = map[string]uint64{}
 	b.owners = map[string]string{}
 	b.ownerRevisions = map[string]uint64{}
-	b.unowned = map[string]unowned{}
+	b.unowned = map[string]unownedBatch{}
 	b.claiming = map[string]bool{}
 	b.stored = map[string]clock.Boot{}
 	b.accounts = map[string]string{}
 	b.ended = map[string]bool{}
 	b.removing = map[string]bool{}
 	b.wake = make(chan struct{}, 1)
-	b.ctx, b.end = context.WithCancel(context.Background())
+	b.ctx, b.cancel = context.WithCancel(context.Background())
 	b.metrics = newMetrics(b.Metrics, b.countOpen)
 }
 
@@ -218,8 +218,8 @@
 	b.lock()
 	defer b.mutex.Unlock()
 	open := 0
-	for _, held := range b.held {
-		if !held.ended {
+	for _, owned := range b.owned {
+		if !owned.ended {
 			open++
 		}
 	}
@@ -237,50 +237,50 @@
 	plan := NewPlan(batch, route.Rules, accepted)
 	plan.Restore(state.Listed, state.Partials)
 	plan.Carry(state.Pending)
-	if reused := plan.Reuse(b.leftovers.of(itemIDs(batch))); reused > 0 {
+	if reused := plan.Reuse(b.leftovers.find(itemIDs(batch))); reused > 0 {
 		klog.InfoS("batch: texts of an earlier batch are used", "batch", batch.GetId(), "items", reused)
 	}
 	ctx, cancel := context.WithCancel(b.ctx)
-	held := &held{
+	owned := &ownedBatch{
 		owner: &owner{
-			batch:   batch,
-			route:   func() (Route, bool) { return b.Routes(batch) },
-			roster:  b.Roster,
-			scorer:  b.Scorer,
-			wire:    b.Wire,
-			ledger:  newLedger(b.Store, batch.GetId(), b.Group, b.ValueBytes, state.Owner, state.Listed, b.metrics),
-			keeper:  b.Keeper,
-			metrics: b.metrics,
-			leave:   b.leftovers.add,
-			plan:    plan,
-			runs:    map[int]*activeRun{},
-			wake:    make(chan struct{}, 1),
+			batch:         batch,
+			route:         func() (Route, bool) { return b.Routes(batch) },
+			roster:        b.Roster,
+			scorer:        b.Scorer,
+			wire:          b.Wire,
+			ledger:        newLedger(b.Store, batch.GetId(), b.Group, b.ValueBytes, state.Owner, state.Listed, b.metrics),
+			keeper:        b.Keeper,
+			metrics:       b.metrics,
+			keepLeftovers: b.leftovers.add,
+			plan:          plan,
+			runs:          map[int]*activeRun{},
+			wake:          make(chan struct{}, 1),
 		},
-		cancel:   cancel,
-		accepted: accepted,
-		total:    uint64(len(batch.GetItems())),
-		stopped:  make(chan struct{}),
+		cancel:     cancel,
+		acceptedAt: accepted,
+		total:      uint64(len(batch.GetItems())),
+		stopped:    make(chan struct{}),
 	}
-	b.order(held.owner)
-	b.held[batch.GetId()] = held
-	b.work(func() {
+	b.setPrecedence(owned.owner)
+	b.owned[batch.GetId()] = owned
+	b.startTask(func() {
 		var listing sync.WaitGroup
 		listing.Go(func() {
-			held.ledger.run(ctx)
-			if held.ledger.overtaken() {
+			owned.ledger.run(ctx)
+			if owned.ledger.superseded() {
 				cancel()
 			}
 		})
-		held.run(ctx)
+		owned.run(ctx)
 		listing.Wait()
-		close(held.stopped)
-		if held.ledger.overtaken() {
-			b.readAgain(batch.GetId(), held)
+		close(owned.stopped)
+		if owned.ledger.superseded() {
+			b.reload(batch.GetId(), owned)
 		}
 	})
-	b.work(func() { held.keep(ctx) })
+	b.startTask(func() { owned.keep(ctx) })
 	if b.isDraining {
-		b.work(func() { b.handOver(b.ctx, batch.GetId(), held) })
+		b.startTask(func() { b.handOver(b.ctx, batch.GetId(), owned) })
 	}
 }
 
@@ -292,17 +292,17 @@
 	return ids
 }
 
-// order sets which open batches of a model come before others. The mutex is held.
-func (b *Board) order(next *owner) {
-	for _, held := range b.held {
-		if held.ended || held.batch.GetModel() != next.batch.GetModel() {
+// setPrecedence sets which open batches of a model come before others. The mutex is held.
+func (b *Board) setPrecedence(next *owner) {
+	for _, owned := range b.owned {
+		if owned.ended || owned.batch.GetModel() != next.batch.GetModel() {
 			continue
 		}
-		if isBefore(next.batch, held.batch) {
-			held.follow(next)
+		if isBefore(next.batch, owned.batch) {
+			owned.yieldTo(next)
 			continue
 		}
-		next.follow(held.owner)
+		next.yieldTo(owned.owner)
 	}
 }
 
@@ -311,8 +311,8 @@
 //
 // Where all processes start anew, a trainer's batches are read in any order. The
 // younger one took every slot, while the trainer waited for the older.
-func isBefore(next, held *statepb.Batch) bool {
-	return next.GetAccount() == held.GetAccount() && next.GetStep() < held.GetStep()
+func isBefore(next, owned *statepb.Batch) bool {
+	return next.GetAccount() == owned.GetAccount() && next.GetStep() < owned.GetStep()
 }
 
 // Owner returns the process that owns a batch; "" if none is known.
@@ -327,15 +327,15 @@
 	b.lock()
 	defer b.mutex.Unlock()
 	var waiting uint32
-	for _, held := range b.held {
-		if route, _ := held.route(); route.Pool == pool {
-			waiting += uint32(held.waiting.Load())
+	for _, owned := range b.owned {
+		if route, _ := owned.route(); route.Pool == pool {
+			waiting += uint32(owned.waiting.Load())
 		}
 	}
 	return waiting
 }
 
-func (b *Board) nudge() {
+func (b *Board) notify() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -18,34 +18,34 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/roster"
 )
 
-// noKeeper keeps nothing.
-type noKeeper struct{}
-
-func (noKeeper) Append(context.Context, string, []*statepb.Part) error    { return nil }
-func (noKeeper) Drop(context.Context, string)                             {}
-func (noKeeper) Fetch(context.Context, string) []*statepb.Partial         { return nil }
-func (noKeeper) HandOver(context.Context, string, Handover) (bool, error) { return false, nil }
-func (noKeeper) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
+// noopPeer keeps nothing.
+type noopPeer struct{}
+
+func (noopPeer) Append(context.Context, string, []*statepb.Part) error    { return nil }
+func (noopPeer) Drop(context.Context, string)                             {}
+func (noopPeer) Fetch(context.Context, string) []*statepb.Partial         { return nil }
+func (noopPeer) HandOver(context.Context, string, Handover) (bool, error) { return false, nil }
+func (noopPeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
 	return Refused, nil
 }
 
 // scorer judges texts once it is let.
 type scorer struct {
-	room    int
-	let     chan struct{}
-	running atomic.Int32
-	most    atomic.Int32
+	room       int
+	release    chan struct{}
+	running    atomic.Int32
+	maxRunning atomic.Int32
 }
 
 func (s *scorer) Room(*statepb.Scorer) int { return s.room }
 
 func (s *scorer) Score(ctx context.Context, _ *statepb.Scorer) (string, error) {
-	s.most.Store(max(s.most.Load(), s.running.Add(1)))
+	s.maxRunning.Store(max(s.maxRunning.Load(), s.running.Add(1)))
 	defer s.running.Add(-1)
 	select {
 	case <-ctx.Done():
 		return "", ctx.Err()
-	case <-s.let:
+	case <-s.release:
 		return "proof", nil
 	}
 }
@@ -79,25 +79,25 @@
 	stop  func()
 }
 
-var known = Route{Pool: "lm", Rules: Rules{Attempts: 3}}
+var knownRoute = Route{Pool: "lm", Rules: Rules{Attempts: 3}}
 
 // newBoard returns a board of a process, which gives it its lease and routes.
 func newBoard(store Store, name string, p *process, hosts ...string) *Board {
 	return &Board{
-		Process: name, Store: store, Roster: &roster.Roster{}, Keeper: noKeeper{}, Peers: noKeeper{}, Scorer: &scorer{room: 4}, Routes: p.routes.get,
+		Process: name, Store: store, Roster: &roster.Roster{}, Keeper: noopPeer{}, Peers: noopPeer{}, Scorer: &scorer{room: 4}, Routes: p.routes.get,
 		Lease: p.lease.Load, Order: func(work string) []string { return duty.Order(work, hosts) }, Leaves: func(string) bool { return false },
 		Keep: time.Hour, Group: time.Millisecond, ValueBytes: 1 << 20,
 	}
 }
 
-// begin starts a process on a store that others may use too.
-func begin(t *testing.T, store *platformtest.Store, name string, hosts ...string) *process {
+// startProcess starts a process on a store that others may use too.
+func startProcess(t *testing.T, store *platformtest.Store, name string, hosts ...string) *process {
 	t.Helper()
-	return beginWith(t, &routes{route: known, known: true}, store, name, hosts...)
+	return startProcessWithRoutes(t, &routes{route: knownRoute, known: true}, store, name, hosts...)
 }
 
-// beginWith starts a process that knows these routes from its first moment on.
-func beginWith(t *testing.T, routes *routes, store *platformtest.Store, name string, hosts ...string) *process {
+// startProcessWithRoutes starts a process that knows these routes from its first moment on.
+func startProcessWithRoutes(t *testing.T, routes *routes, store *platformtest.Store, name string, hosts ...string) *process {
 	t.Helper()
 	lease, err := store.Grant(t.Context(), time.Hour)
 	must.NoError(t, err)
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
 	ended.Go(func() { _ = p.Run(ctx) })
-	ended.Go(func() { p.follow(ctx, store) })
+	ended.Go(func() { p.watch(ctx, store) })
 	p.stop = func() {
 		cancel()
 		ended.Wait()
@@ -116,7 +116,7 @@
 	return p
 }
 
-func (p *process) follow(ctx context.Context, store *platformtest.Store) {
+func (p *process) watch(ctx context.Context, store *platformtest.Store) {
 	var revision uint64
 	for ctx.Err() == nil {
 		reply, err := store.Watch(ctx, Prefix, revision, 20*time.Millisecond)
@@ -134,16 +134,16 @@
 	return p.acceptOwn(ctx, batch, attempt{})
 }
 
-func await(t *testing.T, isSo func() bool) {
+func await(t *testing.T, condition func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(isSo), wait.Timeout(5*time.Second), wait.Gap(2*time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(5*time.Second), wait.Gap(2*time.Millisecond)))
 }
 
 func (p *process) holds() bool {
 	const id = "b1"
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.held[id] != nil && p.owners[id] == p.Process
+	return p.owned[id] != nil && p.owners[id] == p.Process
 }
 
 func (p *process) outcomes(t *testing.T) []*statepb.Outcome {
@@ -156,7 +156,7 @@
 
 func TestAccept(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	must.True(t, p.holds())
@@ -178,7 +178,7 @@
 // hundred starts.
 func TestBatchesBeforeRun(t *testing.T) {
 	store := &platformtest.Store{}
-	first := begin(t, store, "g1", "g1")
+	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10)))
 	list, err := store.List(t.Context(), Prefix)
 	must.NoError(t, err)
@@ -197,14 +197,14 @@
 // it must not be "not run", and the batch must run, once.
 func TestAcceptWithoutAnswer(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	store.LoseAnswers(1)
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
 	await(t, func() bool { return p.holds() })
 }
 
 // unsurePeer never says what became of a batch.
-type unsurePeer struct{ noKeeper }
+type unsurePeer struct{ noopPeer }
 
 func (unsurePeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
 	return Refused, context.DeadlineExceeded
@@ -213,7 +213,7 @@
 // A batch was given to its owner, and no answer came. The gateway itself can't
 // reach the store either; it must not say "not run" of a batch that may run.
 func TestUnsurePeer(t *testing.T) {
-	p := begin(t, &platformtest.Store{}, "g1", "g1", "g2")
+	p := startProcess(t, &platformtest.Store{}, "g1", "g1", "g2")
 	p.Peers = unsurePeer{}
 	p.lease.Store(0)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
@@ -225,7 +225,7 @@
 		err := p.Accept(ctx, batch)
 		must.Error(t, err)
 		must.False(t, refusal.IsNotRun(err))
-		must.Eq(t, p.homes(model)[0] == "g1", p.earlyOf(model) != nil)
+		must.Eq(t, p.preferredOwners(model)[0] == "g1", p.earlyRunOf(model) != nil)
 	}
 }
 
@@ -234,21 +234,21 @@
 // of a step as failed, 270 ms after the step was accepted.
 func TestNoConfigurationYet(t *testing.T) {
 	store := &platformtest.Store{}
-	first := begin(t, store, "g1", "g1")
+	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
 	first.stop()
-	second := beginWith(t, &routes{}, store, "g1", "g1")
-	time.Sleep(3 * claimLook)
+	second := startProcessWithRoutes(t, &routes{}, store, "g1", "g1")
+	time.Sleep(3 * claimPollInterval)
 	must.False(t, second.holds())
-	second.routes.set(known, true)
+	second.routes.set(knownRoute, true)
 	await(t, func() bool { return second.holds() })
-	time.Sleep(2 * lookAgain)
+	time.Sleep(2 * schedulePollInterval)
 	must.SliceEmpty(t, second.outcomes(t))
 }
 
 // The route of a batch is taken out of the configuration: its items are given up.
 func TestRouteGone(t *testing.T) {
-	p := begin(t, &platformtest.Store{}, "g1", "g1")
+	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	p.routes.set(Route{}, true)
 	await(t, func() bool { return len(p.outcomes(t)) == 2 })
@@ -262,9 +262,9 @@
 // which grew by some megabytes with each restart.
 func TestBatchesWithoutOwnerAreRemoved(t *testing.T) {
 	store := &platformtest.Store{}
-	first, second, third := begin(t, store, "g1", "g1", "g2"), begin(t, store, "g2", "g2"), begin(t, store, "g3", "g2")
+	first, second, third := startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g2"), startProcess(t, store, "g3", "g2")
 	must.NoError(t, first.AcceptOwn(t.Context(), newBatch(10)))
-	first.held["b1"].ledger.add([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
+	first.owned["b1"].ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
 	await(t, func() bool { return len(first.outcomes(t)) == 1 })
 	must.NoError(t, first.End(t.Context(), "b1", ""))
 	await(t, func() bool { return second.Owner("b1") == "g1" })
@@ -295,12 +295,12 @@
 // Outcomes are listed at places that never change, whatever answers are lost.
 func TestLedger(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20, 30)))
-	ledger := p.held["b1"].ledger
+	ledger := p.owned["b1"].ledger
 	for i, id := range []string{"i0", "i1", "i2"} {
 		store.LoseAnswers(1)
-		ledger.add([]*statepb.Outcome{statepb.Outcome_builder{Item: id}.Build()}, true)
+		ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: id}.Build()}, true)
 		await(t, func() bool { return len(p.outcomes(t)) == i+1 })
 	}
 	stored, err := p.loadListed(t.Context(), "b1")
@@ -314,13 +314,13 @@
 // Batches that nobody reads any more leave nothing in the store.
 func TestRemoved(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
-	p.held["b1"].ledger.add([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
+	p.owned["b1"].ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
 	await(t, func() bool { return len(p.outcomes(t)) == 1 })
 	must.NoError(t, p.End(t.Context(), "b1", ""))
 	p.mutex.Lock()
-	p.held["b1"].accepted = p.held["b1"].accepted.Add(-2 * p.Keep)
+	p.owned["b1"].acceptedAt = p.owned["b1"].acceptedAt.Add(-2 * p.Keep)
 	p.mutex.Unlock()
 	await(t, func() bool {
 		list, err := store.List(t.Context(), "")
@@ -331,11 +331,11 @@
 // The texts of a step become whole at the same moment. Judged all at once, they
 // take every slot of the plain service, and members' look-ups wait behind them.
 func TestScoresLeaveRoom(t *testing.T) {
-	judge := &scorer{room: 2, let: make(chan struct{})}
-	p := begin(t, &platformtest.Store{}, "g1", "g1")
-	p.Scorer = judge
+	scorer := &scorer{room: 2, release: make(chan struct{})}
+	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
+	p.Scorer = scorer
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20, 30, 40, 50)))
-	owner := p.held["b1"].owner
+	owner := p.owned["b1"].owner
 	owner.mutex.Lock()
 	for range 5 {
 		job, ok := owner.plan.Next(0)
@@ -345,13 +345,13 @@
 		owner.plan.Generated(job)
 	}
 	owner.mutex.Unlock()
-	owner.nudge()
-	await(t, func() bool { return judge.running.Load() == 2 })
+	owner.notify()
+	await(t, func() bool { return scorer.running.Load() == 2 })
 	for range 5 {
-		judge.let <- struct{}{}
+		scorer.release <- struct{}{}
 	}
 	await(t, func() bool { return len(p.outcomes(t)) == 5 })
-	must.Eq(t, 2, judge.most.Load())
+	must.Eq(t, 2, scorer.maxRunning.Load())
 }
 
 // A trainer ends its step at a gateway that doesn't own the batch. It is told so
@@ -359,7 +359,7 @@
 // whose it is. Another account is refused without a call.
 func TestEndReadsNoBatch(t *testing.T) {
 	store := &platformtest.Store{}
-	first := begin(t, store, "g1", "g1")
+	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10)))
 	list, err := store.List(t.Context(), Prefix)
 	must.NoError(t, err)
@@ -376,7 +376,7 @@
 // as after a start, asks it.
 func TestEndedAgain(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
 	must.NoError(t, p.End(t.Context(), "b1", ""))
 	await(t, func() bool {
--- a/internal/batch/changes.go
+++ b/internal/batch/changes.go
@@ -17,24 +17,24 @@
 	defer b.mutex.Unlock()
 	for _, change := range changes {
 		if id, ok := strings.CutPrefix(change.Key, PrefixOpen); ok {
-			b.takeOpen(id, change)
+			b.applyOpen(id, change)
 		}
 		if id, process, ok := ReadOwner(change); ok {
-			b.takeOwner(id, process, change)
+			b.applyOwner(id, process, change)
 		}
 		if id, ok := strings.CutPrefix(change.Key, prefixStored); ok {
-			b.takeStored(id, change)
+			b.applyStored(id, change)
 		}
 	}
-	b.nudge()
+	b.notify()
 }
 
-func (b *Board) takeOpen(id string, change platform.Value) {
+func (b *Board) applyOpen(id string, change platform.Value) {
 	if !change.Deleted {
 		b.open[id] = true
 		b.openRevisions[id] = change.Revision
 		if _, isKnown := b.unowned[id]; b.owners[id] == "" && !isKnown {
-			b.unowned[id] = unowned{since: clock.Now()}
+			b.unowned[id] = unownedBatch{since: clock.Now()}
 		}
 		b.resume(id)
 		return
@@ -43,18 +43,18 @@
 	delete(b.open, id)
 	delete(b.openRevisions, id)
 	delete(b.unowned, id)
-	if held := b.held[id]; held != nil && !held.ended {
+	if owned := b.owned[id]; owned != nil && !owned.ended {
 		klog.InfoS("batch: ended", "batch", id)
-		held.ended = true
-		held.end()
-		b.endEarly(held)
-		b.work(func() { b.Keeper.Drop(b.ctx, id) })
+		owned.ended = true
+		owned.end()
+		b.endEarly(owned)
+		b.startTask(func() { b.Keeper.Drop(b.ctx, id) })
 	}
 }
 
-// takeStored notes whether anything of a batch is stored. Once nothing is, nothing
+// applyStored notes whether anything of a batch is stored. Once nothing is, nothing
 // of it is remembered here either: every gateway hears of every batch.
-func (b *Board) takeStored(id string, change platform.Value) {
+func (b *Board) applyStored(id string, change platform.Value) {
 	if change.Deleted {
 		delete(b.stored, id)
 		delete(b.accounts, id)
@@ -68,11 +68,11 @@
 	}
 }
 
-func (b *Board) takeOwner(id, process string, change platform.Value) {
+func (b *Board) applyOwner(id, process string, change platform.Value) {
 	b.ownerRevisions[id] = change.Revision
 	if change.Deleted {
 		if b.open[id] {
-			b.unowned[id] = unowned{since: clock.Now(), last: b.owners[id]}
+			b.unowned[id] = unownedBatch{since: clock.Now(), lastOwner: b.owners[id]}
 		}
 		delete(b.owners, id)
 		if b.stored[id] == 0 {
@@ -82,16 +82,16 @@
 	}
 	b.owners[id] = process
 	delete(b.unowned, id)
-	held := b.held[id]
+	owned := b.owned[id]
 	switch {
-	case process != b.Process && held != nil:
+	case process != b.Process && owned != nil:
 		klog.InfoS("batch: owned by another process now", "batch", id, "owner", process)
-		held.cancel()
-		delete(b.held, id)
-		b.endEarly(held)
-	case process == b.Process && held != nil:
-		held.ledger.reclaimed(Title{Revision: change.Revision, Lease: change.Lease})
-		b.endEarly(held)
+		owned.cancel()
+		delete(b.owned, id)
+		b.endEarly(owned)
+	case process == b.Process && owned != nil:
+		owned.ledger.setOwnership(Title{Revision: change.Revision, Lease: change.Lease})
+		b.endEarly(owned)
 	default:
 		b.resume(id)
 	}
@@ -120,10 +120,10 @@
 // A process that starts anew finds what it owned before, mostly batches that their
 // trainers have ended; reading these too would keep those still open waiting.
 func (b *Board) resume(id string) {
-	if b.owners[id] != b.Process || b.held[id] != nil || !b.open[id] || b.claiming[id] {
+	if b.owners[id] != b.Process || b.owned[id] != nil || !b.open[id] || b.claiming[id] {
 		return
 	}
 	b.claiming[id] = true
 	revision := b.ownerRevisions[id]
-	b.work(func() { b.takeBack(b.ctx, id, revision) })
+	b.startTask(func() { b.reclaim(b.ctx, id, revision) })
 }
--- a/internal/batch/claim.go
+++ b/internal/batch/claim.go
@@ -29,11 +29,11 @@
 		return nil
 	}
 	var ids []string
-	for id, free := range b.unowned {
+	for id, orphan := range b.unowned {
 		if b.claiming[id] || !b.open[id] {
 			continue
 		}
-		if now.Sub(free.since) >= b.turn(id, free.last) {
+		if now.Sub(orphan.since) >= b.claimDelay(id, orphan.lastOwner) {
 			b.claiming[id] = true
 			ids = append(ids, id)
 		}
@@ -41,63 +41,63 @@
 	return ids
 }
 
-// turn returns how long after a batch has lost its owner this process may claim
+// claimDelay returns how long after a batch has lost its owner this process may claim
 // it. The mutex is held.
 //
 // The last owner comes first: it may live and have lost its lease while the store
 // was away, and it has all that came of the batch. Only where it has said that it
 // leaves, nobody waits for it.
-func (b *Board) turn(id, last string) time.Duration {
-	if b.held[id] != nil {
+func (b *Board) claimDelay(id, last string) time.Duration {
+	if b.owned[id] != nil {
 		return 0
 	}
-	wait := time.Duration(duty.Place(b.Process, b.Order(id))) * claimStep
+	wait := time.Duration(duty.Place(b.Process, b.Order(id))) * claimStagger
 	if b.Leaves(last) {
 		return wait
 	}
-	return ownerHead + wait
+	return ownerHeadStart + wait
 }
 
 // claim makes this process the owner of a batch that has none.
 func (b *Board) claim(ctx context.Context, id string) {
 	b.lock()
-	known := b.held[id]
+	owned := b.owned[id]
 	b.mutex.Unlock()
-	title, err := b.writeOwner(ctx, id, unclaimed(id, known)...)
+	ownership, err := b.writeOwner(ctx, id, claimConditions(id, owned)...)
 	var conflict *platform.ConflictError
-	if known != nil && errors.As(err, &conflict) && hasChunk(conflict, id) {
+	if owned != nil && errors.As(err, &conflict) && hasChunk(conflict, id) {
 		klog.InfoS("batch: listed further by another owner meanwhile", "batch", id)
-		b.leave(id, known)
+		b.evict(id, owned)
 	}
 	if err != nil {
 		klog.InfoS("batch: not claimed", "batch", id, "err", err.Error())
-		pause.For(ctx, claimStep)
+		pause.For(ctx, claimStagger)
 		b.release(id)
 		return
 	}
-	if known != nil {
-		klog.InfoS("batch: claimed again", "batch", id, "owner", title.Revision)
-		known.ledger.reclaimed(title)
+	if owned != nil {
+		klog.InfoS("batch: claimed again", "batch", id, "owner", ownership.Revision)
+		owned.ledger.setOwnership(ownership)
 		b.lock()
-		b.endEarly(known)
+		b.endEarly(owned)
 		delete(b.claiming, id)
 		delete(b.unowned, id)
 		b.mutex.Unlock()
 		return
 	}
-	b.adopt(ctx, id, title)
+	b.adopt(ctx, id, ownership)
 }
 
-// unclaimed returns what a claim expects: that the batch has no owner, and where
+// claimConditions returns what a claim expects: that the batch has no owner, and where
 // this process holds it from before, that nobody has listed more of it since.
 //
 // Between two claims of one process another one may have owned the batch, listed
 // some of it and died, all while this one saw nothing of the store. Claimed by the
 // first condition alone, its own places would stand where others were read.
-func unclaimed(id string, known *held) []platform.Expect {
+func claimConditions(id string, owned *ownedBatch) []platform.Expect {
 	expect := []platform.Expect{{Key: ownerKey(id)}}
-	if known != nil {
-		expect = append(expect, platform.Expect{Key: chunkKey(id, known.ledger.next())})
+	if owned != nil {
+		expect = append(expect, platform.Expect{Key: chunkKey(id, owned.ledger.nextPosition())})
 	}
 	return expect
 }
@@ -108,23 +108,23 @@
 	})
 }
 
-// leave stops a batch here; what came of its texts is kept for when it is read again.
-func (b *Board) leave(id string, known *held) {
-	known.cancel()
-	<-known.stopped
-	known.mutex.Lock()
-	b.leftovers.add(known.plan.Texts())
-	known.mutex.Unlock()
+// evict stops a batch here; what came of its texts is kept for when it is read again.
+func (b *Board) evict(id string, owned *ownedBatch) {
+	owned.cancel()
+	<-owned.stopped
+	owned.mutex.Lock()
+	b.leftovers.add(owned.plan.Texts())
+	owned.mutex.Unlock()
 	b.lock()
 	defer b.mutex.Unlock()
-	if b.held[id] == known {
-		delete(b.held, id)
+	if b.owned[id] == owned {
+		delete(b.owned, id)
 	}
 }
 
-// readAgain goes on with a batch of this process from what the store holds of it.
-func (b *Board) readAgain(id string, known *held) {
-	b.leave(id, known)
+// reload goes on with a batch of this process from what the store holds of it.
+func (b *Board) reload(id string, owned *ownedBatch) {
+	b.evict(id, owned)
 	b.lock()
 	defer b.mutex.Unlock()
 	b.resume(id)
@@ -147,7 +147,7 @@
 	return Title{Revision: revision, Lease: lease}, err
 }
 
-// takeBack writes the owner's key of a batch that this process owns anew, then reads
+// reclaim writes the owner's key of a batch that this process owns anew, then reads
 // and runs the batch.
 //
 // The former process of this name, or an earlier try of this one, may have a chunk
@@ -155,29 +155,29 @@
 // some readers and not to others, and no chunk of this process would fit behind it.
 // Such a write expects the former revision of the key. The new one ends with this
 // process's lease besides, and not with that of the former.
-func (b *Board) takeBack(ctx context.Context, id string, revision uint64) {
+func (b *Board) reclaim(ctx context.Context, id string, revision uint64) {
 	for ctx.Err() == nil && b.ownsAt(id, revision) {
 		if b.Lease() == 0 {
-			pause.For(ctx, leaseLook)
+			pause.For(ctx, leasePollInterval)
 			continue
 		}
-		title, err := b.writeOwner(ctx, id, platform.Expect{Key: ownerKey(id), Revision: revision})
+		ownership, err := b.writeOwner(ctx, id, platform.Expect{Key: ownerKey(id), Revision: revision})
 		if err == nil {
-			b.adopt(ctx, id, title)
+			b.adopt(ctx, id, ownership)
 			return
 		}
 		klog.InfoS("batch: not taken back", "batch", id, "owner", revision, "err", err.Error())
-		pause.For(ctx, claimStep)
+		pause.For(ctx, claimStagger)
 	}
 	b.release(id)
 }
 
 // adopt reads a batch that this process owns from the store, and runs it.
-func (b *Board) adopt(ctx context.Context, id string, title Title) {
+func (b *Board) adopt(ctx context.Context, id string, ownership Title) {
 	batch, listed, partials, err := b.load(ctx, id, nil)
-	for err != nil && ctx.Err() == nil && b.ownsAt(id, title.Revision) {
+	for err != nil && ctx.Err() == nil && b.ownsAt(id, ownership.Revision) {
 		klog.InfoS("batch: not read", "batch", id, "err", err.Error())
-		pause.For(ctx, claimStep)
+		pause.For(ctx, claimStagger)
 		batch, listed, partials, err = b.load(ctx, id, partials)
 	}
 	if err == nil {
@@ -186,25 +186,25 @@
 	b.lock()
 	defer b.mutex.Unlock()
 	delete(b.claiming, id)
-	if err != nil || ctx.Err() != nil || b.held[id] != nil || !b.open[id] {
+	if err != nil || ctx.Err() != nil || b.owned[id] != nil || !b.open[id] {
 		return
 	}
-	if b.ownerRevisions[id] > title.Revision {
+	if b.ownerRevisions[id] > ownership.Revision {
 		// The owner's key was written again, so chunks under this title fit no more.
 		b.resume(id)
 		return
 	}
-	klog.InfoS("batch: taken over", "batch", id, "owner", title.Revision, "listed", len(listed), "partly", len(partials))
+	klog.InfoS("batch: taken over", "batch", id, "owner", ownership.Revision, "listed", len(listed), "partly", len(partials))
 	delete(b.unowned, id)
-	b.metrics.taken.Inc()
-	b.start(Handover{Batch: batch, Owner: title, Listed: listed, Partials: partials}, clock.Now())
+	b.metrics.takeovers.Inc()
+	b.start(Handover{Batch: batch, Owner: ownership, Listed: listed, Partials: partials}, clock.Now())
 }
 
 // awaitRoute waits until a configuration is known. A process that has just
 // started may know of its batches before it knows of their route.
 func (b *Board) awaitRoute(ctx context.Context, batch *statepb.Batch) {
 	for {
-		if _, known := b.Routes(batch); known || !pause.For(ctx, claimLook) {
+		if _, isKnown := b.Routes(batch); isKnown || !pause.For(ctx, claimPollInterval) {
 			return
 		}
 	}
--- a/internal/batch/claim_test.go
+++ b/internal/batch/claim_test.go
@@ -34,7 +34,7 @@
 // from keepers, the texts of those still open came too late, and were made anew.
 func TestEndedBatchesAreNotRead(t *testing.T) {
 	store := &countingStore{Store: &platformtest.Store{}}
-	first := begin(t, store.Store, "g1", "g1")
+	first := startProcess(t, store.Store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10)))
 	await(t, first.holds)
 	list, err := store.List(t.Context(), Prefix)
@@ -71,7 +71,7 @@
 // one is read first. Taken for the older, it got every slot; the one that the
 // trainer waits for stood still for two and a half seconds.
 func TestOlderStepIsFirst(t *testing.T) {
-	p := begin(t, &platformtest.Store{}, "g1", "g1")
+	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
 	for _, step := range []uint64{1, 0, 2} {
 		batch := newBatch(10, 10)
 		batch.SetId("b" + strconv.FormatUint(step, 10))
@@ -80,7 +80,7 @@
 	}
 	isFirst := func(id string) bool {
 		p.mutex.Lock()
-		owner := p.held[id].owner
+		owner := p.owned[id].owner
 		p.mutex.Unlock()
 		owner.mutex.Lock()
 		defer owner.mutex.Unlock()
@@ -95,17 +95,17 @@
 // on with the batch for two seconds, and what it had made was lost at its end.
 func TestStoppedWhileClaiming(t *testing.T) {
 	store := &platformtest.Store{}
-	first := begin(t, store, "g1", "g1")
+	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10)))
 	await(t, first.holds)
 	list, err := store.List(t.Context(), Prefix)
 	must.NoError(t, err)
 	first.stop()
-	p := begin(t, store, "g1", "g2")
+	p := startProcess(t, store, "g1", "g2")
 	p.routes.set(Route{}, false)
 	p.Take(list.Values)
 	p.Drain(t.Context())
-	p.routes.set(known, true)
+	p.routes.set(knownRoute, true)
 	await(t, func() bool {
 		_, err := store.Get(t.Context(), ownerKey("b1"))
 		var missing *platform.NotFoundError
@@ -120,19 +120,19 @@
 	hosts := []string{"g1", "g2", "g3"}
 	order := duty.Order("b1", hosts)
 	board := &Board{Process: order[1], Order: func(string) []string { return order }, Leaves: func(host string) bool { return host == "leaving" }}
-	must.Eq(t, ownerHead+claimStep, board.turn("b1", "g1"))
-	must.Eq(t, ownerHead+claimStep, board.turn("b1", "lapsed"))
-	must.Eq(t, claimStep, board.turn("b1", "leaving"))
-	board.held = map[string]*held{"b1": {}}
-	must.Eq(t, 0, board.turn("b1", "g1"))
+	must.Eq(t, ownerHeadStart+claimStagger, board.claimDelay("b1", "g1"))
+	must.Eq(t, ownerHeadStart+claimStagger, board.claimDelay("b1", "lapsed"))
+	must.Eq(t, claimStagger, board.claimDelay("b1", "leaving"))
+	board.owned = map[string]*ownedBatch{"b1": {}}
+	must.Eq(t, 0, board.claimDelay("b1", "g1"))
 }
 
 func TestTakeover(t *testing.T) {
 	store := &platformtest.Store{}
-	first, second := begin(t, store, "g1", "g1", "g2"), begin(t, store, "g2", "g1", "g2")
+	first, second := startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g1", "g2")
 	must.NoError(t, first.AcceptOwn(t.Context(), newBatch(10, 20)))
 	await(t, func() bool { return second.Owner("b1") == "g1" })
-	old := first.held["b1"].ledger
+	old := first.owned["b1"].ledger
 	first.stop()
 	must.NoError(t, store.End(t.Context(), first.Lease()))
 	await(t, func() bool { return second.holds() })
@@ -144,24 +144,24 @@
 // its batch again at once, before others do, and lists on.
 func TestClaimedAgain(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
-	before := p.held["b1"].ledger.title.Revision
+	before := p.owned["b1"].ledger.ownership.Revision
 	must.NoError(t, store.End(t.Context(), p.Lease()))
 	lease, err := store.Grant(t.Context(), time.Hour)
 	must.NoError(t, err)
 	p.lease.Store(lease)
 	await(t, func() bool {
-		p.held["b1"].ledger.mutex.Lock()
-		defer p.held["b1"].ledger.mutex.Unlock()
-		return p.held["b1"].ledger.title.Revision > before
+		p.owned["b1"].ledger.mutex.Lock()
+		defer p.owned["b1"].ledger.mutex.Unlock()
+		return p.owned["b1"].ledger.ownership.Revision > before
 	})
 }
 
 // A process that stops gives its batches up at once; nobody waits for its lease.
 func TestDrain(t *testing.T) {
 	store := &platformtest.Store{}
-	first, second := begin(t, store, "g1", "g1", "g2"), begin(t, store, "g2", "g1", "g2")
+	first, second := startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g1", "g2")
 	must.NoError(t, first.AcceptOwn(t.Context(), newBatch(10)))
 	await(t, func() bool { return second.Owner("b1") == "g1" })
 	first.Drain(t.Context())
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// takeTime bounds the write by which a batch is taken from its owner: some writes
+	// takeoverTimeout bounds the write by which a batch is taken from its owner: some writes
 	// of a slow store.
-	takeTime = 400 * time.Millisecond
-	// giveTime bounds a call that hands a batch over: the write, and the way of a batch
+	takeoverTimeout = 400 * time.Millisecond
+	// handoverCallTimeout bounds a call that hands a batch over: the write, and the way of a batch
 	// of a megabyte over a narrow link to a small host. An owner that gives up sooner
 	// goes through the store although the batch was taken, and its readers don't learn
 	// of the next owner.
-	giveTime = 600 * time.Millisecond
-	// probeTime bounds the question whether the store answers: many times its usual answer.
-	probeTime = 400 * time.Millisecond
-	// endTime is what a process needs after its hand-over, to end its last requests.
-	endTime = time.Second
-	// successors is how many processes are asked to go on with a batch.
-	successors = 2
+	handoverCallTimeout = 600 * time.Millisecond
+	// storeProbeTimeout bounds the question whether the store answers: many times its usual answer.
+	storeProbeTimeout = 400 * time.Millisecond
+	// shutdownReserve is what a process needs after its hand-over, to end its last requests.
+	shutdownReserve = time.Second
+	// maxSuccessors is how many processes are asked to go on with a batch.
+	maxSuccessors = 2
 )
 
 // Drain hands all batches over: it stops their runs, leaves what came of them
@@ -37,37 +37,37 @@
 func (b *Board) Drain(ctx context.Context) {
 	b.lock()
 	b.isDraining = true
-	batches := map[string]*held{}
-	for id, held := range b.held {
-		if !held.ended {
-			batches[id] = held
+	batches := map[string]*ownedBatch{}
+	for id, owned := range b.owned {
+		if !owned.ended {
+			batches[id] = owned
 		}
 	}
 	b.mutex.Unlock()
 	if len(batches) == 0 {
 		return
 	}
-	before, cancel := beforeHandover(ctx)
+	handoverStart, cancel := untilHandover(ctx)
 	defer cancel()
-	b.awaitStore(before)
-	var group sync.WaitGroup
-	for id, held := range batches {
-		group.Go(func() {
-			awaitSettled(before, held)
-			b.handOver(ctx, id, held)
+	b.awaitStore(handoverStart)
+	var handovers sync.WaitGroup
+	for id, owned := range batches {
+		handovers.Go(func() {
+			awaitCommitted(handoverStart, owned)
+			b.handOver(ctx, id, owned)
 		})
 	}
-	group.Wait()
+	handovers.Wait()
 }
 
-// beforeHandover returns a context that ends when a hand-over must begin for the
+// untilHandover returns a context that ends when a hand-over must begin for the
 // process to end in its time.
-func beforeHandover(ctx context.Context) (context.Context, context.CancelFunc) {
-	end, isBounded := ctx.Deadline()
+func untilHandover(ctx context.Context) (context.Context, context.CancelFunc) {
+	deadline, isBounded := ctx.Deadline()
 	if !isBounded {
 		return context.WithCancel(ctx)
 	}
-	return context.WithDeadline(ctx, end.Add(-handoverTime-endTime))
+	return context.WithDeadline(ctx, deadline.Add(-handoverTimeout-shutdownReserve))
 }
 
 // awaitStore waits until the store answers. The batches run on meanwhile.
@@ -76,28 +76,28 @@
 // outage and ends before the store is back loses their texts.
 func (b *Board) awaitStore(ctx context.Context) {
 	began := clock.Now()
-	for ctx.Err() == nil && !b.isStoreThere(ctx) {
-		pause.For(ctx, writePause)
+	for ctx.Err() == nil && !b.isStoreReachable(ctx) {
+		pause.For(ctx, writeRetryDelay)
 	}
-	if waited := clock.Now().Sub(began); waited > probeTime {
+	if waited := clock.Now().Sub(began); waited > storeProbeTimeout {
 		klog.InfoS("batch: stopping waited for the store", "waited", waited, "answers", ctx.Err() == nil)
 	}
 }
 
-// isStoreThere asks the store for a key that need not be there.
-func (b *Board) isStoreThere(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
+// isStoreReachable asks the store for a key that need not be there.
+func (b *Board) isStoreReachable(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, storeProbeTimeout)
 	defer cancel()
 	_, err := b.Store.Get(ctx, ownerKey(b.Process))
 	var missing *platform.NotFoundError
 	return err == nil || errors.As(err, &missing)
 }
 
-// awaitSettled waits until it is known whether the store holds a batch: before that
+// awaitCommitted waits until it is known whether the store holds a batch: before that
 // nobody can go on with it.
-func awaitSettled(ctx context.Context, held *held) {
-	if held.early != nil {
-		held.early.await(ctx)
+func awaitCommitted(ctx context.Context, owned *ownedBatch) {
+	if owned.early != nil {
+		owned.early.await(ctx)
 	}
 }
 
@@ -120,89 +120,89 @@
 // Through the store the next owner hears of the batch from a watch, waits for its
 // turn, claims it, and reads all of it. Meanwhile nothing of the batch runs, and outcomes
 // that aren't listed yet are lost.
-func (b *Board) handOver(ctx context.Context, id string, held *held) {
-	ctx, cancel := context.WithTimeout(ctx, handoverTime)
+func (b *Board) handOver(ctx context.Context, id string, owned *ownedBatch) {
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	held.cancel()
+	owned.cancel()
 	select {
-	case <-held.stopped:
+	case <-owned.stopped:
 	case <-ctx.Done():
 	}
-	if b.giveTo(ctx, id, held) {
+	if b.offerToSuccessors(ctx, id, owned) {
 		return
 	}
-	held.keepLast(ctx)
+	owned.keepLast(ctx)
 	_, err := b.Store.Commit(ctx, platform.Commit{
-		Expect: []platform.Expect{{Key: ownerKey(id), Revision: held.ledger.owned().Revision}},
+		Expect: []platform.Expect{{Key: ownerKey(id), Revision: owned.ledger.currentOwnership().Revision}},
 		Remove: []string{ownerKey(id)},
 	})
 	klog.InfoS("batch: handed over", "batch", id, "err", err)
 }
 
-// giveTo has one of the processes that come next go on with a stopped batch, and
+// offerToSuccessors has one of the processes that come next go on with a stopped batch, and
 // reports whether one does.
 //
 // In a rolling stop the first one may be about to end, or be gone. One that took the
 // batch and didn't answer keeps the next from taking it: the owner's key has changed.
-func (b *Board) giveTo(ctx context.Context, id string, held *held) bool {
-	state, isSure := b.handover(id, held)
-	if !isSure {
+func (b *Board) offerToSuccessors(ctx context.Context, id string, owned *ownedBatch) bool {
+	state, isComplete := b.handoverState(id, owned)
+	if !isComplete {
 		return false
 	}
-	for _, next := range b.next(held.batch.GetModel()) {
-		if b.give(ctx, id, next, state) {
+	for _, successor := range b.successors(owned.batch.GetModel()) {
+		if b.offer(ctx, id, successor, state) {
 			return true
 		}
 	}
 	return false
 }
 
-// give has a process go on with a stopped batch, and reports whether it does.
-func (b *Board) give(ctx context.Context, id, next string, state Handover) bool {
-	ctx, cancel := context.WithTimeout(ctx, giveTime)
+// offer has a process go on with a stopped batch, and reports whether it does.
+func (b *Board) offer(ctx context.Context, id, successor string, state Handover) bool {
+	ctx, cancel := context.WithTimeout(ctx, handoverCallTimeout)
 	defer cancel()
-	taken, err := b.Peers.HandOver(ctx, next, state)
-	klog.InfoS("batch: given to its next owner", "batch", id, "owner", next, "listed", len(state.Listed), "pending", len(state.Pending), "partly", len(state.Partials), "taken", taken, "err", err)
+	taken, err := b.Peers.HandOver(ctx, successor, state)
+	klog.InfoS("batch: given to its next owner", "batch", id, "owner", successor, "listed", len(state.Listed), "pending", len(state.Pending), "partly", len(state.Partials), "taken", taken, "err", err)
 	if taken {
-		b.given(id, next)
+		b.markHandedOver(id, successor)
 	}
 	return taken
 }
 
-// given sends readers to the next owner of a batch at once.
-func (b *Board) given(id, next string) {
+// markHandedOver sends readers to the next owner of a batch at once.
+func (b *Board) markHandedOver(id, successor string) {
 	b.lock()
 	defer b.mutex.Unlock()
-	delete(b.held, id)
+	delete(b.owned, id)
 	if b.owners[id] == b.Process {
-		b.owners[id] = next
+		b.owners[id] = successor
 	}
 }
 
-// next returns the processes that should own a model's batches once this one has left,
+// successors returns the processes that should own a model's batches once this one has left,
 // the first one first.
-func (b *Board) next(model string) []string {
-	others := slices.DeleteFunc(b.ranked(model), func(host string) bool { return host == b.Process })
-	return others[:min(len(others), successors)]
+func (b *Board) successors(model string) []string {
+	others := slices.DeleteFunc(b.rankedOwners(model), func(host string) bool { return host == b.Process })
+	return others[:min(len(others), maxSuccessors)]
 }
 
-// handover returns a stopped batch. It reports false if it hasn't stopped or isn't
+// handoverState returns a stopped batch. It reports false if it hasn't stopped or isn't
 // known as a whole, and if there is nothing to go on with.
-func (b *Board) handover(id string, held *held) (Handover, bool) {
+func (b *Board) handoverState(id string, owned *ownedBatch) (Handover, bool) {
 	select {
-	case <-held.stopped:
+	case <-owned.stopped:
 	default:
 		return Handover{}, false
 	}
-	listed, pending, isSure := held.ledger.rest()
+	listed, pending, isComplete := owned.ledger.snapshot()
 	b.lock()
 	open := b.openRevisions[id]
 	b.mutex.Unlock()
-	owner := held.ledger.owned()
-	held.mutex.Lock()
-	defer held.mutex.Unlock()
-	state := Handover{Batch: held.batch, Owner: owner, Open: open, Listed: listed, Pending: pending, Partials: held.plan.Partials()}
-	return state, isSure && open != 0 && owner.Revision != 0 && !held.plan.IsEnded()
+	owner := owned.ledger.currentOwnership()
+	owned.mutex.Lock()
+	defer owned.mutex.Unlock()
+	state := Handover{Batch: owned.batch, Owner: owner, Open: open, Listed: listed, Pending: pending, Partials: owned.plan.Partials()}
+	return state, isComplete && open != 0 && owner.Revision != 0 && !owned.plan.IsEnded()
 }
 
 // TakeHandover goes on with a batch that another process has stopped. An error says
@@ -214,15 +214,15 @@
 func (b *Board) TakeHandover(ctx context.Context, state Handover) (bool, error) {
 	id := state.Batch.GetId()
 	// A revision of 0 would ask the store for a batch that is not open, or has no owner.
-	if b.Lease() == 0 || state.Owner.Revision == 0 || state.Open == 0 || !b.begin(id) {
+	if b.Lease() == 0 || state.Owner.Revision == 0 || state.Open == 0 || !b.reserveForTakeover(id) {
 		return false, nil
 	}
 	defer b.release(id)
-	ctx, cancel := context.WithTimeout(ctx, takeTime)
+	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	title, err := b.writeOwner(ctx, id, platform.Expect{Key: ownerKey(id), Revision: state.Owner.Revision}, platform.Expect{Key: openKey(id), Revision: state.Open})
+	ownership, err := b.writeOwner(ctx, id, platform.Expect{Key: ownerKey(id), Revision: state.Owner.Revision}, platform.Expect{Key: openKey(id), Revision: state.Open})
 	var conflict *platform.ConflictError
-	if errors.As(err, &conflict) || err != nil && isNothingDone(err) {
+	if errors.As(err, &conflict) || err != nil && isNotCommitted(err) {
 		klog.InfoS("batch: not taken from its owner", "batch", id, "err", err.Error())
 		return false, nil
 	}
@@ -231,24 +231,24 @@
 	}
 	b.lock()
 	defer b.mutex.Unlock()
-	klog.InfoS("batch: taken from its owner", "batch", id, "owner", title.Revision, "listed", len(state.Listed), "pending", len(state.Pending), "partly", len(state.Partials))
-	b.metrics.taken.Inc()
+	klog.InfoS("batch: taken from its owner", "batch", id, "owner", ownership.Revision, "listed", len(state.Listed), "pending", len(state.Pending), "partly", len(state.Partials))
+	b.metrics.takeovers.Inc()
 	b.open[id] = true
 	b.openRevisions[id] = state.Open
 	b.owners[id] = b.Process
-	b.ownerRevisions[id] = title.Revision
+	b.ownerRevisions[id] = ownership.Revision
 	delete(b.unowned, id)
-	state.Owner = title
+	state.Owner = ownership
 	b.start(state, clock.Now())
 	return true, nil
 }
 
-// begin keeps the watch from adopting a batch that is being taken from its owner.
+// reserveForTakeover keeps the watch from adopting a batch that is being taken from its owner.
 // It reports false if this process is stopping, or has the batch already.
-func (b *Board) begin(id string) bool {
+func (b *Board) reserveForTakeover(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
-	if b.isDraining || b.held[id] != nil || b.claiming[id] {
+	if b.isDraining || b.owned[id] != nil || b.claiming[id] {
 		return false
 	}
 	b.claiming[id] = true
@@ -258,9 +258,9 @@
 // Carry takes outcomes that an earlier owner had and didn't list.
 func (p *Plan) Carry(outcomes []*statepb.Outcome) {
 	for _, outcome := range outcomes {
-		if one := p.byID[outcome.GetItem()]; one != nil {
-			p.list(one, outcome)
+		if item := p.byID[outcome.GetItem()]; item != nil {
+			p.list(item, outcome)
 		}
 	}
-	p.order = slices.DeleteFunc(p.order, func(one *item) bool { return one.phase != waiting })
+	p.order = slices.DeleteFunc(p.order, func(item *itemState) bool { return item.phase != waiting })
 }
--- a/internal/batch/early.go
+++ b/internal/batch/early.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// earlyAfter is how long a store may take for a batch before the batch runs
+	// earlyStartDelay is how long a store may take for a batch before the batch runs
 	// without it: many times its usual answer.
-	earlyAfter = 150 * time.Millisecond
-	// pendingLook is the time between two looks whether the store holds a batch that
+	earlyStartDelay = 150 * time.Millisecond
+	// pendingPollInterval is the time between two looks whether the store holds a batch that
 	// another process runs early.
-	pendingLook = 20 * time.Millisecond
-	// earlyTime bounds how long a batch runs that the store isn't known to hold: the
+	pendingPollInterval = 20 * time.Millisecond
+	// earlyTimeout bounds how long a batch runs that the store isn't known to hold: the
 	// time in which trainers come back with a step.
-	earlyTime = 10 * time.Second
+	earlyTimeout = 10 * time.Second
 )
 
 // Acceptance is what became of a batch at the process that was asked to take it.
@@ -43,165 +43,165 @@
 	return [...]string{"refused", "pending", "taken"}[a]
 }
 
-// early is a batch that runs before the store is known to hold it.
+// earlyRun is a batch that runs before the store is known to hold it.
 //
 // Texts need no store, and the longest one of a step takes nearly all of the step's
 // time. So they are generated while the store is away, and nothing of them is shown
 // before it holds the batch. Trainers are told meanwhile that the batch may run.
-type early struct {
-	// settled is closed once the store is known to hold the batch, or the batch is given up.
-	settled chan struct{}
-	isOver  bool
+type earlyRun struct {
+	// done is closed once the store is known to hold the batch, or the batch is given up.
+	done   chan struct{}
+	isDone bool
 }
 
 // await waits until the batch is early no more, or the context ends.
-func (e *early) await(ctx context.Context) {
+func (e *earlyRun) await(ctx context.Context) {
 	select {
-	case <-e.settled:
+	case <-e.done:
 	case <-ctx.Done():
 	}
 }
 
-// homes returns the processes that should own a model's batches, the first one first.
-func (b *Board) homes(model string) []string {
-	order := b.ranked(model)
-	return order[:min(len(order), successors)]
+// preferredOwners returns the processes that should own a model's batches, the first one first.
+func (b *Board) preferredOwners(model string) []string {
+	order := b.rankedOwners(model)
+	return order[:min(len(order), maxSuccessors)]
 }
 
-// ranked returns all processes as candidates for the batches of a model.
-func (b *Board) ranked(model string) []string { return b.Order("model/" + model) }
+// rankedOwners returns all processes as candidates for the batches of a model.
+func (b *Board) rankedOwners(model string) []string { return b.Order("model/" + model) }
 
-// beginEarly runs a batch that the store isn't known to hold.
-func (b *Board) beginEarly(batch *statepb.Batch) {
+// startEarly runs a batch that the store isn't known to hold.
+func (b *Board) startEarly(batch *statepb.Batch) {
 	b.lock()
 	defer b.mutex.Unlock()
 	id := batch.GetId()
-	if b.held[id] != nil || b.open[id] || b.ended[id] || b.isDraining {
+	if b.owned[id] != nil || b.open[id] || b.ended[id] || b.isDraining {
 		return
 	}
 	klog.InfoS("batch: begun before the store holds it", "batch", id, "step", batch.GetStep(), "model", batch.GetModel(), "items", len(batch.GetItems()))
 	b.start(Handover{Batch: batch}, clock.Now())
-	held := b.held[id]
-	held.early = &early{settled: make(chan struct{})}
-	b.work(func() { b.settle(held) })
+	owned := b.owned[id]
+	owned.early = &earlyRun{done: make(chan struct{})}
+	b.startTask(func() { b.commitEarly(owned) })
 }
 
-// settle has the store take an early batch, or gives it up.
-func (b *Board) settle(held *held) {
-	id := held.batch.GetId()
-	ctx, cancel := context.WithTimeout(b.ctx, earlyTime)
+// commitEarly has the store take an early batch, or gives it up.
+func (b *Board) commitEarly(owned *ownedBatch) {
+	id := owned.batch.GetId()
+	ctx, cancel := context.WithTimeout(b.ctx, earlyTimeout)
 	defer cancel()
-	for b.earlyOf(id) == held.early && !held.isEnded() {
-		if !b.isTried(id) {
-			b.settleOnce(ctx, held.batch)
+	for b.earlyRunOf(id) == owned.early && !owned.isEnded() {
+		if !b.isCommitting(id) {
+			b.tryCommitEarly(ctx, owned.batch)
 		}
-		if !pause.For(ctx, writePause) {
+		if !pause.For(ctx, writeRetryDelay) {
 			break
 		}
 	}
-	if b.ctx.Err() != nil || b.earlyOf(id) != held.early {
+	if b.ctx.Err() != nil || b.earlyRunOf(id) != owned.early {
 		return
 	}
 	klog.InfoS("batch: given up, the store did not take it", "batch", id)
-	b.leave(id, held)
+	b.evict(id, owned)
 	b.Keeper.Drop(b.ctx, id)
 	b.lock()
 	defer b.mutex.Unlock()
-	b.endEarly(held)
+	b.endEarly(owned)
 }
 
-// settleOnce tries once to have the store take an early batch.
-func (b *Board) settleOnce(ctx context.Context, batch *statepb.Batch) {
-	if err := b.accept(ctx, batch); err != nil {
+// tryCommitEarly tries once to have the store take an early batch.
+func (b *Board) tryCommitEarly(ctx context.Context, batch *statepb.Batch) {
+	if err := b.commitBatch(ctx, batch); err != nil {
 		klog.V(1).InfoS("batch: an early one is not in the store yet", "batch", batch.GetId(), "err", err.Error())
 	}
 }
 
-// isTried reports whether a write of the batch is under way: a second one would share
+// isCommitting reports whether a write of the batch is under way: a second one would share
 // the link with it.
-func (b *Board) isTried(id string) bool {
+func (b *Board) isCommitting(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
 	return b.claiming[id]
 }
 
 // endEarly notes that a batch is early no more. The mutex is held.
-func (b *Board) endEarly(held *held) {
-	if held == nil || held.early == nil || held.early.isOver {
+func (b *Board) endEarly(owned *ownedBatch) {
+	if owned == nil || owned.early == nil || owned.early.isDone {
 		return
 	}
-	held.early.isOver = true
-	close(held.early.settled)
+	owned.early.isDone = true
+	close(owned.early.done)
 }
 
-// earlyOf returns what makes a batch early here, or nil.
-func (b *Board) earlyOf(id string) *early {
+// earlyRunOf returns what makes a batch early here, or nil.
+func (b *Board) earlyRunOf(id string) *earlyRun {
 	b.lock()
 	defer b.mutex.Unlock()
-	return b.runsEarly(id)
+	return b.earlyRunLocked(id)
 }
 
-// runsEarly returns what makes a batch early here, or nil. The mutex is held.
-func (b *Board) runsEarly(id string) *early {
-	held := b.held[id]
-	if held == nil || held.early == nil || held.early.isOver {
+// earlyRunLocked returns what makes a batch early here, or nil. The mutex is held.
+func (b *Board) earlyRunLocked(id string) *earlyRun {
+	owned := b.owned[id]
+	if owned == nil || owned.early == nil || owned.early.isDone {
 		return nil
 	}
-	return held.early
+	return owned.early
 }
 
-// taken notes that the store holds a batch, of which this process is the owner. The
+// markAccepted notes that the store holds a batch, of which this process is the owner. The
 // mutex is held.
-func (b *Board) taken(batch *statepb.Batch, title Title) {
-	id, held := batch.GetId(), b.held[batch.GetId()]
-	if held != nil && b.runsEarly(id) == nil {
+func (b *Board) markAccepted(batch *statepb.Batch, ownership Title) {
+	id, owned := batch.GetId(), b.owned[batch.GetId()]
+	if owned != nil && b.earlyRunLocked(id) == nil {
 		return
 	}
 	b.metrics.accepted.Inc()
 	b.open[id] = true
 	b.owners[id] = b.Process
-	b.ownerRevisions[id] = title.Revision
-	if held == nil {
-		b.start(Handover{Batch: batch, Owner: title}, clock.Now())
+	b.ownerRevisions[id] = ownership.Revision
+	if owned == nil {
+		b.start(Handover{Batch: batch, Owner: ownership}, clock.Now())
 		return
 	}
-	held.ledger.reclaimed(title)
-	b.endEarly(held)
+	owned.ledger.setOwnership(ownership)
+	b.endEarly(owned)
 }
 
 // awaitEarly waits until it is known what became of an early batch.
-func (b *Board) awaitEarly(ctx context.Context, early *early, id string) error {
+func (b *Board) awaitEarly(ctx context.Context, early *earlyRun, id string) error {
 	early.await(ctx)
-	if b.isKnown(id) {
+	if b.isAccepted(id) {
 		return nil
 	}
-	return errSilent()
+	return errCommitUnknown()
 }
 
-// errSilent says that it isn't known whether the store holds a batch.
-func errSilent() error {
-	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").After(storeAgain)
+// errCommitUnknown says that it isn't known whether the store holds a batch.
+func errCommitUnknown() error {
+	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").After(storeRetryAfter)
 }
 
 // AcceptFor takes a batch here that another process was sent, and says within a
 // time what became of it. An error says that this isn't known. The try goes on after
 // that: a large batch takes the store longer than the other process waits.
 func (b *Board) AcceptFor(ctx context.Context, batch *statepb.Batch, wait time.Duration) (Acceptance, error) {
-	if b.isKnown(batch.GetId()) {
+	if b.isAccepted(batch.GetId()) {
 		return Taken, nil
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- b.acceptOwn(ctx, batch, attempt{isHome: true}) }()
+	go func() { ended <- b.acceptOwn(ctx, batch, attempt{isPreferred: true}) }()
 	var err error
 	select {
 	case err = <-ended:
 	case <-time.After(wait):
-		err = errSilent()
+		err = errCommitUnknown()
 	}
 	switch {
 	case err == nil:
 		return Taken, nil
-	case b.earlyOf(batch.GetId()) != nil:
+	case b.earlyRunOf(batch.GetId()) != nil:
 		return Pending, nil
 	case refusal.IsNotRun(err):
 		return Refused, nil
@@ -210,26 +210,26 @@
 	}
 }
 
-// askHome has another process take a batch. Where that runs it and isn't sure yet, the
+// askPreferredOwner has another process take a batch. Where that runs it and isn't sure yet, the
 // store's small keys tell: the batch isn't sent again, which may be a megabyte.
-func (b *Board) askHome(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
-	ctx, cancel := context.WithTimeout(ctx, acceptTime)
+func (b *Board) askPreferredOwner(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	acceptance, err := b.askOnce(ctx, host, batch)
+	acceptance, err := b.askPeer(ctx, host, batch)
 	for err == nil && acceptance == Pending {
-		if b.isKnown(batch.GetId()) {
+		if b.isAccepted(batch.GetId()) {
 			return Taken, nil
 		}
-		if !pause.For(ctx, pendingLook) {
+		if !pause.For(ctx, pendingPollInterval) {
 			break
 		}
 	}
 	return acceptance, err
 }
 
-// askOnce has another process take a batch.
-func (b *Board) askOnce(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
-	ctx, cancel := context.WithTimeout(ctx, placeTime)
+// askPeer has another process take a batch.
+func (b *Board) askPeer(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerAcceptTimeout)
 	defer cancel()
 	acceptance, err := b.Peers.Accept(ctx, host, batch)
 	klog.InfoS("batch: its owner was asked to take it", "batch", batch.GetId(), "model", batch.GetModel(), "owner", host, "acceptance", acceptance, "err", err)
--- a/internal/batch/keep.go
+++ b/internal/batch/keep.go
@@ -15,13 +15,13 @@
 const (
 	// keepInterval is the time between two looks for events that a keeper lacks.
 	keepInterval = 500 * time.Millisecond
-	// keepMost bounds that time after failures.
-	keepMost = 4 * time.Second
-	// keepTries is how many keepers are tried when a batch is given up.
-	keepTries = 3
-	// keepAfter is how long a run goes on before its text is kept: half of all texts
+	// maxKeepInterval bounds that time after failures.
+	maxKeepInterval = 4 * time.Second
+	// maxKeepAttempts is how many keepers are tried when a batch is given up.
+	maxKeepAttempts = 3
+	// minKeepAge is how long a run goes on before its text is kept: half of all texts
 	// are whole before that, and are made anew in no more.
-	keepAfter = time.Second
+	minKeepAge = time.Second
 )
 
 // ErrOtherKeeper says that a batch's texts go to another keeper from now on, which has
@@ -50,24 +50,24 @@
 func (o *owner) keep(ctx context.Context) {
 	wait := keepInterval
 	for pause.For(ctx, wait) {
-		if o.keepOnce(ctx, o.isLong) {
+		if o.keepOnce(ctx, o.isWorthKeeping) {
 			wait = keepInterval
 			continue
 		}
-		wait = min(2*wait, keepMost)
+		wait = min(2*wait, maxKeepInterval)
 	}
 }
 
-// isLong reports whether the run of an item is worth keeping. The mutex is held.
-func (o *owner) isLong(index int) bool {
+// isWorthKeeping reports whether the run of an item is worth keeping. The mutex is held.
+func (o *owner) isWorthKeeping(index int) bool {
 	run := o.runs[index]
-	return run == nil || clock.Now().Sub(run.began) >= keepAfter
+	return run == nil || clock.Now().Sub(run.startedAt) >= minKeepAge
 }
 
 // keepLast gives all texts to a keeper before the batch is given up: to the next one
 // where a keeper doesn't answer. There is no later time at which to try again.
 func (o *owner) keepLast(ctx context.Context) {
-	for range keepTries {
+	for range maxKeepAttempts {
 		if ctx.Err() != nil || o.keepOnce(ctx, func(int) bool { return true }) {
 			return
 		}
@@ -105,11 +105,11 @@
 // Partials returns the texts of items without an outcome, for the next owner.
 func (p *Plan) Partials() []*statepb.Partial {
 	var partials []*statepb.Partial
-	for _, one := range p.items {
-		if one.phase == settled || len(one.events) == 0 {
+	for _, item := range p.items {
+		if item.phase == settled || len(item.events) == 0 {
 			continue
 		}
-		partials = append(partials, statepb.Partial_builder{Item: one.spec.GetId(), Events: one.events, Versions: one.versions}.Build())
+		partials = append(partials, statepb.Partial_builder{Item: item.spec.GetId(), Events: item.events, Versions: item.versions}.Build())
 	}
 	return partials
 }
@@ -118,15 +118,15 @@
 // items that need not be kept.
 func (p *Plan) Parts(isKept func(index int) bool) []*statepb.Part {
 	var parts []*statepb.Part
-	for _, one := range p.items {
-		kept := one.kept
-		if one.phase == settled || kept >= len(one.events) || !isKept(one.index) {
+	for _, item := range p.items {
+		kept := item.kept
+		if item.phase == settled || kept >= len(item.events) || !isKept(item.index) {
 			continue
 		}
 		parts = append(parts, statepb.Part_builder{
-			Item: one.spec.GetId(), After: uint32(kept), Events: one.events[kept:], Versions: one.versions[kept:],
+			Item: item.spec.GetId(), After: uint32(kept), Events: item.events[kept:], Versions: item.versions[kept:],
 		}.Build())
-		one.kept = len(one.events)
+		item.kept = len(item.events)
 	}
 	return parts
 }
@@ -134,7 +134,7 @@
 // KeepAll makes Parts return all texts from their start: what a keeper had is
 // not known any more.
 func (p *Plan) KeepAll() {
-	for _, one := range p.items {
-		one.kept = 0
+	for _, item := range p.items {
+		item.kept = 0
 	}
 }
--- a/internal/batch/keep_test.go
+++ b/internal/batch/keep_test.go
@@ -15,7 +15,7 @@
 
 // lostKeeper is a keeper whose answers are lost.
 type lostKeeper struct {
-	noKeeper
+	noopPeer
 
 	calls atomic.Int32
 }
@@ -45,7 +45,7 @@
 
 // movingKeeper names another keeper once, fails once, and keeps what comes then.
 type movingKeeper struct {
-	noKeeper
+	noopPeer
 
 	calls int
 	kept  []*statepb.Part
--- a/internal/batch/ledger.go
+++ b/internal/batch/ledger.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// writePause is the wait before a write that failed is tried again.
-	writePause = 100 * time.Millisecond
+	// writeRetryDelay is the wait before a write that failed is tried again.
+	writeRetryDelay = 100 * time.Millisecond
 	// chunkShare is the part of the store's largest value that a chunk may fill:
 	// base64 and the names around it take a third more.
 	chunkShare = 0.6
-	// chunkBytes bounds a chunk besides: a write whose answer was lost is tried again,
+	// maxChunkBytes bounds a chunk besides: a write whose answer was lost is tried again,
 	// and the answer then holds the chunk. One of a megabyte takes longer over a narrow
 	// link than a call may, so that its owner never learns that the store holds it.
-	chunkBytes = 256 << 10
+	maxChunkBytes = 256 << 10
 )
 
 // ledger lists the outcomes of a batch at places that never change. A place is
@@ -45,14 +45,14 @@
 	changed chan struct{}
 	// urgent ends the gathering of outcomes.
 	urgent chan struct{}
-	// title is what makes this process the batch's owner.
-	title Title
-	// isOpen says that a write was sent of which it isn't known whether the store has
+	// ownership is what makes this process the batch's owner.
+	ownership Title
+	// isInDoubt says that a write was sent of which it isn't known whether the store has
 	// done it, or still will.
-	isOpen bool
-	// isOvertaken says that the store holds a chunk of another writer at the next place.
-	isOvertaken bool
-	isStopped   bool
+	isInDoubt bool
+	// isSuperseded says that the store holds a chunk of another writer at the next place.
+	isSuperseded bool
+	isStopped    bool
 }
 
 // Title is what makes a process the owner of a batch.
@@ -63,13 +63,13 @@
 	Lease uint64
 }
 
-func newLedger(store Store, batch string, group time.Duration, valueBytes int, title Title, listed []*statepb.Outcome, metrics *metrics) *ledger {
-	return &ledger{store: store, batch: batch, group: group, valueBytes: valueBytes, metrics: metrics, title: title, listed: listed, changed: make(chan struct{}), urgent: make(chan struct{}, 1)}
+func newLedger(store Store, batch string, group time.Duration, valueBytes int, ownership Title, listed []*statepb.Outcome, metrics *metrics) *ledger {
+	return &ledger{store: store, batch: batch, group: group, valueBytes: valueBytes, metrics: metrics, ownership: ownership, listed: listed, changed: make(chan struct{}), urgent: make(chan struct{}, 1)}
 }
 
-// add takes outcomes to be listed: at once if they are urgent, else together
+// enqueue takes outcomes to be listed: at once if they are urgent, else together
 // with those that come soon after.
-func (l *ledger) add(outcomes []*statepb.Outcome, isUrgent bool) {
+func (l *ledger) enqueue(outcomes []*statepb.Outcome, isUrgent bool) {
 	if len(outcomes) == 0 {
 		return
 	}
@@ -85,32 +85,32 @@
 	l.wake()
 }
 
-// reclaimed takes the title after the owner's key was written anew.
-func (l *ledger) reclaimed(title Title) {
+// setOwnership takes the title after the owner's key was written anew.
+func (l *ledger) setOwnership(ownership Title) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if title.Revision > l.title.Revision {
-		l.title = title
+	if ownership.Revision > l.ownership.Revision {
+		l.ownership = ownership
 	}
 	l.wake()
 }
 
-// owned returns the title.
-func (l *ledger) owned() Title {
+// currentOwnership returns the title.
+func (l *ledger) currentOwnership() Title {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.title
+	return l.ownership
 }
 
-// next returns the place of the next chunk.
-func (l *ledger) next() uint64 {
+// nextPosition returns the place of the next chunk.
+func (l *ledger) nextPosition() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return uint64(len(l.listed))
 }
 
-// reading is what a ledger knows of the places from one on.
-type reading struct {
+// ledgerView is what a ledger knows of the places from one on.
+type ledgerView struct {
 	outcomes []*statepb.Outcome
 	// changed is closed at the next change.
 	changed <-chan struct{}
@@ -118,25 +118,25 @@
 	isStopped bool
 	// lease with which the title ends.
 	lease uint64
-	// isOpen says that the store may hold more than the ledger knows of.
-	isOpen bool
+	// isInDoubt says that the store may hold more than the ledger knows of.
+	isInDoubt bool
 }
 
-func (l *ledger) read(after uint64) reading {
+func (l *ledger) read(after uint64) ledgerView {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	found := reading{changed: l.changed, isStopped: l.isStopped, lease: l.title.Lease, isOpen: l.isOpen}
+	view := ledgerView{changed: l.changed, isStopped: l.isStopped, lease: l.ownership.Lease, isInDoubt: l.isInDoubt}
 	if after < uint64(len(l.listed)) {
-		found.outcomes = l.listed[after:]
+		view.outcomes = l.listed[after:]
 	}
-	return found
+	return view
 }
 
 // run writes outcomes until the context ends, or until another writer's chunk
 // stands where the next one belongs.
 func (l *ledger) run(ctx context.Context) {
 	defer l.stop()
-	for ctx.Err() == nil && !l.overtaken() {
+	for ctx.Err() == nil && !l.superseded() {
 		l.mutex.Lock()
 		changed, isEmpty := l.changed, len(l.pending) == 0
 		l.mutex.Unlock()
@@ -161,10 +161,10 @@
 	l.wake()
 }
 
-func (l *ledger) overtaken() bool {
+func (l *ledger) superseded() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.isOvertaken
+	return l.isSuperseded
 }
 
 // gather waits for more outcomes, so that one write lists many.
@@ -187,22 +187,22 @@
 func (l *ledger) write(ctx context.Context) {
 	began := clock.Now()
 	l.mutex.Lock()
-	first, outcomes := uint64(len(l.listed)), l.head()
+	first, outcomes := uint64(len(l.listed)), l.nextChunk()
 	l.mutex.Unlock()
 	data, err := marshalChunk(first, outcomes)
 	if err != nil {
 		klog.ErrorS(err, "batch: a chunk can't be encoded", "batch", l.batch)
 		return
 	}
-	for ctx.Err() == nil && !l.overtaken() {
+	for ctx.Err() == nil && !l.superseded() {
 		if l.commit(ctx, first, data) {
 			l.metrics.writes.WithLabelValues("held").Inc()
-			l.list(outcomes)
+			l.markListed(outcomes)
 			klog.InfoS("batch: listed", "batch", l.batch, "first", first, "outcomes", len(outcomes), "took", clock.Now().Sub(began))
 			return
 		}
 		l.metrics.writes.WithLabelValues("open").Inc()
-		pause.For(ctx, writePause)
+		pause.For(ctx, writeRetryDelay)
 	}
 }
 
@@ -210,20 +210,20 @@
 	return proto.Marshal(statepb.Chunk_builder{First: first, Outcomes: outcomes}.Build())
 }
 
-// rest returns what is listed and what waits to be, once the ledger has stopped.
+// snapshot returns what is listed and what waits to be, once the ledger has stopped.
 // It reports false if the store may hold more than that.
-func (l *ledger) rest() (listed, pending []*statepb.Outcome, isSure bool) {
+func (l *ledger) snapshot() (listed, pending []*statepb.Outcome, isComplete bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.listed, l.pending, !l.isOpen && !l.isOvertaken
+	return l.listed, l.pending, !l.isInDoubt && !l.isSuperseded
 }
 
-// head returns as many of the waiting outcomes as fit into one value.
-func (l *ledger) head() []*statepb.Outcome {
-	size, most := 0, min(chunkBytes, int(chunkShare*float64(l.valueBytes)))
+// nextChunk returns as many of the waiting outcomes as fit into one value.
+func (l *ledger) nextChunk() []*statepb.Outcome {
+	size, maxSize := 0, min(maxChunkBytes, int(chunkShare*float64(l.valueBytes)))
 	for i, outcome := range l.pending {
 		size += proto.Size(outcome)
-		if i > 0 && size > most {
+		if i > 0 && size > maxSize {
 			return l.pending[:i:i]
 		}
 	}
@@ -238,13 +238,13 @@
 // So a call is let end where the batch is stopped: cut off, it left the owner unsure
 // of what is listed, and what came of the batch couldn't be given to the next one.
 func (l *ledger) commit(ctx context.Context, first uint64, data []byte) bool {
-	title, isFirst := l.begin()
-	if title.Revision == 0 {
+	ownership, isFirst := l.beginWrite()
+	if ownership.Revision == 0 {
 		return false
 	}
 	key := chunkKey(l.batch, first)
 	_, err := l.store.Commit(context.WithoutCancel(ctx), platform.Commit{
-		Expect: []platform.Expect{{Key: ownerKey(l.batch), Revision: title.Revision}, {Key: key}},
+		Expect: []platform.Expect{{Key: ownerKey(l.batch), Revision: ownership.Revision}, {Key: key}},
 		Writes: []platform.Write{{Key: key, Data: data}},
 	})
 	var conflict *platform.ConflictError
@@ -252,55 +252,55 @@
 	case err == nil:
 		return true
 	case errors.As(err, &conflict):
-		return l.conflict(conflict, title, key, data)
-	case isFirst && isNothingDone(err):
-		l.close()
+		return l.handleConflict(conflict, ownership, key, data)
+	case isFirst && isNotCommitted(err):
+		l.endWrite()
 	}
 	klog.InfoS("batch: a chunk was not written", "batch", l.batch, "first", first, "err", err.Error())
 	return false
 }
 
-// begin opens the ledger for a write. It reports whether no earlier write is open.
-func (l *ledger) begin() (title Title, isFirst bool) {
+// beginWrite opens the ledger for a write. It reports whether no earlier write is open.
+func (l *ledger) beginWrite() (ownership Title, isFirst bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	isFirst = !l.isOpen
-	l.isOpen = l.isOpen || l.title.Revision != 0
-	return l.title, isFirst
+	isFirst = !l.isInDoubt
+	l.isInDoubt = l.isInDoubt || l.ownership.Revision != 0
+	return l.ownership, isFirst
 }
 
-func (l *ledger) close() {
+func (l *ledger) endWrite() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.isOpen = false
+	l.isInDoubt = false
 }
 
-// conflict takes the store's word that a chunk can't be written. It reports whether
+// handleConflict takes the store's word that a chunk can't be written. It reports whether
 // that is because the store holds it.
 //
 // Where the chunk isn't there, the owner's key has changed. No earlier try can be
 // done any more, since revisions don't come back, and what is listed is another
 // owner's to say.
-func (l *ledger) conflict(conflict *platform.ConflictError, title Title, key string, data []byte) bool {
-	present, isThere := conflict.Find(key)
-	if isThere && bytes.Equal(present.Data, data) {
+func (l *ledger) handleConflict(conflict *platform.ConflictError, ownership Title, key string, data []byte) bool {
+	present, isPresent := conflict.Find(key)
+	if isPresent && bytes.Equal(present.Data, data) {
 		return true
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	klog.InfoS("batch: a chunk was not written, the batch is owned anew", "batch", l.batch, "key", key, "owner", title.Revision, "overtaken", isThere)
-	l.isOpen = false
-	l.isOvertaken = isThere
-	if l.title == title {
-		l.title.Lease = 0
+	klog.InfoS("batch: a chunk was not written, the batch is owned anew", "batch", l.batch, "key", key, "owner", ownership.Revision, "overtaken", isPresent)
+	l.isInDoubt = false
+	l.isSuperseded = isPresent
+	if l.ownership == ownership {
+		l.ownership.Lease = 0
 	}
 	return false
 }
 
-func (l *ledger) list(outcomes []*statepb.Outcome) {
+func (l *ledger) markListed(outcomes []*statepb.Outcome) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.isOpen = false
+	l.isInDoubt = false
 	l.listed = append(l.listed, outcomes...)
 	for _, outcome := range outcomes {
 		l.metrics.countOutcome(outcome.GetFailed())
--- a/internal/batch/leftovers.go
+++ b/internal/batch/leftovers.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// leftoverBytes bounds the texts kept for later batches: those of a few steps.
-const leftoverBytes = 8 << 20
+// maxLeftoverBytes bounds the texts kept for later batches: those of a few steps.
+const maxLeftoverBytes = 8 << 20
 
 // leftovers keeps the texts of groups that weren't whole when their batch ended.
 // Its zero value is empty. It is safe for concurrent use.
@@ -31,15 +31,15 @@
 		l.order = append(l.order, text.item)
 		l.bytes += text.size()
 	}
-	for l.bytes > leftoverBytes && len(l.order) > 0 {
+	for l.bytes > maxLeftoverBytes && len(l.order) > 0 {
 		oldest := l.order[0]
 		l.order = l.order[1:]
 		l.drop(oldest)
 	}
 }
 
-// of returns the texts kept of items.
-func (l *leftovers) of(items []string) []Leftover {
+// find returns the texts kept of items.
+func (l *leftovers) find(items []string) []Leftover {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var found []Leftover
@@ -78,23 +78,23 @@
 // Leftovers returns the texts of groups that aren't whole: their items may come
 // again in a later batch.
 func (p *Plan) Leftovers() []Leftover {
-	return p.texts(func(one *item) bool { return p.groups[one.spec.GetGroup()] > 0 })
+	return p.texts(func(item *itemState) bool { return p.groups[item.spec.GetGroup()] > 0 })
 }
 
 // Texts returns the texts of all items, for when the batch goes on from what the
 // store holds of it.
 func (p *Plan) Texts() []Leftover {
-	return p.texts(func(*item) bool { return true })
+	return p.texts(func(*itemState) bool { return true })
 }
 
-func (p *Plan) texts(isWanted func(*item) bool) []Leftover {
+func (p *Plan) texts(isWanted func(*itemState) bool) []Leftover {
 	var leftovers []Leftover
-	for _, one := range p.items {
-		if !isWanted(one) || len(one.events) == 0 || one.outcome.GetFailed() {
+	for _, item := range p.items {
+		if !isWanted(item) || len(item.events) == 0 || item.outcome.GetFailed() {
 			continue
 		}
-		isWhole := one.phase == unscored || one.phase == scoring || one.phase == settled
-		leftovers = append(leftovers, Leftover{item: one.spec.GetId(), events: one.events, versions: one.versions, isWhole: isWhole})
+		isWhole := item.phase == unscored || item.phase == scoring || item.phase == settled
+		leftovers = append(leftovers, Leftover{item: item.spec.GetId(), events: item.events, versions: item.versions, isWhole: isWhole})
 	}
 	return leftovers
 }
@@ -108,17 +108,17 @@
 func (p *Plan) Reuse(leftovers []Leftover) int {
 	reused := 0
 	for _, leftover := range leftovers {
-		one := p.byID[leftover.item]
-		if one == nil || one.phase != waiting || !p.fits(leftover.versions) || len(leftover.events) <= len(one.events) {
+		item := p.byID[leftover.item]
+		if item == nil || item.phase != waiting || !p.areVersionsAllowed(leftover.versions) || len(leftover.events) <= len(item.events) {
 			continue
 		}
 		reused++
-		one.events, one.versions = slices.Clone(leftover.events), slices.Clone(leftover.versions)
+		item.events, item.versions = slices.Clone(leftover.events), slices.Clone(leftover.versions)
 		if leftover.isWhole {
-			p.made(one)
+			p.completeText(item)
 		}
 	}
-	p.order = slices.DeleteFunc(p.order, func(one *item) bool { return one.phase != waiting })
+	p.order = slices.DeleteFunc(p.order, func(item *itemState) bool { return item.phase != waiting })
 	p.sort()
 	return reused
 }
--- a/internal/batch/metrics.go
+++ b/internal/batch/metrics.go
@@ -14,11 +14,11 @@
 
 // metrics counts what becomes of batches.
 type metrics struct {
-	accepted prometheus.Counter
-	taken    prometheus.Counter
-	outcomes *prometheus.CounterVec
-	runs     *prometheus.CounterVec
-	writes   *prometheus.CounterVec
+	accepted  prometheus.Counter
+	takeovers prometheus.Counter
+	outcomes  *prometheus.CounterVec
+	runs      *prometheus.CounterVec
+	writes    *prometheus.CounterVec
 }
 
 func newMetrics(registerer prometheus.Registerer, open func() float64) *metrics {
@@ -27,7 +27,7 @@
 			Name: "bramleyhatch_batch_accepted_total",
 			Help: "Batches taken by this process.",
 		}),
-		taken: prometheus.NewCounter(prometheus.CounterOpts{
+		takeovers: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "bramleyhatch_batch_takeovers_total",
 			Help: "Batches taken over from an owner that has gone.",
 		}),
@@ -45,7 +45,7 @@
 		}, []string{"result"}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.accepted, m.taken, m.outcomes, m.runs, m.writes, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+		registerer.MustRegister(m.accepted, m.takeovers, m.outcomes, m.runs, m.writes, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "bramleyhatch_batch_open",
 			Help: "Batches that this process owns and that are not ended.",
 		}, open))
--- a/internal/batch/outcome.go
+++ b/internal/batch/outcome.go
@@ -9,21 +9,21 @@
 
 // Reason says why an item was given up.
 func (p *Plan) Reason(id string) string {
-	if one := p.byID[id]; one != nil {
-		return one.reason
+	if item := p.byID[id]; item != nil {
+		return item.reason
 	}
 	return ""
 }
 
-func (p *Plan) fail(one *item, reason string) {
-	one.reason = reason
-	p.order = slices.DeleteFunc(p.order, func(other *item) bool { return other == one })
-	p.list(one, statepb.Outcome_builder{Item: one.spec.GetId(), Failed: true}.Build())
+func (p *Plan) fail(item *itemState, reason string) {
+	item.reason = reason
+	p.order = slices.DeleteFunc(p.order, func(other *itemState) bool { return other == item })
+	p.list(item, statepb.Outcome_builder{Item: item.spec.GetId(), Failed: true}.Build())
 }
 
-func (p *Plan) settle(one *item, proof string) {
-	text := strings.Join(one.events, "\n")
-	p.list(one, statepb.Outcome_builder{Item: one.spec.GetId(), Text: text, Versions: distinct(one.versions), Score: proof}.Build())
+func (p *Plan) settle(item *itemState, proof string) {
+	text := strings.Join(item.events, "\n")
+	p.list(item, statepb.Outcome_builder{Item: item.spec.GetId(), Text: text, Versions: distinct(item.versions), Score: proof}.Build())
 }
 
 // distinct returns the versions, each once.
@@ -33,26 +33,26 @@
 	return slices.Compact(found)
 }
 
-func (p *Plan) list(one *item, outcome *statepb.Outcome) {
-	if one.phase == settled {
+func (p *Plan) list(item *itemState, outcome *statepb.Outcome) {
+	if item.phase == settled {
 		return
 	}
-	one.phase = settled
-	one.outcome = outcome
+	item.phase = settled
+	item.outcome = outcome
 	p.open--
 	p.pending = append(p.pending, outcome)
-	p.closeGroup(one)
+	p.closeGroup(item)
 }
 
 // closeGroup notes an item of a group that has its outcome.
-func (p *Plan) closeGroup(one *item) {
-	p.groups[one.spec.GetGroup()]--
-	if p.groups[one.spec.GetGroup()] > 0 {
+func (p *Plan) closeGroup(item *itemState) {
+	p.groups[item.spec.GetGroup()]--
+	if p.groups[item.spec.GetGroup()] > 0 {
 		return
 	}
-	p.whole++
-	p.forget(one.spec.GetGroup())
-	if p.whole >= int(p.batch.GetWanted()) {
+	p.wholeGroups++
+	p.forget(item.spec.GetGroup())
+	if p.wholeGroups >= int(p.batch.GetWanted()) {
 		p.urgent = true
 	}
 }
@@ -60,9 +60,9 @@
 // forget drops the events of a group whose items all have their outcomes. No later
 // batch asks for them, and a batch is kept in memory as long as it can be read.
 func (p *Plan) forget(group string) {
-	for _, one := range p.items {
-		if one.spec.GetGroup() == group {
-			one.events, one.versions = nil, nil
+	for _, item := range p.items {
+		if item.spec.GetGroup() == group {
+			item.events, item.versions = nil, nil
 		}
 	}
 }
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// lookAgain is how long an owner waits at most before it looks again for free
+	// schedulePollInterval is how long an owner waits at most before it looks again for free
 	// slots and slow servers: about one event of a sampler.
-	lookAgain = 50 * time.Millisecond
-	// silence is how long a sampler may send nothing before its run goes on
+	schedulePollInterval = 50 * time.Millisecond
+	// silenceTimeout is how long a sampler may send nothing before its run goes on
 	// elsewhere: many times the usual gap, and above the time of a weight load.
-	silence = 1500 * time.Millisecond
-	// leastStall is the least time after its last event after which a run is taken for
+	silenceTimeout = 1500 * time.Millisecond
+	// minStallTimeout is the least time after its last event after which a run is taken for
 	// stalled: above a pause by which processor time is shared out. stallEvents is that
 	// time in events of the server.
-	leastStall  = 600 * time.Millisecond
-	stallEvents = 8
-	// runTime bounds one run; a sampler stops a run by itself after that.
-	runTime = 60 * time.Second
+	minStallTimeout = 600 * time.Millisecond
+	stallEvents     = 8
+	// runTimeout bounds one run; a sampler stops a run by itself after that.
+	runTimeout = 60 * time.Second
 )
 
 // Wire knows how an item's headers are written.
@@ -71,8 +71,8 @@
 	// keeper keeps the texts that aren't whole; nil keeps them nowhere.
 	keeper  Keeper
 	metrics *metrics
-	// leave keeps the texts of groups that aren't whole for later batches.
-	leave func([]Leftover)
+	// keepLeftovers keeps the texts of groups that aren't whole for later batches.
+	keepLeftovers func([]Leftover)
 	// waiting is the number of items that wait for a slot now.
 	waiting atomic.Int32
 
@@ -89,9 +89,9 @@
 
 // activeRun is a run under way.
 type activeRun struct {
-	server *roster.Server
-	cancel context.CancelCauseFunc
-	began  clock.Boot
+	server    *roster.Server
+	cancel    context.CancelCauseFunc
+	startedAt clock.Boot
 }
 
 // errSlow ends a run on a slow sampler, so that it goes on at another one.
@@ -99,11 +99,11 @@
 
 // run runs the batch until it is whole, ended, or the context ends.
 func (o *owner) run(ctx context.Context) {
-	ticker := time.NewTicker(lookAgain)
+	ticker := time.NewTicker(schedulePollInterval)
 	defer ticker.Stop()
 	for {
 		changed := o.roster.Changed()
-		if o.pump(ctx) {
+		if o.schedule(ctx) {
 			break
 		}
 		select {
@@ -122,13 +122,13 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.plan.IsEnded() {
-		o.leave(o.plan.Leftovers())
+		o.keepLeftovers(o.plan.Leftovers())
 	}
 	o.older = nil
 }
 
-// pump starts what can start now. It reports whether nothing is left to do.
-func (o *owner) pump(ctx context.Context) bool {
+// schedule starts what can start now. It reports whether nothing is left to do.
+func (o *owner) schedule(ctx context.Context) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := clock.Now()
@@ -146,21 +146,21 @@
 	o.waiting.Store(int32(o.plan.Waiting()))
 	pending, isUrgent := o.plan.Pending()
 	o.logFailures(pending)
-	o.ledger.add(pending, isUrgent)
-	o.leaveSlow(pool)
+	o.ledger.enqueue(pending, isUrgent)
+	o.moveSlowRun(pool)
 	if o.plan.IsEnded() || o.plan.IsWhole() {
 		return true
 	}
-	o.startScores(ctx, now)
+	o.startScoring(ctx, now)
 	return false
 }
 
-// startScores has whole texts judged, as many at a time as the scorers' pool has
+// startScoring has whole texts judged, as many at a time as the scorers' pool has
 // room for beside callers.
 //
 // The texts of a step become whole in bursts. Judged all at once they would take every
 // slot of a plain service that callers use as well, and the step would be done no sooner.
-func (o *owner) startScores(ctx context.Context, now clock.Boot) {
+func (o *owner) startScoring(ctx context.Context, now clock.Boot) {
 	room := o.scorer.Room(o.batch.GetItems()[0].GetScorer())
 	for o.scoring < room {
 		job, ok := o.plan.NextScore(now)
@@ -186,8 +186,8 @@
 	return true
 }
 
-// follow lets an older batch of the same model come first.
-func (o *owner) follow(older *owner) {
+// yieldTo lets an older batch of the same model come first.
+func (o *owner) yieldTo(older *owner) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.older = append(o.older, older)
@@ -217,7 +217,7 @@
 	o.plan.Start(job)
 	klog.InfoS("batch: placed", "id", job.spec.GetId(), "batch", o.batch.GetId(), "server", server.Name(), "running", o.roster.Running(server), "after", job.events, "waiting", o.plan.Waiting())
 	running, cancel := context.WithCancelCause(ctx)
-	o.runs[job.index] = &activeRun{server: server, cancel: cancel, began: now}
+	o.runs[job.index] = &activeRun{server: server, cancel: cancel, startedAt: now}
 	o.done.Go(func() {
 		defer cancel(nil)
 		o.generate(running, job, server)
@@ -225,12 +225,12 @@
 	return true
 }
 
-// leaveSlow ends a run on a slow sampler if another one has a free slot and
+// moveSlowRun ends a run on a slow sampler if another one has a free slot and
 // nothing waits for it: the run goes on there behind its last event.
 //
 // The longest item of a step on a sampler that a fault has slowed keeps its trainer
 // waiting while other slots stand idle.
-func (o *owner) leaveSlow(pool string) {
+func (o *owner) moveSlowRun(pool string) {
 	if o.plan.Waiting() > 0 {
 		return
 	}
@@ -252,7 +252,7 @@
 	proof, err := o.scorer.Score(ctx, job.spec.GetScorer())
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	defer o.nudge()
+	defer o.notify()
 	o.scoring--
 	if err == nil {
 		o.plan.Scored(job, proof)
@@ -278,7 +278,7 @@
 	for _, run := range o.runs {
 		run.cancel(errEnded)
 	}
-	o.nudge()
+	o.notify()
 }
 
 // isEnded reports whether the trainer has ended the batch.
@@ -299,8 +299,8 @@
 	}
 }
 
-// nudge makes run look again.
-func (o *owner) nudge() {
+// notify makes run look again.
+func (o *owner) notify() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
--- a/internal/batch/plan.go
+++ b/internal/batch/plan.go
@@ -20,14 +20,14 @@
 	// faultPause is the wait before an item runs again after its server failed;
 	// it doubles up to greatestPause. The first is a few events long.
 	faultPause    = 100 * time.Millisecond
-	greatestPause = 2 * time.Second
-	// rejectionsPerItem is how often a server must say that an item can never
+	maxFaultPause = 2 * time.Second
+	// maxRejections is how often a server must say that an item can never
 	// be done before it is given up.
-	rejectionsPerItem = 1
-	// mostMoves is how often one item leaves a slow server. Each time its prompt
+	maxRejections = 1
+	// maxMoves is how often one item leaves a slow server. Each time its prompt
 	// and text are read in again; a second move is worth that only where the first
 	// one met a server that has just become slow too.
-	mostMoves = 2
+	maxMoves = 2
 )
 
 // Rules are what the batch's route says.
@@ -51,8 +51,8 @@
 	settled
 )
 
-// item is one item of a plan.
-type item struct {
+// itemState is one item of a plan.
+type itemState struct {
 	spec  *statepb.Item
 	index int
 	phase phase
@@ -92,35 +92,35 @@
 type Plan struct {
 	rules Rules
 	batch *statepb.Batch
-	items []*item
-	byID  map[string]*item
+	items []*itemState
+	byID  map[string]*itemState
 	// order holds the items that wait, in the order in which they run.
-	order   []*item
+	order   []*itemState
 	open    int
 	pending []*statepb.Outcome
 	// groups holds the number of each group's items without an outcome, whole
 	// counts the groups that have none left.
-	groups map[string]int
-	whole  int
-	urgent bool
-	ended  bool
-	// until is when items may be given up; 0 never.
-	until clock.Boot
+	groups      map[string]int
+	wholeGroups int
+	urgent      bool
+	ended       bool
+	// deadline is when items may be given up; 0 never.
+	deadline clock.Boot
 }
 
 // NewPlan returns the plan of a batch of which nothing has run, accepted at a
 // time of this host's clock.
 func NewPlan(batch *statepb.Batch, rules Rules, accepted clock.Boot) *Plan {
-	plan := &Plan{rules: rules, batch: batch, byID: map[string]*item{}, groups: map[string]int{}}
+	plan := &Plan{rules: rules, batch: batch, byID: map[string]*itemState{}, groups: map[string]int{}}
 	if rules.Keep > 0 {
-		plan.until = accepted.Add(rules.Keep)
+		plan.deadline = accepted.Add(rules.Keep)
 	}
 	for index, spec := range batch.GetItems() {
-		one := &item{spec: spec, index: index}
-		plan.items = append(plan.items, one)
-		plan.byID[spec.GetId()] = one
+		item := &itemState{spec: spec, index: index}
+		plan.items = append(plan.items, item)
+		plan.byID[spec.GetId()] = item
 		plan.groups[spec.GetGroup()]++
-		plan.order = append(plan.order, one)
+		plan.order = append(plan.order, item)
 	}
 	plan.open = len(plan.items)
 	plan.sort()
@@ -133,7 +133,7 @@
 // trainer waiting while all other slots stand idle; started first, it overlaps
 // with the short ones. The estimate is off for single items, and right for most.
 func (p *Plan) sort() {
-	slices.SortStableFunc(p.order, func(a, b *item) int {
+	slices.SortStableFunc(p.order, func(a, b *itemState) int {
 		return cmp.Or(
 			cmp.Compare(len(b.events), len(a.events)),
 			cmp.Compare(b.spec.GetExpected(), a.spec.GetExpected()),
@@ -145,27 +145,27 @@
 // Restore takes what an earlier owner has listed and handed over.
 func (p *Plan) Restore(listed []*statepb.Outcome, partials []*statepb.Partial) {
 	for _, outcome := range listed {
-		if one := p.byID[outcome.GetItem()]; one != nil && one.phase != settled {
-			one.phase = settled
-			one.outcome = outcome
+		if item := p.byID[outcome.GetItem()]; item != nil && item.phase != settled {
+			item.phase = settled
+			item.outcome = outcome
 			p.open--
-			p.closeGroup(one)
+			p.closeGroup(item)
 		}
 	}
 	for _, partial := range partials {
-		one := p.byID[partial.GetItem()]
-		if one == nil || one.phase != waiting || !p.fits(partial.GetVersions()) || len(partial.GetEvents()) != len(partial.GetVersions()) {
+		item := p.byID[partial.GetItem()]
+		if item == nil || item.phase != waiting || !p.areVersionsAllowed(partial.GetVersions()) || len(partial.GetEvents()) != len(partial.GetVersions()) {
 			continue
 		}
-		if len(partial.GetEvents()) > len(one.events) {
-			one.events, one.versions = partial.GetEvents(), partial.GetVersions()
+		if len(partial.GetEvents()) > len(item.events) {
+			item.events, item.versions = partial.GetEvents(), partial.GetVersions()
 		}
 	}
-	p.order = slices.DeleteFunc(p.order, func(one *item) bool { return one.phase != waiting })
+	p.order = slices.DeleteFunc(p.order, func(item *itemState) bool { return item.phase != waiting })
 	p.sort()
 }
 
-func (p *Plan) fits(versions []uint64) bool {
+func (p *Plan) areVersionsAllowed(versions []uint64) bool {
 	for _, version := range versions {
 		if version < p.batch.GetOldest() {
 			return false
@@ -192,9 +192,9 @@
 // Next returns the item to run now, if there is one. It waits still until Start.
 func (p *Plan) Next(now clock.Boot) (Job, bool) {
 	p.giveUp(now)
-	for _, one := range p.order {
-		if one.notBefore <= now {
-			return p.job(one), true
+	for _, item := range p.order {
+		if item.notBefore <= now {
+			return p.job(item), true
 		}
 	}
 	return Job{}, false
@@ -202,14 +202,14 @@
 
 // Start notes that an item runs.
 func (p *Plan) Start(job Job) {
-	one := p.items[job.index]
-	one.phase = running
-	p.order = slices.DeleteFunc(p.order, func(other *item) bool { return other == one })
+	item := p.items[job.index]
+	item.phase = running
+	p.order = slices.DeleteFunc(p.order, func(other *itemState) bool { return other == item })
 }
 
 // giveUp lists the items whose time is over as failed.
 func (p *Plan) giveUp(now clock.Boot) {
-	if p.until == 0 || now < p.until {
+	if p.deadline == 0 || now < p.deadline {
 		return
 	}
 	p.GiveUp("its time was over")
@@ -222,32 +222,32 @@
 	}
 }
 
-func (p *Plan) job(one *item) Job {
-	return Job{index: one.index, spec: one.spec, events: len(one.events), isFaulty: one.faults > 0}
+func (p *Plan) job(item *itemState) Job {
+	return Job{index: item.index, spec: item.spec, events: len(item.events), isFaulty: item.faults > 0}
 }
 
 // Event takes the next event of a running item. It reports false if the run is
 // to be stopped: its text would not be allowed, or is wanted no more.
 func (p *Plan) Event(job Job, data string, version uint64) bool {
-	one := p.items[job.index]
-	if p.ended || one.phase != running {
+	item := p.items[job.index]
+	if p.ended || item.phase != running {
 		return false
 	}
 	if version < p.batch.GetOldest() {
 		return false
 	}
-	if p.rules.SingleVersion && len(one.versions) > 0 && one.versions[0] != version {
+	if p.rules.SingleVersion && len(item.versions) > 0 && item.versions[0] != version {
 		// Nothing of the text can be used: the rest is of another version.
-		one.events, one.versions, one.kept = nil, nil, 0
+		item.events, item.versions, item.kept = nil, nil, 0
 		return false
 	}
-	one.events = append(one.events, data)
-	one.versions = append(one.versions, version)
+	item.events = append(item.events, data)
+	item.versions = append(item.versions, version)
 	return true
 }
 
 // MayMove reports whether a running item may leave its server for a faster one.
-func (p *Plan) MayMove(index int) bool { return p.items[index].moves < mostMoves }
+func (p *Plan) MayMove(index int) bool { return p.items[index].moves < maxMoves }
 
 // Events returns the number of events of an item so far.
 func (p *Plan) Events(job Job) int { return len(p.items[job.index].events) }
@@ -256,16 +256,16 @@
 func (p *Plan) Moved(index int) { p.items[index].moves++ }
 
 // Generated notes that a running item's text is whole.
-func (p *Plan) Generated(job Job) { p.made(p.items[job.index]) }
+func (p *Plan) Generated(job Job) { p.completeText(p.items[job.index]) }
 
-// made notes that an item's text is whole, whether it was made now or by an
+// completeText notes that an item's text is whole, whether it was made now or by an
 // earlier batch: it is judged, or listed where it has no scorer.
-func (p *Plan) made(one *item) {
-	if one.spec.GetScorer() == nil {
-		p.settle(one, "")
+func (p *Plan) completeText(item *itemState) {
+	if item.spec.GetScorer() == nil {
+		p.settle(item, "")
 		return
 	}
-	one.phase = unscored
+	item.phase = unscored
 }
 
 // NextScore returns an item whose text is to be judged now, if there is one.
@@ -273,10 +273,10 @@
 	if p.ended {
 		return Job{}, false
 	}
-	for _, one := range p.items {
-		if one.phase == unscored && one.notBefore <= now {
-			one.phase = scoring
-			return p.job(one), true
+	for _, item := range p.items {
+		if item.phase == unscored && item.notBefore <= now {
+			item.phase = scoring
+			return p.job(item), true
 		}
 	}
 	return Job{}, false
@@ -287,9 +287,9 @@
 
 // NotScored notes that the scorer gave no judgement.
 func (p *Plan) NotScored(job Job, now clock.Boot) {
-	one := p.items[job.index]
-	one.phase = unscored
-	one.notBefore = now.Add(faultPause)
+	item := p.items[job.index]
+	item.phase = unscored
+	item.notBefore = now.Add(faultPause)
 }
 
 // ScorerFailed notes that the scorer answered with failures.
@@ -298,10 +298,10 @@
 // plain service busy with work that nobody gets anything of; so the item is
 // given up after as many failures as the scorer's route allows attempts.
 func (p *Plan) ScorerFailed(job Job, failed *ScoreError, now clock.Boot) {
-	one := p.items[job.index]
-	one.scorerFailures += failed.Failures
-	if one.scorerFailures >= failed.Most {
-		p.fail(one, "its scorer failed "+strconv.Itoa(one.scorerFailures)+" times")
+	item := p.items[job.index]
+	item.scorerFailures += failed.Failures
+	if item.scorerFailures >= failed.Most {
+		p.fail(item, "its scorer failed "+strconv.Itoa(item.scorerFailures)+" times")
 		return
 	}
 	p.NotScored(job, now)
@@ -310,33 +310,33 @@
 // Cut notes that a run ended before its text was whole. What came of it stays,
 // and the item goes on from there at the next server.
 func (p *Plan) Cut(job Job, pause time.Duration, now clock.Boot) {
-	one := p.items[job.index]
-	if one.phase != running {
+	item := p.items[job.index]
+	if item.phase != running {
 		return
 	}
-	one.phase = waiting
-	one.notBefore = now.Add(pause)
+	item.phase = waiting
+	item.notBefore = now.Add(pause)
 	if !p.ended {
-		p.order = append(p.order, one)
+		p.order = append(p.order, item)
 		p.sort()
 	}
 }
 
 // Fault notes that a server failed under a run; the item waits longer each time.
 func (p *Plan) Fault(job Job, now clock.Boot) {
-	one := p.items[job.index]
-	one.faults++
-	p.Cut(job, min(faultPause<<min(one.faults-1, 5), greatestPause), now)
+	item := p.items[job.index]
+	item.faults++
+	p.Cut(job, min(faultPause<<min(item.faults-1, 5), maxFaultPause), now)
 }
 
 // Failed notes that a server answered that a run failed. An item that fails
 // each time, or that can never be done, is given up.
-func (p *Plan) Failed(job Job, never bool, now clock.Boot) {
-	one := p.items[job.index]
-	one.failures++
-	if never && one.failures >= rejectionsPerItem || one.failures >= p.rules.Attempts {
-		one.phase = waiting
-		p.fail(one, "its runs failed "+strconv.Itoa(one.failures)+" times")
+func (p *Plan) Failed(job Job, isPermanent bool, now clock.Boot) {
+	item := p.items[job.index]
+	item.failures++
+	if isPermanent && item.failures >= maxRejections || item.failures >= p.rules.Attempts {
+		item.phase = waiting
+		p.fail(item, "its runs failed "+strconv.Itoa(item.failures)+" times")
 		return
 	}
 	p.Fault(job, now)
--- a/internal/batch/plan_test.go
+++ b/internal/batch/plan_test.go
@@ -30,8 +30,8 @@
 	return NewPlan(newBatch(expected...), Rules{Attempts: 3, Keep: 40 * time.Second}, start)
 }
 
-// all keeps every item's text.
-func all(int) bool { return true }
+// keepAll keeps every item's text.
+func keepAll(int) bool { return true }
 
 func pendingOf(plan *Plan) []*statepb.Outcome {
 	pending, _ := plan.Pending()
@@ -150,7 +150,7 @@
 		for range 3 {
 			job := mustStart(t, plan, now, "i0")
 			plan.Failed(job, false, now)
-			now = now.Add(greatestPause)
+			now = now.Add(maxFaultPause)
 		}
 		must.True(t, pendingOf(plan)[0].GetFailed())
 	})
@@ -163,7 +163,7 @@
 		plan, now := newPlan(100), start
 		for range 10 {
 			plan.Fault(mustStart(t, plan, now, "i0"), now)
-			now = now.Add(greatestPause)
+			now = now.Add(maxFaultPause)
 		}
 		must.SliceEmpty(t, pendingOf(plan))
 	})
@@ -222,21 +222,21 @@
 	plan := newPlan(100)
 	job := mustStart(t, plan, start, "i0")
 	must.True(t, plan.Event(job, "a", 3))
-	parts := plan.Parts(all)
+	parts := plan.Parts(keepAll)
 	must.SliceLen(t, 1, parts)
 	must.Eq(t, 0, parts[0].GetAfter())
-	must.SliceEmpty(t, plan.Parts(all))
+	must.SliceEmpty(t, plan.Parts(keepAll))
 	must.True(t, plan.Event(job, "b", 4))
-	parts = plan.Parts(all)
+	parts = plan.Parts(keepAll)
 	must.Eq(t, 1, parts[0].GetAfter())
 	must.Eq(t, []string{"b"}, parts[0].GetEvents())
 	must.Eq(t, []uint64{4}, parts[0].GetVersions())
 	plan.KeepAll()
-	must.Eq(t, []string{"a", "b"}, plan.Parts(all)[0].GetEvents())
+	must.Eq(t, []string{"a", "b"}, plan.Parts(keepAll)[0].GetEvents())
 	t.Run("one that need not be kept yet is whole when it is", func(t *testing.T) {
 		plan.KeepAll()
 		must.SliceEmpty(t, plan.Parts(func(int) bool { return false }))
-		must.Eq(t, []string{"a", "b"}, plan.Parts(all)[0].GetEvents())
+		must.Eq(t, []string{"a", "b"}, plan.Parts(keepAll)[0].GetEvents())
 	})
 }
 
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -34,32 +34,32 @@
 // is to be asked else.
 func (b *Board) ReadOwn(ctx context.Context, id, account string, after uint64, wait time.Duration) (Page, bool, error) {
 	b.lock()
-	held := b.held[id]
+	owned := b.owned[id]
 	b.mutex.Unlock()
-	if held == nil {
+	if owned == nil {
 		return Page{}, false, nil
 	}
-	if held.batch.GetAccount() != account {
+	if owned.batch.GetAccount() != account {
 		return Page{}, true, refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for isOver := wait <= 0; ; {
-		found := held.ledger.read(after)
-		page := Page{Total: held.total, Outcomes: head(found.outcomes)}
-		if len(found.outcomes) > 0 || after >= held.total {
+	for isExpired := wait <= 0; ; {
+		view := owned.ledger.read(after)
+		page := Page{Total: owned.total, Outcomes: firstPage(view.outcomes)}
+		if len(view.outcomes) > 0 || after >= owned.total {
 			return page, true, nil
 		}
-		if isOver || found.isStopped {
-			page.Unsure = found.isStopped || found.isOpen || found.lease == 0 || found.lease != b.Lease()
+		if isExpired || view.isStopped {
+			page.Unsure = view.isStopped || view.isInDoubt || view.lease == 0 || view.lease != b.Lease()
 			return page, true, nil
 		}
 		select {
 		case <-ctx.Done():
-			isOver = true
+			isExpired = true
 		case <-timer.C:
-			isOver = true
-		case <-found.changed:
+			isExpired = true
+		case <-view.changed:
 		}
 	}
 }
@@ -72,11 +72,11 @@
 	}
 	listed, err := b.loadListed(ctx, id)
 	if err != nil {
-		return Page{}, unsure(id, err)
+		return Page{}, readRefusal(id, err)
 	}
 	page := Page{Total: uint64(len(batch.GetItems()))}
 	if after < uint64(len(listed)) {
-		page.Outcomes = head(listed[after:])
+		page.Outcomes = firstPage(listed[after:])
 	}
 	return page, nil
 }
@@ -85,17 +85,17 @@
 // there is none, one of 503 that this isn't known.
 func (b *Board) Find(ctx context.Context, id, account string) (*statepb.Batch, error) {
 	b.lock()
-	held := b.held[id]
+	owned := b.owned[id]
 	b.mutex.Unlock()
 	var batch *statepb.Batch
-	if held != nil {
-		batch = held.batch
+	if owned != nil {
+		batch = owned.batch
 	} else {
-		found, err := b.loadBatch(ctx, id)
+		view, err := b.loadBatch(ctx, id)
 		if err != nil {
-			return nil, unsure(id, err)
+			return nil, readRefusal(id, err)
 		}
-		batch = found
+		batch = view
 	}
 	if batch.GetAccount() != account {
 		return nil, refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
@@ -103,10 +103,10 @@
 	return batch, nil
 }
 
-// check returns nil if a batch is an account's. The account of a batch that the
+// checkAccount returns nil if a batch is an account's. The account of a batch that the
 // store holds is known here; only for one that was not heard of yet the store is
 // asked, which answers with the whole of it.
-func (b *Board) check(ctx context.Context, id, account string) error {
+func (b *Board) checkAccount(ctx context.Context, id, account string) error {
 	b.lock()
 	owner, isKnown := b.accounts[id]
 	b.mutex.Unlock()
@@ -120,19 +120,19 @@
 	return nil
 }
 
-// unsure tells a batch that doesn't exist from one that can't be read now.
-func unsure(id string, err error) error {
+// readRefusal tells a batch that doesn't exist from one that can't be read now.
+func readRefusal(id string, err error) error {
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
 		return refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
 	}
 	klog.InfoS("batch: can't be read", "batch", id, "err", err.Error())
-	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").After(storeAgain)
+	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").After(storeRetryAfter)
 }
 
 // End ends a batch. Its runs here stop at once, before the store knows of it.
 func (b *Board) End(ctx context.Context, id, account string) error {
-	if err := b.check(ctx, id, account); err != nil {
+	if err := b.checkAccount(ctx, id, account); err != nil {
 		return err
 	}
 	b.StopOwn(id, account)
@@ -146,8 +146,8 @@
 			klog.InfoS("batch: its trainer has ended it", "batch", id)
 			return nil
 		}
-		if ctx.Err() != nil || isNothingDone(err) {
-			return unsure(id, err)
+		if ctx.Err() != nil || isNotCommitted(err) {
+			return readRefusal(id, err)
 		}
 	}
 }
@@ -163,17 +163,17 @@
 // StopOwn stops the runs of a batch that this process owns, and reports whether it does.
 func (b *Board) StopOwn(id, account string) bool {
 	b.lock()
-	held := b.held[id]
+	owned := b.owned[id]
 	b.mutex.Unlock()
-	if held == nil || held.batch.GetAccount() != account {
+	if owned == nil || owned.batch.GetAccount() != account {
 		return false
 	}
-	held.end()
+	owned.end()
 	return true
 }
 
-// head returns as many outcomes as fit into one answer, and at least one.
-func head(outcomes []*statepb.Outcome) []*statepb.Outcome {
+// firstPage returns as many outcomes as fit into one answer, and at least one.
+func firstPage(outcomes []*statepb.Outcome) []*statepb.Outcome {
 	size := 0
 	for i, outcome := range outcomes {
 		size += len(outcome.GetText()) + 200
--- a/internal/batch/remove.go
+++ b/internal/batch/remove.go
@@ -11,23 +11,23 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// commitKeys is the most keys that one commit removes: less than the entries
+// maxCommitKeys is the most keys that one commit removes: less than the entries
 // that the store takes at once.
-const commitKeys = 30
+const maxCommitKeys = 30
 
-// outdated returns the batches that nobody reads any more and that this process
+// expired returns the batches that nobody reads any more and that this process
 // is to take out of the store: its own, and those without an owner of which it is
 // the first candidate. One that its trainer never ended counts too: its items
 // were given up long before.
 //
 // An owner takes out what it owned, unless it has ended before. Left alone, the
 // store would grow by what each process owned in the last minutes before its end.
-func (b *Board) outdated(now clock.Boot) []string {
+func (b *Board) expired(now clock.Boot) []string {
 	b.lock()
 	defer b.mutex.Unlock()
 	var ids []string
-	for id, held := range b.held {
-		if now.Sub(held.accepted) > b.Keep && b.owners[id] == b.Process {
+	for id, owned := range b.owned {
+		if now.Sub(owned.acceptedAt) > b.Keep && b.owners[id] == b.Process {
 			ids = append(ids, id)
 		}
 	}
@@ -55,10 +55,10 @@
 		return
 	}
 	klog.InfoS("batch: removed", "batch", id)
-	if held := b.held[id]; held != nil {
-		held.cancel()
+	if owned := b.owned[id]; owned != nil {
+		owned.cancel()
 	}
-	delete(b.held, id)
+	delete(b.owned, id)
 	delete(b.owners, id)
 	delete(b.ownerRevisions, id)
 	delete(b.stored, id)
@@ -75,11 +75,11 @@
 	for _, value := range reply.Values {
 		keys = append(keys, value.Key)
 	}
-	for len(keys) > commitKeys {
-		if _, err := b.Store.Commit(ctx, platform.Commit{Remove: keys[:commitKeys]}); err != nil {
+	for len(keys) > maxCommitKeys {
+		if _, err := b.Store.Commit(ctx, platform.Commit{Remove: keys[:maxCommitKeys]}); err != nil {
 			return err
 		}
-		keys = keys[commitKeys:]
+		keys = keys[maxCommitKeys:]
 	}
 	if len(keys) > 0 {
 		if _, err := b.Store.Commit(ctx, platform.Commit{Remove: keys}); err != nil {
--- a/internal/batch/run.go
+++ b/internal/batch/run.go
@@ -23,7 +23,7 @@
 	o.roster.Finish(server)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	defer o.nudge()
+	defer o.notify()
 	delete(o.runs, job.index)
 	now := clock.Now()
 	if err == nil {
@@ -32,15 +32,15 @@
 		o.plan.Generated(job)
 		return
 	}
-	end := o.settleRun(ctx, job, server, err, now)
+	end := o.recordEnd(ctx, job, server, err, now)
 	o.metrics.runs.WithLabelValues(end).Inc()
 	if end != endStopped && end != endRefused {
 		klog.InfoS("batch: run ended", "id", job.spec.GetId(), "batch", o.batch.GetId(), "server", server.Name(), "end", end, "err", err.Error(), "events", o.plan.Events(job), "took", now.Sub(began))
 	}
 }
 
-// settleRun tells the plan and the roster what a run's end means, and names it.
-func (o *owner) settleRun(ctx context.Context, job Job, server *roster.Server, err error, now clock.Boot) string {
+// recordEnd tells the plan and the roster what a run's end means, and names it.
+func (o *owner) recordEnd(ctx context.Context, job Job, server *roster.Server, err error, now clock.Boot) string {
 	refused := refusal.Of(err)
 	switch {
 	case errors.Is(context.Cause(ctx), errSlow):
@@ -49,10 +49,10 @@
 	case ctx.Err() != nil:
 		o.plan.Cut(job, 0, now)
 		return endStopped
-	case refused.Code == backend.CodeFailed && isVerdict(refused.Status):
+	case refused.Code == backend.CodeFailed && isItemFailure(refused.Status):
 		o.plan.Failed(job, refused.Status == http.StatusUnprocessableEntity, now)
 		return endFailed
-	case refusal.IsNotRun(err), errors.Is(err, errUnfit):
+	case refusal.IsNotRun(err), errors.Is(err, errVersionMismatch):
 		forward.NoteFailure(ctx, o.roster, server, err)
 		o.plan.Cut(job, 0, now)
 		return endRefused
@@ -63,18 +63,18 @@
 	}
 }
 
-// isVerdict reports whether a status says something of the item, and not only of
+// isItemFailure reports whether a status says something of the item, and not only of
 // its server: that its run failed, or that it can never be done.
-func isVerdict(status int) bool {
+func isItemFailure(status int) bool {
 	return status == http.StatusInternalServerError || status == http.StatusUnprocessableEntity
 }
 
-// errUnfit ends a run whose text may not be used.
-var errUnfit = refusal.Unknown(http.StatusConflict, "unfit", "the sampler's weight version doesn't fit the batch")
+// errVersionMismatch ends a run whose text may not be used.
+var errVersionMismatch = refusal.Unknown(http.StatusConflict, "unfit", "the sampler's weight version doesn't fit the batch")
 
 // stream sends an item and takes the events of the answer.
 func (o *owner) stream(ctx context.Context, job Job, server *roster.Server) error {
-	ctx, cancel := context.WithTimeout(ctx, runTime)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	answer, err := server.Direct().Do(ctx, backend.Send{
 		ID:        job.spec.GetId(),
@@ -86,7 +86,7 @@
 		Body:      job.spec.GetBody(),
 		Account:   o.batch.GetAccount(),
 		LastEvent: uint64(job.events),
-		Silence:   silence,
+		Silence:   silenceTimeout,
 	})
 	if err != nil {
 		return err
@@ -96,11 +96,11 @@
 		return refusal.Unknown(answer.StatusCode, backend.CodeFailed, "%s answered %d", server.Name(), answer.StatusCode)
 	}
 	o.roster.Answered(server)
-	return o.take(job, server, answer)
+	return o.readEvents(job, server, answer)
 }
 
-// take takes the events of an answer up to its end.
-func (o *owner) take(job Job, server *roster.Server, answer *backend.Answer) error {
+// readEvents takes the events of an answer up to its end.
+func (o *owner) readEvents(job Job, server *roster.Server, answer *backend.Answer) error {
 	events := answer.Events()
 	next := uint64(job.events)
 	var last clock.Boot
@@ -122,27 +122,27 @@
 		}
 		now := clock.Now()
 		if last != 0 {
-			answer.Bound(stallTime(o.roster.Beat(server, now.Sub(last))))
+			answer.Bound(stallTimeout(o.roster.Beat(server, now.Sub(last))))
 		}
 		last = now
-		if !o.event(job, server, event) {
-			return errUnfit
+		if !o.recordEvent(job, server, event) {
+			return errVersionMismatch
 		}
 	}
 }
 
-// stallTime returns how long a server of this pace may send nothing within a text.
+// stallTimeout returns how long a server of this pace may send nothing within a text.
 //
 // A run waits at a full server for its first event only. After that its events come
 // evenly, also while weights are loaded, and the longest texts have no second to lose.
-func stallTime(pace time.Duration) time.Duration {
+func stallTimeout(pace time.Duration) time.Duration {
 	if pace == 0 {
-		return silence
+		return silenceTimeout
 	}
-	return min(max(leastStall, stallEvents*pace), silence)
+	return min(max(minStallTimeout, stallEvents*pace), silenceTimeout)
 }
 
-func (o *owner) event(job Job, server *roster.Server, event backend.Event) bool {
+func (o *owner) recordEvent(job Job, server *roster.Server, event backend.Event) bool {
 	o.roster.Show(server, o.batch.GetModel(), event.Version)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/batch/run_test.go
+++ b/internal/batch/run_test.go
@@ -9,11 +9,11 @@
 
 func TestStallTime(t *testing.T) {
 	for name, test := range map[string]struct{ pace, want time.Duration }{
-		"no pace is known": {0, silence},
-		"fast":             {50 * time.Millisecond, leastStall},
+		"no pace is known": {0, silenceTimeout},
+		"fast":             {50 * time.Millisecond, minStallTimeout},
 		"slow":             {120 * time.Millisecond, 960 * time.Millisecond},
-		"very slow":        {300 * time.Millisecond, silence},
+		"very slow":        {300 * time.Millisecond, silenceTimeout},
 	} {
-		t.Run(name, func(t *testing.T) { must.Eq(t, test.want, stallTime(test.pace)) })
+		t.Run(name, func(t *testing.T) { must.Eq(t, test.want, stallTimeout(test.pace)) })
 	}
 }
--- a/internal/batch/shown_test.go
+++ b/internal/batch/shown_test.go
@@ -16,11 +16,11 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform/platformtest"
 )
 
-// fate is what becomes of the next write of a chunk.
-type fate int
+// writeBehavior is what becomes of the next write of a chunk.
+type writeBehavior int
 
 const (
-	answered fate = iota
+	answered writeBehavior = iota
 	// late writes are done, and their answers come when the test says so.
 	late
 	// lost writes are done, and their answers never come.
@@ -29,26 +29,26 @@
 	undone
 )
 
-// callTime bounds the wait for a late answer, as calls of the real store are bounded.
-const callTime = 300 * time.Millisecond
+// lateAnswerTimeout bounds the wait for a late answer, as calls of the real store are bounded.
+const lateAnswerTimeout = 300 * time.Millisecond
 
 // lateStore is a store as one process sees it. It answers writes of chunks late, or not at all.
 type lateStore struct {
 	*platformtest.Store
 
 	mutex sync.Mutex
-	next  fate
-	// let ends the wait of late answers.
-	let chan struct{}
+	next  writeBehavior
+	// release ends the wait of late answers.
+	release chan struct{}
 	// waiting are the undone writes.
 	waiting []platform.Commit
 }
 
 func newLateStore(store *platformtest.Store) *lateStore {
-	return &lateStore{Store: store, let: make(chan struct{})}
+	return &lateStore{Store: store, release: make(chan struct{})}
 }
 
-func (l *lateStore) set(next fate) {
+func (l *lateStore) set(next writeBehavior) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.next = next
@@ -59,7 +59,7 @@
 		return l.Store.Commit(ctx, commit)
 	}
 	l.mutex.Lock()
-	next, let := l.next, l.let
+	next, release := l.next, l.release
 	l.next = answered
 	if next == undone {
 		l.waiting = append(l.waiting, commit)
@@ -71,10 +71,10 @@
 	revision, err := l.Store.Commit(ctx, commit)
 	if next == late {
 		select {
-		case <-let:
+		case <-release:
 		case <-ctx.Done():
 			return 0, &platform.UnavailableError{Operation: "commit", Cause: ctx.Err()}
-		case <-time.After(callTime):
+		case <-time.After(lateAnswerTimeout):
 			return 0, &platform.UnavailableError{Operation: "commit"}
 		}
 	}
@@ -88,24 +88,24 @@
 func (l *lateStore) finish() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	close(l.let)
-	l.let = make(chan struct{})
+	close(l.release)
+	l.release = make(chan struct{})
 	for _, commit := range l.waiting {
 		_, _ = l.Store.Commit(context.Background(), commit) // It may no longer fit.
 	}
 	l.waiting = nil
 }
 
-// beginLate starts a process whose own store answers late.
-func beginLate(t *testing.T, store *platformtest.Store, name string, hosts ...string) (*process, *lateStore) {
+// startLateProcess starts a process whose own store answers late.
+func startLateProcess(t *testing.T, store *platformtest.Store, name string, hosts ...string) (*process, *lateStore) {
 	t.Helper()
-	p := begin(t, store, name, hosts...)
-	own := newLateStore(store)
+	p := startProcess(t, store, name, hosts...)
+	ownStore := newLateStore(store)
 	p.mutex.Lock()
-	p.Store = own
+	p.Store = ownStore
 	p.mutex.Unlock()
-	t.Cleanup(own.finish)
-	return p, own
+	t.Cleanup(ownStore.finish)
+	return p, ownStore
 }
 
 func outcome(item string) []*statepb.Outcome {
@@ -142,17 +142,17 @@
 // trainer read from the owner, which said that there is nothing at that place.
 func TestLateAnswerHidesNothing(t *testing.T) {
 	store := &platformtest.Store{}
-	first, own := beginLate(t, store, "g1", "g1")
+	first, ownStore := startLateProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
-	own.set(late)
-	first.held["b1"].ledger.add(outcome("i0"), true)
+	ownStore.set(late)
+	first.owned["b1"].ledger.enqueue(outcome("i0"), true)
 	await(t, func() bool {
 		page, err := first.ReadStored(t.Context(), "b1", "", 0)
 		return err == nil && len(page.Outcomes) == 1
 	})
 	mustShow(t, first, nil, 0, "i0")
 	t.Run("nothing is said of places that nobody could have read", func(t *testing.T) {
-		own.finish()
+		ownStore.finish()
 		await(t, func() bool {
 			page, _, err := first.ReadOwn(t.Context(), "b1", "", 1, 0)
 			return err == nil && len(page.Outcomes) == 0 && !page.Unsure
@@ -172,10 +172,10 @@
 // again; it knew nothing of the text, and no chunk of its own could be written.
 func TestListedByAnotherMeanwhile(t *testing.T) {
 	store := &platformtest.Store{}
-	first := begin(t, store, "g1", "g1")
+	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
 	await(t, first.holds)
-	owner := first.held["b1"].owner
+	owner := first.owned["b1"].owner
 	owner.mutex.Lock()
 	owner.plan.Start(Job{index: 1, spec: owner.plan.items[1].spec})
 	must.True(t, owner.plan.Event(Job{index: 1}, "half", 3))
@@ -192,9 +192,9 @@
 	})
 	t.Run("and goes on with what it has", func(t *testing.T) {
 		first.mutex.Lock()
-		next := first.held["b1"]
+		next := first.owned["b1"]
 		first.mutex.Unlock()
-		next.ledger.add(outcome("i1"), true)
+		next.ledger.enqueue(outcome("i1"), true)
 		await(t, func() bool { return len(first.outcomes(t)) == 2 })
 		next.mutex.Lock()
 		defer next.mutex.Unlock()
@@ -214,21 +214,21 @@
 // others read, and every one of its own found its place taken.
 func TestWriteOfFormerProcess(t *testing.T) {
 	store := &platformtest.Store{}
-	first, own := beginLate(t, store, "g1", "g1")
+	first, ownStore := startLateProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
-	own.set(undone)
-	ledger := first.held["b1"].ledger
-	ledger.add(outcome("i0"), true)
+	ownStore.set(undone)
+	ledger := first.owned["b1"].ledger
+	ledger.enqueue(outcome("i0"), true)
 	await(t, func() bool {
-		own.mutex.Lock()
-		defer own.mutex.Unlock()
-		return len(own.waiting) == 1
+		ownStore.mutex.Lock()
+		defer ownStore.mutex.Unlock()
+		return len(ownStore.waiting) == 1
 	})
 	first.stop()
-	second := begin(t, store, "g1", "g1")
+	second := startProcess(t, store, "g1", "g1")
 	await(t, second.holds)
-	own.finish()
-	second.held["b1"].ledger.add(outcome("i1"), true)
+	ownStore.finish()
+	second.owned["b1"].ledger.enqueue(outcome("i1"), true)
 	await(t, func() bool { return len(second.outcomes(t)) == 1 })
 	stored, err := second.loadListed(t.Context(), "b1")
 	must.NoError(t, err)
@@ -238,7 +238,7 @@
 // A trainer waits for results at a gateway that hands its batch over. It was left
 // waiting there for up to a second, while the next owner had results.
 func TestReaderFollowsHandover(t *testing.T) {
-	_, first, second := stopping(t)
+	_, first, second := setUpDrain(t)
 	read := make(chan Page, 1)
 	go func() {
 		page, _, _ := first.ReadOwn(context.Background(), "b1", "", 0, time.Minute)
@@ -259,14 +259,14 @@
 // A chunk is small enough for its answer to come back in time over a narrow link.
 func TestChunksAreBounded(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20, 30)))
 	var outcomes []*statepb.Outcome
 	for i := range 3 {
-		text := strings.Repeat("x", chunkBytes/2+1)
+		text := strings.Repeat("x", maxChunkBytes/2+1)
 		outcomes = append(outcomes, statepb.Outcome_builder{Item: fmt.Sprintf("i%d", i), Text: text}.Build())
 	}
-	p.held["b1"].ledger.add(outcomes, true)
+	p.owned["b1"].ledger.enqueue(outcomes, true)
 	await(t, func() bool { return len(p.outcomes(t)) == 3 })
 	list, err := store.List(t.Context(), chunkPrefix("b1"))
 	must.NoError(t, err)
@@ -282,7 +282,7 @@
 		stores := map[string]*lateStore{}
 		names := []string{"g1", "g2"}
 		for _, name := range names {
-			processes[name], stores[name] = beginLate(t, store, name, names...)
+			processes[name], stores[name] = startLateProcess(t, store, name, names...)
 		}
 		defer stopAll(processes, stores)
 		items := []uint64{10, 20, 30, 40, 50, 60}
@@ -293,12 +293,12 @@
 			name := rapid.SampledFrom(names).Draw(rt, "process")
 			switch rapid.SampledFrom([]string{"add", "add", "read", "read", "read", "lapse", "finish"}).Draw(rt, "step") {
 			case "add":
-				stores[name].set(fate(rapid.IntRange(int(answered), int(undone)).Draw(rt, "fate")))
+				stores[name].set(writeBehavior(rapid.IntRange(int(answered), int(undone)).Draw(rt, "fate")))
 				if added < len(items) && processes[name].add(fmt.Sprintf("i%d", added)) {
 					added++
 				}
 			case "lapse":
-				processes[name].lapse(t, store)
+				processes[name].replaceLease(t, store)
 			case "finish":
 				stores[name].finish()
 			case "read":
@@ -314,12 +314,12 @@
 				if after < len(shown) && len(found) == 0 {
 					rt.Fatalf("%s shows nothing at %d, %d were read", name, after, len(shown))
 				}
-				for i, one := range found {
+				for i, outcome := range found {
 					switch at := after + i; {
-					case at < len(shown) && shown[at] != one.GetItem():
-						rt.Fatalf("%s shows %s at %d, %s was read", name, one.GetItem(), at, shown[at])
+					case at < len(shown) && shown[at] != outcome.GetItem():
+						rt.Fatalf("%s shows %s at %d, %s was read", name, outcome.GetItem(), at, shown[at])
 					case at == len(shown):
-						shown = append(shown, one.GetItem())
+						shown = append(shown, outcome.GetItem())
 					}
 				}
 			}
@@ -332,15 +332,15 @@
 func (p *process) add(item string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.held["b1"] == nil {
+	if p.owned["b1"] == nil {
 		return false
 	}
-	p.held["b1"].ledger.add(outcome(item), true)
+	p.owned["b1"].ledger.enqueue(outcome(item), true)
 	return true
 }
 
-// lapse ends the process's lease and gives it another one.
-func (p *process) lapse(t *testing.T, store *platformtest.Store) {
+// replaceLease ends the process's lease and gives it another one.
+func (p *process) replaceLease(t *testing.T, store *platformtest.Store) {
 	t.Helper()
 	must.NoError(t, store.End(t.Context(), p.lease.Swap(0)))
 	lease, err := store.Grant(t.Context(), time.Hour)
