--- a/internal/batch/accept.go
+++ b/internal/batch/accept.go
@@ -15,15 +15,16 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// codeStoreUnavailable names refusals because the store, or this process's lease, is away.
+// codeStoreUnavailable is the code of refusals caused by an unavailable store or a missing
+// lease of this process.
 const codeStoreUnavailable = "store_away"
 
-// Accept takes a batch, here or at the process that owns its model's batches.
-// It returns once the store holds it, also from an earlier try; any other end is
-// a *refusal.Error that says what is known.
+// Accept stores a batch through this process or a preferred owner of its model. It returns nil
+// once the store holds the batch, also from an earlier attempt; any other result is a
+// *refusal.Error that says what is known.
 //
-// The batches of one model have one owner: it alone knows how many slots of the
-// model's samplers are taken, and goes on using its connections from step to step.
+// All batches of a model have the same owner: it alone knows how many slots of the model's
+// samplers are in use, and it reuses its connections from step to step.
 func (b *Board) Accept(ctx context.Context, batch *statepb.Batch) error {
 	if b.isAccepted(batch.GetId()) {
 		return nil
@@ -45,19 +46,18 @@
 	return b.acceptOwn(ctx, batch, attempt{})
 }
 
-// attempt is what is known of a try to take a batch here.
+// attempt holds what is known of an attempt to accept a batch here.
 type attempt struct {
-	// mayBeAccepted says that an earlier try may have taken it.
+	// mayBeAccepted says that an earlier attempt may have stored the batch.
 	mayBeAccepted bool
-	// isPreferred says that this process should own it, so that it may run it early.
+	// isPreferred says that this process is a preferred owner, so it may start the batch early.
 	isPreferred bool
 }
 
-// acceptOwn takes a batch here.
+// acceptOwn accepts a batch with this process as its owner.
 //
-// A refusal promises that nothing of the batch runs. Once any try may have
-// reached the store, or the batch runs early, no later one can promise that,
-// whatever it is told itself.
+// A refusal promises that nothing of the batch runs. Once any attempt may have reached the
+// store, or the batch runs early, no later attempt can promise that, whatever answer it gets.
 func (b *Board) acceptOwn(ctx context.Context, batch *statepb.Batch, attempt attempt) error {
 	if b.drains() && b.earlyRunOf(batch.GetId()) == nil && !attempt.mayBeAccepted {
 		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").After(storeRetryAfter)
@@ -89,19 +89,20 @@
 		if !attempt.mayBeAccepted {
 			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the store does not take the batch").After(storeRetryAfter)
 		}
-		klog.InfoS("batch: not known whether the store holds it", "batch", batch.GetId(), "err", err.Error())
+		klog.InfoS("batch: unknown whether the store holds it", "batch", batch.GetId(), "err", err.Error())
 		if !pause.For(ctx, writeRetryDelay) {
 			return errCommitUnknown()
 		}
 	}
 }
 
-// isStoreUnavailable reports whether a batch wasn't taken for want of the store alone.
+// isStoreUnavailable reports whether a batch was not accepted only because the store is
+// unavailable.
 func isStoreUnavailable(err error) bool {
 	return !refusal.IsNotRun(err) || refusal.Of(err).Code == codeStoreUnavailable
 }
 
-// isNotCommitted reports whether an error of the store proves that it changed nothing.
+// isNotCommitted reports whether a store error proves that the commit changed nothing.
 func isNotCommitted(err error) bool {
 	var away *platform.UnavailableError
 	return errors.As(err, &away) && platform.IsTurnedAway(away.Status)
@@ -150,7 +151,7 @@
 	})
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
-		klog.InfoS("batch: accepted before", "batch", id)
+		klog.InfoS("batch: already accepted", "batch", id)
 		return nil
 	}
 	var missing *platform.NotFoundError
@@ -173,8 +174,9 @@
 	return b.isDraining
 }
 
-// reserve keeps the watch from adopting a batch that is being accepted here. It
-// reports false if that has begun, as where an earlier try was done without an answer.
+// reserve keeps the watch from adopting a batch that is being accepted here. It returns false
+// if the batch is already reserved or being adopted, for example after an earlier attempt that
+// was committed without an answer.
 func (b *Board) reserve(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -185,8 +187,8 @@
 	return true
 }
 
-// release ends what kept the watch from adopting a batch. A write that got no
-// answer may have been seen by the watch meanwhile.
+// release ends a reservation. Meanwhile the watch may have seen a write of this process that
+// got no answer, so release resumes the batch in that case.
 func (b *Board) release(id string) {
 	b.lock()
 	defer b.mutex.Unlock()
--- a/internal/batch/board.go
+++ b/internal/batch/board.go
@@ -15,132 +15,132 @@
 )
 
 const (
-	// claimStagger is the time between the claims of two candidates: a few answers
-	// of the store, so that the second usually finds the first one's.
+	// claimStagger is the delay between the claims of two candidates: a few round trips to the
+	// store, so that the second usually sees the claim of the first.
 	claimStagger = 150 * time.Millisecond
-	// ownerHeadStart is how long the others leave a batch to its last owner. When the
-	// store is back after longer than a lease, all have lost theirs and get new ones
-	// shortly after each other; a batch that another one takes then loses what
-	// came of it while the store was away.
+	// ownerHeadStart is how long other processes leave an unowned batch to its last owner.
+	// After a store outage longer than a lease, all processes have lost their leases and get
+	// new ones shortly after each other; a batch claimed by another process then loses what was
+	// generated during the outage.
 	ownerHeadStart = 400 * time.Millisecond
-	// leasePollInterval is the time between two looks for a lease by a process that has just
-	// started: its trainers wait.
+	// leasePollInterval is the time between two checks for a lease. It is short because
+	// trainers wait for a process that has just started.
 	leasePollInterval = 10 * time.Millisecond
-	// claimPollInterval is the time between two looks at batches without an owner.
+	// claimPollInterval is the time between two scans for batches without an owner.
 	claimPollInterval = 100 * time.Millisecond
-	// acceptTimeout bounds how long it is tried to learn what became of a batch
-	// whose write got no answer.
+	// acceptTimeout bounds the attempts to find out what became of a batch whose write got no
+	// answer.
 	acceptTimeout = 1500 * time.Millisecond
-	// storeRetryAfter is when a trainer should come back while the store is away.
+	// storeRetryAfter is when a trainer should retry while the store is unavailable.
 	storeRetryAfter = 300 * time.Millisecond
-	// peerAcceptTimeout bounds the wait for another process to take a batch: many times
-	// what it takes while the store is well. After that this process takes it.
+	// peerAcceptTimeout bounds the wait for another process to accept a batch: many times what
+	// that takes with a healthy store. After it, this process accepts the batch itself.
 	peerAcceptTimeout = 600 * time.Millisecond
-	// handoverTimeout bounds what a process that stops does for a batch: the end of a write
-	// under way, two calls of next owners, keepers, and the store.
+	// handoverTimeout bounds what a stopping process does for a batch: finishing a write in
+	// flight, calls to two successors, to keepers, and to the store.
 	handoverTimeout = 2500 * time.Millisecond
 )
 
-// Store is what batches need of the platform's store.
+// Store is the part of the platform's store that batches use.
 type Store interface {
 	Commit(ctx context.Context, commit platform.Commit) (uint64, error)
 	Get(ctx context.Context, key string) (platform.Value, error)
 	List(ctx context.Context, prefix string) (platform.ListReply, error)
 }
 
-// Peers reaches the other processes.
+// Peers calls the other processes.
 type Peers interface {
-	// Accept has another process take a batch. An error says that it isn't known
-	// whether it did.
+	// Accept asks another process to accept a batch. An error means that the result is unknown.
 	Accept(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error)
-	// HandOver has another process go on with a batch of this one. An error says that
-	// it isn't known whether it does.
+	// HandOver asks another process to continue a batch of this one. An error means that it is
+	// unknown whether it does.
 	HandOver(ctx context.Context, host string, state Handover) (taken bool, err error)
 }
 
-// Route is what the operators' configuration says of a batch.
+// Route is the configuration that applies to a batch.
 type Route struct {
-	// Pool that runs it; "" once its route is gone.
+	// Pool runs the batch; "" once its route has been removed.
 	Pool  string
 	Rules Rules
 }
 
-// Routes finds the route of a batch; false while no configuration is known.
+// Routes returns the route of a batch, or false while no configuration is known.
 type Routes func(batch *statepb.Batch) (Route, bool)
 
-// Board holds the batches that this process owns. Exported fields are set before Run.
+// Board holds the batches that this process owns. Its exported fields are set before Run.
 type Board struct {
-	// Process is this process's name.
+	// Process is the name of this process.
 	Process string
 	Store   Store
 	Roster  *roster.Roster
 	Scorer  Scorer
 	Wire    Wire
 	Routes  Routes
-	// Lease returns the lease under which this process is known to others; 0
-	// while it has none.
+	// Lease returns the lease that registers this process with the store, or 0 while it has
+	// none.
 	Lease func() uint64
-	// Order returns the processes that live and don't leave, the one first that
-	// should do a piece of work.
+	// Order returns the live processes that are not leaving, the best candidate for a piece of
+	// work first.
 	Order func(work string) []string
 	// Leaves reports whether a process was asked to stop.
 	Leaves func(host string) bool
 	Peers  Peers
-	// Keeper keeps texts that aren't whole.
+	// Keeper stores incomplete texts.
 	Keeper Keeper
-	// Keep is how long after its acceptance a batch can be read.
+	// Keep is how long a batch can be read after its acceptance.
 	Keep time.Duration
 	// Group is how long outcomes are gathered before they are written together.
 	Group time.Duration
-	// ValueBytes is the largest value of the store.
+	// ValueBytes is the size of the largest value that the store takes.
 	ValueBytes int
-	// Metrics takes the board's metrics; nil keeps them to itself.
+	// Metrics registers the metrics of the board; with nil they are not exported.
 	Metrics prometheus.Registerer
 
 	mutex sync.Mutex
 	owned map[string]*ownedBatch
-	// open holds the batches that aren't ended, owners who owns them.
+	// open holds the batches that have not ended, owners the owner of each batch.
 	open   map[string]bool
 	owners map[string]string
-	// unowned are the batches without an owner.
+	// unowned holds the open batches without an owner.
 	unowned map[string]unownedBatch
-	// ownerRevisions are those of the owners' keys, openRevisions those of the keys
-	// of open batches.
+	// ownerRevisions holds the revisions of the owner keys, openRevisions those of the keys of
+	// open batches.
 	ownerRevisions map[string]uint64
 	openRevisions  map[string]uint64
 	claiming       map[string]bool
-	// stored is since when this process knows that the store holds a batch, open or
-	// ended, and accounts whose it is; removing are those that it is taking out.
+	// stored holds since when this process knows that the store has a batch, open or ended, and
+	// accounts the account of that batch. removing holds the batches that it is deleting from
+	// the store.
 	stored   map[string]clock.Boot
 	accounts map[string]string
-	// ended are the stored batches whose end was seen.
+	// ended holds the stored batches whose end was seen.
 	ended      map[string]bool
 	removing   map[string]bool
 	isDraining bool
-	// ctx is that of all work on batches, which may begin before Run does.
+	// ctx is the parent of all work on batches, which may start before Run.
 	ctx    context.Context
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
-	// leftovers are texts that later batches may ask for again.
+	// leftovers holds texts that later batches may reuse.
 	leftovers leftovers
 	wake      chan struct{}
 	metrics   *metrics
 }
 
-// unownedBatch is a batch without an owner.
+// unownedBatch is an open batch without an owner.
 type unownedBatch struct {
 	since clock.Boot
-	// lastOwner is the owner before; "" if none is known.
+	// lastOwner is the previous owner; "" if none is known.
 	lastOwner string
 }
 
-// ownedBatch is a batch that this process owns, or has owned.
+// ownedBatch is a batch that this process owns or has owned.
 type ownedBatch struct {
 	*owner
 
 	cancel context.CancelFunc
 	ended  bool
-	// early is nil unless the batch was begun before the store was known to hold it.
+	// early is nil unless the batch was started before the store was known to hold it.
 	early      *earlyRun
 	total      uint64
 	acceptedAt clock.Boot
@@ -148,7 +148,7 @@
 	stopped chan struct{}
 }
 
-// Run claims batches without an owner until the context ends.
+// Run claims batches without an owner and removes expired ones until the context ends.
 func (b *Board) Run(ctx context.Context) error {
 	b.lock()
 	b.mutex.Unlock()
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// finish ends all work and waits for it.
+// finish cancels all work and waits for it.
 func (b *Board) finish() {
 	b.lock()
 	b.cancel()
@@ -178,17 +178,17 @@
 	b.tasks.Wait()
 }
 
-// startTask begins work on a batch, unless the board has ended: a watch may bring
-// changes as long as the process lives, and what began now would not be waited
-// for. The mutex is held.
+// startTask runs a task in the background unless the board has ended: the watch delivers
+// changes as long as the process lives, and finish would not wait for a task started later. The
+// mutex must be held.
 func (b *Board) startTask(task func()) {
 	if b.ctx.Err() == nil {
 		b.tasks.Go(task)
 	}
 }
 
-// lock locks the mutex. Callers, watches and the duty of a process begin in any
-// order, so whichever comes first prepares the board.
+// lock locks the mutex and initializes the board on first use: callers, watches and Run start
+// in any order.
 func (b *Board) lock() {
 	b.mutex.Lock()
 	b.prepare()
@@ -226,11 +226,11 @@
 	return float64(open)
 }
 
-// start runs a batch that this process owns. The mutex is held.
+// start runs a batch that this process owns. The mutex must be held.
 //
-// A process that is asked to stop while it accepts or claims a batch hands this
-// one over as well. Kept, it would be given up only when the process ends, with
-// all that came of it since its texts were kept last.
+// A process that is asked to stop while it accepts or claims a batch hands this one over as
+// well. Otherwise it would keep the batch until it exits, and everything generated since the
+// texts were last sent to a keeper would be lost.
 func (b *Board) start(state Handover, accepted clock.Boot) {
 	batch := state.Batch
 	route, _ := b.Routes(batch)
@@ -238,7 +238,7 @@
 	plan.Restore(state.Listed, state.Partials)
 	plan.Carry(state.Pending)
 	if reused := plan.Reuse(b.leftovers.find(itemIDs(batch))); reused > 0 {
-		klog.InfoS("batch: texts of an earlier batch are used", "batch", batch.GetId(), "items", reused)
+		klog.InfoS("batch: reusing texts of an earlier batch", "batch", batch.GetId(), "items", reused)
 	}
 	ctx, cancel := context.WithCancel(b.ctx)
 	owned := &ownedBatch{
@@ -292,7 +292,8 @@
 	return ids
 }
 
-// setPrecedence sets which open batches of a model come before others. The mutex is held.
+// setPrecedence sets which open batches of a model take free slots before others. The mutex
+// must be held.
 func (b *Board) setPrecedence(next *owner) {
 	for _, owned := range b.owned {
 		if owned.ended || owned.batch.GetModel() != next.batch.GetModel() {
@@ -306,23 +307,23 @@
 	}
 }
 
-// isBefore reports whether a batch that comes now is older than one that is
-// here: the steps of one trainer tell, all others go in the order in which they came.
+// isBefore reports whether a newly added batch takes precedence over an owned one: batches of
+// one account are ordered by step, all others by arrival.
 //
-// Where all processes start anew, a trainer's batches are read in any order. The
-// younger one took every slot, while the trainer waited for the older.
+// When all processes restart, the batches of a trainer are loaded in any order. Without this
+// rule, the younger one could take every slot while the trainer waits for the older.
 func isBefore(next, owned *statepb.Batch) bool {
 	return next.GetAccount() == owned.GetAccount() && next.GetStep() < owned.GetStep()
 }
 
-// Owner returns the process that owns a batch; "" if none is known.
+// Owner returns the process that owns a batch, or "" if none is known.
 func (b *Board) Owner(id string) string {
 	b.lock()
 	defer b.mutex.Unlock()
 	return b.owners[id]
 }
 
-// Waiting returns the items that wait here for a slot of a pool.
+// Waiting returns the number of items that wait here for a slot of a pool.
 func (b *Board) Waiting(pool string) uint32 {
 	b.lock()
 	defer b.mutex.Unlock()
--- a/internal/batch/changes.go
+++ b/internal/batch/changes.go
@@ -11,7 +11,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Take takes changes of the store's small keys.
+// Take applies changes of the watched keys of the store.
 func (b *Board) Take(changes []platform.Value) {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// applyStored notes whether anything of a batch is stored. Once nothing is, nothing
-// of it is remembered here either: every gateway hears of every batch.
+// applyStored records whether the store holds anything of a batch. Once it holds nothing, the
+// batch is dropped from memory too, since every gateway watches every batch.
 func (b *Board) applyStored(id string, change platform.Value) {
 	if change.Deleted {
 		delete(b.stored, id)
@@ -85,7 +85,7 @@
 	owned := b.owned[id]
 	switch {
 	case process != b.Process && owned != nil:
-		klog.InfoS("batch: owned by another process now", "batch", id, "owner", process)
+		klog.InfoS("batch: another process is the owner now", "batch", id, "owner", process)
 		owned.cancel()
 		delete(b.owned, id)
 		b.endEarly(owned)
@@ -97,9 +97,9 @@
 	}
 }
 
-// ReadOwner reads which process owns which batch from a change of the store's keys;
-// the process is "" where the batch has no owner any more. It reports false for
-// changes of other keys, and for a value that can't be read.
+// ReadOwner parses a change of an owner key into a batch and the process that owns it; the
+// process is "" if the batch no longer has an owner. It returns false for changes of other keys
+// and for values that cannot be decoded.
 func ReadOwner(change platform.Value) (id, process string, ok bool) {
 	id, ok = strings.CutPrefix(change.Key, prefixOwner)
 	if !ok || change.Deleted {
@@ -107,18 +107,18 @@
 	}
 	owner := &statepb.Owner{}
 	if err := proto.Unmarshal(change.Data, owner); err != nil {
-		klog.ErrorS(err, "batch: an owner can't be read", "key", change.Key)
+		klog.ErrorS(err, "batch: cannot decode an owner", "key", change.Key)
 		return id, "", false
 	}
 	return id, owner.GetProcess(), true
 }
 
-// resume runs an open batch that this process owns and does not run: a write of
-// its own that got no answer was done all the same, or an earlier process of the
-// same name owned it. The mutex is held.
+// resume runs an open batch that this process owns and does not run: a write of this process
+// was committed without an answer, or an earlier process of the same name was the owner. The
+// mutex must be held.
 //
-// A process that starts anew finds what it owned before, mostly batches that their
-// trainers have ended; reading these too would keep those still open waiting.
+// A restarted process sees the keys of all batches it owned before, most of which have ended;
+// loading these too would delay the ones still open.
 func (b *Board) resume(id string) {
 	if b.owners[id] != b.Process || b.owned[id] != nil || !b.open[id] || b.claiming[id] {
 		return
--- a/internal/batch/claim.go
+++ b/internal/batch/claim.go
@@ -41,12 +41,12 @@
 	return ids
 }
 
-// claimDelay returns how long after a batch has lost its owner this process may claim
-// it. The mutex is held.
+// claimDelay returns how long after a batch has lost its owner this process may claim it. The
+// mutex must be held.
 //
-// The last owner comes first: it may live and have lost its lease while the store
-// was away, and it has all that came of the batch. Only where it has said that it
-// leaves, nobody waits for it.
+// The last owner comes first: it may be alive and have lost only its lease in a store outage,
+// and it has everything generated for the batch. If it has announced that it leaves, nobody
+// waits for it.
 func (b *Board) claimDelay(id, last string) time.Duration {
 	if b.owned[id] != nil {
 		return 0
@@ -66,11 +66,11 @@
 	ownership, err := b.writeOwner(ctx, id, claimConditions(id, owned)...)
 	var conflict *platform.ConflictError
 	if owned != nil && errors.As(err, &conflict) && hasChunk(conflict, id) {
-		klog.InfoS("batch: listed further by another owner meanwhile", "batch", id)
+		klog.InfoS("batch: another owner has listed more outcomes", "batch", id)
 		b.evict(id, owned)
 	}
 	if err != nil {
-		klog.InfoS("batch: not claimed", "batch", id, "err", err.Error())
+		klog.InfoS("batch: claim failed", "batch", id, "err", err.Error())
 		pause.For(ctx, claimStagger)
 		b.release(id)
 		return
@@ -88,12 +88,12 @@
 	b.adopt(ctx, id, ownership)
 }
 
-// claimConditions returns what a claim expects: that the batch has no owner, and where
-// this process holds it from before, that nobody has listed more of it since.
+// claimConditions returns what a claim expects of the store: the batch has no owner and, if
+// this process held it before, nobody has listed more outcomes since.
 //
-// Between two claims of one process another one may have owned the batch, listed
-// some of it and died, all while this one saw nothing of the store. Claimed by the
-// first condition alone, its own places would stand where others were read.
+// Between two claims of one process, another one may have owned the batch, listed outcomes and
+// died while this one could not reach the store. With the first condition alone, this process
+// would list its own outcomes at positions where clients have read others.
 func claimConditions(id string, owned *ownedBatch) []platform.Expect {
 	expect := []platform.Expect{{Key: ownerKey(id)}}
 	if owned != nil {
@@ -108,7 +108,7 @@
 	})
 }
 
-// evict stops a batch here; what came of its texts is kept for when it is read again.
+// evict stops a batch here and keeps its texts for when it is loaded again.
 func (b *Board) evict(id string, owned *ownedBatch) {
 	owned.cancel()
 	<-owned.stopped
@@ -122,7 +122,7 @@
 	}
 }
 
-// reload goes on with a batch of this process from what the store holds of it.
+// reload continues a batch that this process owns from what the store holds of it.
 func (b *Board) reload(id string, owned *ownedBatch) {
 	b.evict(id, owned)
 	b.lock()
@@ -130,7 +130,7 @@
 	b.resume(id)
 }
 
-// writeOwner makes this process the owner of a batch if the store is as expected.
+// writeOwner makes this process the owner of a batch if the expectations hold.
 func (b *Board) writeOwner(ctx context.Context, id string, expect ...platform.Expect) (Title, error) {
 	lease := b.Lease()
 	if lease == 0 {
@@ -147,14 +147,14 @@
 	return Title{Revision: revision, Lease: lease}, err
 }
 
-// reclaim writes the owner's key of a batch that this process owns anew, then reads
-// and runs the batch.
+// reclaim rewrites the owner key of a batch that this process owns, then loads and runs the
+// batch.
 //
-// The former process of this name, or an earlier try of this one, may have a chunk
-// under way that the store does after the batch was read here: it would be shown to
-// some readers and not to others, and no chunk of this process would fit behind it.
-// Such a write expects the former revision of the key. The new one ends with this
-// process's lease besides, and not with that of the former.
+// The former process of this name, or an earlier attempt of this one, may have a chunk in
+// flight that the store commits after the batch was loaded here: some readers would see it and
+// others not, and no chunk of this process would fit behind it. That write expects the former
+// revision of the owner key, so the new revision makes it fail. The new key also ends with the
+// lease of this process, not with that of the former one.
 func (b *Board) reclaim(ctx context.Context, id string, revision uint64) {
 	for ctx.Err() == nil && b.ownsAt(id, revision) {
 		if b.Lease() == 0 {
@@ -166,17 +166,17 @@
 			b.adopt(ctx, id, ownership)
 			return
 		}
-		klog.InfoS("batch: not taken back", "batch", id, "owner", revision, "err", err.Error())
+		klog.InfoS("batch: rewriting the owner key failed", "batch", id, "owner", revision, "err", err.Error())
 		pause.For(ctx, claimStagger)
 	}
 	b.release(id)
 }
 
-// adopt reads a batch that this process owns from the store, and runs it.
+// adopt loads a batch that this process owns from the store, and runs it.
 func (b *Board) adopt(ctx context.Context, id string, ownership Title) {
 	batch, listed, partials, err := b.load(ctx, id, nil)
 	for err != nil && ctx.Err() == nil && b.ownsAt(id, ownership.Revision) {
-		klog.InfoS("batch: not read", "batch", id, "err", err.Error())
+		klog.InfoS("batch: load failed", "batch", id, "err", err.Error())
 		pause.For(ctx, claimStagger)
 		batch, listed, partials, err = b.load(ctx, id, partials)
 	}
@@ -190,7 +190,7 @@
 		return
 	}
 	if b.ownerRevisions[id] > ownership.Revision {
-		// The owner's key was written again, so chunks under this title fit no more.
+		// The owner key was rewritten, so chunks that expect the former revision are refused.
 		b.resume(id)
 		return
 	}
@@ -200,8 +200,8 @@
 	b.start(Handover{Batch: batch, Owner: ownership, Listed: listed, Partials: partials}, clock.Now())
 }
 
-// awaitRoute waits until a configuration is known. A process that has just
-// started may know of its batches before it knows of their route.
+// awaitRoute waits until a configuration is known. A process that has just started may see its
+// batches before it has read the configuration.
 func (b *Board) awaitRoute(ctx context.Context, batch *statepb.Batch) {
 	for {
 		if _, isKnown := b.Routes(batch); isKnown || !pause.For(ctx, claimPollInterval) {
@@ -210,16 +210,17 @@
 	}
 }
 
-// ownsAt reports whether this process is still the owner that it became at a revision.
+// ownsAt reports whether the batch is open and its owner key is not known to have changed since
+// a revision.
 func (b *Board) ownsAt(id string, revision uint64) bool {
 	b.lock()
 	defer b.mutex.Unlock()
 	return b.ownerRevisions[id] <= revision && b.open[id]
 }
 
-// load reads a batch, what of it is listed and what keepers have, all at the same
-// time: each may be a megabyte. Texts that an earlier try has brought are not
-// fetched again; nobody adds to them while the batch has no other owner.
+// load fetches a batch, its listed outcomes and the partial texts of keepers in parallel, since
+// each may be a megabyte. It does not fetch again the texts that an earlier attempt returned:
+// nobody adds to them while the batch has no other owner.
 func (b *Board) load(ctx context.Context, id string, partials []*statepb.Partial) (*statepb.Batch, []*statepb.Outcome, []*statepb.Partial, error) {
 	var batch *statepb.Batch
 	var listed []*statepb.Outcome
@@ -248,7 +249,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The keys order chunks by their first place; pages of a list need not come in order.
+	// Keys sort chunks by their first position; pages of a list may come in any order.
 	slices.SortFunc(reply.Values, func(a, b platform.Value) int { return strings.Compare(a.Key, b.Key) })
 	var listed []*statepb.Outcome
 	for _, value := range reply.Values {
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// takeoverTimeout bounds the write by which a batch is taken from its owner: some writes
+	// takeoverTimeout bounds the write that takes a batch over from its owner: several writes
 	// of a slow store.
 	takeoverTimeout = 400 * time.Millisecond
-	// handoverCallTimeout bounds a call that hands a batch over: the write, and the way of a batch
-	// of a megabyte over a narrow link to a small host. An owner that gives up sooner
-	// goes through the store although the batch was taken, and its readers don't learn
-	// of the next owner.
+	// handoverCallTimeout bounds a call that hands a batch over: the write, and the transfer of
+	// a one-megabyte batch over a narrow link to a small host. An owner that gives up sooner
+	// falls back to the store although the batch was taken, and its readers are not sent to the
+	// next owner.
 	handoverCallTimeout = 600 * time.Millisecond
-	// storeProbeTimeout bounds the question whether the store answers: many times its usual answer.
+	// storeProbeTimeout bounds a probe of the store: many times its usual response time.
 	storeProbeTimeout = 400 * time.Millisecond
-	// shutdownReserve is what a process needs after its hand-over, to end its last requests.
+	// shutdownReserve is what a process needs after the handover to finish its last requests.
 	shutdownReserve = time.Second
-	// maxSuccessors is how many processes are asked to go on with a batch.
+	// maxSuccessors is how many processes are candidates for the batches of a model, and how
+	// many are asked to continue a batch.
 	maxSuccessors = 2
 )
 
-// Drain hands all batches over: it stops their runs, leaves what came of them
-// with a keeper and gives them up, so that the next owners go on at once and lose nothing.
+// Drain hands over all batches: it stops their runs and passes their state to the next owners,
+// which continue at once without losing anything.
 func (b *Board) Drain(ctx context.Context) {
 	b.lock()
 	b.isDraining = true
@@ -60,8 +61,8 @@
 	handovers.Wait()
 }
 
-// untilHandover returns a context that ends when a hand-over must begin for the
-// process to end in its time.
+// untilHandover returns a context that ends when handovers must start for the process to exit
+// by the deadline of ctx.
 func untilHandover(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, isBounded := ctx.Deadline()
 	if !isBounded {
@@ -70,21 +71,21 @@
 	return context.WithDeadline(ctx, deadline.Add(-handoverTimeout-shutdownReserve))
 }
 
-// awaitStore waits until the store answers. The batches run on meanwhile.
+// awaitStore waits until the store answers, while the batches keep running.
 //
-// Nobody can take a batch over without the store; an owner that stops its runs in an
-// outage and ends before the store is back loses their texts.
+// No process can take a batch over without the store. An owner that stopped its runs in an
+// outage and exited before the store was back would lose their texts.
 func (b *Board) awaitStore(ctx context.Context) {
 	began := clock.Now()
 	for ctx.Err() == nil && !b.isStoreReachable(ctx) {
 		pause.For(ctx, writeRetryDelay)
 	}
 	if waited := clock.Now().Sub(began); waited > storeProbeTimeout {
-		klog.InfoS("batch: stopping waited for the store", "waited", waited, "answers", ctx.Err() == nil)
+		klog.InfoS("batch: drain waited for the store", "waited", waited, "answers", ctx.Err() == nil)
 	}
 }
 
-// isStoreReachable asks the store for a key that need not be there.
+// isStoreReachable probes the store with a read of a key that need not exist.
 func (b *Board) isStoreReachable(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeProbeTimeout)
 	defer cancel()
@@ -93,33 +94,33 @@
 	return err == nil || errors.As(err, &missing)
 }
 
-// awaitCommitted waits until it is known whether the store holds a batch: before that
-// nobody can go on with it.
+// awaitCommitted waits until it is known whether the store holds a batch: before that no other
+// process can continue it.
 func awaitCommitted(ctx context.Context, owned *ownedBatch) {
 	if owned.early != nil {
 		owned.early.await(ctx)
 	}
 }
 
-// Handover is a batch as its owner leaves it.
+// Handover is the state of a batch that passes from one owner to the next.
 type Handover struct {
 	Batch *statepb.Batch
-	// Owner is the title of the process that has the batch.
+	// Owner is the ownership of the process that has the batch.
 	Owner Title
-	// Open is the revision of the key that says that its trainer has not ended it.
+	// Open is the revision of the key that marks the batch as open.
 	Open uint64
-	// Listed are the outcomes that the store holds, Pending those that it doesn't yet.
+	// Listed are the outcomes that the store holds, Pending those that it does not hold yet.
 	Listed, Pending []*statepb.Outcome
-	// Partials are the texts that aren't whole.
+	// Partials are the incomplete texts.
 	Partials []*statepb.Partial
 }
 
-// handOver stops a batch here and has another process go on with it: by a call of
-// that process if it answers, else through a keeper and the store.
+// handOver stops a batch here and has another process continue it: by a call to that process if
+// it answers, else through a keeper and the store.
 //
-// Through the store the next owner hears of the batch from a watch, waits for its
-// turn, claims it, and reads all of it. Meanwhile nothing of the batch runs, and outcomes
-// that aren't listed yet are lost.
+// Through the store, the next owner learns of the batch from a watch, waits for its claim
+// delay, claims the batch and loads it. Meanwhile nothing of the batch runs, and outcomes that
+// are not listed yet are lost.
 func (b *Board) handOver(ctx context.Context, id string, owned *ownedBatch) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -136,14 +137,14 @@
 		Expect: []platform.Expect{{Key: ownerKey(id), Revision: owned.ledger.currentOwnership().Revision}},
 		Remove: []string{ownerKey(id)},
 	})
-	klog.InfoS("batch: handed over", "batch", id, "err", err)
+	klog.InfoS("batch: removing its owner key", "batch", id, "err", err)
 }
 
-// offerToSuccessors has one of the processes that come next go on with a stopped batch, and
-// reports whether one does.
+// offerToSuccessors asks the next candidates in turn to continue a stopped batch, and reports
+// whether one does.
 //
-// In a rolling stop the first one may be about to end, or be gone. One that took the
-// batch and didn't answer keeps the next from taking it: the owner's key has changed.
+// In a rolling restart the first one may be stopping too, or gone. If it took the batch without
+// answering, the next one cannot take it as well, since the owner key has changed.
 func (b *Board) offerToSuccessors(ctx context.Context, id string, owned *ownedBatch) bool {
 	state, isComplete := b.handoverState(id, owned)
 	if !isComplete {
@@ -157,7 +158,7 @@
 	return false
 }
 
-// offer has a process go on with a stopped batch, and reports whether it does.
+// offer asks a process to continue a stopped batch, and reports whether it does.
 func (b *Board) offer(ctx context.Context, id, successor string, state Handover) bool {
 	ctx, cancel := context.WithTimeout(ctx, handoverCallTimeout)
 	defer cancel()
@@ -179,15 +180,15 @@
 	}
 }
 
-// successors returns the processes that should own a model's batches once this one has left,
-// the first one first.
+// successors returns the processes that should own the batches of a model once this one has
+// left, the first candidate first.
 func (b *Board) successors(model string) []string {
 	others := slices.DeleteFunc(b.rankedOwners(model), func(host string) bool { return host == b.Process })
 	return others[:min(len(others), maxSuccessors)]
 }
 
-// handoverState returns a stopped batch. It reports false if it hasn't stopped or isn't
-// known as a whole, and if there is nothing to go on with.
+// handoverState returns the state of a stopped batch. It returns false if the batch has not
+// stopped, if its state is not fully known, or if there is nothing to continue.
 func (b *Board) handoverState(id string, owned *ownedBatch) (Handover, bool) {
 	select {
 	case <-owned.stopped:
@@ -205,15 +206,15 @@
 	return state, isComplete && open != 0 && owner.Revision != 0 && !owned.plan.IsEnded()
 }
 
-// TakeHandover goes on with a batch that another process has stopped. An error says
-// that it isn't known whether this process owns it now; it runs it in that case
-// once the watch says so.
+// TakeHandover continues a batch that another process has stopped. An error means that it is
+// unknown whether this process owns the batch now; if it does, it runs the batch once the watch
+// reports that.
 //
-// The batch must be as the other one left it: where its trainer has ended it, or
-// another process has claimed it, the store refuses.
+// The batch must be unchanged since the other process stopped it: if its trainer has ended it,
+// or another process has claimed it, the store refuses.
 func (b *Board) TakeHandover(ctx context.Context, state Handover) (bool, error) {
 	id := state.Batch.GetId()
-	// A revision of 0 would ask the store for a batch that is not open, or has no owner.
+	// To the store, a revision of 0 means that the batch is not open, or has no owner.
 	if b.Lease() == 0 || state.Owner.Revision == 0 || state.Open == 0 || !b.reserveForTakeover(id) {
 		return false, nil
 	}
@@ -243,8 +244,8 @@
 	return true, nil
 }
 
-// reserveForTakeover keeps the watch from adopting a batch that is being taken from its owner.
-// It reports false if this process is stopping, or has the batch already.
+// reserveForTakeover keeps the watch from adopting a batch that is being taken over from its
+// owner. It returns false if this process is draining, or has the batch already.
 func (b *Board) reserveForTakeover(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -255,7 +256,7 @@
 	return true
 }
 
-// Carry takes outcomes that an earlier owner had and didn't list.
+// Carry adds outcomes that an earlier owner had and did not list.
 func (p *Plan) Carry(outcomes []*statepb.Outcome) {
 	for _, outcome := range outcomes {
 		if item := p.byID[outcome.GetItem()]; item != nil {
--- a/internal/batch/early.go
+++ b/internal/batch/early.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	// earlyStartDelay is how long a store may take for a batch before the batch runs
-	// without it: many times its usual answer.
+	// earlyStartDelay is how long the store may take to accept a batch before the batch starts
+	// without it: many times its usual response time.
 	earlyStartDelay = 150 * time.Millisecond
-	// pendingPollInterval is the time between two looks whether the store holds a batch that
+	// pendingPollInterval is the time between two checks whether the store holds a batch that
 	// another process runs early.
 	pendingPollInterval = 20 * time.Millisecond
-	// earlyTimeout bounds how long a batch runs that the store isn't known to hold: the
-	// time in which trainers come back with a step.
+	// earlyTimeout bounds how long a batch runs that the store is not known to hold: the time
+	// in which trainers retry a step.
 	earlyTimeout = 10 * time.Second
 )
 
-// Acceptance is what became of a batch at the process that was asked to take it.
+// Acceptance is the result of asking a process to accept a batch.
 type Acceptance int
 
 // Acceptances.
 const (
-	// Refused says that nothing of the batch is known there.
+	// Refused means that the process knows nothing of the batch.
 	Refused Acceptance = iota
-	// Pending says that it runs there and isn't known to be in the store yet.
+	// Pending means that the batch runs there and is not known to be in the store yet.
 	Pending
-	// Taken says that the store holds it.
+	// Taken means that the store holds the batch.
 	Taken
 )
 
-// String names the acceptance.
+// String returns the name of the acceptance.
 func (a Acceptance) String() string {
 	return [...]string{"refused", "pending", "taken"}[a]
 }
 
-// earlyRun is a batch that runs before the store is known to hold it.
+// earlyRun tracks a batch that runs before the store is known to hold it.
 //
-// Texts need no store, and the longest one of a step takes nearly all of the step's
-// time. So they are generated while the store is away, and nothing of them is shown
-// before it holds the batch. Trainers are told meanwhile that the batch may run.
+// Generating texts needs no store, and the longest text of a step takes nearly all of the
+// step's time. So texts are generated while the store is unavailable, and none is shown before
+// the store holds the batch. Until then, trainers are told that the batch may run.
 type earlyRun struct {
 	// done is closed once the store is known to hold the batch, or the batch is given up.
 	done   chan struct{}
 	isDone bool
 }
 
-// await waits until the batch is early no more, or the context ends.
+// await waits until the batch is no longer early, or the context ends.
 func (e *earlyRun) await(ctx context.Context) {
 	select {
 	case <-e.done:
@@ -62,7 +62,8 @@
 	}
 }
 
-// preferredOwners returns the processes that should own a model's batches, the first one first.
+// preferredOwners returns the processes that should own the batches of a model, the first
+// candidate first.
 func (b *Board) preferredOwners(model string) []string {
 	order := b.rankedOwners(model)
 	return order[:min(len(order), maxSuccessors)]
@@ -71,7 +72,7 @@
 // rankedOwners returns all processes as candidates for the batches of a model.
 func (b *Board) rankedOwners(model string) []string { return b.Order("model/" + model) }
 
-// startEarly runs a batch that the store isn't known to hold.
+// startEarly starts a batch that the store is not known to hold.
 func (b *Board) startEarly(batch *statepb.Batch) {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -79,14 +80,15 @@
 	if b.owned[id] != nil || b.open[id] || b.ended[id] || b.isDraining {
 		return
 	}
-	klog.InfoS("batch: begun before the store holds it", "batch", id, "step", batch.GetStep(), "model", batch.GetModel(), "items", len(batch.GetItems()))
+	klog.InfoS("batch: started before the store holds it", "batch", id, "step", batch.GetStep(), "model", batch.GetModel(), "items", len(batch.GetItems()))
 	b.start(Handover{Batch: batch}, clock.Now())
 	owned := b.owned[id]
 	owned.early = &earlyRun{done: make(chan struct{})}
 	b.startTask(func() { b.commitEarly(owned) })
 }
 
-// commitEarly has the store take an early batch, or gives it up.
+// commitEarly retries until the store holds an early batch, and gives the batch up after
+// earlyTimeout.
 func (b *Board) commitEarly(owned *ownedBatch) {
 	id := owned.batch.GetId()
 	ctx, cancel := context.WithTimeout(b.ctx, earlyTimeout)
@@ -102,7 +104,7 @@
 	if b.ctx.Err() != nil || b.earlyRunOf(id) != owned.early {
 		return
 	}
-	klog.InfoS("batch: given up, the store did not take it", "batch", id)
+	klog.InfoS("batch: given up, the store did not accept it", "batch", id)
 	b.evict(id, owned)
 	b.Keeper.Drop(b.ctx, id)
 	b.lock()
@@ -110,22 +112,22 @@
 	b.endEarly(owned)
 }
 
-// tryCommitEarly tries once to have the store take an early batch.
+// tryCommitEarly tries once to commit an early batch to the store.
 func (b *Board) tryCommitEarly(ctx context.Context, batch *statepb.Batch) {
 	if err := b.commitBatch(ctx, batch); err != nil {
-		klog.V(1).InfoS("batch: an early one is not in the store yet", "batch", batch.GetId(), "err", err.Error())
+		klog.V(1).InfoS("batch: early batch is not in the store yet", "batch", batch.GetId(), "err", err.Error())
 	}
 }
 
-// isCommitting reports whether a write of the batch is under way: a second one would share
-// the link with it.
+// isCommitting reports whether a write of the batch is in flight: a second one would share the
+// link with it.
 func (b *Board) isCommitting(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
 	return b.claiming[id]
 }
 
-// endEarly notes that a batch is early no more. The mutex is held.
+// endEarly records that a batch is no longer early. The mutex must be held.
 func (b *Board) endEarly(owned *ownedBatch) {
 	if owned == nil || owned.early == nil || owned.early.isDone {
 		return
@@ -134,14 +136,14 @@
 	close(owned.early.done)
 }
 
-// earlyRunOf returns what makes a batch early here, or nil.
+// earlyRunOf returns the early run of a batch, or nil if it is not early here.
 func (b *Board) earlyRunOf(id string) *earlyRun {
 	b.lock()
 	defer b.mutex.Unlock()
 	return b.earlyRunLocked(id)
 }
 
-// earlyRunLocked returns what makes a batch early here, or nil. The mutex is held.
+// earlyRunLocked is earlyRunOf for callers that hold the mutex.
 func (b *Board) earlyRunLocked(id string) *earlyRun {
 	owned := b.owned[id]
 	if owned == nil || owned.early == nil || owned.early.isDone {
@@ -150,8 +152,8 @@
 	return owned.early
 }
 
-// markAccepted notes that the store holds a batch, of which this process is the owner. The
-// mutex is held.
+// markAccepted records that the store holds a batch and this process owns it. The mutex must be
+// held.
 func (b *Board) markAccepted(batch *statepb.Batch, ownership Title) {
 	id, owned := batch.GetId(), b.owned[batch.GetId()]
 	if owned != nil && b.earlyRunLocked(id) == nil {
@@ -178,14 +180,15 @@
 	return errCommitUnknown()
 }
 
-// errCommitUnknown says that it isn't known whether the store holds a batch.
+// errCommitUnknown returns the refusal for a batch of which it is unknown whether the store
+// holds it.
 func errCommitUnknown() error {
 	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").After(storeRetryAfter)
 }
 
-// AcceptFor takes a batch here that another process was sent, and says within a
-// time what became of it. An error says that this isn't known. The try goes on after
-// that: a large batch takes the store longer than the other process waits.
+// AcceptFor accepts a batch on behalf of another process, and returns within the wait. An error
+// means that the result is unknown. The attempt continues after the wait: a large batch takes
+// the store longer than the other process waits.
 func (b *Board) AcceptFor(ctx context.Context, batch *statepb.Batch, wait time.Duration) (Acceptance, error) {
 	if b.isAccepted(batch.GetId()) {
 		return Taken, nil
@@ -210,8 +213,9 @@
 	}
 }
 
-// askPreferredOwner has another process take a batch. Where that runs it and isn't sure yet, the
-// store's small keys tell: the batch isn't sent again, which may be a megabyte.
+// askPreferredOwner asks another process to accept a batch. If the batch is pending there, this
+// process waits for the watch to show it instead of sending the batch again, which may be a
+// megabyte.
 func (b *Board) askPreferredOwner(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
@@ -227,11 +231,11 @@
 	return acceptance, err
 }
 
-// askPeer has another process take a batch.
+// askPeer asks another process once to accept a batch.
 func (b *Board) askPeer(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerAcceptTimeout)
 	defer cancel()
 	acceptance, err := b.Peers.Accept(ctx, host, batch)
-	klog.InfoS("batch: its owner was asked to take it", "batch", batch.GetId(), "model", batch.GetModel(), "owner", host, "acceptance", acceptance, "err", err)
+	klog.InfoS("batch: asked its owner to accept it", "batch", batch.GetId(), "model", batch.GetModel(), "owner", host, "acceptance", acceptance, "err", err)
 	return acceptance, err
 }
--- a/internal/batch/keep.go
+++ b/internal/batch/keep.go
@@ -13,40 +13,41 @@
 )
 
 const (
-	// keepInterval is the time between two looks for events that a keeper lacks.
+	// keepInterval is the time between two checks for events that the keeper lacks.
 	keepInterval = 500 * time.Millisecond
 	// maxKeepInterval bounds that time after failures.
 	maxKeepInterval = 4 * time.Second
-	// maxKeepAttempts is how many keepers are tried when a batch is given up.
+	// maxKeepAttempts is how many keepers are tried when a batch is handed over through the
+	// store.
 	maxKeepAttempts = 3
-	// minKeepAge is how long a run goes on before its text is kept: half of all texts
-	// are whole before that, and are made anew in no more.
+	// minKeepAge is how long a run must last before its text is kept: half of all texts are
+	// complete before that, and take no longer to generate again.
 	minKeepAge = time.Second
 )
 
-// ErrOtherKeeper says that a batch's texts go to another keeper from now on, which has
+// ErrOtherKeeper means that the texts of a batch go to another keeper from now on, which has
 // none of them yet.
-var ErrOtherKeeper = errors.New("batch: another keeper is used from now on")
+var ErrOtherKeeper = errors.New("batch: switched to another keeper")
 
-// Keeper keeps texts that aren't whole on hosts with disks.
+// Keeper stores incomplete texts on hosts with disks.
 type Keeper interface {
-	// Append keeps events. An error says that what is kept isn't known, ErrOtherKeeper
-	// that nothing is.
+	// Append stores events. An error means that what the keeper has is unknown, ErrOtherKeeper
+	// that it has nothing.
 	Append(ctx context.Context, batch string, parts []*statepb.Part) error
-	// Fetch returns what is kept of a batch, as far as keepers answer.
+	// Fetch returns what is stored of a batch, as far as keepers answer.
 	Fetch(ctx context.Context, batch string) []*statepb.Partial
-	// Drop forgets a batch.
+	// Drop deletes a batch.
 	Drop(ctx context.Context, batch string)
 }
 
-// keep gives the texts that aren't whole to a keeper until the context ends.
+// keep sends incomplete texts to a keeper until the context ends.
 //
-// An owner that dies takes with it what its samplers have made, and the longest texts
-// of a step take nearly all the time that the step has.
+// Without a keeper, an owner that dies loses what its samplers have generated, and the longest
+// texts of a step take nearly all of the step's time.
 //
-// After a failure all is given anew, and the waits grow: texts that are repeated to a
-// keeper behind a full link keep it full, and the owner's writes to the store get no
-// answers.
+// After a failure everything is sent again, with growing delays: repeated at full rate to a
+// keeper behind a saturated link, the texts keep the link saturated, and the owner's writes to
+// the store get no answers.
 func (o *owner) keep(ctx context.Context) {
 	wait := keepInterval
 	for pause.For(ctx, wait) {
@@ -58,14 +59,15 @@
 	}
 }
 
-// isWorthKeeping reports whether the run of an item is worth keeping. The mutex is held.
+// isWorthKeeping reports whether an item has no run or one older than minKeepAge. The mutex
+// must be held.
 func (o *owner) isWorthKeeping(index int) bool {
 	run := o.runs[index]
 	return run == nil || clock.Now().Sub(run.startedAt) >= minKeepAge
 }
 
-// keepLast gives all texts to a keeper before the batch is given up: to the next one
-// where a keeper doesn't answer. There is no later time at which to try again.
+// keepLast sends all texts to a keeper before the batch is given up, and retries at once, with
+// the next keeper if one does not answer. There is no later chance.
 func (o *owner) keepLast(ctx context.Context) {
 	for range maxKeepAttempts {
 		if ctx.Err() != nil || o.keepOnce(ctx, func(int) bool { return true }) {
@@ -74,8 +76,8 @@
 	}
 }
 
-// keepOnce gives what came since the last time to a keeper, and reports whether
-// it has it.
+// keepOnce sends what is new since the last call to a keeper, and reports whether the keeper
+// has it.
 func (o *owner) keepOnce(ctx context.Context, isKept func(index int) bool) bool {
 	err := o.append(ctx, isKept)
 	if errors.Is(err, ErrOtherKeeper) {
@@ -95,7 +97,7 @@
 	if err == nil {
 		return nil
 	}
-	klog.InfoS("batch: texts not kept", "batch", o.batch.GetId(), "err", err.Error())
+	klog.InfoS("batch: sending texts to a keeper failed", "batch", o.batch.GetId(), "err", err.Error())
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.plan.KeepAll()
@@ -114,7 +116,7 @@
 	return partials
 }
 
-// Parts returns the events that came since the last call, for a keeper, but for
+// Parts returns the events that are new since the last call, for a keeper, except those of
 // items that need not be kept.
 func (p *Plan) Parts(isKept func(index int) bool) []*statepb.Part {
 	var parts []*statepb.Part
@@ -131,8 +133,8 @@
 	return parts
 }
 
-// KeepAll makes Parts return all texts from their start: what a keeper had is
-// not known any more.
+// KeepAll makes Parts return all texts from their start, because it is no longer known what the
+// keeper has.
 func (p *Plan) KeepAll() {
 	for _, item := range p.items {
 		item.kept = 0
--- a/internal/batch/ledger.go
+++ b/internal/batch/ledger.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// writeRetryDelay is the wait before a write that failed is tried again.
+	// writeRetryDelay is the delay before a failed write is retried.
 	writeRetryDelay = 100 * time.Millisecond
-	// chunkShare is the part of the store's largest value that a chunk may fill:
-	// base64 and the names around it take a third more.
+	// chunkShare is the share of the store's largest value that a chunk may fill: base64 and
+	// the names around it add a third.
 	chunkShare = 0.6
-	// maxChunkBytes bounds a chunk besides: a write whose answer was lost is tried again,
-	// and the answer then holds the chunk. One of a megabyte takes longer over a narrow
-	// link than a call may, so that its owner never learns that the store holds it.
+	// maxChunkBytes also bounds a chunk: a write whose answer was lost is retried, and the
+	// answer then contains the chunk. Over a narrow link an answer of a megabyte exceeds the
+	// call timeout, and the owner would never learn that the store holds the chunk.
 	maxChunkBytes = 256 << 10
 )
 
-// ledger lists the outcomes of a batch at places that never change. A place is
-// shown only once the store holds it.
+// ledger lists the outcomes of a batch at positions that never change. A position is visible
+// only once the store holds it.
 type ledger struct {
 	store Store
 	batch string
@@ -45,21 +45,21 @@
 	changed chan struct{}
 	// urgent ends the gathering of outcomes.
 	urgent chan struct{}
-	// ownership is what makes this process the batch's owner.
+	// ownership is the state that makes this process the owner of the batch.
 	ownership Title
-	// isInDoubt says that a write was sent of which it isn't known whether the store has
-	// done it, or still will.
+	// isInDoubt says that a write was sent of which it is unknown whether the store has
+	// committed it, or still will.
 	isInDoubt bool
-	// isSuperseded says that the store holds a chunk of another writer at the next place.
+	// isSuperseded says that the store holds a chunk of another writer at the next position.
 	isSuperseded bool
 	isStopped    bool
 }
 
-// Title is what makes a process the owner of a batch.
+// Title is the ownership of a batch by a process.
 type Title struct {
-	// Revision of the key that says who owns the batch; 0 while this isn't known.
+	// Revision is that of the owner key; 0 while it is unknown.
 	Revision uint64
-	// Lease with which the key ends; 0 while this isn't known.
+	// Lease is the lease of the owner key; 0 while it is unknown.
 	Lease uint64
 }
 
@@ -67,8 +67,8 @@
 	return &ledger{store: store, batch: batch, group: group, valueBytes: valueBytes, metrics: metrics, ownership: ownership, listed: listed, changed: make(chan struct{}), urgent: make(chan struct{}, 1)}
 }
 
-// enqueue takes outcomes to be listed: at once if they are urgent, else together
-// with those that come soon after.
+// enqueue adds outcomes to be listed: at once if they are urgent, else together with those that
+// follow soon.
 func (l *ledger) enqueue(outcomes []*statepb.Outcome, isUrgent bool) {
 	if len(outcomes) == 0 {
 		return
@@ -85,7 +85,7 @@
 	l.wake()
 }
 
-// setOwnership takes the title after the owner's key was written anew.
+// setOwnership updates the ownership after the owner key was rewritten.
 func (l *ledger) setOwnership(ownership Title) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -95,28 +95,27 @@
 	l.wake()
 }
 
-// currentOwnership returns the title.
 func (l *ledger) currentOwnership() Title {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.ownership
 }
 
-// nextPosition returns the place of the next chunk.
+// nextPosition returns the position of the next chunk.
 func (l *ledger) nextPosition() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return uint64(len(l.listed))
 }
 
-// ledgerView is what a ledger knows of the places from one on.
+// ledgerView is what a ledger knows of the outcomes from a position on.
 type ledgerView struct {
 	outcomes []*statepb.Outcome
 	// changed is closed at the next change.
 	changed <-chan struct{}
-	// isStopped says that there won't be one.
+	// isStopped says that there will be no further change.
 	isStopped bool
-	// lease with which the title ends.
+	// lease is the lease of the ownership.
 	lease uint64
 	// isInDoubt says that the store may hold more than the ledger knows of.
 	isInDoubt bool
@@ -132,8 +131,8 @@
 	return view
 }
 
-// run writes outcomes until the context ends, or until another writer's chunk
-// stands where the next one belongs.
+// run writes outcomes until the context ends, or until another writer's chunk occupies the next
+// position.
 func (l *ledger) run(ctx context.Context) {
 	defer l.stop()
 	for ctx.Err() == nil && !l.superseded() {
@@ -153,7 +152,7 @@
 	}
 }
 
-// stop lets readers go on elsewhere at once.
+// stop tells readers to continue elsewhere at once.
 func (l *ledger) stop() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -178,12 +177,11 @@
 	}
 }
 
-// write writes the waiting outcomes as one chunk, and tries until it is known
-// what became of it.
+// write writes the pending outcomes as one chunk, and retries until the result is known.
 //
-// A write without an answer may be done seconds later. The same chunk is sent
-// again under the same key: whichever comes first is kept, and the other finds
-// it there. Under another key, or with more outcomes in it, both could be kept.
+// A write without an answer may be committed seconds later. The retry sends the same chunk
+// under the same key: whichever arrives first is kept, and the other finds it there. Under
+// another key, or with more outcomes in the chunk, both could be kept.
 func (l *ledger) write(ctx context.Context) {
 	began := clock.Now()
 	l.mutex.Lock()
@@ -191,7 +189,7 @@
 	l.mutex.Unlock()
 	data, err := marshalChunk(first, outcomes)
 	if err != nil {
-		klog.ErrorS(err, "batch: a chunk can't be encoded", "batch", l.batch)
+		klog.ErrorS(err, "batch: cannot encode a chunk", "batch", l.batch)
 		return
 	}
 	for ctx.Err() == nil && !l.superseded() {
@@ -210,15 +208,15 @@
 	return proto.Marshal(statepb.Chunk_builder{First: first, Outcomes: outcomes}.Build())
 }
 
-// snapshot returns what is listed and what waits to be, once the ledger has stopped.
-// It reports false if the store may hold more than that.
+// snapshot returns the listed and the pending outcomes once the ledger has stopped. It returns
+// false if the store may hold more than the listed ones.
 func (l *ledger) snapshot() (listed, pending []*statepb.Outcome, isComplete bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.listed, l.pending, !l.isInDoubt && !l.isSuperseded
 }
 
-// nextChunk returns as many of the waiting outcomes as fit into one value.
+// nextChunk returns as many pending outcomes as fit into one value.
 func (l *ledger) nextChunk() []*statepb.Outcome {
 	size, maxSize := 0, min(maxChunkBytes, int(chunkShare*float64(l.valueBytes)))
 	for i, outcome := range l.pending {
@@ -230,13 +228,12 @@
 	return l.pending[:len(l.pending):len(l.pending)]
 }
 
-// commit writes a chunk if this process owns the batch, and reports whether the
-// store holds it.
+// commit writes a chunk if this process owns the batch, and reports whether the store holds it.
 //
-// From the call until its end is known the ledger is open: another gateway may read
-// the chunk from the store and show it before this process hears that it is there.
-// So a call is let end where the batch is stopped: cut off, it left the owner unsure
-// of what is listed, and what came of the batch couldn't be given to the next one.
+// From the call until its result is known, the ledger is in doubt: another gateway may read the
+// chunk from the store and show it before this process learns that it is there. So the call
+// runs to its end even if the batch is stopped: cutting it off would leave the owner unsure of
+// what is listed, and it could not hand the batch over to the next one.
 func (l *ledger) commit(ctx context.Context, first uint64, data []byte) bool {
 	ownership, isFirst := l.beginWrite()
 	if ownership.Revision == 0 {
@@ -260,7 +257,7 @@
 	return false
 }
 
-// beginWrite opens the ledger for a write. It reports whether no earlier write is open.
+// beginWrite marks the ledger as in doubt. It reports whether no earlier write is in doubt.
 func (l *ledger) beginWrite() (ownership Title, isFirst bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -275,12 +272,11 @@
 	l.isInDoubt = false
 }
 
-// handleConflict takes the store's word that a chunk can't be written. It reports whether
-// that is because the store holds it.
+// handleConflict handles the store's answer that a chunk cannot be written. It reports whether
+// that is because the store holds it already.
 //
-// Where the chunk isn't there, the owner's key has changed. No earlier try can be
-// done any more, since revisions don't come back, and what is listed is another
-// owner's to say.
+// If the chunk is not there, the owner key has changed. No earlier attempt can be committed any
+// more, since revisions are never reused, and only another owner can tell what is listed.
 func (l *ledger) handleConflict(conflict *platform.ConflictError, ownership Title, key string, data []byte) bool {
 	present, isPresent := conflict.Find(key)
 	if isPresent && bytes.Equal(present.Data, data) {
@@ -288,7 +284,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	klog.InfoS("batch: a chunk was not written, the batch is owned anew", "batch", l.batch, "key", key, "owner", ownership.Revision, "overtaken", isPresent)
+	klog.InfoS("batch: a chunk was not written, the owner or the position has changed", "batch", l.batch, "key", key, "owner", ownership.Revision, "overtaken", isPresent)
 	l.isInDoubt = false
 	l.isSuperseded = isPresent
 	if l.ownership == ownership {
@@ -316,12 +312,12 @@
 
 // Keys of the store.
 const (
-	// Prefix of the small keys that every gateway watches.
+	// Prefix is the prefix of the small keys that every gateway watches.
 	Prefix = "live/"
-	// PrefixOpen of the keys of batches that their trainers have not ended.
+	// PrefixOpen is the prefix of the keys of batches that have not ended.
 	PrefixOpen  = Prefix + "open/"
 	prefixOwner = Prefix + "owner/"
-	// prefixStored of keys that stay as long as anything of a batch is stored.
+	// prefixStored is the prefix of keys that exist as long as anything of a batch is stored.
 	prefixStored = Prefix + "stored/"
 	prefixBulk   = "bulk/"
 	prefixOut    = "out/"
@@ -334,7 +330,7 @@
 
 func chunkPrefix(batch string) string { return prefixOut + batch + "/" }
 
-// chunkKey orders the chunks of a batch by their first place.
+// chunkKey returns a key that sorts the chunks of a batch by their first position.
 func chunkKey(batch string, first uint64) string {
 	return fmt.Sprintf("%s%08d", chunkPrefix(batch), first)
 }
--- a/internal/batch/leftovers.go
+++ b/internal/batch/leftovers.go
@@ -8,17 +8,17 @@
 // maxLeftoverBytes bounds the texts kept for later batches: those of a few steps.
 const maxLeftoverBytes = 8 << 20
 
-// leftovers keeps the texts of groups that weren't whole when their batch ended.
-// Its zero value is empty. It is safe for concurrent use.
+// leftovers holds the texts of groups that were incomplete when their batch ended. Its zero
+// value is empty. It is safe for concurrent use.
 type leftovers struct {
 	mutex sync.Mutex
 	kept  map[string]Leftover
-	// order holds the items, the oldest first.
+	// order holds the item IDs, the oldest first.
 	order []string
 	bytes int
 }
 
-// add keeps texts, in place of those kept of the same items.
+// add keeps texts, and replaces those kept of the same items.
 func (l *leftovers) add(texts []Leftover) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// Leftover is the text of an item whose group was not whole when its batch ended.
+// Leftover is the text of an item whose group was incomplete when its batch ended.
 type Leftover struct {
 	item     string
 	events   []string
@@ -66,7 +66,7 @@
 	isWhole  bool
 }
 
-// size returns the bytes of the text.
+// size returns the length of the text in bytes.
 func (l Leftover) size() int {
 	bytes := 0
 	for _, event := range l.events {
@@ -75,14 +75,13 @@
 	return bytes
 }
 
-// Leftovers returns the texts of groups that aren't whole: their items may come
-// again in a later batch.
+// Leftovers returns the texts of incomplete groups: their items may come again in a later
+// batch.
 func (p *Plan) Leftovers() []Leftover {
 	return p.texts(func(item *itemState) bool { return p.groups[item.spec.GetGroup()] > 0 })
 }
 
-// Texts returns the texts of all items, for when the batch goes on from what the
-// store holds of it.
+// Texts returns the texts of all items, for a batch that is loaded again from the store.
 func (p *Plan) Texts() []Leftover {
 	return p.texts(func(*itemState) bool { return true })
 }
@@ -99,12 +98,12 @@
 	return leftovers
 }
 
-// Reuse takes texts that an earlier batch has left, as far as their versions fit
-// this one. It returns the number of items that it spares.
+// Reuse takes texts that an earlier batch has left, as far as this batch allows their versions.
+// It returns the number of items with a reused text.
 //
-// A trainer ends its step with the groups that were whole, and sends the others
-// again in a later step, where it waits for them first. All but one item of such
-// a group are mostly done; made anew, they take the slots of a whole step's tenth.
+// A trainer ends its step with the groups that are complete, and sends the others again in a
+// later step, where it waits for them first. All but one item of such a group are mostly done;
+// generated again, they take a tenth of a step's slots.
 func (p *Plan) Reuse(leftovers []Leftover) int {
 	reused := 0
 	for _, leftover := range leftovers {
--- a/internal/batch/metrics.go
+++ b/internal/batch/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Ends of runs.
+// Values of the end label of runs.
 const (
 	endWhole   = "whole"
 	endSlow    = "slow"
@@ -12,7 +12,7 @@
 	endFault   = "fault"
 )
 
-// metrics counts what becomes of batches.
+// metrics counts batches, runs, outcomes and writes.
 type metrics struct {
 	accepted  prometheus.Counter
 	takeovers prometheus.Counter
@@ -53,7 +53,7 @@
 	return m
 }
 
-// countOutcome counts an item that was listed.
+// countOutcome counts a listed item.
 func (m *metrics) countOutcome(isFailed bool) {
 	if isFailed {
 		m.outcomes.WithLabelValues(endFailed).Inc()
--- a/internal/batch/outcome.go
+++ b/internal/batch/outcome.go
@@ -7,7 +7,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// Reason says why an item was given up.
+// Reason returns why an item was given up.
 func (p *Plan) Reason(id string) string {
 	if item := p.byID[id]; item != nil {
 		return item.reason
@@ -26,7 +26,7 @@
 	p.list(item, statepb.Outcome_builder{Item: item.spec.GetId(), Text: text, Versions: distinct(item.versions), Score: proof}.Build())
 }
 
-// distinct returns the versions, each once.
+// distinct returns the versions sorted and without duplicates.
 func distinct(versions []uint64) []uint64 {
 	found := slices.Clone(versions)
 	slices.Sort(found)
@@ -44,7 +44,7 @@
 	p.closeGroup(item)
 }
 
-// closeGroup notes an item of a group that has its outcome.
+// closeGroup counts an item that has its outcome in its group.
 func (p *Plan) closeGroup(item *itemState) {
 	p.groups[item.spec.GetGroup()]--
 	if p.groups[item.spec.GetGroup()] > 0 {
@@ -57,8 +57,8 @@
 	}
 }
 
-// forget drops the events of a group whose items all have their outcomes. No later
-// batch asks for them, and a batch is kept in memory as long as it can be read.
+// forget drops the events of a group whose items all have their outcomes. No later batch asks
+// for them, and a batch stays in memory as long as it can be read.
 func (p *Plan) forget(group string) {
 	for _, item := range p.items {
 		if item.spec.GetGroup() == group {
@@ -67,9 +67,9 @@
 	}
 }
 
-// Pending returns the outcomes that aren't in the store yet, and forgets them.
-// They are urgent if they complete what the trainer waits for: all others it
-// would only look at, and each write costs the store a call.
+// Pending returns the outcomes that were not given to the ledger yet, and clears them. They are
+// urgent if they complete what the trainer waits for: it has no use for others yet, and each
+// write costs a call of the store.
 func (p *Plan) Pending() (outcomes []*statepb.Outcome, isUrgent bool) {
 	pending := p.pending
 	p.pending = nil
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -17,87 +17,87 @@
 )
 
 const (
-	// schedulePollInterval is how long an owner waits at most before it looks again for free
-	// slots and slow servers: about one event of a sampler.
+	// schedulePollInterval is how long an owner waits at most before it checks again for free
+	// slots and slow servers: about the time between two events of a sampler.
 	schedulePollInterval = 50 * time.Millisecond
-	// silenceTimeout is how long a sampler may send nothing before its run goes on
-	// elsewhere: many times the usual gap, and above the time of a weight load.
+	// silenceTimeout is how long a sampler may send nothing before its run continues elsewhere:
+	// many times the usual gap, and longer than a weight load.
 	silenceTimeout = 1500 * time.Millisecond
-	// minStallTimeout is the least time after its last event after which a run is taken for
-	// stalled: above a pause by which processor time is shared out. stallEvents is that
-	// time in events of the server.
+	// minStallTimeout is the shortest time after its last event after which a run counts as
+	// stalled: longer than a pause caused by CPU throttling. stallEvents is that time in events
+	// of the server.
 	minStallTimeout = 600 * time.Millisecond
 	stallEvents     = 8
 	// runTimeout bounds one run; a sampler stops a run by itself after that.
 	runTimeout = 60 * time.Second
 )
 
-// Wire knows how an item's headers are written.
+// Wire converts the headers of an item to HTTP headers.
 type Wire interface {
 	WriteItem(headers map[string]string) http.Header
 }
 
-// Scorer has texts judged.
+// Scorer has texts scored.
 type Scorer interface {
-	// Score returns the proof of the scorer's answer. A *ScoreError says that it
-	// answered with a failure.
+	// Score returns the proof of the scorer's answer. A *ScoreError means that the scorer
+	// answered with failures.
 	Score(ctx context.Context, scorer *statepb.Scorer) (string, error)
-	// Room returns how many texts may be judged by the scorer's pool at the same time.
+	// Room returns how many texts the pool of the scorer may score concurrently.
 	Room(scorer *statepb.Scorer) int
 }
 
-// ScoreError says that the scorer answered with failures.
+// ScoreError means that the scorer answered with failures.
 type ScoreError struct {
 	// Failures is the number of such answers.
 	Failures int
-	// Most is the number of them after which the text is given up.
+	// Most is the number of failures after which the text is given up.
 	Most int
 }
 
-// Error names the number.
+// Error returns a message with the number of failures.
 func (e *ScoreError) Error() string {
 	return "batch: the scorer answered with a failure " + strconv.Itoa(e.Failures) + " times"
 }
 
-// owner runs one batch. Its fields are set before run.
+// owner runs one batch. The fields above mutex are set before run.
 type owner struct {
 	batch *statepb.Batch
-	// route returns what is said of the batch now; false while nothing is known.
+	// route returns the current route of the batch, or false while no configuration is known.
 	route  func() (Route, bool)
 	roster *roster.Roster
 	scorer Scorer
 	wire   Wire
 	ledger *ledger
-	// keeper keeps the texts that aren't whole; nil keeps them nowhere.
+	// keeper stores the incomplete texts.
 	keeper  Keeper
 	metrics *metrics
-	// keepLeftovers keeps the texts of groups that aren't whole for later batches.
+	// keepLeftovers stores the texts of incomplete groups for later batches.
 	keepLeftovers func([]Leftover)
-	// waiting is the number of items that wait for a slot now.
+	// waiting is the number of items that wait for a slot.
 	waiting atomic.Int32
 
 	mutex sync.Mutex
-	// older are the owners of batches of the same model that come before this one.
+	// older are the owners of batches of the same model that take free slots before this one.
 	older []*owner
 	plan  *Plan
 	runs  map[int]*activeRun
-	// scoring is the number of texts that are being judged.
+	// scoring is the number of texts that are being scored.
 	scoring int
 	wake    chan struct{}
 	done    sync.WaitGroup
 }
 
-// activeRun is a run under way.
+// activeRun is a run in progress.
 type activeRun struct {
 	server    *roster.Server
 	cancel    context.CancelCauseFunc
 	startedAt clock.Boot
 }
 
-// errSlow ends a run on a slow sampler, so that it goes on at another one.
-var errSlow = errors.New("batch: the sampler is slow and another one has room")
+// errSlow ends a run on a slow sampler so that it continues on another one.
+var errSlow = errors.New("batch: sampler is slow and another one has a free slot")
 
-// run runs the batch until it is whole, ended, or the context ends.
+// run runs the batch until it is complete, it has ended, or the context ends.
 func (o *owner) run(ctx context.Context) {
 	ticker := time.NewTicker(schedulePollInterval)
 	defer ticker.Stop()
@@ -138,8 +138,8 @@
 	}
 	pool := route.Pool
 	if pool == "" {
-		klog.InfoS("batch: its route is gone, the rest is given up", "batch", o.batch.GetId())
-		o.plan.GiveUp("its route is gone")
+		klog.InfoS("batch: route removed, giving up the remaining items", "batch", o.batch.GetId())
+		o.plan.GiveUp("route removed")
 	}
 	for o.isFirst() && o.startRun(ctx, pool, now) {
 	}
@@ -155,11 +155,11 @@
 	return false
 }
 
-// startScoring has whole texts judged, as many at a time as the scorers' pool has
-// room for beside callers.
+// startScoring starts scoring complete texts, as many concurrently as the scorer pool has room
+// for beside callers.
 //
-// The texts of a step become whole in bursts. Judged all at once they would take every
-// slot of a plain service that callers use as well, and the step would be done no sooner.
+// The texts of a step complete in bursts. Scored all at once, they would take every slot of a
+// plain service that callers use as well, and the step would not finish sooner.
 func (o *owner) startScoring(ctx context.Context, now clock.Boot) {
 	room := o.scorer.Room(o.batch.GetItems()[0].GetScorer())
 	for o.scoring < room {
@@ -174,9 +174,8 @@
 
 // isFirst reports whether no older batch of the same model waits for slots.
 //
-// A trainer may have two steps under way, and names the next weights once the
-// older one is done. Sharing the slots between both delays just that, and with
-// it every later step.
+// A trainer may have two steps in progress, and publishes the next weights once the older one
+// is done. Sharing the slots between both would delay that, and with it every later step.
 func (o *owner) isFirst() bool {
 	for _, older := range o.older {
 		if older.waiting.Load() > 0 {
@@ -186,14 +185,14 @@
 	return true
 }
 
-// yieldTo lets an older batch of the same model come first.
+// yieldTo gives an older batch of the same model precedence for free slots.
 func (o *owner) yieldTo(older *owner) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.older = append(o.older, older)
 }
 
-// logFailures tells why items were given up.
+// logFailures logs why items were given up.
 func (o *owner) logFailures(outcomes []*statepb.Outcome) {
 	for _, outcome := range outcomes {
 		if outcome.GetFailed() {
@@ -202,7 +201,7 @@
 	}
 }
 
-// startRun starts the next item if a sampler has a free slot for it.
+// startRun starts the next item if a sampler has a free slot for it. It reports whether it did.
 func (o *owner) startRun(ctx context.Context, pool string, now clock.Boot) bool {
 	job, ok := o.plan.Next(now)
 	if !ok {
@@ -225,11 +224,11 @@
 	return true
 }
 
-// moveSlowRun ends a run on a slow sampler if another one has a free slot and
-// nothing waits for it: the run goes on there behind its last event.
+// moveSlowRun ends a run on a slow sampler if another one has a free slot and no item waits for
+// it: the run continues there after its last event.
 //
-// The longest item of a step on a sampler that a fault has slowed keeps its trainer
-// waiting while other slots stand idle.
+// Otherwise the longest item of a step, on a sampler slowed by a fault, keeps its trainer
+// waiting while other slots are idle.
 func (o *owner) moveSlowRun(pool string) {
 	if o.plan.Waiting() > 0 {
 		return
@@ -247,7 +246,7 @@
 	return roster.Need{Pool: pool, Model: o.batch.GetModel(), Oldest: o.batch.GetOldest()}
 }
 
-// score has a whole text judged.
+// score has a complete text scored.
 func (o *owner) score(ctx context.Context, job Job) {
 	proof, err := o.scorer.Score(ctx, job.spec.GetScorer())
 	o.mutex.Lock()
@@ -259,7 +258,7 @@
 		return
 	}
 	var failed *ScoreError
-	klog.InfoS("batch: not judged", "id", job.spec.GetId(), "scorer", job.spec.GetScorer().GetId(), "batch", o.batch.GetId(), "err", err.Error())
+	klog.InfoS("batch: scoring failed", "id", job.spec.GetId(), "scorer", job.spec.GetScorer().GetId(), "batch", o.batch.GetId(), "err", err.Error())
 	if errors.As(err, &failed) {
 		o.plan.ScorerFailed(job, failed, clock.Now())
 		return
@@ -267,7 +266,7 @@
 	o.plan.NotScored(job, clock.Now())
 }
 
-// end stops the batch on the trainer's word.
+// end stops the batch at the request of its trainer.
 func (o *owner) end() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -299,7 +298,7 @@
 	}
 }
 
-// notify makes run look again.
+// notify wakes up run.
 func (o *owner) notify() {
 	select {
 	case o.wake <- struct{}{}:
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -13,7 +13,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// maxReadBytes is the most of texts in one answer: 1 MB less what JSON adds.
+// maxReadBytes bounds the texts of one answer: 1 MB less the overhead of JSON.
 const maxReadBytes = 900 << 10
 
 // Page is a part of a batch's outcomes.
@@ -24,14 +24,14 @@
 	Unsure bool
 }
 
-// ReadOwn returns the outcomes of a batch that this process owns from a place
-// on; it waits for one if there is none. It reports false if the batch isn't held here.
+// ReadOwn returns the outcomes from a position on of a batch that this process owns; it waits
+// for one if there is none. It returns false if this process does not hold the batch.
 //
-// A reader may have been shown a place that this process doesn't know of: a chunk
-// whose answer is late, or one that another process has listed since this one has
-// lost the batch. Told "nothing is there", the trainer would see a place go away; so
-// this is said only under a lease that stands and with no write open, and the store
-// is to be asked else.
+// A reader may have seen a position that this process does not know of: in a chunk whose answer
+// is late, or in one that another process has listed since this one lost the batch. An answer
+// that there is nothing would make the position disappear for the trainer. So that answer is
+// given only under a valid lease and with no write in doubt; otherwise the page is unsure and
+// the store must be asked.
 func (b *Board) ReadOwn(ctx context.Context, id, account string, after uint64, wait time.Duration) (Page, bool, error) {
 	b.lock()
 	owned := b.owned[id]
@@ -81,8 +81,8 @@
 	return page, nil
 }
 
-// Find returns a batch of an account. A *refusal.Error of status 404 says that
-// there is none, one of 503 that this isn't known.
+// Find returns a batch of an account. A *refusal.Error with status 404 means that there is
+// none, one with 503 that this is unknown.
 func (b *Board) Find(ctx context.Context, id, account string) (*statepb.Batch, error) {
 	b.lock()
 	owned := b.owned[id]
@@ -103,9 +103,8 @@
 	return batch, nil
 }
 
-// checkAccount returns nil if a batch is an account's. The account of a batch that the
-// store holds is known here; only for one that was not heard of yet the store is
-// asked, which answers with the whole of it.
+// checkAccount returns nil if a batch belongs to an account. For a stored batch the account is
+// known here; only for a batch not seen yet the store is asked, which returns the whole batch.
 func (b *Board) checkAccount(ctx context.Context, id, account string) error {
 	b.lock()
 	owner, isKnown := b.accounts[id]
@@ -120,17 +119,18 @@
 	return nil
 }
 
-// readRefusal tells a batch that doesn't exist from one that can't be read now.
+// readRefusal returns the refusal for a failed read: the batch does not exist, or it cannot be
+// read now.
 func readRefusal(id string, err error) error {
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
 		return refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
 	}
-	klog.InfoS("batch: can't be read", "batch", id, "err", err.Error())
+	klog.InfoS("batch: read failed", "batch", id, "err", err.Error())
 	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").After(storeRetryAfter)
 }
 
-// End ends a batch. Its runs here stop at once, before the store knows of it.
+// End ends a batch. It stops the runs of the batch here before it updates the store.
 func (b *Board) End(ctx context.Context, id, account string) error {
 	if err := b.checkAccount(ctx, id, account); err != nil {
 		return err
@@ -152,15 +152,15 @@
 	}
 }
 
-// isEnded reports whether the store is known to have ended a batch. Trainers that had
-// no answer, and others of their account, end a batch again.
+// isEnded reports whether the store is known to have ended a batch. Trainers that got no
+// answer, and others of their account, end a batch again.
 func (b *Board) isEnded(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
 	return b.ended[id]
 }
 
-// StopOwn stops the runs of a batch that this process owns, and reports whether it does.
+// StopOwn stops the runs of a batch if this process owns it, and reports whether it does.
 func (b *Board) StopOwn(id, account string) bool {
 	b.lock()
 	owned := b.owned[id]
--- a/internal/batch/remove.go
+++ b/internal/batch/remove.go
@@ -11,17 +11,16 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// maxCommitKeys is the most keys that one commit removes: less than the entries
-// that the store takes at once.
+// maxCommitKeys bounds the keys that one commit removes: fewer than the entries that the store
+// takes at once.
 const maxCommitKeys = 30
 
-// expired returns the batches that nobody reads any more and that this process
-// is to take out of the store: its own, and those without an owner of which it is
-// the first candidate. One that its trainer never ended counts too: its items
-// were given up long before.
+// expired returns the batches that are past their retention and that this process must remove
+// from the store: its own, and those without an owner of which it is the first candidate. A
+// batch that its trainer never ended counts too: its items were given up long before.
 //
-// An owner takes out what it owned, unless it has ended before. Left alone, the
-// store would grow by what each process owned in the last minutes before its end.
+// An owner removes what it owned, unless it exits first. Without the second rule the store
+// would grow by what each process owned in the last minutes before its exit.
 func (b *Board) expired(now clock.Boot) []string {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -43,15 +42,15 @@
 	return ids
 }
 
-// remove takes a batch out of the store, its texts first: as long as its own
-// key is there, a reader finds it and a second try finishes the removal.
+// remove deletes a batch from the store, its outcomes first: as long as the key of the batch
+// exists, a reader finds it and a second attempt completes the removal.
 func (b *Board) remove(ctx context.Context, id string) {
 	err := b.removeKeys(ctx, id)
 	b.lock()
 	defer b.mutex.Unlock()
 	delete(b.removing, id)
 	if err != nil {
-		klog.InfoS("batch: not removed, tried again", "batch", id, "err", err.Error())
+		klog.InfoS("batch: removal failed, retrying", "batch", id, "err", err.Error())
 		return
 	}
 	klog.InfoS("batch: removed", "batch", id)
--- a/internal/batch/run.go
+++ b/internal/batch/run.go
@@ -16,7 +16,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/roster"
 )
 
-// generate runs an item at a server and takes its events.
+// generate runs an item on a server and records the result.
 func (o *owner) generate(ctx context.Context, job Job, server *roster.Server) {
 	began := clock.Now()
 	err := o.stream(ctx, job, server)
@@ -39,7 +39,8 @@
 	}
 }
 
-// recordEnd tells the plan and the roster what a run's end means, and names it.
+// recordEnd updates the plan and the roster after a failed run, and returns the metric label of
+// its end.
 func (o *owner) recordEnd(ctx context.Context, job Job, server *roster.Server, err error, now clock.Boot) string {
 	refused := refusal.Of(err)
 	switch {
@@ -63,16 +64,16 @@
 	}
 }
 
-// isItemFailure reports whether a status says something of the item, and not only of
-// its server: that its run failed, or that it can never be done.
+// isItemFailure reports whether a status concerns the item and not only its server: its run
+// failed, or it can never be run.
 func isItemFailure(status int) bool {
 	return status == http.StatusInternalServerError || status == http.StatusUnprocessableEntity
 }
 
-// errVersionMismatch ends a run whose text may not be used.
+// errVersionMismatch ends a run whose text must not be used.
 var errVersionMismatch = refusal.Unknown(http.StatusConflict, "unfit", "the sampler's weight version doesn't fit the batch")
 
-// stream sends an item and takes the events of the answer.
+// stream sends an item and reads the events of the answer.
 func (o *owner) stream(ctx context.Context, job Job, server *roster.Server) error {
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
@@ -99,7 +100,7 @@
 	return o.readEvents(job, server, answer)
 }
 
-// readEvents takes the events of an answer up to its end.
+// readEvents records the events of an answer up to its end.
 func (o *owner) readEvents(job Job, server *roster.Server, answer *backend.Answer) error {
 	events := answer.Events()
 	next := uint64(job.events)
@@ -108,7 +109,7 @@
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
 			if next == 0 {
-				// A whole text has at least one event.
+				// A complete text has at least one event.
 				return answer.Cut()
 			}
 			return nil
@@ -131,10 +132,11 @@
 	}
 }
 
-// stallTimeout returns how long a server of this pace may send nothing within a text.
+// stallTimeout returns how long a server with this time between events may send nothing within
+// a text.
 //
-// A run waits at a full server for its first event only. After that its events come
-// evenly, also while weights are loaded, and the longest texts have no second to lose.
+// A run waits on a full server only for its first event. After that its events come evenly,
+// also during weight loads, and the longest texts have no second to lose.
 func stallTimeout(pace time.Duration) time.Duration {
 	if pace == 0 {
 		return silenceTimeout
