--- a/internal/batch/accept.go
+++ b/internal/batch/accept.go
@@ -65,8 +65,8 @@
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	if attempt.isPreferred {
-		begin := time.AfterFunc(earlyStartDelay, func() { b.startEarly(batch) })
-		defer begin.Stop()
+		startTimer := time.AfterFunc(earlyStartDelay, func() { b.startEarly(batch) })
+		defer startTimer.Stop()
 	}
 	for {
 		if early := b.earlyRunOf(batch.GetId()); early != nil {
--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -18,7 +18,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/roster"
 )
 
-// noopPeer keeps nothing.
+// noopPeer is a keeper that stores nothing and a peer that refuses every batch.
 type noopPeer struct{}
 
 func (noopPeer) Append(context.Context, string, []*statepb.Part) error    { return nil }
@@ -29,7 +29,7 @@
 	return Refused, nil
 }
 
-// scorer judges texts once it is let.
+// scorer scores a text for each value sent to release.
 type scorer struct {
 	room       int
 	release    chan struct{}
@@ -50,7 +50,7 @@
 	}
 }
 
-// routes is a route that tests set.
+// routes holds a route that tests can change.
 type routes struct {
 	mutex sync.Mutex
 	route Route
@@ -74,14 +74,14 @@
 	*Board
 
 	routes *routes
-	// lease is the process's own.
+	// lease is the lease of the process.
 	lease atomic.Uint64
 	stop  func()
 }
 
 var knownRoute = Route{Pool: "lm", Rules: Rules{Attempts: 3}}
 
-// newBoard returns a board of a process, which gives it its lease and routes.
+// newBoard returns a board that uses the lease and the routes of p.
 func newBoard(store Store, name string, p *process, hosts ...string) *Board {
 	return &Board{
 		Process: name, Store: store, Roster: &roster.Roster{}, Keeper: noopPeer{}, Peers: noopPeer{}, Scorer: &scorer{room: 4}, Routes: p.routes.get,
@@ -90,13 +90,13 @@
 	}
 }
 
-// startProcess starts a process on a store that others may use too.
+// startProcess starts a process on a store that others may share.
 func startProcess(t *testing.T, store *platformtest.Store, name string, hosts ...string) *process {
 	t.Helper()
 	return startProcessWithRoutes(t, &routes{route: knownRoute, known: true}, store, name, hosts...)
 }
 
-// startProcessWithRoutes starts a process that knows these routes from its first moment on.
+// startProcessWithRoutes starts a process that has these routes from the beginning.
 func startProcessWithRoutes(t *testing.T, routes *routes, store *platformtest.Store, name string, hosts ...string) *process {
 	t.Helper()
 	lease, err := store.Grant(t.Context(), time.Hour)
@@ -129,7 +129,7 @@
 	}
 }
 
-// AcceptOwn takes a batch here, whoever should own it.
+// AcceptOwn accepts a batch with p as its owner, whichever processes are preferred.
 func (p *process) AcceptOwn(ctx context.Context, batch *statepb.Batch) error {
 	return p.acceptOwn(ctx, batch, attempt{})
 }
@@ -173,9 +173,8 @@
 	})
 }
 
-// A gateway starts: the watch of the store and a trainer's call come before the
-// duty that runs batches has begun. The process crashed on that in one of some
-// hundred starts.
+// When a gateway starts, changes of the watch and a trainer's call can arrive before Run.
+// Without initialized maps, the process crashed in about one of a hundred starts.
 func TestBatchesBeforeRun(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
@@ -193,8 +192,8 @@
 	must.NoError(t, board.Run(ctx))
 }
 
-// The store takes a batch and its answer is lost. Whatever the trainer is told,
-// it must not be "not run", and the batch must run, once.
+// The store commits a batch and its answer is lost. The trainer must not be told "not run", and
+// the batch must run once.
 func TestAcceptWithoutAnswer(t *testing.T) {
 	store := &platformtest.Store{}
 	p := startProcess(t, store, "g1", "g1")
@@ -203,15 +202,15 @@
 	await(t, func() bool { return p.holds() })
 }
 
-// unsurePeer never says what became of a batch.
+// unsurePeer never tells whether it accepted a batch.
 type unsurePeer struct{ noopPeer }
 
 func (unsurePeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
 	return Refused, context.DeadlineExceeded
 }
 
-// A batch was given to its owner, and no answer came. The gateway itself can't
-// reach the store either; it must not say "not run" of a batch that may run.
+// A batch was sent to its owner and no answer came, and the gateway cannot reach the store
+// either. It must not say "not run" of a batch that may run.
 func TestUnsurePeer(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1", "g2")
 	p.Peers = unsurePeer{}
@@ -229,9 +228,9 @@
 	}
 }
 
-// A gateway is killed and starts again. It hears of its batches before it has
-// read the configuration; taken for a route that is gone, that listed every item
-// of a step as failed, 270 ms after the step was accepted.
+// A restarted gateway sees its batches before it has read the configuration. Treating the
+// unknown route as a removed one listed every item of a step as failed, 270 ms after the step
+// was accepted.
 func TestNoConfigurationYet(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
@@ -246,7 +245,7 @@
 	must.SliceEmpty(t, second.outcomes(t))
 }
 
-// The route of a batch is taken out of the configuration: its items are given up.
+// When the route of a batch is removed from the configuration, its items are given up.
 func TestRouteGone(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
@@ -255,11 +254,8 @@
 	must.True(t, p.outcomes(t)[0].GetFailed())
 }
 
-// The lease of an owner ends. Another process takes the batch over; the old one,
-// which does not know yet, can list nothing any more.
-// All gateways are replaced within a day, each soon after batches that it owned
-// were ended. Nobody owned these any more, so nobody took them out of the store,
-// which grew by some megabytes with each restart.
+// Gateways are replaced soon after batches that they own have ended. Such batches have no
+// owner; if no other process removes them, the store grows by some megabytes with each restart.
 func TestBatchesWithoutOwnerAreRemoved(t *testing.T) {
 	store := &platformtest.Store{}
 	first, second, third := startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g2"), startProcess(t, store, "g3", "g2")
@@ -292,7 +288,7 @@
 	})
 }
 
-// Outcomes are listed at places that never change, whatever answers are lost.
+// Outcomes are listed at positions that never change, whichever answers are lost.
 func TestLedger(t *testing.T) {
 	store := &platformtest.Store{}
 	p := startProcess(t, store, "g1", "g1")
@@ -311,7 +307,7 @@
 	}
 }
 
-// Batches that nobody reads any more leave nothing in the store.
+// Batches past their retention leave nothing in the store.
 func TestRemoved(t *testing.T) {
 	store := &platformtest.Store{}
 	p := startProcess(t, store, "g1", "g1")
@@ -328,8 +324,8 @@
 	})
 }
 
-// The texts of a step become whole at the same moment. Judged all at once, they
-// take every slot of the plain service, and members' look-ups wait behind them.
+// The texts of a step complete at the same moment. Scored all at once, they take every slot of
+// the plain service, and members' lookups queue behind them.
 func TestScoresLeaveRoom(t *testing.T) {
 	scorer := &scorer{room: 2, release: make(chan struct{})}
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
@@ -354,9 +350,9 @@
 	must.Eq(t, 2, scorer.maxRunning.Load())
 }
 
-// A trainer ends its step at a gateway that doesn't own the batch. It is told so
-// with one call of the store. Before that one the whole batch was read, only to see
-// whose it is. Another account is refused without a call.
+// A trainer ends its step at a gateway that does not own the batch. That takes one call of the
+// store, without reading the whole batch to check its account. Another account is refused
+// without a call.
 func TestEndReadsNoBatch(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
@@ -371,9 +367,9 @@
 	must.Eq(t, 0, counted.reads.Load())
 }
 
-// A trainer that had no answer ends its step again, and others of its account do so
-// too. A gateway that has seen the end answers without the store; one that has not,
-// as after a start, asks it.
+// A trainer that got no answer ends its step again, and so do others of its account. A gateway
+// that has seen the end answers without the store; one that has not, for example after a
+// restart, asks the store.
 func TestEndedAgain(t *testing.T) {
 	store := &platformtest.Store{}
 	p := startProcess(t, store, "g1", "g1")
--- a/internal/batch/claim_test.go
+++ b/internal/batch/claim_test.go
@@ -17,7 +17,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform/platformtest"
 )
 
-// countingStore counts what is read of batches.
+// countingStore counts reads of single keys.
 type countingStore struct {
 	*platformtest.Store
 
@@ -29,9 +29,9 @@
 	return c.Store.Get(ctx, key)
 }
 
-// All gateways start anew. Each finds the keys of batches that it owned, most of
-// which their trainers have long ended. While it read these from the store and
-// from keepers, the texts of those still open came too late, and were made anew.
+// A restarted gateway sees the keys of all batches that it owned, most of which have ended.
+// Loading those from the store and from keepers delayed the texts of the open ones, which were
+// generated again.
 func TestEndedBatchesAreNotRead(t *testing.T) {
 	store := &countingStore{Store: &platformtest.Store{}}
 	first := startProcess(t, store.Store, "g1", "g1")
@@ -67,9 +67,9 @@
 	})
 }
 
-// A trainer has two steps under way when all gateways start anew, and the younger
-// one is read first. Taken for the older, it got every slot; the one that the
-// trainer waits for stood still for two and a half seconds.
+// A trainer has two steps in progress when all gateways restart, and the younger one is loaded
+// first. Treated as the older, it took every slot, and the step that the trainer waits for
+// stalled for 2.5 s.
 func TestOlderStepIsFirst(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
 	for _, step := range []uint64{1, 0, 2} {
@@ -91,8 +91,8 @@
 	must.False(t, isFirst("b2"))
 }
 
-// A gateway claims a batch and is asked to stop before it has read it. It served
-// on with the batch for two seconds, and what it had made was lost at its end.
+// A gateway claims a batch and is asked to stop before it has loaded it. Without a handover it
+// ran the batch for two more seconds, and what it had generated was lost when it exited.
 func TestStoppedWhileClaiming(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
@@ -113,9 +113,9 @@
 	})
 }
 
-// A gateway that stops hands its batch over, and the next one need not wait for
-// it. One whose lease has lapsed with the store may live: taken from it at once,
-// the batch loses what came of it meanwhile.
+// A stopping gateway hands its batch over, so the next one need not wait for it. A gateway
+// whose lease lapsed in a store outage may be alive: if others claim its batch at once, the
+// batch loses what was generated meanwhile.
 func TestTurn(t *testing.T) {
 	hosts := []string{"g1", "g2", "g3"}
 	order := duty.Order("b1", hosts)
@@ -127,6 +127,8 @@
 	must.Eq(t, 0, board.claimDelay("b1", "g1"))
 }
 
+// The lease of an owner ends and another process takes the batch over. The old owner, which
+// does not know this yet, must not be able to list anything.
 func TestTakeover(t *testing.T) {
 	store := &platformtest.Store{}
 	first, second := startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g1", "g2")
@@ -140,8 +142,8 @@
 	must.Eq(t, 0, len(second.outcomes(t)))
 }
 
-// The lease of an owner lapses although it lives: the store was away. It claims
-// its batch again at once, before others do, and lists on.
+// The lease of a live owner lapses in a store outage. The owner claims its batch again before
+// others do, and continues to list outcomes.
 func TestClaimedAgain(t *testing.T) {
 	store := &platformtest.Store{}
 	p := startProcess(t, store, "g1", "g1")
@@ -158,7 +160,7 @@
 	})
 }
 
-// A process that stops gives its batches up at once; nobody waits for its lease.
+// A draining process gives its batches up at once, so that nobody waits for its lease to end.
 func TestDrain(t *testing.T) {
 	store := &platformtest.Store{}
 	first, second := startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g1", "g2")
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -14,12 +14,12 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform/platformtest"
 )
 
-// nextOwner reaches the board of another process.
+// nextOwner passes handovers to the board of another process.
 type nextOwner struct {
 	noopPeer
 
 	board func() *Board
-	// late is how long its answer takes.
+	// late is the delay of its answer.
 	late time.Duration
 }
 
@@ -33,8 +33,8 @@
 	}
 }
 
-// setUpDrain returns a process that owns batch b1, of which one text is done and not
-// listed and one has an event, and the process that comes next.
+// setUpDrain returns a process that owns batch b1, and the process that comes next. One text of
+// the batch is complete and not listed, and another one has an event.
 func setUpDrain(t *testing.T) (store *platformtest.Store, first, second *process) {
 	t.Helper()
 	store = &platformtest.Store{}
@@ -63,8 +63,8 @@
 	})
 }
 
-// setUpDrainWithLateStore returns a process that owns batch b1 and whose store answers late, and
-// the process that comes next.
+// setUpDrainWithLateStore returns a process that owns batch b1 and whose store answers late,
+// and the process that comes next.
 func setUpDrainWithLateStore(t *testing.T) (ownStore *lateStore, first, second *process) {
 	t.Helper()
 	store := &platformtest.Store{}
@@ -76,9 +76,9 @@
 	return ownStore, first, second
 }
 
-// Gateways are stopped one after the other while a trainer waits for its step. At
-// each stop the batch waited up to half a second until the next owner had heard
-// of it and read it, and texts that were done and not listed were made anew.
+// Gateways are stopped one after the other while a trainer waits for its step. Without a direct
+// handover, each stop paused the batch for up to half a second until the next owner had seen
+// and loaded it, and complete texts that were not listed were generated again.
 func TestHandOver(t *testing.T) {
 	t.Run("the next owner goes on at once, with all there is", func(t *testing.T) {
 		_, first, second := setUpDrain(t)
@@ -112,8 +112,8 @@
 		var missing *platform.NotFoundError
 		must.True(t, errors.As(err, &missing))
 	})
-	// The store has the write of the last chunk and its answer is lost. What is
-	// listed isn't known then, and only the store can tell the next owner.
+	// The store commits the last chunk and its answer is lost. It is then unknown what is
+	// listed, and only the store can tell the next owner.
 	t.Run("not while it isn't known what is listed", func(t *testing.T) {
 		_, first, second := setUpDrain(t)
 		ledger := first.owned["b1"].ledger
@@ -126,8 +126,8 @@
 	})
 }
 
-// A gateway stops while the answer to its last chunk is lost. The next owner was
-// given the batch without that chunk, and listed other results at its places.
+// A gateway stops while the answer to its last chunk is lost. Handed the batch without that
+// chunk, the next owner would list other outcomes at the same positions.
 func TestNothingIsGivenUnsure(t *testing.T) {
 	ownStore, first, second := setUpDrainWithLateStore(t)
 	second.Group = time.Hour
@@ -142,7 +142,7 @@
 	await(t, func() bool { return len(second.outcomes(t)) == 1 })
 }
 
-// The next owner hears of a batch late: another process has claimed it meanwhile.
+// A handover arrives late, after another process has claimed the batch: it must be refused.
 func TestHandoverAfterAClaim(t *testing.T) {
 	store, first, second := setUpDrain(t)
 	first.mutex.Lock()
@@ -155,8 +155,8 @@
 	must.False(t, taken)
 }
 
-// The next owner is on a small host and answers late. The owner before gave up
-// waiting, went through the store, and left its readers to wait for a watch.
+// The next owner is on a small host and answers late. If the previous owner gives up waiting
+// and goes through the store, its readers have to wait for the watch.
 func TestHandoverToASlowHost(t *testing.T) {
 	_, first, second := setUpDrain(t)
 	first.Peers = nextOwner{board: func() *Board { return second.Board }, late: takeoverTimeout + 100*time.Millisecond}
@@ -182,8 +182,8 @@
 	return w.Store.Commit(ctx, commit)
 }
 
-// A gateway stops while a chunk is on its way to a slow store. The write was cut off;
-// unsure of what is listed, the gateway could give the batch to nobody.
+// A gateway stops while a chunk is on its way to a slow store. If the write is cancelled, the
+// gateway does not know what is listed and cannot hand the batch over.
 func TestHandoverWaitsForAWrite(t *testing.T) {
 	ownStore, first, second := setUpDrainWithLateStore(t)
 	ownStore.set(late)
@@ -195,7 +195,7 @@
 	must.SliceLen(t, 1, second.outcomes(t))
 }
 
-// unreachableFirst reaches the board of g3 only; g2 doesn't answer.
+// unreachableFirst passes handovers to the board of g3 only; other hosts do not answer.
 type unreachableFirst struct {
 	nextOwner
 }
@@ -207,8 +207,8 @@
 	return g.nextOwner.HandOver(ctx, host, state)
 }
 
-// Several gateways are stopped at a time, the next owner of a batch among them. All
-// that came of the batch was made anew, since only that one was asked.
+// Several gateways stop at the same time, the next owner of a batch among them. If only that
+// one is asked, everything generated for the batch is lost.
 func TestHandoverToTheSecond(t *testing.T) {
 	store := &platformtest.Store{}
 	first, third := startProcess(t, store, "g1", "g1", "g2", "g3"), startProcess(t, store, "g3", "g1", "g2", "g3")
@@ -219,7 +219,7 @@
 	must.Eq(t, "g3", first.Owner("b1"))
 }
 
-// Guards against texts that are lost because their owner stops while the store is away.
+// Guards against texts that are lost because their owner stops while the store is unavailable.
 func TestStopWhileStoreIsAway(t *testing.T) {
 	t.Run("the batch runs on until the store is back", func(t *testing.T) {
 		store, first, second := setUpDrain(t)
--- a/internal/batch/early_test.go
+++ b/internal/batch/earlyrun_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// processPeers has processes take batches of each other.
+// processPeers lets processes accept batches for each other.
 type processPeers struct {
 	noopPeer
 
@@ -26,8 +26,8 @@
 	return p.processes[host].AcceptFor(ctx, batch, 300*time.Millisecond)
 }
 
-// mustBeUnknown checks that a trainer was told neither that its batch is taken nor
-// that nothing of it runs.
+// mustBeUnknown checks that a trainer was told neither that its batch is accepted nor that
+// nothing of it runs.
 func mustBeUnknown(t *testing.T, err error) {
 	t.Helper()
 	must.Error(t, err)
@@ -41,7 +41,8 @@
 	return ctx
 }
 
-// Guards against steps that begin late because the store was away when they were asked for.
+// Guards against steps that start late because the store was unavailable when they were
+// submitted.
 func TestEarlyBatch(t *testing.T) {
 	startAway := func(t *testing.T) (*platformtest.Store, *process) {
 		t.Helper()
@@ -132,7 +133,7 @@
 	})
 }
 
-// Guards against a second owner of a batch that runs early at the first.
+// Guards against a second owner of a batch that already runs early on another process.
 func TestEarlyBatchOfAPeer(t *testing.T) {
 	store := &platformtest.Store{}
 	processes := map[string]*process{"g1": startProcess(t, store, "g1", "g1", "g2"), "g2": startProcess(t, store, "g2", "g1", "g2")}
@@ -150,14 +151,14 @@
 	await(t, func() bool { return processes[home].holds() })
 }
 
-// pendingPeer runs every batch and never hears of the store.
+// pendingPeer answers that every batch is pending.
 type pendingPeer struct{ noopPeer }
 
 func (pendingPeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
 	return Pending, nil
 }
 
-// Guards against a trainer's call that lasts as long as the store is away.
+// Guards against a trainer's call that lasts as long as the store is unavailable.
 func TestPendingHasAnEnd(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g2")
 	p.Peers = pendingPeer{}
@@ -167,7 +168,7 @@
 	must.Nil(t, p.earlyRunOf("b1"))
 }
 
-// slowStore takes a while for each write of a batch, and counts how many are under way.
+// slowStore delays each write of a batch, and counts the concurrent ones.
 type slowStore struct {
 	*platformtest.Store
 
@@ -188,8 +189,8 @@
 	}
 }
 
-// Guards against a large batch that is written twice at a time over a narrow link, or
-// is cut off and written anew.
+// Guards against a large batch that is written twice concurrently over a narrow link, or is cut
+// off and written again.
 func TestLargeBatchIsWrittenOnce(t *testing.T) {
 	store := &slowStore{Store: &platformtest.Store{}}
 	p := startProcess(t, store.Store, "g1", "g1")
--- a/internal/batch/keep_test.go
+++ b/internal/batch/keep_test.go
@@ -25,10 +25,9 @@
 	return errors.New("no answer")
 }
 
-// An owner's link is full, and its keeper doesn't answer in time. Given all texts
-// of its steps again twice a second, the link never became free: the owner's writes
-// of outcomes got no answers for the rest of the day, and its trainers waited for
-// steps that were whole.
+// An owner's link is saturated, and its keeper does not answer in time. Sending all texts of
+// its steps again twice a second kept the link saturated for the rest of the day: the owner's
+// writes of outcomes got no answers, and its trainers waited for steps that were complete.
 func TestKeepingBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keeper := &lostKeeper{}
@@ -43,7 +42,7 @@
 	})
 }
 
-// movingKeeper names another keeper once, fails once, and keeps what comes then.
+// movingKeeper switches to another keeper once, fails once, and stores what comes then.
 type movingKeeper struct {
 	noopPeer
 
@@ -64,8 +63,8 @@
 	}
 }
 
-// A gateway stops just as its keeper is replaced. It tried that one once and gave the
-// batch up; the next owner made 60 texts of a step anew.
+// A gateway stops while its keeper is being replaced. With a single attempt before it gave the
+// batch up, the next owner had to generate 60 texts of a step again.
 func TestTextsAreKeptAtTheLast(t *testing.T) {
 	keeper := &movingKeeper{}
 	plan := newPlan(100)
--- a/internal/batch/plan_test.go
+++ b/internal/batch/plan_test.go
@@ -13,8 +13,8 @@
 
 const start = clock.Boot(time.Hour)
 
-// newBatch returns a batch of items "i0", "i1" and so on, two to a group, with
-// the expected lengths given.
+// newBatch returns a batch of items "i0", "i1" and so on with the given expected lengths, two
+// to a group.
 func newBatch(expected ...uint64) *statepb.Batch {
 	builder := statepb.Batch_builder{Id: "b1", Model: "m", Oldest: 3, Wanted: 1}
 	for i, length := range expected {
@@ -30,7 +30,7 @@
 	return NewPlan(newBatch(expected...), Rules{Attempts: 3, Keep: 40 * time.Second}, start)
 }
 
-// keepAll keeps every item's text.
+// keepAll selects the texts of all items.
 func keepAll(int) bool { return true }
 
 func pendingOf(plan *Plan) []*statepb.Outcome {
@@ -38,7 +38,7 @@
 	return pending
 }
 
-// mustStart starts the next item, which must be the one named.
+// mustStart starts the next item, which must have the given ID.
 func mustStart(t *testing.T, plan *Plan, now clock.Boot, id string) Job {
 	t.Helper()
 	job, ok := plan.Next(now)
@@ -48,7 +48,7 @@
 	return job
 }
 
-// mustGenerate runs an item to its end under a version.
+// mustGenerate completes the text of an item under a version and starts its scoring.
 func mustGenerate(t *testing.T, plan *Plan, job Job, version uint64, events ...string) Job {
 	t.Helper()
 	for _, event := range events {
@@ -84,8 +84,8 @@
 	must.SliceEmpty(t, pendingOf(plan))
 }
 
-// A trainer's samples cost seconds of a sampler each. A sampler is lost in the
-// middle of one: what came of it stays, and the run goes on behind it elsewhere.
+// A sample costs seconds of a sampler. When a sampler is lost in the middle of one, its events
+// stay, and the run continues after them on another sampler.
 func TestCutGoesOn(t *testing.T) {
 	plan := newPlan(100, 50)
 	job := mustStart(t, plan, start, "i0")
@@ -105,8 +105,8 @@
 	must.Eq(t, []uint64{3, 4}, pending[0].GetVersions())
 }
 
-// New weights were named, and a sampler that has not loaded them yet answers
-// under older ones than the trainer allows: nothing of that may be listed.
+// After new weights were published, a sampler that has not loaded them yet answers under an
+// older version than the trainer allows. None of that may be listed.
 func TestOldVersionIsStopped(t *testing.T) {
 	plan := newPlan(100)
 	job := mustStart(t, plan, start, "i0")
@@ -115,8 +115,8 @@
 	must.Eq(t, 0, mustStart(t, plan, start, "i0").Events())
 }
 
-// On a route whose texts must be of one version, a sampler changes its weights
-// in the middle of one: the text begins anew, and the parts are never joined.
+// On a route that requires a single version, a sampler changes its weights in the middle of a
+// text. The text starts again, and the parts are never joined.
 func TestSingleVersionBeginsAnew(t *testing.T) {
 	plan := NewPlan(newBatch(100), Rules{Attempts: 3, SingleVersion: true}, start)
 	job := mustStart(t, plan, start, "i0")
@@ -129,9 +129,9 @@
 	must.Eq(t, []uint64{4}, pendingOf(plan)[0].GetVersions())
 }
 
-// Members wait for their balances while a plain service is busy: a few texts
-// make their scorer fail each time, and were judged again ten times a second for
-// as long as the batch was open. The count of failed answers ends that.
+// A few texts make their scorer fail every time. Scored again ten times a second for as long as
+// the batch is open, they keep a plain service busy while members wait for their balances. The
+// limit on failed answers ends that.
 func TestScorerThatAlwaysFails(t *testing.T) {
 	plan := newPlan(100)
 	scoring := mustGenerate(t, plan, mustStart(t, plan, start, "i0"), 3, "a")
@@ -175,8 +175,8 @@
 	})
 }
 
-// A trainer has ended its step and trains. What runs for it is stopped, nothing
-// more starts, and what ends meanwhile changes nothing that was listed.
+// After a trainer has ended its step, its runs are stopped, nothing more starts, and runs that
+// end meanwhile change nothing that was listed.
 func TestEnd(t *testing.T) {
 	plan := newPlan(100, 50)
 	job := mustStart(t, plan, start, "i0")
@@ -188,8 +188,7 @@
 	must.SliceEmpty(t, pendingOf(plan))
 }
 
-// An owner dies. The next one lists no item a second time, and goes on behind
-// the texts that were handed over.
+// After an owner dies, the next one lists no item twice, and continues after the partial texts.
 func TestRestore(t *testing.T) {
 	plan := newPlan(100, 50, 20)
 	plan.Restore(
@@ -204,8 +203,8 @@
 	must.False(t, ok)
 }
 
-// A trainer waits for one whole group of two. The first of its outcomes alone is
-// of no use to it and may wait for others; the second is written at once.
+// A trainer waits for one complete group of two. The first outcome alone is of no use to it and
+// may wait for others; the second is written at once.
 func TestUrgent(t *testing.T) {
 	plan := newPlan(400, 300, 200, 100)
 	plan.Scored(mustGenerate(t, plan, mustStart(t, plan, start, "i0"), 3, "a"), "p")
@@ -216,8 +215,8 @@
 	must.True(t, isUrgent)
 }
 
-// A keeper is told of each event once, in order, and of everything anew where it
-// may have lost what it had.
+// A keeper gets each event once, in order, and everything again if it may have lost what it
+// had.
 func TestParts(t *testing.T) {
 	plan := newPlan(100)
 	job := mustStart(t, plan, start, "i0")
@@ -240,9 +239,9 @@
 	})
 }
 
-// A step ends with a group of two of which one item is done. Both come again in
-// the next step: the one that is done is only judged again, the other goes on
-// behind its last event. Texts of versions that the step doesn't allow are made anew.
+// A step ends with a group of two of which one item is done. Both come again in the next step:
+// the complete text is only scored again, the other continues after its last event. Texts of
+// versions that the step does not allow are generated again.
 func TestReuse(t *testing.T) {
 	first := newPlan(400, 300, 200, 100)
 	first.Scored(mustGenerate(t, first, mustStart(t, first, start, "i0"), 3, "a", "b"), "p")
@@ -276,10 +275,9 @@
 	})
 }
 
-// A trainer that judges its texts itself sends items without a scorer. A group
-// of its last step comes again with the texts that it had. They are whole and have
-// nobody to judge them: asked again and again until the step was over, they were
-// listed by nobody, and the trainer waited for a group that was there.
+// A trainer that scores its texts itself sends items without a scorer. A group of its last step
+// comes again with complete texts. Left waiting for a score until the step was over, they were
+// never listed, and the trainer waited for a group that was complete.
 func TestReuseWithoutScorer(t *testing.T) {
 	unjudged := func() *statepb.Batch {
 		batch := newBatch(400, 300)
@@ -302,8 +300,8 @@
 	must.Eq(t, "a", pending[0].GetText())
 }
 
-// An owner keeps its batches for minutes after their end, so that they can be read.
-// Each text stood there twice, as an outcome and as its events.
+// An owner keeps its batches readable for minutes after their end. Without dropping the events,
+// memory held each text twice: as an outcome and as events.
 func TestWholeGroupsKeepNoEvents(t *testing.T) {
 	plan := newPlan(100, 90, 80, 70)
 	for _, id := range []string{"i0", "i1", "i2"} {
--- a/internal/batch/shown_test.go
+++ b/internal/batch/shown_test.go
@@ -16,31 +16,31 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform/platformtest"
 )
 
-// writeBehavior is what becomes of the next write of a chunk.
+// writeBehavior is what happens to the next write of a chunk.
 type writeBehavior int
 
 const (
 	answered writeBehavior = iota
-	// late writes are done, and their answers come when the test says so.
+	// late writes are committed at once, and their answers come when the test calls finish.
 	late
-	// lost writes are done, and their answers never come.
+	// lost writes are committed, and their answers never come.
 	lost
-	// undone writes are done when the test says so, and their answers never come.
+	// undone writes are committed with finish, and their answers never come.
 	undone
 )
 
-// lateAnswerTimeout bounds the wait for a late answer, as calls of the real store are bounded.
+// lateAnswerTimeout bounds the wait for a late answer, like the call timeout of the real store.
 const lateAnswerTimeout = 300 * time.Millisecond
 
-// lateStore is a store as one process sees it. It answers writes of chunks late, or not at all.
+// lateStore is a store as one process sees it. It answers writes of chunks late or not at all.
 type lateStore struct {
 	*platformtest.Store
 
 	mutex sync.Mutex
 	next  writeBehavior
-	// release ends the wait of late answers.
+	// release is closed to deliver late answers.
 	release chan struct{}
-	// waiting are the undone writes.
+	// waiting holds the undone writes.
 	waiting []platform.Commit
 }
 
@@ -84,14 +84,14 @@
 	return revision, err
 }
 
-// finish has late answers come and undone writes be done.
+// finish delivers late answers and commits undone writes.
 func (l *lateStore) finish() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	close(l.release)
 	l.release = make(chan struct{})
 	for _, commit := range l.waiting {
-		_, _ = l.Store.Commit(context.Background(), commit) // It may no longer fit.
+		_, _ = l.Store.Commit(context.Background(), commit) // Its expectations may no longer hold.
 	}
 	l.waiting = nil
 }
@@ -112,8 +112,8 @@
 	return []*statepb.Outcome{statepb.Outcome_builder{Item: item, Text: "text of " + item}.Build()}
 }
 
-// readAt reads as a gateway does: from itself, else from the owner, else from the
-// store. An owner that isn't among the others is silent.
+// readAt reads like a gateway: from itself, else from the owner, else from the store. An owner
+// that is not among the others does not answer.
 func readAt(ctx context.Context, p *process, others map[string]*process, after uint64) ([]*statepb.Outcome, error) {
 	page, isOwn, err := p.ReadOwn(ctx, "b1", "", after, 0)
 	if isOwn && !page.Unsure || err != nil {
@@ -137,9 +137,9 @@
 	must.Eq(t, item, found[0].GetItem())
 }
 
-// An owner was silent for a while, so a gateway read the store and showed a trainer
-// a result whose write the owner had not heard of yet. Half a second later the
-// trainer read from the owner, which said that there is nothing at that place.
+// An owner did not answer for a while, so a gateway read the store and showed a trainer a
+// result whose write the owner had no answer to yet. Half a second later the owner told the
+// trainer that there is nothing at that position.
 func TestLateAnswerHidesNothing(t *testing.T) {
 	store := &platformtest.Store{}
 	first, ownStore := startLateProcess(t, store, "g1", "g1")
@@ -167,9 +167,9 @@
 	})
 }
 
-// A gateway is cut off from the store until its lease has lapsed. Another one takes
-// its batch, lists a text and dies. Back in touch, the first one claims its batch
-// again; it knew nothing of the text, and no chunk of its own could be written.
+// A gateway is cut off from the store until its lease lapses. Another one claims its batch,
+// lists a text and dies. When the first one claims the batch again without knowing of that
+// text, none of its own chunks can be written.
 func TestListedByAnotherMeanwhile(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
@@ -209,9 +209,9 @@
 	return data
 }
 
-// A gateway dies with a chunk under way. The next process of its name reads the
-// batch; then the store does the write. The new owner did not know of the chunk that
-// others read, and every one of its own found its place taken.
+// A gateway dies with a chunk in flight, and the store commits it after the next process of
+// that name has loaded the batch. Without a new owner key, the new owner does not know of the
+// chunk that others read, and finds the position of each of its own chunks taken.
 func TestWriteOfFormerProcess(t *testing.T) {
 	store := &platformtest.Store{}
 	first, ownStore := startLateProcess(t, store, "g1", "g1")
@@ -235,8 +235,8 @@
 	must.Eq(t, "i1", stored[0].GetItem())
 }
 
-// A trainer waits for results at a gateway that hands its batch over. It was left
-// waiting there for up to a second, while the next owner had results.
+// A trainer waits for results at a gateway that hands its batch over. Without an answer at
+// once, it waits there for up to a second while the next owner has results.
 func TestReaderFollowsHandover(t *testing.T) {
 	_, first, second := setUpDrain(t)
 	read := make(chan Page, 1)
@@ -256,7 +256,7 @@
 	mustShow(t, first, map[string]*process{"g2": second}, 0, "i0")
 }
 
-// A chunk is small enough for its answer to come back in time over a narrow link.
+// A chunk is small enough for its answer to arrive in time over a narrow link.
 func TestChunksAreBounded(t *testing.T) {
 	store := &platformtest.Store{}
 	p := startProcess(t, store, "g1", "g1")
@@ -273,8 +273,8 @@
 	must.SliceLen(t, 3, list.Values)
 }
 
-// Whatever answers are late or lost, whoever owns a batch and wherever a trainer
-// reads: a place that was read once is there for good, with the same result.
+// Whichever answers are late or lost, whoever owns a batch and wherever a trainer reads: a
+// position that was read once stays, with the same result.
 func TestShownPlacesStay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &platformtest.Store{}
@@ -293,7 +293,7 @@
 			name := rapid.SampledFrom(names).Draw(rt, "process")
 			switch rapid.SampledFrom([]string{"add", "add", "read", "read", "read", "lapse", "finish"}).Draw(rt, "step") {
 			case "add":
-				stores[name].set(writeBehavior(rapid.IntRange(int(answered), int(undone)).Draw(rt, "fate")))
+				stores[name].set(writeBehavior(rapid.IntRange(int(answered), int(undone)).Draw(rt, "write behavior")))
 				if added < len(items) && processes[name].add(fmt.Sprintf("i%d", added)) {
 					added++
 				}
@@ -328,7 +328,8 @@
 	})
 }
 
-// add gives an outcome to the ledger of the batch, if the process has it.
+// add adds an outcome to the ledger of the batch, and reports whether the process has the
+// batch.
 func (p *process) add(item string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -339,7 +340,7 @@
 	return true
 }
 
-// replaceLease ends the process's lease and gives it another one.
+// replaceLease ends the lease of the process and grants another one.
 func (p *process) replaceLease(t *testing.T, store *platformtest.Store) {
 	t.Helper()
 	must.NoError(t, store.End(t.Context(), p.lease.Swap(0)))
