--- a/internal/batch/accept.go
+++ b/internal/batch/accept.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// isStoreUnavailable reports whether a batch was not accepted only because the store is
-// unavailable.
+// isStoreUnavailable reports whether an unavailable store is the only reason why a batch was
+// not accepted.
 func isStoreUnavailable(err error) bool {
 	return !refusal.IsNotRun(err) || refusal.Of(err).Code == codeStoreUnavailable
 }
