--- a/internal/batch/accept.go
+++ b/internal/batch/accept.go
@@ -15,108 +15,109 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// codeStoreAway names refusals because the store, or this process's lease, is away.
-const codeStoreAway = "store_away"
+// codeStoreUnavailable is the code of refusals caused by an unavailable store or a missing
+// lease of this process.
+const codeStoreUnavailable = "store_away"
 
-// Accept takes a batch, here or at the process that owns its model's batches.
-// It returns once the store holds it, also from an earlier try; any other end is
-// a *refusal.Error that says what is known.
+// Accept stores a batch through this process or a preferred owner of its model. It returns nil
+// once the store holds the batch, also from an earlier attempt; any other result is a
+// *refusal.Error that says what is known.
 //
-// The batches of one model have one owner: it alone knows how many slots of the
-// model's samplers are taken, and goes on using its connections from step to step.
+// All batches of a model have the same owner: it alone knows how many slots of the model's
+// samplers are in use, and it reuses its connections from step to step.
 func (b *Board) Accept(ctx context.Context, batch *statepb.Batch) error {
-	if b.isKnown(batch.GetId()) {
+	if b.isAccepted(batch.GetId()) {
 		return nil
 	}
-	for _, host := range b.homes(batch.GetModel()) {
+	for _, host := range b.preferredOwners(batch.GetModel()) {
 		if host == b.Process {
-			return b.acceptOwn(ctx, batch, attempt{isHome: true})
+			return b.acceptOwn(ctx, batch, attempt{isPreferred: true})
 		}
-		acceptance, err := b.askHome(ctx, host, batch)
+		acceptance, err := b.askPreferredOwner(ctx, host, batch)
 		switch {
 		case acceptance == Taken:
 			return nil
 		case acceptance == Pending:
-			return errSilent()
+			return errCommitUnknown()
 		case err != nil:
-			return b.acceptOwn(ctx, batch, attempt{isUnsure: true})
+			return b.acceptOwn(ctx, batch, attempt{mayBeAccepted: true})
 		}
 	}
 	return b.acceptOwn(ctx, batch, attempt{})
 }
 
-// attempt is what is known of a try to take a batch here.
+// attempt holds what is known of an attempt to accept a batch here.
 type attempt struct {
-	// isUnsure says that an earlier try may have taken it.
-	isUnsure bool
-	// isHome says that this process should own it, so that it may run it early.
-	isHome bool
+	// mayBeAccepted says that an earlier attempt may have stored the batch.
+	mayBeAccepted bool
+	// isPreferred says that this process is a preferred owner, so it may start the batch early.
+	isPreferred bool
 }
 
-// acceptOwn takes a batch here.
+// acceptOwn accepts a batch with this process as its owner.
 //
-// A refusal promises that nothing of the batch runs. Once any try may have
-// reached the store, or the batch runs early, no later one can promise that,
-// whatever it is told itself.
+// A refusal promises that nothing of the batch runs. Once any attempt may have reached the
+// store, or the batch runs early, no later attempt can promise that, whatever answer it gets.
 func (b *Board) acceptOwn(ctx context.Context, batch *statepb.Batch, attempt attempt) error {
-	if b.drains() && b.earlyOf(batch.GetId()) == nil && !attempt.isUnsure {
-		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").After(storeAgain)
+	if b.drains() && b.earlyRunOf(batch.GetId()) == nil && !attempt.mayBeAccepted {
+		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").After(storeRetryAfter)
 	}
-	ctx, cancel := context.WithTimeout(ctx, acceptTime)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	if attempt.isHome {
-		begin := time.AfterFunc(earlyAfter, func() { b.beginEarly(batch) })
-		defer begin.Stop()
+	if attempt.isPreferred {
+		startTimer := time.AfterFunc(earlyStartDelay, func() { b.startEarly(batch) })
+		defer startTimer.Stop()
 	}
 	for {
-		if early := b.earlyOf(batch.GetId()); early != nil {
+		if early := b.earlyRunOf(batch.GetId()); early != nil {
 			return b.awaitEarly(ctx, early, batch.GetId())
 		}
-		err := b.accept(ctx, batch)
+		err := b.commitBatch(ctx, batch)
 		if err == nil {
 			return nil
 		}
-		if attempt.isHome && isStoreAway(err) {
-			b.beginEarly(batch)
+		if attempt.isPreferred && isStoreUnavailable(err) {
+			b.startEarly(batch)
 		}
-		if b.earlyOf(batch.GetId()) != nil {
+		if b.earlyRunOf(batch.GetId()) != nil {
 			continue
 		}
-		attempt.isUnsure = attempt.isUnsure || !refusal.IsNotRun(err) && !isNothingDone(err)
-		if !attempt.isUnsure && refusal.IsNotRun(err) {
+		attempt.mayBeAccepted = attempt.mayBeAccepted || !refusal.IsNotRun(err) && !isNotCommitted(err)
+		if !attempt.mayBeAccepted && refusal.IsNotRun(err) {
 			return err
 		}
-		if !attempt.isUnsure {
-			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "the store does not take the batch").After(storeAgain)
+		if !attempt.mayBeAccepted {
+			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the store does not take the batch").After(storeRetryAfter)
 		}
-		klog.InfoS("batch: not known whether the store holds it", "batch", batch.GetId(), "err", err.Error())
-		if !pause.For(ctx, writePause) {
-			return errSilent()
+		klog.InfoS("batch: unknown whether the store holds it", "batch", batch.GetId(), "err", err.Error())
+		if !pause.For(ctx, writeRetryDelay) {
+			return errCommitUnknown()
 		}
 	}
 }
 
-// isStoreAway reports whether a batch wasn't taken for want of the store alone.
-func isStoreAway(err error) bool {
-	return !refusal.IsNotRun(err) || refusal.Of(err).Code == codeStoreAway
+// isStoreUnavailable reports whether an unavailable store is the only reason why a batch was
+// not accepted.
+func isStoreUnavailable(err error) bool {
+	return !refusal.IsNotRun(err) || refusal.Of(err).Code == codeStoreUnavailable
 }
 
-// isNothingDone reports whether an error of the store proves that it changed nothing.
-func isNothingDone(err error) bool {
+// isNotCommitted reports whether a store error proves that the commit changed nothing.
+func isNotCommitted(err error) bool {
 	var away *platform.UnavailableError
 	return errors.As(err, &away) && platform.IsTurnedAway(away.Status)
 }
 
-func (b *Board) isKnown(id string) bool {
+func (b *Board) isAccepted(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
-	return b.open[id] || b.held[id] != nil && b.runsEarly(id) == nil
+	return b.open[id] || b.owned[id] != nil && b.earlyRunLocked(id) == nil
 }
 
-func (b *Board) accept(ctx context.Context, batch *statepb.Batch) error {
+func (b *Board) commitBatch(ctx context.Context, batch *statepb.Batch) error {
 	lease := b.Lease()
 	if lease == 0 {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "this process is not known to the store").After(storeAgain)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "this process is not known to the store").After(storeRetryAfter)
 	}
 	id := batch.GetId()
 	data, err := proto.Marshal(batch)
@@ -150,12 +151,12 @@
 	})
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
-		klog.InfoS("batch: accepted before", "batch", id)
+		klog.InfoS("batch: already accepted", "batch", id)
 		return nil
 	}
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "the lease of this process has ended").After(storeAgain)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the lease of this process has ended").After(storeRetryAfter)
 	}
 	if err != nil {
 		return err
@@ -163,7 +164,7 @@
 	klog.InfoS("batch: accepted", "batch", id, "account", batch.GetAccount(), "step", batch.GetStep(), "model", batch.GetModel(), "items", len(batch.GetItems()), "owner", revision)
 	b.lock()
 	defer b.mutex.Unlock()
-	b.taken(batch, Title{Revision: revision, Lease: lease})
+	b.markAccepted(batch, Title{Revision: revision, Lease: lease})
 	return nil
 }
 
@@ -173,8 +174,9 @@
 	return b.isDraining
 }
 
-// reserve keeps the watch from adopting a batch that is being accepted here. It
-// reports false if that has begun, as where an earlier try was done without an answer.
+// reserve keeps the watch from adopting a batch that is being accepted here. It returns false
+// if the batch is already reserved or being adopted, for example after an earlier attempt that
+// was committed without an answer.
 func (b *Board) reserve(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -185,8 +187,8 @@
 	return true
 }
 
-// release ends what kept the watch from adopting a batch. A write that got no
-// answer may have been seen by the watch meanwhile.
+// release ends a reservation. Meanwhile the watch may have seen a write of this process that
+// got no answer, so release resumes the batch in that case.
 func (b *Board) release(id string) {
 	b.lock()
 	defer b.mutex.Unlock()
--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -18,39 +18,39 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/roster"
 )
 
-// noKeeper keeps nothing.
-type noKeeper struct{}
-
-func (noKeeper) Append(context.Context, string, []*statepb.Part) error    { return nil }
-func (noKeeper) Drop(context.Context, string)                             {}
-func (noKeeper) Fetch(context.Context, string) []*statepb.Partial         { return nil }
-func (noKeeper) HandOver(context.Context, string, Handover) (bool, error) { return false, nil }
-func (noKeeper) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
+// noopPeer is a keeper that stores nothing and a peer that refuses every batch.
+type noopPeer struct{}
+
+func (noopPeer) Append(context.Context, string, []*statepb.Part) error    { return nil }
+func (noopPeer) Drop(context.Context, string)                             {}
+func (noopPeer) Fetch(context.Context, string) []*statepb.Partial         { return nil }
+func (noopPeer) HandOver(context.Context, string, Handover) (bool, error) { return false, nil }
+func (noopPeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
 	return Refused, nil
 }
 
-// scorer judges texts once it is let.
+// scorer scores a text for each value sent to release.
 type scorer struct {
-	room    int
-	let     chan struct{}
-	running atomic.Int32
-	most    atomic.Int32
+	room       int
+	release    chan struct{}
+	running    atomic.Int32
+	maxRunning atomic.Int32
 }
 
 func (s *scorer) Room(*statepb.Scorer) int { return s.room }
 
 func (s *scorer) Score(ctx context.Context, _ *statepb.Scorer) (string, error) {
-	s.most.Store(max(s.most.Load(), s.running.Add(1)))
+	s.maxRunning.Store(max(s.maxRunning.Load(), s.running.Add(1)))
 	defer s.running.Add(-1)
 	select {
 	case <-ctx.Done():
 		return "", ctx.Err()
-	case <-s.let:
+	case <-s.release:
 		return "proof", nil
 	}
 }
 
-// routes is a route that tests set.
+// routes holds a route that tests can change.
 type routes struct {
 	mutex sync.Mutex
 	route Route
@@ -74,30 +74,30 @@
 	*Board
 
 	routes *routes
-	// lease is the process's own.
+	// lease is the lease of the process.
 	lease atomic.Uint64
 	stop  func()
 }
 
-var known = Route{Pool: "lm", Rules: Rules{Attempts: 3}}
+var knownRoute = Route{Pool: "lm", Rules: Rules{Attempts: 3}}
 
-// newBoard returns a board of a process, which gives it its lease and routes.
+// newBoard returns a board that uses the lease and the routes of p.
 func newBoard(store Store, name string, p *process, hosts ...string) *Board {
 	return &Board{
-		Process: name, Store: store, Roster: &roster.Roster{}, Keeper: noKeeper{}, Peers: noKeeper{}, Scorer: &scorer{room: 4}, Routes: p.routes.get,
+		Process: name, Store: store, Roster: &roster.Roster{}, Keeper: noopPeer{}, Peers: noopPeer{}, Scorer: &scorer{room: 4}, Routes: p.routes.get,
 		Lease: p.lease.Load, Order: func(work string) []string { return duty.Order(work, hosts) }, Leaves: func(string) bool { return false },
 		Keep: time.Hour, Group: time.Millisecond, ValueBytes: 1 << 20,
 	}
 }
 
-// begin starts a process on a store that others may use too.
-func begin(t *testing.T, store *platformtest.Store, name string, hosts ...string) *process {
+// startProcess starts a process on a store that others may share.
+func startProcess(t *testing.T, store *platformtest.Store, name string, hosts ...string) *process {
 	t.Helper()
-	return beginWith(t, &routes{route: known, known: true}, store, name, hosts...)
+	return startProcessWithRoutes(t, &routes{route: knownRoute, known: true}, store, name, hosts...)
 }
 
-// beginWith starts a process that knows these routes from its first moment on.
-func beginWith(t *testing.T, routes *routes, store *platformtest.Store, name string, hosts ...string) *process {
+// startProcessWithRoutes starts a process that has these routes from the beginning.
+func startProcessWithRoutes(t *testing.T, routes *routes, store *platformtest.Store, name string, hosts ...string) *process {
 	t.Helper()
 	lease, err := store.Grant(t.Context(), time.Hour)
 	must.NoError(t, err)
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
 	ended.Go(func() { _ = p.Run(ctx) })
-	ended.Go(func() { p.follow(ctx, store) })
+	ended.Go(func() { p.watch(ctx, store) })
 	p.stop = func() {
 		cancel()
 		ended.Wait()
@@ -116,7 +116,7 @@
 	return p
 }
 
-func (p *process) follow(ctx context.Context, store *platformtest.Store) {
+func (p *process) watch(ctx context.Context, store *platformtest.Store) {
 	var revision uint64
 	for ctx.Err() == nil {
 		reply, err := store.Watch(ctx, Prefix, revision, 20*time.Millisecond)
@@ -129,21 +129,21 @@
 	}
 }
 
-// AcceptOwn takes a batch here, whoever should own it.
+// AcceptOwn accepts a batch with p as its owner, whichever processes are preferred.
 func (p *process) AcceptOwn(ctx context.Context, batch *statepb.Batch) error {
 	return p.acceptOwn(ctx, batch, attempt{})
 }
 
-func await(t *testing.T, isSo func() bool) {
+func await(t *testing.T, condition func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(isSo), wait.Timeout(5*time.Second), wait.Gap(2*time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(5*time.Second), wait.Gap(2*time.Millisecond)))
 }
 
 func (p *process) holds() bool {
 	const id = "b1"
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.held[id] != nil && p.owners[id] == p.Process
+	return p.owned[id] != nil && p.owners[id] == p.Process
 }
 
 func (p *process) outcomes(t *testing.T) []*statepb.Outcome {
@@ -156,7 +156,7 @@
 
 func TestAccept(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	must.True(t, p.holds())
@@ -173,12 +173,11 @@
 	})
 }
 
-// A gateway starts: the watch of the store and a trainer's call come before the
-// duty that runs batches has begun. The process crashed on that in one of some
-// hundred starts.
+// When a gateway starts, changes of the watch and a trainer's call can arrive before Run.
+// Without initialized maps, the process crashed in about one of a hundred starts.
 func TestBatchesBeforeRun(t *testing.T) {
 	store := &platformtest.Store{}
-	first := begin(t, store, "g1", "g1")
+	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10)))
 	list, err := store.List(t.Context(), Prefix)
 	must.NoError(t, err)
@@ -193,27 +192,27 @@
 	must.NoError(t, board.Run(ctx))
 }
 
-// The store takes a batch and its answer is lost. Whatever the trainer is told,
-// it must not be "not run", and the batch must run, once.
+// The store commits a batch and its answer is lost. The trainer must not be told "not run", and
+// the batch must run once.
 func TestAcceptWithoutAnswer(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	store.LoseAnswers(1)
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
 	await(t, func() bool { return p.holds() })
 }
 
-// unsurePeer never says what became of a batch.
-type unsurePeer struct{ noKeeper }
+// unsurePeer never tells whether it accepted a batch.
+type unsurePeer struct{ noopPeer }
 
 func (unsurePeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
 	return Refused, context.DeadlineExceeded
 }
 
-// A batch was given to its owner, and no answer came. The gateway itself can't
-// reach the store either; it must not say "not run" of a batch that may run.
+// A batch was sent to its owner and no answer came, and the gateway cannot reach the store
+// either. It must not say "not run" of a batch that may run.
 func TestUnsurePeer(t *testing.T) {
-	p := begin(t, &platformtest.Store{}, "g1", "g1", "g2")
+	p := startProcess(t, &platformtest.Store{}, "g1", "g1", "g2")
 	p.Peers = unsurePeer{}
 	p.lease.Store(0)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
@@ -225,46 +224,43 @@
 		err := p.Accept(ctx, batch)
 		must.Error(t, err)
 		must.False(t, refusal.IsNotRun(err))
-		must.Eq(t, p.homes(model)[0] == "g1", p.earlyOf(model) != nil)
+		must.Eq(t, p.preferredOwners(model)[0] == "g1", p.earlyRunOf(model) != nil)
 	}
 }
 
-// A gateway is killed and starts again. It hears of its batches before it has
-// read the configuration; taken for a route that is gone, that listed every item
-// of a step as failed, 270 ms after the step was accepted.
+// A restarted gateway sees its batches before it has read the configuration. Treating the
+// unknown route as a removed one listed every item of a step as failed, 270 ms after the step
+// was accepted.
 func TestNoConfigurationYet(t *testing.T) {
 	store := &platformtest.Store{}
-	first := begin(t, store, "g1", "g1")
+	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
 	first.stop()
-	second := beginWith(t, &routes{}, store, "g1", "g1")
-	time.Sleep(3 * claimLook)
+	second := startProcessWithRoutes(t, &routes{}, store, "g1", "g1")
+	time.Sleep(3 * claimPollInterval)
 	must.False(t, second.holds())
-	second.routes.set(known, true)
+	second.routes.set(knownRoute, true)
 	await(t, func() bool { return second.holds() })
-	time.Sleep(2 * lookAgain)
+	time.Sleep(2 * schedulePollInterval)
 	must.SliceEmpty(t, second.outcomes(t))
 }
 
-// The route of a batch is taken out of the configuration: its items are given up.
+// When the route of a batch is removed from the configuration, its items are given up.
 func TestRouteGone(t *testing.T) {
-	p := begin(t, &platformtest.Store{}, "g1", "g1")
+	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	p.routes.set(Route{}, true)
 	await(t, func() bool { return len(p.outcomes(t)) == 2 })
 	must.True(t, p.outcomes(t)[0].GetFailed())
 }
 
-// The lease of an owner ends. Another process takes the batch over; the old one,
-// which does not know yet, can list nothing any more.
-// All gateways are replaced within a day, each soon after batches that it owned
-// were ended. Nobody owned these any more, so nobody took them out of the store,
-// which grew by some megabytes with each restart.
+// Gateways are replaced soon after batches that they own have ended. Such batches have no
+// owner; if no other process removes them, the store grows by some megabytes with each restart.
 func TestBatchesWithoutOwnerAreRemoved(t *testing.T) {
 	store := &platformtest.Store{}
-	first, second, third := begin(t, store, "g1", "g1", "g2"), begin(t, store, "g2", "g2"), begin(t, store, "g3", "g2")
+	first, second, third := startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g2"), startProcess(t, store, "g3", "g2")
 	must.NoError(t, first.AcceptOwn(t.Context(), newBatch(10)))
-	first.held["b1"].ledger.add([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
+	first.owned["b1"].ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
 	await(t, func() bool { return len(first.outcomes(t)) == 1 })
 	must.NoError(t, first.End(t.Context(), "b1", ""))
 	await(t, func() bool { return second.Owner("b1") == "g1" })
@@ -292,15 +288,15 @@
 	})
 }
 
-// Outcomes are listed at places that never change, whatever answers are lost.
+// Outcomes are listed at positions that never change, whichever answers are lost.
 func TestLedger(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20, 30)))
-	ledger := p.held["b1"].ledger
+	ledger := p.owned["b1"].ledger
 	for i, id := range []string{"i0", "i1", "i2"} {
 		store.LoseAnswers(1)
-		ledger.add([]*statepb.Outcome{statepb.Outcome_builder{Item: id}.Build()}, true)
+		ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: id}.Build()}, true)
 		await(t, func() bool { return len(p.outcomes(t)) == i+1 })
 	}
 	stored, err := p.loadListed(t.Context(), "b1")
@@ -311,16 +307,16 @@
 	}
 }
 
-// Batches that nobody reads any more leave nothing in the store.
+// Batches past their retention leave nothing in the store.
 func TestRemoved(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
-	p.held["b1"].ledger.add([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
+	p.owned["b1"].ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
 	await(t, func() bool { return len(p.outcomes(t)) == 1 })
 	must.NoError(t, p.End(t.Context(), "b1", ""))
 	p.mutex.Lock()
-	p.held["b1"].accepted = p.held["b1"].accepted.Add(-2 * p.Keep)
+	p.owned["b1"].acceptedAt = p.owned["b1"].acceptedAt.Add(-2 * p.Keep)
 	p.mutex.Unlock()
 	await(t, func() bool {
 		list, err := store.List(t.Context(), "")
@@ -328,14 +324,14 @@
 	})
 }
 
-// The texts of a step become whole at the same moment. Judged all at once, they
-// take every slot of the plain service, and members' look-ups wait behind them.
+// The texts of a step complete at the same moment. Scored all at once, they take every slot of
+// the plain service, and members' lookups queue behind them.
 func TestScoresLeaveRoom(t *testing.T) {
-	judge := &scorer{room: 2, let: make(chan struct{})}
-	p := begin(t, &platformtest.Store{}, "g1", "g1")
-	p.Scorer = judge
+	scorer := &scorer{room: 2, release: make(chan struct{})}
+	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
+	p.Scorer = scorer
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20, 30, 40, 50)))
-	owner := p.held["b1"].owner
+	owner := p.owned["b1"].owner
 	owner.mutex.Lock()
 	for range 5 {
 		job, ok := owner.plan.Next(0)
@@ -345,21 +341,21 @@
 		owner.plan.Generated(job)
 	}
 	owner.mutex.Unlock()
-	owner.nudge()
-	await(t, func() bool { return judge.running.Load() == 2 })
+	owner.notify()
+	await(t, func() bool { return scorer.running.Load() == 2 })
 	for range 5 {
-		judge.let <- struct{}{}
+		scorer.release <- struct{}{}
 	}
 	await(t, func() bool { return len(p.outcomes(t)) == 5 })
-	must.Eq(t, 2, judge.most.Load())
+	must.Eq(t, 2, scorer.maxRunning.Load())
 }
 
-// A trainer ends its step at a gateway that doesn't own the batch. It is told so
-// with one call of the store. Before that one the whole batch was read, only to see
-// whose it is. Another account is refused without a call.
+// A trainer ends its step at a gateway that does not own the batch. That takes one call of the
+// store, without reading the whole batch to check its account. Another account is refused
+// without a call.
 func TestEndReadsNoBatch(t *testing.T) {
 	store := &platformtest.Store{}
-	first := begin(t, store, "g1", "g1")
+	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10)))
 	list, err := store.List(t.Context(), Prefix)
 	must.NoError(t, err)
@@ -371,12 +367,12 @@
 	must.Eq(t, 0, counted.reads.Load())
 }
 
-// A trainer that had no answer ends its step again, and others of its account do so
-// too. A gateway that has seen the end answers without the store; one that has not,
-// as after a start, asks it.
+// A trainer that got no answer ends its step again, and so do others of its account. A gateway
+// that has seen the end answers without the store; one that has not, for example after a
+// restart, asks the store.
 func TestEndedAgain(t *testing.T) {
 	store := &platformtest.Store{}
-	p := begin(t, store, "g1", "g1")
+	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
 	must.NoError(t, p.End(t.Context(), "b1", ""))
 	await(t, func() bool {
--- /dev/null
+++ b/internal/batch/earlyrun.go
@@ -0,0 +1,241 @@
+package batch
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"k8s.io/klog/v2"
+
+	"github.com/bramleyhatch/bramleyhatch/internal/clock"
+	"github.com/bramleyhatch/bramleyhatch/internal/pause"
+	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
+	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
+)
+
+const (
+	// earlyStartDelay is how long the store may take to accept a batch before the batch starts
+	// without it: many times its usual response time.
+	earlyStartDelay = 150 * time.Millisecond
+	// pendingPollInterval is the time between two checks whether the store holds a batch that
+	// another process runs early.
+	pendingPollInterval = 20 * time.Millisecond
+	// earlyTimeout bounds how long a batch runs that the store is not known to hold: the time
+	// in which trainers retry a step.
+	earlyTimeout = 10 * time.Second
+)
+
+// Acceptance is the result of asking a process to accept a batch.
+type Acceptance int
+
+// Acceptances.
+const (
+	// Refused means that the process knows nothing of the batch.
+	Refused Acceptance = iota
+	// Pending means that the batch runs there and is not known to be in the store yet.
+	Pending
+	// Taken means that the store holds the batch.
+	Taken
+)
+
+// String returns the name of the acceptance.
+func (a Acceptance) String() string {
+	return [...]string{"refused", "pending", "taken"}[a]
+}
+
+// earlyRun tracks a batch that runs before the store is known to hold it.
+//
+// Generating texts needs no store, and the longest text of a step takes nearly all of the
+// step's time. So texts are generated while the store is unavailable, and none is shown before
+// the store holds the batch. Until then, trainers are told that the batch may run.
+type earlyRun struct {
+	// done is closed once the store is known to hold the batch, or the batch is given up.
+	done   chan struct{}
+	isDone bool
+}
+
+// await waits until the batch is no longer early, or the context ends.
+func (e *earlyRun) await(ctx context.Context) {
+	select {
+	case <-e.done:
+	case <-ctx.Done():
+	}
+}
+
+// preferredOwners returns the processes that should own the batches of a model, the first
+// candidate first.
+func (b *Board) preferredOwners(model string) []string {
+	order := b.rankedOwners(model)
+	return order[:min(len(order), maxSuccessors)]
+}
+
+// rankedOwners returns all processes as candidates for the batches of a model.
+func (b *Board) rankedOwners(model string) []string { return b.Order("model/" + model) }
+
+// startEarly starts a batch that the store is not known to hold.
+func (b *Board) startEarly(batch *statepb.Batch) {
+	b.lock()
+	defer b.mutex.Unlock()
+	id := batch.GetId()
+	if b.owned[id] != nil || b.open[id] || b.ended[id] || b.isDraining {
+		return
+	}
+	klog.InfoS("batch: started before the store holds it", "batch", id, "step", batch.GetStep(), "model", batch.GetModel(), "items", len(batch.GetItems()))
+	b.start(Handover{Batch: batch}, clock.Now())
+	owned := b.owned[id]
+	owned.early = &earlyRun{done: make(chan struct{})}
+	b.startTask(func() { b.commitEarly(owned) })
+}
+
+// commitEarly retries until the store holds an early batch, and gives the batch up after
+// earlyTimeout.
+func (b *Board) commitEarly(owned *ownedBatch) {
+	id := owned.batch.GetId()
+	ctx, cancel := context.WithTimeout(b.ctx, earlyTimeout)
+	defer cancel()
+	for b.earlyRunOf(id) == owned.early && !owned.isEnded() {
+		if !b.isCommitting(id) {
+			b.tryCommitEarly(ctx, owned.batch)
+		}
+		if !pause.For(ctx, writeRetryDelay) {
+			break
+		}
+	}
+	if b.ctx.Err() != nil || b.earlyRunOf(id) != owned.early {
+		return
+	}
+	klog.InfoS("batch: given up, the store did not accept it", "batch", id)
+	b.evict(id, owned)
+	b.Keeper.Drop(b.ctx, id)
+	b.lock()
+	defer b.mutex.Unlock()
+	b.endEarly(owned)
+}
+
+// tryCommitEarly tries once to commit an early batch to the store.
+func (b *Board) tryCommitEarly(ctx context.Context, batch *statepb.Batch) {
+	if err := b.commitBatch(ctx, batch); err != nil {
+		klog.V(1).InfoS("batch: early batch is not in the store yet", "batch", batch.GetId(), "err", err.Error())
+	}
+}
+
+// isCommitting reports whether a write of the batch is in flight: a second one would share the
+// link with it.
+func (b *Board) isCommitting(id string) bool {
+	b.lock()
+	defer b.mutex.Unlock()
+	return b.claiming[id]
+}
+
+// endEarly records that a batch is no longer early. The mutex must be held.
+func (b *Board) endEarly(owned *ownedBatch) {
+	if owned == nil || owned.early == nil || owned.early.isDone {
+		return
+	}
+	owned.early.isDone = true
+	close(owned.early.done)
+}
+
+// earlyRunOf returns the early run of a batch, or nil if it is not early here.
+func (b *Board) earlyRunOf(id string) *earlyRun {
+	b.lock()
+	defer b.mutex.Unlock()
+	return b.earlyRunLocked(id)
+}
+
+// earlyRunLocked is earlyRunOf for callers that hold the mutex.
+func (b *Board) earlyRunLocked(id string) *earlyRun {
+	owned := b.owned[id]
+	if owned == nil || owned.early == nil || owned.early.isDone {
+		return nil
+	}
+	return owned.early
+}
+
+// markAccepted records that the store holds a batch and this process owns it. The mutex must be
+// held.
+func (b *Board) markAccepted(batch *statepb.Batch, ownership Title) {
+	id, owned := batch.GetId(), b.owned[batch.GetId()]
+	if owned != nil && b.earlyRunLocked(id) == nil {
+		return
+	}
+	b.metrics.accepted.Inc()
+	b.open[id] = true
+	b.owners[id] = b.Process
+	b.ownerRevisions[id] = ownership.Revision
+	if owned == nil {
+		b.start(Handover{Batch: batch, Owner: ownership}, clock.Now())
+		return
+	}
+	owned.ledger.setOwnership(ownership)
+	b.endEarly(owned)
+}
+
+// awaitEarly waits until it is known what became of an early batch.
+func (b *Board) awaitEarly(ctx context.Context, early *earlyRun, id string) error {
+	early.await(ctx)
+	if b.isAccepted(id) {
+		return nil
+	}
+	return errCommitUnknown()
+}
+
+// errCommitUnknown returns the refusal for a batch of which it is unknown whether the store
+// holds it.
+func errCommitUnknown() error {
+	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").After(storeRetryAfter)
+}
+
+// AcceptFor accepts a batch on behalf of another process, and returns within the wait. An error
+// means that the result is unknown. The attempt continues after the wait: a large batch takes
+// the store longer than the other process waits.
+func (b *Board) AcceptFor(ctx context.Context, batch *statepb.Batch, wait time.Duration) (Acceptance, error) {
+	if b.isAccepted(batch.GetId()) {
+		return Taken, nil
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- b.acceptOwn(ctx, batch, attempt{isPreferred: true}) }()
+	var err error
+	select {
+	case err = <-ended:
+	case <-time.After(wait):
+		err = errCommitUnknown()
+	}
+	switch {
+	case err == nil:
+		return Taken, nil
+	case b.earlyRunOf(batch.GetId()) != nil:
+		return Pending, nil
+	case refusal.IsNotRun(err):
+		return Refused, nil
+	default:
+		return Refused, err
+	}
+}
+
+// askPreferredOwner asks another process to accept a batch. If the batch is pending there, this
+// process waits for the watch to show it instead of sending the batch again, which may be a
+// megabyte.
+func (b *Board) askPreferredOwner(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
+	defer cancel()
+	acceptance, err := b.askPeer(ctx, host, batch)
+	for err == nil && acceptance == Pending {
+		if b.isAccepted(batch.GetId()) {
+			return Taken, nil
+		}
+		if !pause.For(ctx, pendingPollInterval) {
+			break
+		}
+	}
+	return acceptance, err
+}
+
+// askPeer asks another process once to accept a batch.
+func (b *Board) askPeer(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerAcceptTimeout)
+	defer cancel()
+	acceptance, err := b.Peers.Accept(ctx, host, batch)
+	klog.InfoS("batch: asked its owner to accept it", "batch", batch.GetId(), "model", batch.GetModel(), "owner", host, "acceptance", acceptance, "err", err)
+	return acceptance, err
+}
--- a/internal/batch/keep.go
+++ b/internal/batch/keep.go
@@ -13,69 +13,71 @@
 )
 
 const (
-	// keepInterval is the time between two looks for events that a keeper lacks.
+	// keepInterval is the time between two checks for events that the keeper lacks.
 	keepInterval = 500 * time.Millisecond
-	// keepMost bounds that time after failures.
-	keepMost = 4 * time.Second
-	// keepTries is how many keepers are tried when a batch is given up.
-	keepTries = 3
-	// keepAfter is how long a run goes on before its text is kept: half of all texts
-	// are whole before that, and are made anew in no more.
-	keepAfter = time.Second
+	// maxKeepInterval bounds that time after failures.
+	maxKeepInterval = 4 * time.Second
+	// maxKeepAttempts is how many keepers are tried when a batch is handed over through the
+	// store.
+	maxKeepAttempts = 3
+	// minKeepAge is how long a run must last before its text is kept: half of all texts are
+	// complete before that, and take no longer to generate again.
+	minKeepAge = time.Second
 )
 
-// ErrOtherKeeper says that a batch's texts go to another keeper from now on, which has
+// ErrOtherKeeper means that the texts of a batch go to another keeper from now on, which has
 // none of them yet.
-var ErrOtherKeeper = errors.New("batch: another keeper is used from now on")
+var ErrOtherKeeper = errors.New("batch: switched to another keeper")
 
-// Keeper keeps texts that aren't whole on hosts with disks.
+// Keeper stores incomplete texts on hosts with disks.
 type Keeper interface {
-	// Append keeps events. An error says that what is kept isn't known, ErrOtherKeeper
-	// that nothing is.
+	// Append stores events. An error means that what the keeper has is unknown, ErrOtherKeeper
+	// that it has nothing.
 	Append(ctx context.Context, batch string, parts []*statepb.Part) error
-	// Fetch returns what is kept of a batch, as far as keepers answer.
+	// Fetch returns what is stored of a batch, as far as keepers answer.
 	Fetch(ctx context.Context, batch string) []*statepb.Partial
-	// Drop forgets a batch.
+	// Drop deletes a batch.
 	Drop(ctx context.Context, batch string)
 }
 
-// keep gives the texts that aren't whole to a keeper until the context ends.
+// keep sends incomplete texts to a keeper until the context ends.
 //
-// An owner that dies takes with it what its samplers have made, and the longest texts
-// of a step take nearly all the time that the step has.
+// Without a keeper, an owner that dies loses what its samplers have generated, and the longest
+// texts of a step take nearly all of the step's time.
 //
-// After a failure all is given anew, and the waits grow: texts that are repeated to a
-// keeper behind a full link keep it full, and the owner's writes to the store get no
-// answers.
+// After a failure everything is sent again, with growing delays: repeated at full rate to a
+// keeper behind a saturated link, the texts keep the link saturated, and the owner's writes to
+// the store get no answers.
 func (o *owner) keep(ctx context.Context) {
 	wait := keepInterval
 	for pause.For(ctx, wait) {
-		if o.keepOnce(ctx, o.isLong) {
+		if o.keepOnce(ctx, o.isWorthKeeping) {
 			wait = keepInterval
 			continue
 		}
-		wait = min(2*wait, keepMost)
+		wait = min(2*wait, maxKeepInterval)
 	}
 }
 
-// isLong reports whether the run of an item is worth keeping. The mutex is held.
-func (o *owner) isLong(index int) bool {
+// isWorthKeeping reports whether an item has no run or one older than minKeepAge. The mutex
+// must be held.
+func (o *owner) isWorthKeeping(index int) bool {
 	run := o.runs[index]
-	return run == nil || clock.Now().Sub(run.began) >= keepAfter
+	return run == nil || clock.Now().Sub(run.startedAt) >= minKeepAge
 }
 
-// keepLast gives all texts to a keeper before the batch is given up: to the next one
-// where a keeper doesn't answer. There is no later time at which to try again.
+// keepLast sends all texts to a keeper before the batch is given up, and retries at once, with
+// the next keeper if one does not answer. There is no later chance.
 func (o *owner) keepLast(ctx context.Context) {
-	for range keepTries {
+	for range maxKeepAttempts {
 		if ctx.Err() != nil || o.keepOnce(ctx, func(int) bool { return true }) {
 			return
 		}
 	}
 }
 
-// keepOnce gives what came since the last time to a keeper, and reports whether
-// it has it.
+// keepOnce sends what is new since the last call to a keeper, and reports whether the keeper
+// has it.
 func (o *owner) keepOnce(ctx context.Context, isKept func(index int) bool) bool {
 	err := o.append(ctx, isKept)
 	if errors.Is(err, ErrOtherKeeper) {
@@ -95,7 +97,7 @@
 	if err == nil {
 		return nil
 	}
-	klog.InfoS("batch: texts not kept", "batch", o.batch.GetId(), "err", err.Error())
+	klog.InfoS("batch: sending texts to a keeper failed", "batch", o.batch.GetId(), "err", err.Error())
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.plan.KeepAll()
@@ -105,36 +107,36 @@
 // Partials returns the texts of items without an outcome, for the next owner.
 func (p *Plan) Partials() []*statepb.Partial {
 	var partials []*statepb.Partial
-	for _, one := range p.items {
-		if one.phase == settled || len(one.events) == 0 {
+	for _, item := range p.items {
+		if item.phase == settled || len(item.events) == 0 {
 			continue
 		}
-		partials = append(partials, statepb.Partial_builder{Item: one.spec.GetId(), Events: one.events, Versions: one.versions}.Build())
+		partials = append(partials, statepb.Partial_builder{Item: item.spec.GetId(), Events: item.events, Versions: item.versions}.Build())
 	}
 	return partials
 }
 
-// Parts returns the events that came since the last call, for a keeper, but for
+// Parts returns the events that are new since the last call, for a keeper, except those of
 // items that need not be kept.
 func (p *Plan) Parts(isKept func(index int) bool) []*statepb.Part {
 	var parts []*statepb.Part
-	for _, one := range p.items {
-		kept := one.kept
-		if one.phase == settled || kept >= len(one.events) || !isKept(one.index) {
+	for _, item := range p.items {
+		kept := item.kept
+		if item.phase == settled || kept >= len(item.events) || !isKept(item.index) {
 			continue
 		}
 		parts = append(parts, statepb.Part_builder{
-			Item: one.spec.GetId(), After: uint32(kept), Events: one.events[kept:], Versions: one.versions[kept:],
+			Item: item.spec.GetId(), After: uint32(kept), Events: item.events[kept:], Versions: item.versions[kept:],
 		}.Build())
-		one.kept = len(one.events)
+		item.kept = len(item.events)
 	}
 	return parts
 }
 
-// KeepAll makes Parts return all texts from their start: what a keeper had is
-// not known any more.
+// KeepAll makes Parts return all texts from their start, because it is no longer known what the
+// keeper has.
 func (p *Plan) KeepAll() {
-	for _, one := range p.items {
-		one.kept = 0
+	for _, item := range p.items {
+		item.kept = 0
 	}
 }
--- a/internal/batch/leftovers.go
+++ b/internal/batch/leftovers.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// leftoverBytes bounds the texts kept for later batches: those of a few steps.
-const leftoverBytes = 8 << 20
+// maxLeftoverBytes bounds the texts kept for later batches: those of a few steps.
+const maxLeftoverBytes = 8 << 20
 
-// leftovers keeps the texts of groups that weren't whole when their batch ended.
-// Its zero value is empty. It is safe for concurrent use.
+// leftovers holds the texts of groups that were incomplete when their batch ended. Its zero
+// value is empty. It is safe for concurrent use.
 type leftovers struct {
 	mutex sync.Mutex
 	kept  map[string]Leftover
-	// order holds the items, the oldest first.
+	// order holds the item IDs, the oldest first.
 	order []string
 	bytes int
 }
 
-// add keeps texts, in place of those kept of the same items.
+// add keeps texts, and replaces those kept of the same items.
 func (l *leftovers) add(texts []Leftover) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -31,15 +31,15 @@
 		l.order = append(l.order, text.item)
 		l.bytes += text.size()
 	}
-	for l.bytes > leftoverBytes && len(l.order) > 0 {
+	for l.bytes > maxLeftoverBytes && len(l.order) > 0 {
 		oldest := l.order[0]
 		l.order = l.order[1:]
 		l.drop(oldest)
 	}
 }
 
-// of returns the texts kept of items.
-func (l *leftovers) of(items []string) []Leftover {
+// find returns the texts kept of items.
+func (l *leftovers) find(items []string) []Leftover {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var found []Leftover
@@ -58,7 +58,7 @@
 	}
 }
 
-// Leftover is the text of an item whose group was not whole when its batch ended.
+// Leftover is the text of an item whose group was incomplete when its batch ended.
 type Leftover struct {
 	item     string
 	events   []string
@@ -66,7 +66,7 @@
 	isWhole  bool
 }
 
-// size returns the bytes of the text.
+// size returns the length of the text in bytes.
 func (l Leftover) size() int {
 	bytes := 0
 	for _, event := range l.events {
@@ -75,50 +75,49 @@
 	return bytes
 }
 
-// Leftovers returns the texts of groups that aren't whole: their items may come
-// again in a later batch.
+// Leftovers returns the texts of incomplete groups: their items may come again in a later
+// batch.
 func (p *Plan) Leftovers() []Leftover {
-	return p.texts(func(one *item) bool { return p.groups[one.spec.GetGroup()] > 0 })
+	return p.texts(func(item *itemState) bool { return p.groups[item.spec.GetGroup()] > 0 })
 }
 
-// Texts returns the texts of all items, for when the batch goes on from what the
-// store holds of it.
+// Texts returns the texts of all items, for a batch that is loaded again from the store.
 func (p *Plan) Texts() []Leftover {
-	return p.texts(func(*item) bool { return true })
+	return p.texts(func(*itemState) bool { return true })
 }
 
-func (p *Plan) texts(isWanted func(*item) bool) []Leftover {
+func (p *Plan) texts(isWanted func(*itemState) bool) []Leftover {
 	var leftovers []Leftover
-	for _, one := range p.items {
-		if !isWanted(one) || len(one.events) == 0 || one.outcome.GetFailed() {
+	for _, item := range p.items {
+		if !isWanted(item) || len(item.events) == 0 || item.outcome.GetFailed() {
 			continue
 		}
-		isWhole := one.phase == unscored || one.phase == scoring || one.phase == settled
-		leftovers = append(leftovers, Leftover{item: one.spec.GetId(), events: one.events, versions: one.versions, isWhole: isWhole})
+		isWhole := item.phase == unscored || item.phase == scoring || item.phase == settled
+		leftovers = append(leftovers, Leftover{item: item.spec.GetId(), events: item.events, versions: item.versions, isWhole: isWhole})
 	}
 	return leftovers
 }
 
-// Reuse takes texts that an earlier batch has left, as far as their versions fit
-// this one. It returns the number of items that it spares.
+// Reuse takes texts that an earlier batch has left, as far as this batch allows their versions.
+// It returns the number of items with a reused text.
 //
-// A trainer ends its step with the groups that were whole, and sends the others
-// again in a later step, where it waits for them first. All but one item of such
-// a group are mostly done; made anew, they take the slots of a whole step's tenth.
+// A trainer ends its step with the groups that are complete, and sends the others again in a
+// later step, where it waits for them first. All but one item of such a group are mostly done;
+// generated again, they take a tenth of a step's slots.
 func (p *Plan) Reuse(leftovers []Leftover) int {
 	reused := 0
 	for _, leftover := range leftovers {
-		one := p.byID[leftover.item]
-		if one == nil || one.phase != waiting || !p.fits(leftover.versions) || len(leftover.events) <= len(one.events) {
+		item := p.byID[leftover.item]
+		if item == nil || item.phase != waiting || !p.areVersionsAllowed(leftover.versions) || len(leftover.events) <= len(item.events) {
 			continue
 		}
 		reused++
-		one.events, one.versions = slices.Clone(leftover.events), slices.Clone(leftover.versions)
+		item.events, item.versions = slices.Clone(leftover.events), slices.Clone(leftover.versions)
 		if leftover.isWhole {
-			p.made(one)
+			p.completeText(item)
 		}
 	}
-	p.order = slices.DeleteFunc(p.order, func(one *item) bool { return one.phase != waiting })
+	p.order = slices.DeleteFunc(p.order, func(item *itemState) bool { return item.phase != waiting })
 	p.sort()
 	return reused
 }
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -13,7 +13,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// maxReadBytes is the most of texts in one answer: 1 MB less what JSON adds.
+// maxReadBytes bounds the texts of one answer: 1 MB less the overhead of JSON.
 const maxReadBytes = 900 << 10
 
 // Page is a part of a batch's outcomes.
@@ -24,42 +24,42 @@
 	Unsure bool
 }
 
-// ReadOwn returns the outcomes of a batch that this process owns from a place
-// on; it waits for one if there is none. It reports false if the batch isn't held here.
+// ReadOwn returns the outcomes from a position on of a batch that this process owns; it waits
+// for one if there is none. It returns false if this process does not hold the batch.
 //
-// A reader may have been shown a place that this process doesn't know of: a chunk
-// whose answer is late, or one that another process has listed since this one has
-// lost the batch. Told "nothing is there", the trainer would see a place go away; so
-// this is said only under a lease that stands and with no write open, and the store
-// is to be asked else.
+// A reader may have seen a position that this process does not know of: in a chunk whose answer
+// is late, or in one that another process has listed since this one lost the batch. An answer
+// that there is nothing would make the position disappear for the trainer. So that answer is
+// given only under a valid lease and with no write in doubt; otherwise the page is unsure and
+// the store must be asked.
 func (b *Board) ReadOwn(ctx context.Context, id, account string, after uint64, wait time.Duration) (Page, bool, error) {
 	b.lock()
-	held := b.held[id]
+	owned := b.owned[id]
 	b.mutex.Unlock()
-	if held == nil {
+	if owned == nil {
 		return Page{}, false, nil
 	}
-	if held.batch.GetAccount() != account {
+	if owned.batch.GetAccount() != account {
 		return Page{}, true, refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for isOver := wait <= 0; ; {
-		found := held.ledger.read(after)
-		page := Page{Total: held.total, Outcomes: head(found.outcomes)}
-		if len(found.outcomes) > 0 || after >= held.total {
+	for isExpired := wait <= 0; ; {
+		view := owned.ledger.read(after)
+		page := Page{Total: owned.total, Outcomes: firstPage(view.outcomes)}
+		if len(view.outcomes) > 0 || after >= owned.total {
 			return page, true, nil
 		}
-		if isOver || found.isStopped {
-			page.Unsure = found.isStopped || found.isOpen || found.lease == 0 || found.lease != b.Lease()
+		if isExpired || view.isStopped {
+			page.Unsure = view.isStopped || view.isInDoubt || view.lease == 0 || view.lease != b.Lease()
 			return page, true, nil
 		}
 		select {
 		case <-ctx.Done():
-			isOver = true
+			isExpired = true
 		case <-timer.C:
-			isOver = true
-		case <-found.changed:
+			isExpired = true
+		case <-view.changed:
 		}
 	}
 }
@@ -72,30 +72,30 @@
 	}
 	listed, err := b.loadListed(ctx, id)
 	if err != nil {
-		return Page{}, unsure(id, err)
+		return Page{}, readRefusal(id, err)
 	}
 	page := Page{Total: uint64(len(batch.GetItems()))}
 	if after < uint64(len(listed)) {
-		page.Outcomes = head(listed[after:])
+		page.Outcomes = firstPage(listed[after:])
 	}
 	return page, nil
 }
 
-// Find returns a batch of an account. A *refusal.Error of status 404 says that
-// there is none, one of 503 that this isn't known.
+// Find returns a batch of an account. A *refusal.Error with status 404 means that there is
+// none, one with 503 that this is unknown.
 func (b *Board) Find(ctx context.Context, id, account string) (*statepb.Batch, error) {
 	b.lock()
-	held := b.held[id]
+	owned := b.owned[id]
 	b.mutex.Unlock()
 	var batch *statepb.Batch
-	if held != nil {
-		batch = held.batch
+	if owned != nil {
+		batch = owned.batch
 	} else {
-		found, err := b.loadBatch(ctx, id)
+		view, err := b.loadBatch(ctx, id)
 		if err != nil {
-			return nil, unsure(id, err)
+			return nil, readRefusal(id, err)
 		}
-		batch = found
+		batch = view
 	}
 	if batch.GetAccount() != account {
 		return nil, refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
@@ -103,10 +103,9 @@
 	return batch, nil
 }
 
-// check returns nil if a batch is an account's. The account of a batch that the
-// store holds is known here; only for one that was not heard of yet the store is
-// asked, which answers with the whole of it.
-func (b *Board) check(ctx context.Context, id, account string) error {
+// checkAccount returns nil if a batch belongs to an account. For a stored batch the account is
+// known here; only for a batch not seen yet the store is asked, which returns the whole batch.
+func (b *Board) checkAccount(ctx context.Context, id, account string) error {
 	b.lock()
 	owner, isKnown := b.accounts[id]
 	b.mutex.Unlock()
@@ -120,19 +119,20 @@
 	return nil
 }
 
-// unsure tells a batch that doesn't exist from one that can't be read now.
-func unsure(id string, err error) error {
+// readRefusal returns the refusal for a failed read: the batch does not exist, or it cannot be
+// read now.
+func readRefusal(id string, err error) error {
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
 		return refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
 	}
-	klog.InfoS("batch: can't be read", "batch", id, "err", err.Error())
-	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").After(storeAgain)
+	klog.InfoS("batch: read failed", "batch", id, "err", err.Error())
+	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").After(storeRetryAfter)
 }
 
-// End ends a batch. Its runs here stop at once, before the store knows of it.
+// End ends a batch. It stops the runs of the batch here before it updates the store.
 func (b *Board) End(ctx context.Context, id, account string) error {
-	if err := b.check(ctx, id, account); err != nil {
+	if err := b.checkAccount(ctx, id, account); err != nil {
 		return err
 	}
 	b.StopOwn(id, account)
@@ -146,34 +146,34 @@
 			klog.InfoS("batch: its trainer has ended it", "batch", id)
 			return nil
 		}
-		if ctx.Err() != nil || isNothingDone(err) {
-			return unsure(id, err)
+		if ctx.Err() != nil || isNotCommitted(err) {
+			return readRefusal(id, err)
 		}
 	}
 }
 
-// isEnded reports whether the store is known to have ended a batch. Trainers that had
-// no answer, and others of their account, end a batch again.
+// isEnded reports whether the store is known to have ended a batch. Trainers that got no
+// answer, and others of their account, end a batch again.
 func (b *Board) isEnded(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
 	return b.ended[id]
 }
 
-// StopOwn stops the runs of a batch that this process owns, and reports whether it does.
+// StopOwn stops the runs of a batch if this process owns it, and reports whether it does.
 func (b *Board) StopOwn(id, account string) bool {
 	b.lock()
-	held := b.held[id]
+	owned := b.owned[id]
 	b.mutex.Unlock()
-	if held == nil || held.batch.GetAccount() != account {
+	if owned == nil || owned.batch.GetAccount() != account {
 		return false
 	}
-	held.end()
+	owned.end()
 	return true
 }
 
-// head returns as many outcomes as fit into one answer, and at least one.
-func head(outcomes []*statepb.Outcome) []*statepb.Outcome {
+// firstPage returns as many outcomes as fit into one answer, and at least one.
+func firstPage(outcomes []*statepb.Outcome) []*statepb.Outcome {
 	size := 0
 	for i, outcome := range outcomes {
 		size += len(outcome.GetText()) + 200
--- a/internal/batch/remove.go
+++ b/internal/batch/remove.go
@@ -11,23 +11,22 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// commitKeys is the most keys that one commit removes: less than the entries
-// that the store takes at once.
-const commitKeys = 30
+// maxCommitKeys bounds the keys that one commit removes: fewer than the entries that the store
+// takes at once.
+const maxCommitKeys = 30
 
-// outdated returns the batches that nobody reads any more and that this process
-// is to take out of the store: its own, and those without an owner of which it is
-// the first candidate. One that its trainer never ended counts too: its items
-// were given up long before.
+// expired returns the batches that are past their retention and that this process must remove
+// from the store: its own, and those without an owner of which it is the first candidate. A
+// batch that its trainer never ended counts too: its items were given up long before.
 //
-// An owner takes out what it owned, unless it has ended before. Left alone, the
-// store would grow by what each process owned in the last minutes before its end.
-func (b *Board) outdated(now clock.Boot) []string {
+// An owner removes what it owned, unless it exits first. Without the second rule the store
+// would grow by what each process owned in the last minutes before its exit.
+func (b *Board) expired(now clock.Boot) []string {
 	b.lock()
 	defer b.mutex.Unlock()
 	var ids []string
-	for id, held := range b.held {
-		if now.Sub(held.accepted) > b.Keep && b.owners[id] == b.Process {
+	for id, owned := range b.owned {
+		if now.Sub(owned.acceptedAt) > b.Keep && b.owners[id] == b.Process {
 			ids = append(ids, id)
 		}
 	}
@@ -43,22 +42,22 @@
 	return ids
 }
 
-// remove takes a batch out of the store, its texts first: as long as its own
-// key is there, a reader finds it and a second try finishes the removal.
+// remove deletes a batch from the store, its outcomes first: as long as the key of the batch
+// exists, a reader finds it and a second attempt completes the removal.
 func (b *Board) remove(ctx context.Context, id string) {
 	err := b.removeKeys(ctx, id)
 	b.lock()
 	defer b.mutex.Unlock()
 	delete(b.removing, id)
 	if err != nil {
-		klog.InfoS("batch: not removed, tried again", "batch", id, "err", err.Error())
+		klog.InfoS("batch: removal failed, retrying", "batch", id, "err", err.Error())
 		return
 	}
 	klog.InfoS("batch: removed", "batch", id)
-	if held := b.held[id]; held != nil {
-		held.cancel()
+	if owned := b.owned[id]; owned != nil {
+		owned.cancel()
 	}
-	delete(b.held, id)
+	delete(b.owned, id)
 	delete(b.owners, id)
 	delete(b.ownerRevisions, id)
 	delete(b.stored, id)
@@ -75,11 +74,11 @@
 	for _, value := range reply.Values {
 		keys = append(keys, value.Key)
 	}
-	for len(keys) > commitKeys {
-		if _, err := b.Store.Commit(ctx, platform.Commit{Remove: keys[:commitKeys]}); err != nil {
+	for len(keys) > maxCommitKeys {
+		if _, err := b.Store.Commit(ctx, platform.Commit{Remove: keys[:maxCommitKeys]}); err != nil {
 			return err
 		}
-		keys = keys[commitKeys:]
+		keys = keys[maxCommitKeys:]
 	}
 	if len(keys) > 0 {
 		if _, err := b.Store.Commit(ctx, platform.Commit{Remove: keys}); err != nil {
