--- a/internal/roster/cold.go
+++ b/internal/roster/cold.go
@@ -11,40 +11,41 @@
 // Sender is the kind of a request's sender.
 type Sender int
 
-// Senders.
+// Kinds of senders.
 const (
-	// ByCaller is a request that a caller waits for.
+	// ByCaller is a caller's request.
 	ByCaller Sender = iota
 	// ByBatch is a generation of a batch that this process owns.
 	ByBatch
 )
 
-// Cold says how many requests cold servers may be sent.
+// Cold limits the requests sent to cold servers.
 type Cold interface {
-	// Share returns how many requests this process may send to a cold server of a
-	// pool within a span; unbounded where the pool's servers take all they get.
+	// Share returns how many requests this process may send to a cold server of a pool
+	// within a time window; unbounded where the pool's servers need no limit.
 	Share(pool, server string, sender Sender) (most int, unbounded bool)
-	// Length is how long a server of a pool is cold.
+	// Length returns how long a server of a pool is cold.
 	Length(pool string) time.Duration
 }
 
-// chill notes that a server is cold for a time from now on. What was known before
-// stays: a registration may be older than the one before it.
-func (s *Server) chill(left time.Duration, now clock.Boot) {
-	if left <= 0 || now.Add(left) <= s.cold {
+// markCold notes that a server is cold for a time from now on. A later end that is
+// already known stays: registrations may arrive out of order.
+func (s *Server) markCold(left time.Duration, now clock.Boot) {
+	if left <= 0 || now.Add(left) <= s.coldUntil {
 		return
 	}
-	if now >= s.cold {
+	if now >= s.coldUntil {
 		klog.InfoS("roster: server is cold", "server", s.Name(), "for", left)
 	}
-	s.cold = now.Add(left)
+	s.coldUntil = now.Add(left)
 }
 
-// isTooCold reports whether a server is cold and has had from this process what it may.
-func (r *Roster) isTooCold(server *Server, sender Sender, now clock.Boot) bool {
-	if r.Cold == nil || now >= server.cold {
+// isOverColdLimit reports whether a server is cold and this process has used up its
+// share of requests to it.
+func (r *Roster) isOverColdLimit(server *Server, sender Sender, now clock.Boot) bool {
+	if r.Cold == nil || now >= server.coldUntil {
 		return false
 	}
-	most, isUnbounded := r.Cold.Share(server.entry.Pool, server.Name(), sender)
-	return !isUnbounded && !server.sent.Within(most, now)
+	limit, isUnbounded := r.Cold.Share(server.entry.Pool, server.Name(), sender)
+	return !isUnbounded && !server.recentSends.Within(limit, now)
 }
--- a/internal/roster/cold_test.go
+++ b/internal/roster/cold_test.go
@@ -9,7 +9,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/clock"
 )
 
-// coldShares bounds the requests to cold servers by their sender.
+// coldShares limits the requests to cold servers by sender.
 type coldShares map[Sender]int
 
 var _ Cold = coldShares{}
@@ -23,7 +23,8 @@
 	return entry
 }
 
-// Guards against a server that fails again since it is sent more than a cold one takes.
+// Guards against a server that fails again because it is sent more than a cold server
+// can take.
 func TestColdServer(t *testing.T) {
 	need := Need{Pool: pool, Model: "m", Oldest: 2}
 	shares := coldShares{ByBatch: 2, ByCaller: 1}
@@ -62,7 +63,7 @@
 	t.Run("all that it takes once it is warm", func(t *testing.T) {
 		roster := withCold(coldSampler())
 		mustPlace(t, roster, 2)
-		roster.servers["s1"].cold = clock.Now()
+		roster.servers["s1"].coldUntil = clock.Now()
 		mustPlace(t, roster, 6)
 	})
 	t.Run("an older registration doesn't warm it", func(t *testing.T) {
--- a/internal/roster/connections.go
+++ b/internal/roster/connections.go
@@ -6,25 +6,26 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/clock"
 )
 
-// Timed notes whether an answer came within the time that its caller wished. A server
-// that is late is not preferred for its connections.
+// Timed records whether an answer exceeded the latency target of its route. A server
+// that does is not preferred for its connections.
 func (r *Roster) Timed(server *Server, isLate bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	server.isLate = isLate
 }
 
-// mayKeep reports whether requests may stay with a server for its connections. One
-// with models slows all that it generates down with each request more, which costs a
-// caller more than a new connection.
-func (s *Server) mayKeep() bool { return len(s.entry.Versions) == 0 && !s.isLate }
+// mayPreferConnection reports whether a server may be preferred for its open
+// connections. On a server with models each additional request slows down all its
+// generations, which costs a caller more than a new connection.
+func (s *Server) mayPreferConnection() bool { return len(s.entry.Versions) == 0 && !s.isLate }
 
-// hasSpare forgets connections that were closed unused, and reports whether one is left.
-func (s *Server) hasSpare(now clock.Boot, idle time.Duration) bool {
-	closed := 0
-	for closed < len(s.spares) && now.Sub(s.spares[closed]) >= idle {
-		closed++
+// hasIdleConnection removes connections that have reached the idle timeout, and reports
+// whether one is left.
+func (s *Server) hasIdleConnection(now clock.Boot, idle time.Duration) bool {
+	expired := 0
+	for expired < len(s.idleConnections) && now.Sub(s.idleConnections[expired]) >= idle {
+		expired++
 	}
-	s.spares = s.spares[closed:]
-	return len(s.spares) > 0
+	s.idleConnections = s.idleConnections[expired:]
+	return len(s.idleConnections) > 0
 }
--- a/internal/roster/demand.go
+++ b/internal/roster/demand.go
@@ -7,10 +7,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// Demand is what this process has asked of a pool since it started. All figures
-// only grow, so that the difference of two is what came between them.
+// Demand is what this process has requested of a pool since it started. All figures are
+// cumulative.
 type Demand struct {
-	// Busy is the time that requests have spent at servers, all added up.
+	// Busy is the total time that requests have spent at servers.
 	Busy time.Duration
 	// Ended counts the requests that have left their server.
 	Ended uint64
@@ -18,27 +18,28 @@
 	Refused uint64
 }
 
-// Census is what is registered of a pool.
+// Census counts the registered servers of a pool.
 type Census struct {
-	// Present are the servers that may get work, by the zones that have or had one.
+	// Present counts the servers that may get work, by zone, including zones that had
+	// one before.
 	Present map[string]int
-	// Slots is the mean number of requests that a server runs at the same time, or
-	// ran while there was one; 0 if there never was.
+	// Slots is the mean number of requests that a server runs concurrently, or ran
+	// while there was one; 0 if there never was.
 	Slots float64
 }
 
-// meter adds up the demand of a pool.
+// meter accumulates the demand of a pool.
 type meter struct {
 	Demand
 
-	running int
-	at      clock.Boot
+	running   int
+	updatedAt clock.Boot
 }
 
-// run notes that requests have begun or, below 0, ended.
-func (m *meter) run(change int, now clock.Boot) {
-	m.Busy += time.Duration(m.running) * now.Sub(m.at)
-	m.at = now
+// adjust changes the number of running requests; a negative change is the end of one.
+func (m *meter) adjust(change int, now clock.Boot) {
+	m.Busy += time.Duration(m.running) * now.Sub(m.updatedAt)
+	m.updatedAt = now
 	m.running += change
 	if change < 0 {
 		m.Ended++
@@ -50,11 +51,11 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	meter := r.meter(pool)
-	meter.run(0, clock.Now())
+	meter.adjust(0, clock.Now())
 	return meter.Demand
 }
 
-// Refused notes that no server of a pool had room for a request.
+// Refused records that no server of a pool had room for a request.
 func (r *Roster) Refused(pool string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -65,15 +66,15 @@
 func (r *Roster) Census(pool string) Census {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.prepare()
+	r.initMaps()
 	census := Census{Present: map[string]int{}}
 	for zone := range r.zones[pool] {
 		census.Present[zone] = 0
 	}
 	now, servers, slots := clock.Now(), 0, 0
-	for _, one := range r.pools[pool] {
-		server := r.servers[one.Name()]
-		r.mark(server, now)
+	for _, routed := range r.pools[pool] {
+		server := r.servers[routed.Name()]
+		r.updateStanding(server, now)
 		if server.Standing() == route.Closed {
 			continue
 		}
@@ -82,17 +83,17 @@
 		slots += server.entry.Slots
 	}
 	if servers > 0 {
-		r.slots[pool] = float64(slots) / float64(servers)
+		r.meanSlots[pool] = float64(slots) / float64(servers)
 	}
-	census.Slots = r.slots[pool]
+	census.Slots = r.meanSlots[pool]
 	return census
 }
 
 // meter returns the meter of a pool. The mutex is held.
 func (r *Roster) meter(pool string) *meter {
-	r.prepare()
+	r.initMaps()
 	if r.meters[pool] == nil {
-		r.meters[pool] = &meter{at: clock.Now()}
+		r.meters[pool] = &meter{updatedAt: clock.Now()}
 	}
 	return r.meters[pool]
 }
--- a/internal/roster/engine.go
+++ b/internal/roster/engine.go
@@ -11,133 +11,135 @@
 )
 
 const (
-	// paceWeight is the weight of a new event in the moving mean of a server's pace:
-	// small, since events come in bursts where a host is short of processor time.
+	// paceWeight is the weight of a new interval in the moving mean: small, since
+	// events arrive in bursts where a host is short of processor time.
 	paceWeight = 0.04
-	// paceAge is how long a pace says anything: a slow server is tried again
-	// after that.
-	paceAge = 5 * time.Second
-	// leastPaceEvents is how many events must have come before a pace counts.
-	leastPaceEvents = 12
-	// heardTime is how long ago a server has sent something that is heard just now:
-	// some events, and less than it takes to see that a server is silent.
-	heardTime = 300 * time.Millisecond
+	// maxPaceAge is how long a pace is valid after its last event; a slow server is
+	// tried again after that.
+	maxPaceAge = 5 * time.Second
+	// minPaceEvents is the number of events before a pace is valid.
+	minPaceEvents = 12
+	// activeWindow is how recently an active server has sent an event: some event
+	// intervals, and less than it takes to detect that a server is silent.
+	activeWindow = 300 * time.Millisecond
 )
 
-// pace is the moving mean of the time between two events of a server.
+// pace is the moving mean of the interval between events of a server.
 type pace struct {
-	mean   time.Duration
-	events int
-	at     clock.Boot
+	meanGap     time.Duration
+	events      int
+	lastEventAt clock.Boot
 }
 
-// add takes the time from one event to the next.
+// add records the interval between two events.
 func (p *pace) add(gap time.Duration, now clock.Boot) {
-	if p.events == 0 || now.Sub(p.at) > paceAge {
-		p.mean, p.events = gap, 0
+	if p.events == 0 || now.Sub(p.lastEventAt) > maxPaceAge {
+		p.meanGap, p.events = gap, 0
 	}
 	p.events++
-	p.at = now
-	p.mean += time.Duration(paceWeight * float64(gap-p.mean))
+	p.lastEventAt = now
+	p.meanGap += time.Duration(paceWeight * float64(gap-p.meanGap))
 }
 
-// isHeard reports whether an event came just now.
-func (p *pace) isHeard(now clock.Boot) bool { return p.events > 0 && now.Sub(p.at) < heardTime }
+// isActive reports whether an event arrived within activeWindow.
+func (p *pace) isActive(now clock.Boot) bool {
+	return p.events > 0 && now.Sub(p.lastEventAt) < activeWindow
+}
 
-// value returns the pace; 0 if it isn't known.
+// value returns the pace; 0 if unknown.
 func (p *pace) value(now clock.Boot) time.Duration {
-	if p.events < leastPaceEvents || now.Sub(p.at) > paceAge {
+	if p.events < minPaceEvents || now.Sub(p.lastEventAt) > maxPaceAge {
 		return 0
 	}
-	return p.mean
+	return p.meanGap
 }
 
-// Need is what a generation needs of its server.
+// Need is what a generation requires of its server.
 type Need struct {
 	Pool  string
 	Model string
-	// Oldest is the oldest weight version that will do.
+	// Oldest is the lowest acceptable weight version.
 	Oldest uint64
-	// Tried servers are passed over.
+	// Tried servers are skipped.
 	Tried map[string]bool
-	// Heard asks for a server that has sent something just now, if one of these has room.
+	// Heard prefers servers that have sent an event recently, if one of these has room.
 	Heard bool
 }
 
-// Place returns a server with a free slot for a generation, and counts it there
-// until Finish; nil if none has one.
+// Place returns a server with a free slot for a generation, which counts there until
+// Finish; nil if no server has one.
 func (r *Roster) Place(need Need) *Server {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	chosen := r.roomiest(need)
-	if chosen == nil {
+	target := r.selectServer(need)
+	if target == nil {
 		return nil
 	}
-	server := r.begin(chosen)
-	server.isAsked = server.refusals > 0
+	server := r.startRequest(target)
+	server.isProbed = server.refusals > 0
 	return server
 }
 
-// IsBetter reports whether a generation that runs at a slow server would find a
-// free slot at one that is not slow.
+// IsBetter reports whether a generation on a slow server would find a free slot on one
+// that is not slow.
 func (r *Roster) IsBetter(server *Server, need Need) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
-	usual := r.usualPace(need.Pool, now)
-	if !route.IsSlow(slowness(server.pace.value(now), usual)) {
+	typical := r.typicalPace(need.Pool, now)
+	if !route.IsSlow(slowness(server.pace.value(now), typical)) {
 		return false
 	}
 	need.Tried = map[string]bool{server.Name(): true}
-	chosen := r.roomiest(need)
-	if chosen == nil || chosen.Standing() != route.Open {
+	target := r.selectServer(need)
+	if target == nil || target.Standing() != route.Open {
 		return false
 	}
-	better := r.servers[chosen.Name()].pace.value(now)
-	if route.IsSlow(slowness(better, usual)) {
+	targetPace := r.servers[target.Name()].pace.value(now)
+	if route.IsSlow(slowness(targetPace, typical)) {
 		return false
 	}
-	klog.InfoS("roster: a run would be faster elsewhere", "server", server.Name(), "pace", server.pace.value(now), "events", server.pace.events, "usual", usual, "other", chosen.Name(), "otherPace", better)
+	klog.InfoS("roster: another server would run a generation faster", "server", server.Name(), "pace", server.pace.value(now), "events", server.pace.events, "usual", typical, "other", target.Name(), "otherPace", targetPace)
 	return true
 }
 
-func (r *Roster) roomiest(need Need) *route.Server {
-	r.prepare()
+func (r *Roster) selectServer(need Need) *route.Server {
+	r.initMaps()
 	now := clock.Now()
-	usual := r.usualPace(need.Pool, now)
-	var candidates, heard []route.Candidate
-	for _, one := range r.pools[need.Pool] {
-		server := r.servers[one.Name()]
-		r.mark(server, now)
-		if need.Tried[one.Name()] || now < server.full || server.isAsked || server.version(need.Model) < need.Oldest {
+	typical := r.typicalPace(need.Pool, now)
+	var candidates, active []route.Candidate
+	for _, routed := range r.pools[need.Pool] {
+		server := r.servers[routed.Name()]
+		r.updateStanding(server, now)
+		if need.Tried[routed.Name()] || now < server.fullUntil || server.isProbed || server.version(need.Model) < need.Oldest {
 			continue
 		}
-		if r.isTooCold(server, ByBatch, now) {
+		if r.isOverColdLimit(server, ByBatch, now) {
 			continue
 		}
-		candidate := route.Candidate{Server: one, Slowness: slowness(server.pace.value(now), usual)}
+		candidate := route.Candidate{Server: routed, Slowness: slowness(server.pace.value(now), typical)}
 		candidates = append(candidates, candidate)
-		if need.Heard && server.pace.isHeard(now) {
-			heard = append(heard, candidate)
+		if need.Heard && server.pace.isActive(now) {
+			active = append(active, candidate)
 		}
 	}
-	if chosen := route.Roomiest(heard, r.Zone); chosen != nil && chosen.Standing() == route.Open {
-		return chosen
+	if target := route.Roomiest(active, r.Zone); target != nil && target.Standing() == route.Open {
+		return target
 	}
 	return route.Roomiest(candidates, r.Zone)
 }
 
-// Show notes the weight version that an answer has shown.
+// Show records the weight version that an answer reported.
 func (r *Roster) Show(server *Server, model string, version uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if version > 0 {
-		server.seen[model] = version
+		server.seenVersions[model] = version
 	}
 }
 
-// Seats returns the servers of a pool that may get work, with the weight
-// versions that they have shown.
+// Seats returns the servers of a pool that may get work, with the weight versions that
+// they reported last.
 func (r *Roster) Seats(pool string) []Entry {
 	entries := r.Entries(pool)
 	r.mutex.Lock()
@@ -156,8 +158,8 @@
 	return entries
 }
 
-// Beat notes the time between two events of a server, and returns its pace; 0 if that
-// isn't known.
+// Beat records the interval between two events of a server, and returns its pace; 0 if
+// unknown.
 func (r *Roster) Beat(server *Server, gap time.Duration) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -166,12 +168,12 @@
 	return server.pace.value(now)
 }
 
-// usualPace returns the pace that a quarter of the servers of a pool reach; 0 if
-// none is known. The very best one is often a chance.
-func (r *Roster) usualPace(pool string, now clock.Boot) time.Duration {
+// typicalPace returns the pace that the fastest quarter of a pool's servers reach; 0 if
+// none is known. The single fastest one is often an outlier.
+func (r *Roster) typicalPace(pool string, now clock.Boot) time.Duration {
 	var paces []time.Duration
-	for _, one := range r.pools[pool] {
-		if value := r.servers[one.Name()].pace.value(now); value > 0 {
+	for _, routed := range r.pools[pool] {
+		if value := r.servers[routed.Name()].pace.value(now); value > 0 {
 			paces = append(paces, value)
 		}
 	}
@@ -182,14 +184,14 @@
 	return paces[len(paces)/4]
 }
 
-func slowness(own, usual time.Duration) float64 {
-	if own == 0 || usual == 0 {
+func slowness(own, typical time.Duration) float64 {
+	if own == 0 || typical == 0 {
 		return 1
 	}
-	return float64(own) / float64(usual)
+	return float64(own) / float64(typical)
 }
 
-// version returns the weight version of a model that the server has shown last.
+// version returns the newest weight version of a model that the server has reported.
 func (s *Server) version(model string) uint64 {
-	return max(s.entry.Versions[model], s.seen[model])
+	return max(s.entry.Versions[model], s.seenVersions[model])
 }
--- a/internal/roster/faults.go
+++ b/internal/roster/faults.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// suspicion is how long a server that failed gets work only where no other
-	// is left; it doubles with each failure in a row, up to greatestSuspicion.
-	// The first is about the time of one registration.
-	suspicion         = time.Second
-	greatestSuspicion = 8 * time.Second
-	// fullPause is how long a server that refused for want of room, or failed, is
-	// passed over, about the time in which one of its requests ends; it doubles each
-	// time in a row up to greatestFullPause, a part of the time of a weight load.
-	fullPause         = 50 * time.Millisecond
-	greatestFullPause = 200 * time.Millisecond
+	// minSuspectTime is how long a server that failed gets work only where no other is
+	// left; it doubles with each consecutive failure, up to maxSuspectTime. The minimum
+	// is about the interval between registrations.
+	minSuspectTime = time.Second
+	maxSuspectTime = 8 * time.Second
+	// minFullBackoff is how long a server that refused for want of room, or failed, is
+	// skipped: about the time in which one of its requests ends. It doubles each
+	// consecutive time up to maxFullBackoff, a fraction of the time of a weight load.
+	minFullBackoff = 50 * time.Millisecond
+	maxFullBackoff = 200 * time.Millisecond
 )
 
-// Failed notes that a server could not be reached, or was silent.
+// Failed records that a server was unreachable or silent.
 //
-// A fault ends all requests at a server together. It counts once: what fails
-// before the server is asked again says nothing new.
+// A fault ends all requests at a server together and counts once: failures before the
+// server is tried again carry no new information.
 func (r *Roster) Failed(server *Server, reason string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
-	server.spares = nil
-	if server.failures > 0 && now < server.full {
+	server.idleConnections = nil
+	if server.failures > 0 && now < server.fullUntil {
 		return
 	}
-	server.passOver(now)
-	length := min(suspicion<<min(server.failures, 4), greatestSuspicion)
+	server.backOff(now)
+	length := min(minSuspectTime<<min(server.failures, 4), maxSuspectTime)
 	server.failures++
-	server.suspect = now.Add(length)
+	server.suspectUntil = now.Add(length)
 	klog.InfoS("roster: server is suspected", "server", server.Name(), "reason", reason, "failures", server.failures, "for", length)
 }
 
-// Full notes that a server refused a request for want of room.
+// Full records that a server refused a request for want of room.
 func (r *Roster) Full(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	server.passOver(clock.Now())
+	server.backOff(clock.Now())
 }
 
-// passOver keeps generations from a server for a moment, and then lets one at a
-// time ask it until it answers.
-func (s *Server) passOver(now clock.Boot) {
-	s.full = now.Add(min(fullPause<<min(s.refusals, 4), greatestFullPause))
+// backOff withholds generations from a server for a moment, and then sends it one at a
+// time as a probe until it answers.
+func (s *Server) backOff(now clock.Boot) {
+	s.fullUntil = now.Add(min(minFullBackoff<<min(s.refusals, 4), maxFullBackoff))
 	s.refusals++
-	s.isAsked = false
+	s.isProbed = false
 }
 
-// Replaced notes that another server answers at a server's address: this one is gone.
+// Replaced records that another server answers at a server's address: this one is gone.
 func (r *Roster) Replaced(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -65,13 +65,13 @@
 	}
 	klog.InfoS("roster: another server answers at the address", "server", server.Name(), "address", server.entry.Address)
 	server.SetStanding(route.Closed)
-	server.gone = true
+	server.isGone = true
 }
 
-// Answered notes that a server has answered.
+// Answered records that a server has answered.
 func (r *Roster) Answered(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	server.failures, server.suspect = 0, 0
-	server.refusals, server.isAsked = 0, false
+	server.failures, server.suspectUntil = 0, 0
+	server.refusals, server.isProbed = 0, false
 }
--- a/internal/roster/registrations.go
+++ b/internal/roster/registrations.go
@@ -8,38 +8,38 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// Set takes a registration.
+// Set applies a registration.
 func (r *Roster) Set(entry Entry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.prepare()
+	r.initMaps()
 	known := r.servers[entry.ID]
 	if known != nil && known.entry.Born > entry.Born {
-		klog.InfoS("roster: an older start of the server is passed over", "server", entry.ID, "born", entry.Born, "known", known.entry.Born)
+		klog.InfoS("roster: ignoring the registration of an older start of the server", "server", entry.ID, "born", entry.Born, "known", known.entry.Born)
 		return
 	}
 	if known == nil || known.entry.Born != entry.Born || known.entry.Address != entry.Address || known.entry.Pool != entry.Pool {
 		r.add(entry)
 	} else {
 		known.entry = entry
-		known.missing, known.gone = 0, false
+		known.missingSince, known.isGone = 0, false
 	}
 	server, now := r.servers[entry.ID], clock.Now()
 	server.TakeSlots(int64(entry.Slots))
-	server.chill(entry.Cold, now)
-	r.mark(server, now)
-	r.wake()
+	server.markCold(entry.Cold, now)
+	r.updateStanding(server, now)
+	r.notifyChanged()
 }
 
-// add takes a server that wasn't known, or one that has started again: nothing
-// of what was known before holds for it.
+// add adds a server that is new or has restarted: earlier state no longer applies to
+// it.
 func (r *Roster) add(entry Entry) {
 	r.drop(entry.ID)
-	klog.InfoS("roster: server", "server", entry.ID, "pool", entry.Pool, "address", entry.Address, "zone", entry.Zone, "born", entry.Born, "draining", entry.Draining)
+	klog.InfoS("roster: server registered", "server", entry.ID, "pool", entry.Pool, "address", entry.Address, "zone", entry.Zone, "born", entry.Born, "draining", entry.Draining)
 	server := &Server{
-		Server: route.NewServer(entry.ID, r.Region, entry.Zone),
-		entry:  entry,
-		seen:   map[string]uint64{},
+		Server:       route.NewServer(entry.ID, r.Region, entry.Zone),
+		entry:        entry,
+		seenVersions: map[string]uint64{},
 		direct: &backend.Direct{
 			Server: backend.Server{Address: "http://" + entry.Address, Name: entry.ID, Idle: r.Idle},
 			Wire:   r.Wire,
@@ -58,66 +58,66 @@
 	if known == nil {
 		return
 	}
-	known.gone = true
+	known.isGone = true
 	delete(r.servers, id)
 	pool := r.pools[known.entry.Pool]
-	for i, one := range pool {
-		if one == known.Server {
+	for i, routed := range pool {
+		if routed == known.Server {
 			r.pools[known.entry.Pool] = append(pool[:i:i], pool[i+1:]...)
 		}
 	}
 }
 
-// Remove takes the end of a registration.
+// Remove applies the end of a registration.
 //
-// Registrations lapse while the store is away though their servers live, and
-// are back within Back of its return; taking them as gone at once would leave
-// no server for that time. One that is still missing then is gone.
+// Registrations expire during an outage of the store while their servers live, and are
+// renewed within Back of its return; removing them at once would leave no server for
+// that time. A server that is still missing then is gone.
 func (r *Roster) Remove(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.prepare()
+	r.initMaps()
 	server := r.servers[id]
 	if server == nil {
 		return
 	}
 	now := clock.Now()
-	if r.lost || r.regained != 0 && now.Sub(r.regained) < r.Back {
-		klog.InfoS("roster: registration lapsed while the store was away", "server", id)
-		server.missing = now
+	if r.isStoreLost || r.regainedAt != 0 && now.Sub(r.regainedAt) < r.Back {
+		klog.InfoS("roster: registration expired during a store outage", "server", id)
+		server.missingSince = now
 		return
 	}
 	klog.InfoS("roster: registration ended", "server", id, "pool", server.entry.Pool)
 	server.SetStanding(route.Closed)
 	r.drop(id)
-	r.wake()
+	r.notifyChanged()
 }
 
-// Lost notes that the store no longer answers.
+// Lost records that the store no longer answers.
 func (r *Roster) Lost() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lost = true
+	r.isStoreLost = true
 }
 
-// Regained notes that the store answers again.
+// Regained records that the store answers again.
 func (r *Roster) Regained() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lost = false
-	r.regained = clock.Now()
+	r.isStoreLost = false
+	r.regainedAt = clock.Now()
 }
 
-// Listed notes that all registrations were read once.
+// Listed records that all registrations have been read once.
 func (r *Roster) Listed() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.listed = true
+	r.isListed = true
 }
 
-// IsListed reports whether the servers are known.
+// IsListed reports whether all registrations have been read once.
 func (r *Roster) IsListed() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.listed
+	return r.isListed
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster knows the backend servers that register themselves, and gives
-// each request one of them.
+// Package roster tracks the backend servers that register themselves, and selects one
+// for each request.
 package roster
 
 import (
@@ -13,36 +13,36 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// Roster holds the backend servers. Exported fields are set before the first call.
-// It is safe for concurrent use.
+// Roster holds the backend servers. Exported fields are set before the first call. It
+// is safe for concurrent use.
 type Roster struct {
 	Zone   string
 	Region string
 	Wire   backend.Wire
 	// Idle is how long an unused connection to a server is kept.
 	Idle time.Duration
-	// Cold says how many requests cold servers may be sent; nil bounds none.
+	// Cold limits the requests to cold servers; nil sets no limit.
 	Cold Cold
-	// Back is how long registrations that lapsed while the store was away may
-	// take to come back after its return.
+	// Back is how long servers whose registrations expired in a store outage may take to
+	// register again after it.
 	Back time.Duration
 
 	mutex   sync.Mutex
 	servers map[string]*Server
 	pools   map[string][]*route.Server
-	// zones are those in which a pool has or had a server.
+	// zones are the zones in which a pool has or had a server.
 	zones  map[string]map[string]bool
 	meters map[string]*meter
-	// slots are the last known mean slots of a pool's servers.
-	slots   map[string]float64
-	chooser *route.Chooser
-	// drained is since when this process knows that an operator has drained a zone.
-	drained map[string]clock.Boot
-	lost    bool
-	// regained is when the store answered again.
-	regained clock.Boot
-	changed  chan struct{}
-	listed   bool
+	// meanSlots are the last known mean slots of a pool's servers, by pool.
+	meanSlots map[string]float64
+	chooser   *route.Chooser
+	// drainedAt is when this process learned that an operator has drained a zone.
+	drainedAt   map[string]clock.Boot
+	isStoreLost bool
+	// regainedAt is when the store answered again.
+	regainedAt clock.Boot
+	changed    chan struct{}
+	isListed   bool
 }
 
 // Changed returns a channel that is closed at the next change of a registration
@@ -50,7 +50,7 @@
 func (r *Roster) Changed() <-chan struct{} {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.prepare()
+	r.initMaps()
 	return r.changed
 }
 
@@ -58,12 +58,12 @@
 func (r *Roster) Entries(pool string) []Entry {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.prepare()
+	r.initMaps()
 	now := clock.Now()
 	var entries []Entry
-	for _, one := range r.pools[pool] {
-		server := r.servers[one.Name()]
-		r.mark(server, now)
+	for _, routed := range r.pools[pool] {
+		server := r.servers[routed.Name()]
+		r.updateStanding(server, now)
 		if server.Standing() != route.Closed {
 			entries = append(entries, server.entry)
 		}
@@ -71,93 +71,93 @@
 	return entries
 }
 
-// Find returns a server that may get work by its identity, or nil.
+// Find returns the server with an ID if it may get work, or nil.
 func (r *Roster) Find(id string) *Server {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.prepare()
+	r.initMaps()
 	server := r.servers[id]
 	if server == nil {
 		return nil
 	}
-	r.mark(server, clock.Now())
+	r.updateStanding(server, clock.Now())
 	if server.Standing() == route.Closed {
 		return nil
 	}
 	return server
 }
 
-// Choose returns a server of a pool for a request, and counts it there until Finish.
+// Choose returns a server of a pool for a request, which counts there until Finish.
 func (r *Roster) Choose(pool string, tried map[string]bool) (*Server, route.Reason) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.prepare()
+	r.initMaps()
 	now := clock.Now()
-	for _, one := range r.pools[pool] {
-		server := r.servers[one.Name()]
-		r.mark(server, now)
-		if r.isTooCold(server, ByCaller, now) {
+	for _, routed := range r.pools[pool] {
+		server := r.servers[routed.Name()]
+		r.updateStanding(server, now)
+		if r.isOverColdLimit(server, ByCaller, now) {
 			server.SetStanding(route.Closed)
 		}
-		server.SetSpare(server.mayKeep() && server.hasSpare(now, r.Idle))
+		server.SetSpare(server.mayPreferConnection() && server.hasIdleConnection(now, r.Idle))
 	}
 	choice := r.chooser.Choose(r.pools[pool], route.Request{Now: time.Now(), Tried: tried})
 	if choice.Server == nil {
 		return nil, choice.Reason
 	}
-	return r.begin(choice.Server), choice.Reason
+	return r.startRequest(choice.Server), choice.Reason
 }
 
-// begin counts a request at a server until Finish. The mutex is held.
-func (r *Roster) begin(chosen *route.Server) *Server {
+// startRequest counts a request at a server until Finish. The mutex is held.
+func (r *Roster) startRequest(chosen *route.Server) *Server {
 	chosen.Begin()
 	server := r.servers[chosen.Name()]
-	server.sent.Add(clock.Now())
-	if last := len(server.spares) - 1; last >= 0 {
-		// The transport takes the connection that was used last.
-		server.spares = server.spares[:last]
+	server.recentSends.Add(clock.Now())
+	if last := len(server.idleConnections) - 1; last >= 0 {
+		// The transport reuses the most recently used connection.
+		server.idleConnections = server.idleConnections[:last]
 	}
-	r.meter(server.entry.Pool).run(1, clock.Now())
+	r.meter(server.entry.Pool).adjust(1, clock.Now())
 	return server
 }
 
-// Finish notes the end of a request that Choose or Place gave to a server.
+// Finish records the end of a request that Choose or Place assigned to a server.
 func (r *Roster) Finish(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	server.Finish()
-	server.spares = append(server.spares, clock.Now())
-	// Whatever came of the one that asked, the next one may ask: an end that says
-	// nothing of the server would otherwise keep all work from it for good.
-	server.isAsked = false
-	r.meter(server.entry.Pool).run(-1, clock.Now())
-	r.wake()
+	server.idleConnections = append(server.idleConnections, clock.Now())
+	// Every end allows the next probe: an end that says nothing about the server would
+	// otherwise withhold all generations from it forever.
+	server.isProbed = false
+	r.meter(server.entry.Pool).adjust(-1, clock.Now())
+	r.notifyChanged()
 }
 
-// Running returns the requests that this process has at a server.
+// Running returns the number of requests that this process has at a server.
 func (r *Roster) Running(server *Server) int64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return server.Own()
 }
 
-// mark sets whether a server gets new work now.
-func (r *Roster) mark(server *Server, now clock.Boot) {
+// updateStanding sets whether a server may get new work.
+func (r *Roster) updateStanding(server *Server, now clock.Boot) {
 	switch {
-	case server.gone, server.entry.Draining, r.isDrained(server.entry.Zone):
+	case server.isGone, server.entry.Draining, r.isDrained(server.entry.Zone):
 		server.SetStanding(route.Closed)
-	case server.missing != 0 && !r.lost && now.Sub(r.regained) >= r.Back:
-		klog.InfoS("roster: registration didn't come back", "server", server.Name())
-		server.gone = true
+	case server.missingSince != 0 && !r.isStoreLost && now.Sub(r.regainedAt) >= r.Back:
+		klog.InfoS("roster: registration was not renewed after a store outage", "server", server.Name())
+		server.isGone = true
 		server.SetStanding(route.Closed)
-	case now < server.suspect, now < server.full:
+	case now < server.suspectUntil, now < server.fullUntil:
 		server.SetStanding(route.Suspect)
 	default:
 		server.SetStanding(route.Open)
 	}
 }
 
-func (r *Roster) prepare() {
+func (r *Roster) initMaps() {
 	if r.servers != nil {
 		return
 	}
@@ -165,13 +165,13 @@
 	r.pools = map[string][]*route.Server{}
 	r.zones = map[string]map[string]bool{}
 	r.meters = map[string]*meter{}
-	r.slots = map[string]float64{}
+	r.meanSlots = map[string]float64{}
 	r.chooser = &route.Chooser{Region: r.Region, Zone: r.Zone}
-	r.drained = map[string]clock.Boot{}
+	r.drainedAt = map[string]clock.Boot{}
 	r.changed = make(chan struct{})
 }
 
-func (r *Roster) wake() {
+func (r *Roster) notifyChanged() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -25,23 +25,23 @@
 	return Entry{ID: id, Pool: pool, Address: "127.0.0.1:1", Zone: "a", Slots: slots, Born: 1, Versions: map[string]uint64{"m": 2}}
 }
 
-// beat tells the time between events of a server until its pace is known.
-func beat(roster *Roster, id string, gap time.Duration) {
-	for range leastPaceEvents + 100 {
+// setPace records events of a server until its pace is known.
+func setPace(roster *Roster, id string, gap time.Duration) {
+	for range minPaceEvents + 100 {
 		roster.Beat(roster.servers[id], gap)
 	}
 }
 
-// mustBeAskedByOne checks that a server that is no longer passed over is given
-// one generation, and not a second.
-func mustBeAskedByOne(t *testing.T, roster *Roster, server *Server, need Need) {
+// mustGetOneProbe checks that a server gets one generation, and not a second, once its
+// backoff has expired.
+func mustGetOneProbe(t *testing.T, roster *Roster, server *Server, need Need) {
 	t.Helper()
-	server.full = clock.Now()
+	server.fullUntil = clock.Now()
 	must.NotNil(t, roster.Place(need))
 	must.Nil(t, roster.Place(need))
 }
 
-func names(roster *Roster) []string {
+func entryIDs(roster *Roster) []string {
 	var found []string
 	for _, entry := range roster.Entries(pool) {
 		found = append(found, entry.ID)
@@ -70,21 +70,21 @@
 	})
 	t.Run("the slow one last", func(t *testing.T) {
 		roster := newRoster(sampler("s1", 2), sampler("s2", 2))
-		beat(roster, "s1", 150*time.Millisecond)
-		beat(roster, "s2", 50*time.Millisecond)
+		setPace(roster, "s1", 150*time.Millisecond)
+		setPace(roster, "s2", 50*time.Millisecond)
 		must.Eq(t, "s2", roster.Place(need).Name())
 		must.Eq(t, "s2", roster.Place(need).Name())
 		must.Eq(t, "s1", roster.Place(need).Name())
 	})
 }
 
-// Guards against a text that goes from one silent server of a lost zone to the next,
-// while others send events.
+// Guards against a generation that moves between the silent servers of a lost zone
+// while other servers send events.
 func TestPlaceAtServerThatIsHeard(t *testing.T) {
 	roster := newRoster(sampler("s1", 4), sampler("s2", 4), sampler("s3", 4))
 	need := Need{Pool: pool, Model: "m", Oldest: 2, Heard: true}
 	must.NotNil(t, roster.Place(need))
-	beat(roster, "s2", 20*time.Millisecond)
+	setPace(roster, "s2", 20*time.Millisecond)
 	for range 4 {
 		must.Eq(t, "s2", roster.Place(need).Name())
 	}
@@ -99,15 +99,15 @@
 	t.Run("not one that was heard long ago", func(t *testing.T) {
 		roster := newRoster(sampler("s1", 4), sampler("s2", 4))
 		busy := roster.Place(need)
-		beat(roster, busy.Name(), 20*time.Millisecond)
-		busy.pace.at -= clock.Boot(heardTime)
+		setPace(roster, busy.Name(), 20*time.Millisecond)
+		busy.pace.lastEventAt -= clock.Boot(activeWindow)
 		must.NotEq(t, busy.Name(), roster.Place(need).Name())
 	})
 }
 
-// A sampler loads weights and refuses all new work for a second. Eight items at
-// a time were sent to it twenty times a second, and each came back; the refusals
-// were half of all that samplers were sent.
+// Guards against floods of refused requests: a sampler that loads weights refuses all
+// new work for a second, and eight items at a time were sent to it twenty times a
+// second, half of all requests to samplers.
 func TestRefusingSamplerIsAskedByOne(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
 	need := Need{Pool: pool, Model: "m", Oldest: 2}
@@ -115,14 +115,14 @@
 	roster.Full(server)
 	roster.Finish(server)
 	must.Nil(t, roster.Place(need))
-	mustBeAskedByOne(t, roster, server, need)
+	mustGetOneProbe(t, roster, server, need)
 	roster.Answered(server)
 	must.NotNil(t, roster.Place(need))
 }
 
-// A sampler crashes. All others are full, and the items that wait go to it: each
-// is refused a connection within a millisecond, and sent there again. A thousand
-// tries a second and their log lines took the gateway's processor.
+// Guards against a retry loop: where all other samplers are full, the items that wait
+// go to a crashed one and are refused a connection within a millisecond. A thousand
+// attempts a second and their log lines used up the gateway's processor.
 func TestFailedSamplerIsAskedByOne(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
 	need := Need{Pool: pool, Model: "m", Oldest: 2}
@@ -130,7 +130,7 @@
 	roster.Failed(server, "unreachable")
 	roster.Finish(server)
 	must.Nil(t, roster.Place(need))
-	mustBeAskedByOne(t, roster, server, need)
+	mustGetOneProbe(t, roster, server, need)
 	t.Run("and gets its share again once it answers", func(t *testing.T) {
 		roster.Answered(server)
 		for range 7 {
@@ -139,9 +139,9 @@
 	})
 }
 
-// The one item that asks a sampler which failed is answered with a failure of its
-// run, or ended with its batch. Nothing was said of the sampler, and it got no
-// generation any more for as long as the gateway lived.
+// Guards against a server that gets no generation for the lifetime of the gateway: the
+// probe of a failed sampler ends with a failed run or with its batch, which says
+// nothing about the sampler.
 func TestAskerThatLearnsNothing(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
 	need := Need{Pool: pool, Model: "m", Oldest: 2}
@@ -149,49 +149,49 @@
 	roster.Failed(server, "cut")
 	roster.Finish(server)
 	for range 3 {
-		mustBeAskedByOne(t, roster, server, need)
+		mustGetOneProbe(t, roster, server, need)
 		roster.Finish(server)
 	}
 }
 
-// A fault slows one of two samplers by three. A run on it is worth moving only
-// if the other has a free slot and is not slow itself.
+// One of two samplers is three times slower. Moving a run from it is useful only if the
+// other has a free slot and is not slow itself.
 func TestIsBetter(t *testing.T) {
 	roster := newRoster(sampler("slow", 2), sampler("fast", 1))
 	need := Need{Pool: pool, Model: "m", Oldest: 2}
 	must.False(t, roster.IsBetter(roster.servers["slow"], need))
-	beat(roster, "slow", 150*time.Millisecond)
-	beat(roster, "fast", 50*time.Millisecond)
+	setPace(roster, "slow", 150*time.Millisecond)
+	setPace(roster, "fast", 50*time.Millisecond)
 	must.True(t, roster.IsBetter(roster.servers["slow"], need))
 	must.False(t, roster.IsBetter(roster.servers["fast"], need))
 	must.Eq(t, "fast", roster.Place(need).Name())
 	must.False(t, roster.IsBetter(roster.servers["slow"], need))
 }
 
-// The store goes away, and the registrations of samplers that live lapse. They
-// are back two seconds after its return; taken out at once, no request would
-// find a server for that long. One that doesn't come back is gone.
+// Guards against the removal of live samplers whose registrations expire in a store
+// outage: they register again within two seconds of its end, and no request would find
+// a server for that long. One that does not return is gone.
 func TestRegistrationsThatLapse(t *testing.T) {
 	roster := newRoster(sampler("s1", 2), sampler("s2", 2))
 	roster.Lost()
 	roster.Regained()
 	roster.Remove("s1")
 	roster.Remove("s2")
-	must.Eq(t, []string{"s1", "s2"}, names(roster))
+	must.Eq(t, []string{"s1", "s2"}, entryIDs(roster))
 	roster.Set(sampler("s1", 2))
-	roster.regained = clock.Now().Add(-roster.Back)
-	must.Eq(t, []string{"s1"}, names(roster))
+	roster.regainedAt = clock.Now().Add(-roster.Back)
+	must.Eq(t, []string{"s1"}, entryIDs(roster))
 }
 
 func TestRegistrationEnds(t *testing.T) {
 	roster := newRoster(sampler("s1", 2), sampler("s2", 2))
 	roster.Remove("s1")
-	must.Eq(t, []string{"s2"}, names(roster))
+	must.Eq(t, []string{"s2"}, entryIDs(roster))
 	must.Nil(t, roster.Find("s1"))
 }
 
-// A sampler crashes and starts again under its name. Its old registration comes
-// once more, late: the new start must not get its address back.
+// Guards against a late registration of a sampler's earlier start: it must not restore
+// the old address.
 func TestOlderStartIsPassedOver(t *testing.T) {
 	older, newer := sampler("s1", 2), sampler("s1", 2)
 	newer.Born, newer.Address = 2, "127.0.0.1:2"
@@ -199,8 +199,9 @@
 	must.Eq(t, newer.Address, roster.Find("s1").Entry().Address)
 }
 
-// An address is used again by another service. Its server says that it is not
-// the one meant; from then on the old one gets nothing, whatever the store says.
+// Guards against requests to an address that another service uses now: once its server
+// has said that it is not the intended one, the old server gets none, even while the
+// store lists it.
 func TestReplaced(t *testing.T) {
 	roster := newRoster(sampler("s1", 2))
 	roster.Replaced(roster.servers["s1"])
@@ -219,30 +220,30 @@
 	must.Eq(t, route.ReasonSuspect, reason)
 }
 
-// One fault resets all six connections to a sampler, which is well again at once.
-// Counted six times, it was passed over for 8 s in place of one.
+// Guards against counting one fault several times: it resets all six connections to a
+// sampler that recovers at once, and the sampler was avoided for 8 s instead of one.
 func TestOneFaultIsSuspectedOnce(t *testing.T) {
 	roster := newRoster(sampler("s1", 6), sampler("s2", 6))
 	for range 6 {
 		roster.Failed(roster.servers["s1"], "cut")
 	}
 	must.Eq(t, 1, roster.servers["s1"].failures)
-	must.LessEq(t, clock.Now().Add(suspicion), roster.servers["s1"].suspect)
+	must.LessEq(t, clock.Now().Add(minSuspectTime), roster.servers["s1"].suspectUntil)
 	t.Run("the next one counts", func(t *testing.T) {
-		roster.servers["s1"].full = clock.Now()
+		roster.servers["s1"].fullUntil = clock.Now()
 		roster.Failed(roster.servers["s1"], "cut")
 		must.Eq(t, 2, roster.servers["s1"].failures)
 	})
 }
 
-// A gateway is short of processor time and reads the events of a sampler in
-// bursts: none for 200 ms, then all at once. The sampler is not slow, and its
-// runs must not be moved.
+// Guards against taking bursts for a slow sampler: a gateway that is short of processor
+// time reads none of its events for 200 ms, then all at once. Its runs must not be
+// moved.
 func TestBurstsAreNotSlowness(t *testing.T) {
 	roster := newRoster(sampler("s1", 6), sampler("s2", 6), sampler("s3", 6), sampler("s4", 6))
 	need := Need{Pool: pool, Model: "m", Oldest: 2}
 	for _, id := range []string{"s1", "s2", "s3", "s4"} {
-		beat(roster, id, 50*time.Millisecond)
+		setPace(roster, id, 50*time.Millisecond)
 	}
 	for range 10 {
 		for range 3 {
@@ -253,12 +254,12 @@
 	}
 }
 
-// A gateway has few look-ups for many servers. Drawn anew each time, nearly every one
-// waited for a new connection.
+// Guards against a new connection for nearly every request: a gateway with few look-up
+// requests for many servers drew a random server each time.
 func TestUnusedConnectionFirst(t *testing.T) {
 	begin := func() *Roster {
 		roster := &Roster{Zone: "a", Idle: time.Minute}
-		roster.prepare()
+		roster.initMaps()
 		roster.chooser.Random = rand.New(rand.NewPCG(1, 2))
 		for _, id := range []string{"s1", "s2", "s3", "s4", "s5"} {
 			entry := sampler(id, 4)
@@ -291,7 +292,7 @@
 		roster := begin()
 		first := choose(roster)
 		roster.Finish(first)
-		first.spares[0] = first.spares[0].Add(-2 * roster.Idle)
+		first.idleConnections[0] = first.idleConnections[0].Add(-2 * roster.Idle)
 		_, reason := roster.Choose(pool, nil)
 		must.Eq(t, route.ReasonZone, reason)
 	})
@@ -301,7 +302,7 @@
 		"not at a sampler":                func(_ *Roster, server *Server) { server.entry.Versions = map[string]uint64{"m": 2} },
 		"not once a suspicion has ended": func(r *Roster, server *Server) {
 			r.Failed(server, "cut")
-			server.suspect, server.full = 0, 0
+			server.suspectUntil, server.fullUntil = 0, 0
 		},
 		"not at a server that is half full": func(_ *Roster, server *Server) {
 			server.Begin()
--- a/internal/roster/server.go
+++ b/internal/roster/server.go
@@ -15,14 +15,14 @@
 	Pool    string
 	Address string
 	Zone    string
-	// Slots is the number of requests that it runs at the same time.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots    int
 	Draining bool
-	// Cold is how much longer the server is cold, as of the registration.
+	// Cold is how much longer the server is cold at the time of the registration.
 	Cold time.Duration
-	// Born is the start of the server, milliseconds since 1970 UTC.
+	// Born is the start time of the server in milliseconds since 1970 UTC.
 	Born int64
-	// Versions of the weights by model.
+	// Versions are the weight versions by model.
 	Versions map[string]uint64
 }
 
@@ -32,30 +32,32 @@
 
 	entry  Entry
 	direct *backend.Direct
-	// seen holds versions that answers have shown since the registration.
-	seen map[string]uint64
-	// failures counts faults in a row.
-	failures int
-	suspect  clock.Boot
-	full     clock.Boot
-	// refusals counts refusals for want of room and failures in a row; while there
-	// are any, only one generation at a time is given to the server, to ask it.
+	// seenVersions are the weight versions that answers have reported since the
+	// registration, by model.
+	seenVersions map[string]uint64
+	// failures counts consecutive faults.
+	failures     int
+	suspectUntil clock.Boot
+	fullUntil    clock.Boot
+	// refusals counts consecutive refusals for want of room and failures; while it is
+	// not 0, the server gets only one generation at a time, as a probe.
 	refusals int
-	isAsked  bool
-	// missing is when the registration went while the store was away; zero if it is there.
-	missing clock.Boot
-	gone    bool
-	pace    pace
-	// spares are the connections that are open and unused, by when they were used last.
-	spares []clock.Boot
-	// isLate says that the last answer took longer than its caller wished.
+	isProbed bool
+	// missingSince is when the registration expired in a store outage; zero if it is
+	// present.
+	missingSince clock.Boot
+	isGone       bool
+	pace         pace
+	// idleConnections are the open unused connections, by the time of their last use.
+	idleConnections []clock.Boot
+	// isLate reports whether the last answer exceeded the latency target of its route.
 	isLate bool
-	// cold is until when the server is cold.
-	cold clock.Boot
-	sent cold.Sent
+	// coldUntil is when the server stops being cold.
+	coldUntil   clock.Boot
+	recentSends cold.Sent
 }
 
-// Direct returns the way to the server.
+// Direct returns the client of the server.
 func (s *Server) Direct() *backend.Direct { return s.direct }
 
 // Entry returns the newest registration.
--- a/internal/roster/zones_test.go
+++ b/internal/roster/zones_test.go
@@ -6,19 +6,19 @@
 	"github.com/shoenig/test/must"
 )
 
-func inZone(entry Entry, zone string) Entry {
+func withZone(entry Entry, zone string) Entry {
 	entry.Zone = zone
 	return entry
 }
 
-// Guards against work at servers of a zone that an operator has drained.
+// Guards against new work for servers of a zone that an operator has drained.
 func TestDrainedZone(t *testing.T) {
 	need := Need{Pool: pool, Model: "m", Oldest: 2}
-	twoZones := func() *Roster { return newRoster(inZone(sampler("s1", 2), "a"), inZone(sampler("s2", 2), "b")) }
+	twoZones := func() *Roster { return newRoster(withZone(sampler("s1", 2), "a"), withZone(sampler("s2", 2), "b")) }
 	t.Run("gets no work", func(t *testing.T) {
 		roster := twoZones()
 		roster.DrainZone("a")
-		must.Eq(t, []string{"s2"}, names(roster))
+		must.Eq(t, []string{"s2"}, entryIDs(roster))
 		must.Nil(t, roster.Find("s1"))
 		for range 2 {
 			must.Eq(t, "s2", roster.Place(need).Name())
@@ -30,8 +30,8 @@
 	t.Run("nor does a server that comes later", func(t *testing.T) {
 		roster := twoZones()
 		roster.DrainZone("a")
-		roster.Set(inZone(sampler("s3", 2), "a"))
-		must.Eq(t, []string{"s2"}, names(roster))
+		roster.Set(withZone(sampler("s3", 2), "a"))
+		must.Eq(t, []string{"s2"}, entryIDs(roster))
 	})
 	t.Run("what runs there ends by itself", func(t *testing.T) {
 		roster := newRoster(sampler("s1", 2))
@@ -52,7 +52,7 @@
 		changed = roster.Changed()
 		roster.RestoreZone("a")
 		<-changed
-		must.Eq(t, []string{"s1", "s2"}, names(roster))
+		must.Eq(t, []string{"s1", "s2"}, entryIDs(roster))
 	})
 	t.Run("all zones at once", func(t *testing.T) {
 		roster := twoZones()
