--- a/internal/refusal/http.go
+++ b/internal/refusal/http.go
@@ -11,7 +11,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// HeaderOutcome tells callers what is known of a request that was not answered.
+// HeaderOutcome names the header that tells callers what is known of a request that was
+// not answered.
 const HeaderOutcome = "X-Bramleyhatch-Outcome"
 
 // Body is the body of a refusal, as clients of the OpenAI protocol expect it.
@@ -28,8 +29,8 @@
 	Outcome string `json:"outcome"`
 }
 
-// Of returns err as a refusal. An error of another type becomes an internal
-// fault with the outcome unknown, and its text stays inside.
+// Of returns err as a refusal. An error of another type becomes an internal error with
+// unknown outcome, and its text is not exposed.
 func Of(err error) *Error {
 	var refusal *Error
 	if errors.As(err, &refusal) {
@@ -38,26 +39,25 @@
 	return Unknown(http.StatusInternalServerError, "internal", "internal fault")
 }
 
-// Write answers a request over HTTP with a refusal, in whole seconds for the return.
+// Write answers a request with a refusal; Retry-After is in whole seconds.
 func Write(w http.ResponseWriter, err error) {
 	write(w, err, func(retry time.Duration) string {
 		return strconv.FormatInt(int64(math.Ceil(float64(retry)/float64(time.Second))), 10)
 	})
 }
 
-// WriteExact answers like Write, with fractions of seconds for the return: for
-// callers that read them, a request that finds room in 100 ms need not stay
-// away for a second.
+// WriteExact is like Write with fractional seconds in Retry-After, for callers that
+// parse them: a request that finds room in 100 ms need not wait a second.
 func WriteExact(w http.ResponseWriter, err error) {
 	write(w, err, func(retry time.Duration) string {
 		return strconv.FormatFloat(retry.Seconds(), 'f', 3, 64)
 	})
 }
 
-func write(w http.ResponseWriter, err error, after func(time.Duration) string) {
+func write(w http.ResponseWriter, err error, formatRetry func(time.Duration) string) {
 	refusal := Of(err)
-	text, failed := json.Marshal(refusal.Body())
-	if failed != nil {
+	text, marshalErr := json.Marshal(refusal.Body())
+	if marshalErr != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -65,7 +65,7 @@
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderOutcome, refusal.outcome())
 	if refusal.Retry > 0 {
-		header.Set("Retry-After", after(refusal.Retry))
+		header.Set("Retry-After", formatRetry(refusal.Retry))
 	}
 	if refusal.Status == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
@@ -74,7 +74,7 @@
 	_, _ = w.Write(append(text, '\n'))
 }
 
-// Body returns the refusal as callers read it.
+// Body returns the response body of the refusal.
 func (e *Error) Body() Body {
 	return Body{Error: Detail{Message: e.Message, Type: e.kind(), Code: e.Code, Outcome: e.outcome()}}
 }
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -1,4 +1,4 @@
-// Package refusal holds the one error type by which the system refuses a request.
+// Package refusal defines the error type by which the system refuses a request.
 package refusal
 
 import (
@@ -11,21 +11,23 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Error says that a request is not answered and what is known of it.
-// Its fields are set by the part that refuses and read by the part that answers the caller.
+// Error reports a request that was refused and what is known about its execution. Its
+// fields are set by the component that refuses and read by the one that answers the
+// caller.
 type Error struct {
-	// Outcome is OUTCOME_NOT_RUN only where it is proved that no backend server saw the request.
+	// Outcome is OUTCOME_NOT_RUN only where it is certain that no backend server
+	// received the request.
 	Outcome peerpb.Outcome
 	// Status is the HTTP status for the caller.
 	Status int
 	// Code is a short name of the reason, such as "rate_limited".
 	Code    string
 	Message string
-	// Retry tells the caller when to come back; 0 says nothing.
+	// Retry is how long the caller should wait before a retry; 0 if unspecified.
 	Retry time.Duration
 }
 
-// NotRun returns a refusal of a request that no backend server has seen.
+// NotRun returns a refusal of a request that no backend server received.
 func NotRun(status int, code, format string, arguments ...any) *Error {
 	return &Error{Outcome: peerpb.Outcome_OUTCOME_NOT_RUN, Status: status, Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
@@ -35,7 +37,7 @@
 	return &Error{Outcome: peerpb.Outcome_OUTCOME_UNKNOWN, Status: status, Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// FromMessage returns the refusal that another process sent.
+// FromMessage decodes a refusal from another process.
 func FromMessage(message *peerpb.Refusal) *Error {
 	return &Error{
 		Outcome: message.GetOutcome(),
@@ -46,12 +48,12 @@
 	}
 }
 
-// Error gives the reason and what is known of the request.
+// Error returns the code, the message and the outcome.
 func (e *Error) Error() string {
 	return e.Code + ": " + e.Message + " (" + e.OutcomeText() + ")"
 }
 
-// ToMessage returns the refusal as it is sent to another process.
+// ToMessage encodes the refusal for another process.
 func (e *Error) ToMessage() *peerpb.Refusal {
 	return peerpb.Refusal_builder{
 		Outcome: e.Outcome,
@@ -70,13 +72,13 @@
 	return "outcome unknown"
 }
 
-// After sets when the caller should come back.
+// After sets how long the caller should wait before a retry.
 func (e *Error) After(retry time.Duration) *Error {
 	e.Retry = retry
 	return e
 }
 
-// IsNotRun reports whether err proves that no backend server saw the request.
+// IsNotRun reports whether err proves that no backend server received the request.
 func IsNotRun(err error) bool {
 	var refusal *Error
 	return errors.As(err, &refusal) && refusal.Outcome == peerpb.Outcome_OUTCOME_NOT_RUN
