--- a/internal/detour/detour.go
+++ b/internal/detour/detour.go
@@ -1,5 +1,5 @@
-// Package detour makes calls of the platform's store: directly, or through
-// another process of the system while the store turns this host away.
+// Package detour sends requests to the platform's store: directly, or through another
+// process of the system while the store rejects this host's requests.
 package detour
 
 import (
@@ -17,91 +17,90 @@
 )
 
 const (
-	// directAgain is the time between two looks whether the store serves this host
-	// again. A look every second costs a call a second during an outage and finds
-	// its end that soon.
-	directAgain = time.Second
+	// directCheckInterval is the time between two checks whether the store serves this
+	// host again. A check every second costs one call a second during an outage and
+	// detects its end that soon.
+	directCheckInterval = time.Second
 )
 
-// Call is one call of the store.
+// Call is one request to the store.
 type Call struct {
 	Method string
 	// Target is the path and query.
 	Target string
-	// Body is nil for none.
+	// Body is nil where there is none.
 	Body []byte
-	// Timeout bounds the wait for the answer.
+	// Timeout bounds the wait for the response.
 	Timeout time.Duration
-	// Probe marks a call that does no harm when it is made twice: such calls find
-	// out whether the store serves this host again.
+	// Probe marks a call that may safely be made twice: such calls check whether the
+	// store serves this host again.
 	Probe bool
 }
 
-// Answer is the store's answer.
+// Answer is the store's response.
 type Answer struct {
 	Status int
 	Body   []byte
 }
 
-// Peers makes calls through other processes.
+// Peers relays calls through other processes.
 type Peers interface {
-	// Detour makes the call through another process. It reports a call that was
-	// answered, one that may have been made without an answer, or none.
+	// Detour sends the call through another process. It reports whether the call was
+	// answered, may have been made without an answer, or was not made.
 	Detour(ctx context.Context, call Call) (Answer, Made)
 }
 
-// Made says what became of a call that was given to another process.
+// Made is the result of a call that was relayed through another process.
 type Made int
 
-// What became of it.
+// Results of relayed calls.
 const (
 	// NotMade calls reached no process.
 	NotMade Made = iota
-	// Unsure calls may have been made, or may be made later.
+	// Unsure calls may have been made, or may still be made.
 	Unsure
-	// Answered calls have their answer.
+	// Answered calls have an answer.
 	Answered
 )
 
-// UnsureError says that a call was turned away on one way and may have been made
-// on another.
+// UnsureError reports a call that one attempt got rejected and another may have made.
 type UnsureError struct {
 	Status int
 }
 
-// Error names the status.
 func (e *UnsureError) Error() string {
 	return "turned away with " + strconv.Itoa(e.Status) + " after a try without an answer"
 }
 
-// Caller makes calls directly, or through peers while that fails.
-// Exported fields are set before the first call. It is safe for concurrent use.
+// Caller makes calls directly, or through peers while direct calls fail. Exported
+// fields are set before the first call. It is safe for concurrent use.
 type Caller struct {
 	Direct *Direct
 	// Peers is nil where there are none.
 	Peers Peers
-	// Metrics takes the caller's metrics; nil keeps them to itself.
+	// Metrics registers the caller's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
 
 	once  sync.Once
 	calls *prometheus.CounterVec
 	mutex sync.Mutex
-	// away is when the direct way was looked at last while it failed; zero while it works.
-	away clock.Boot
+	// directFailedAt is when direct calls last failed or were last checked; zero while
+	// they work.
+	directFailedAt clock.Boot
 }
 
 // Do makes one call.
 //
-// The store may turn some hosts away and serve the others. A gateway that only
-// asked directly would lose its leases, its batches and the view of withdrawn
-// keys though every other gateway could ask for it. All changes are conditional,
-// so one that was done without an answer and is sent again does no harm.
+// The store may reject some hosts while it serves the others. A gateway with direct
+// calls only would lose its leases, its batches and updates on withdrawn keys though
+// every other gateway could make the calls for it. All writes are conditional, so one
+// that was applied without an answer may safely be sent again.
 func (c *Caller) Do(ctx context.Context, call Call) (Answer, error) {
 	c.once.Do(func() { c.calls = newCalls(c.Metrics) })
 	isUnsure := false
-	if c.isAway() {
-		if call.Probe && c.isDue() {
-			go c.look(context.WithoutCancel(ctx), call)
+	if c.isDirectDown() {
+		if call.Probe && c.claimDirectCheck() {
+			go c.checkDirect(context.WithoutCancel(ctx), call)
 		}
 		answer, made := c.detour(ctx, call)
 		if made == Answered {
@@ -111,26 +110,26 @@
 	}
 	answer, err := c.direct(ctx, call)
 	if err == nil && !platform.IsTurnedAway(answer.Status) {
-		c.reached()
+		c.markReachable()
 		return answer, nil
 	}
 	isUnsure = isUnsure || err != nil
-	var long *LongAnswerError
-	if ctx.Err() != nil || errors.As(err, &long) {
-		return sure(answer, err, isUnsure)
+	var longAnswer *LongAnswerError
+	if ctx.Err() != nil || errors.As(err, &longAnswer) {
+		return unsureIfRejected(answer, err, isUnsure)
 	}
-	c.turnedAway(call, answer.Status, err)
+	c.markUnreachable(call, answer.Status, err)
 	detoured, made := c.detour(ctx, call)
 	if made == Answered {
-		return sure(detoured, nil, isUnsure)
+		return unsureIfRejected(detoured, nil, isUnsure)
 	}
-	return sure(answer, err, isUnsure || made == Unsure)
+	return unsureIfRejected(answer, err, isUnsure || made == Unsure)
 }
 
-// sure keeps a refusal from standing for a call of which another try may have
-// been made: the caller would take it that nothing was done, while the store
-// does it a second later.
-func sure(answer Answer, err error, isUnsure bool) (Answer, error) {
+// unsureIfRejected returns UnsureError in place of a rejection if another attempt may
+// have been made: the caller would conclude that nothing was done, while the store
+// applies the call a second later.
+func unsureIfRejected(answer Answer, err error, isUnsure bool) (Answer, error) {
 	if err == nil && isUnsure && platform.IsTurnedAway(answer.Status) {
 		return Answer{}, &UnsureError{Status: answer.Status}
 	}
@@ -141,11 +140,11 @@
 	answer, err := c.Direct.Do(ctx, call)
 	switch {
 	case err != nil:
-		c.calls.WithLabelValues(wayDirect, resultNone).Inc()
+		c.calls.WithLabelValues(wayDirect, resultNoAnswer).Inc()
 	case platform.IsTurnedAway(answer.Status):
-		c.calls.WithLabelValues(wayDirect, resultAway).Inc()
+		c.calls.WithLabelValues(wayDirect, resultTurnedAway).Inc()
 	default:
-		c.calls.WithLabelValues(wayDirect, resultDone).Inc()
+		c.calls.WithLabelValues(wayDirect, resultAnswered).Inc()
 	}
 	return answer, err
 }
@@ -157,56 +156,57 @@
 	}
 	answer, made := c.Peers.Detour(ctx, call)
 	if made == Answered {
-		c.calls.WithLabelValues(wayDetour, resultDone).Inc()
+		c.calls.WithLabelValues(wayDetour, resultAnswered).Inc()
 	} else {
-		c.calls.WithLabelValues(wayDetour, resultNone).Inc()
+		c.calls.WithLabelValues(wayDetour, resultNoAnswer).Inc()
 	}
 	return answer, made
 }
 
-func (c *Caller) isAway() bool {
+func (c *Caller) isDirectDown() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.away != 0
+	return c.directFailedAt != 0
 }
 
-// isDue reports whether the direct way is to be looked at, and counts the look.
-func (c *Caller) isDue() bool {
+// claimDirectCheck reports whether a direct check is due, and starts the next interval
+// if so.
+func (c *Caller) claimDirectCheck() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := clock.Now()
-	if now.Sub(c.away) < directAgain {
+	if now.Sub(c.directFailedAt) < directCheckInterval {
 		return false
 	}
-	c.away = now
+	c.directFailedAt = now
 	return true
 }
 
-// look makes a call directly to find out whether the store serves this host again.
+// checkDirect makes a direct call to check whether the store serves this host again.
 //
-// Nothing waits for it. A host that is cut off without an error waits out its
-// whole timeout on each direct call, and callers of its batches would with it.
-func (c *Caller) look(ctx context.Context, call Call) {
-	answer, err := c.Direct.ask(ctx, call)
+// It runs in the background: a host that is cut off without an error spends the whole
+// timeout on each direct call, and so would callers of its batches.
+func (c *Caller) checkDirect(ctx context.Context, call Call) {
+	answer, err := c.Direct.exchange(ctx, call)
 	if err == nil && !platform.IsTurnedAway(answer.Status) {
-		c.reached()
+		c.markReachable()
 	}
 }
 
-func (c *Caller) reached() {
+func (c *Caller) markReachable() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.away != 0 {
-		klog.InfoS("store: regained")
+	if c.directFailedAt != 0 {
+		klog.InfoS("store: direct calls succeed again")
 	}
-	c.away = 0
+	c.directFailedAt = 0
 }
 
-func (c *Caller) turnedAway(call Call, status int, err error) {
+func (c *Caller) markUnreachable(call Call, status int, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.away == 0 {
-		klog.InfoS("store: lost", "call", call.Method+" "+call.Target, "status", status, "err", err)
+	if c.directFailedAt == 0 {
+		klog.InfoS("store: direct calls fail", "call", call.Method+" "+call.Target, "status", status, "err", err)
 	}
-	c.away = clock.Now()
+	c.directFailedAt = clock.Now()
 }
--- a/internal/detour/detour_test.go
+++ b/internal/detour/detour_test.go
@@ -15,20 +15,21 @@
 	"github.com/shoenig/test/wait"
 )
 
-// way is a peer that makes calls, or can't.
-type way struct {
+// fakePeers answers relayed calls with a fixed result.
+type fakePeers struct {
 	calls atomic.Int64
 	made  Made
-	// status is that of its answers; 0 is 200.
+	// status is the status of its answers; 0 means 200.
 	status int
 }
 
-func (w *way) Detour(context.Context, Call) (Answer, Made) {
-	w.calls.Add(1)
-	return Answer{Status: max(http.StatusOK, w.status), Body: []byte("by a peer")}, w.made
+func (p *fakePeers) Detour(context.Context, Call) (Answer, Made) {
+	p.calls.Add(1)
+	return Answer{Status: max(http.StatusOK, p.status), Body: []byte("by a peer")}, p.made
 }
 
-// newStore returns a store that answers with a status, and a count of its calls.
+// newStore returns a client of a store that answers with a status, and a count of the
+// calls to it.
 func newStore(t *testing.T, status *atomic.Int64) (*Direct, *atomic.Int64) {
 	t.Helper()
 	calls := &atomic.Int64{}
@@ -45,13 +46,14 @@
 	return caller.Do(t.Context(), Call{Method: http.MethodGet, Target: "/x", Timeout: 300 * time.Millisecond})
 }
 
-// The store turns a gateway away for seconds. Its calls go through another one
-// at once; a look now and then finds that the store serves it again.
+// Guards against failed calls while the store rejects a gateway for seconds: they go
+// through another gateway at once, and a check now and then detects that the store
+// serves this one again.
 func TestTurnedAway(t *testing.T) {
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
 	direct, calls := newStore(t, status)
-	peer := &way{made: Answered}
+	peer := &fakePeers{made: Answered}
 	caller := &Caller{Direct: direct, Peers: peer}
 	for range 10 {
 		answer, err := do(t, caller)
@@ -61,25 +63,25 @@
 	must.Eq(t, 1, calls.Load())
 	must.Eq(t, 10, peer.calls.Load())
 	status.Store(http.StatusOK)
-	caller.away = caller.away.Add(-directAgain)
+	caller.directFailedAt = caller.directFailedAt.Add(-directCheckInterval)
 	_, err := caller.Do(t.Context(), Call{Method: http.MethodPost, Target: "/x", Timeout: 300 * time.Millisecond, Probe: true})
 	must.NoError(t, err)
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return !caller.isAway() }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return !caller.isDirectDown() }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
 	_, err = do(t, caller)
 	must.NoError(t, err)
 	must.Eq(t, 11, peer.calls.Load())
 }
 
-// A gateway is cut off from the store without an error. No call waits for the
-// direct way again and again; its batches were accepted 0.7 s late for that.
+// Guards against repeated waits for direct calls on a gateway that is cut off from the
+// store without an error: batches were accepted 0.7 s late.
 func TestSilentStoreIsNotWaitedFor(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &way{made: Answered}}
+	caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{made: Answered}}
 	_, err = do(t, caller)
 	must.NoError(t, err)
-	caller.away = caller.away.Add(-directAgain)
+	caller.directFailedAt = caller.directFailedAt.Add(-directCheckInterval)
 	began := time.Now()
 	for range 5 {
 		_, err := do(t, caller)
@@ -88,13 +90,12 @@
 	must.Less(t, 200*time.Millisecond, time.Since(began))
 }
 
-// A refusal of the store for the call itself is an answer, and no reason to ask
-// through others.
+// A refusal of the call itself is an answer and is not retried through others.
 func TestAnswersAreFinal(t *testing.T) {
 	status := &atomic.Int64{}
 	status.Store(http.StatusPreconditionFailed)
 	direct, _ := newStore(t, status)
-	peer := &way{made: Answered}
+	peer := &fakePeers{made: Answered}
 	answer, err := do(t, &Caller{Direct: direct, Peers: peer})
 	must.NoError(t, err)
 	must.Eq(t, http.StatusPreconditionFailed, answer.Status)
@@ -102,14 +103,14 @@
 }
 
 func TestNoWay(t *testing.T) {
-	caller := &Caller{Direct: &Direct{Address: "127.0.0.1:1"}, Peers: &way{}}
+	caller := &Caller{Direct: &Direct{Address: "127.0.0.1:1"}, Peers: &fakePeers{}}
 	_, err := do(t, caller)
 	must.Error(t, err)
 }
 
-// A batch is sent to the store, and no answer comes: the store may hold it. The
-// other way then says 503. Told "nothing runs", the trainer would be told an
-// untruth as soon as the first try is done.
+// Guards against a rejection in place of an unknown outcome: the first attempt at
+// storing a batch gets no answer, the second is rejected with 503. The trainer must not
+// be told that nothing runs, which is false as soon as the first attempt is applied.
 func TestUnsureIsNoRefusal(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -119,23 +120,23 @@
 	refusing, _ := newStore(t, status)
 	var unsure *UnsureError
 	t.Run("direct without an answer, refused through a peer", func(t *testing.T) {
-		caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &way{made: Answered, status: http.StatusServiceUnavailable}}
+		caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{made: Answered, status: http.StatusServiceUnavailable}}
 		_, err := do(t, caller)
 		must.True(t, errors.As(err, &unsure))
 	})
 	t.Run("refused directly, without an answer through a peer", func(t *testing.T) {
-		_, err := do(t, &Caller{Direct: refusing, Peers: &way{made: Unsure}})
+		_, err := do(t, &Caller{Direct: refusing, Peers: &fakePeers{made: Unsure}})
 		must.True(t, errors.As(err, &unsure))
 	})
 	t.Run("refused on both ways", func(t *testing.T) {
-		answer, err := do(t, &Caller{Direct: refusing, Peers: &way{made: NotMade}})
+		answer, err := do(t, &Caller{Direct: refusing, Peers: &fakePeers{made: NotMade}})
 		must.NoError(t, err)
 		must.Eq(t, http.StatusServiceUnavailable, answer.Status)
 	})
 }
 
-// The store is away for seconds. All parts of all gateways ask it again and
-// again, and their calls take up its limit just as it comes back.
+// Guards against overload of a store that recovers: after an outage of seconds,
+// repeated calls from all parts of all gateways would use up its rate limit.
 func TestRefusalIsRemembered(t *testing.T) {
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
@@ -148,7 +149,7 @@
 	}
 	must.Eq(t, 1, calls.Load())
 	status.Store(http.StatusOK)
-	time.Sleep(refusedFor)
+	time.Sleep(rejectionTTL)
 	answer, err := direct.Do(t.Context(), call)
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, answer.Status)
@@ -164,9 +165,9 @@
 	})
 }
 
-// A gateway on a narrow link reads a megabyte of outcomes, which take longer than
-// a call may. The store is well; taken for lost, all calls of the process went
-// through others for a second, and the megabyte a second time over the same link.
+// Guards against taking a slow download for an outage: a megabyte of outcomes takes
+// longer than the timeout on a narrow link. All calls of the process went through
+// others for a second, and the megabyte crossed the same link twice.
 func TestLongAnswerIsNoLoss(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "1000")
@@ -175,23 +176,23 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(server.Close)
-	peer := &way{made: Answered}
+	peer := &fakePeers{made: Answered}
 	caller := &Caller{Direct: &Direct{Address: strings.TrimPrefix(server.URL, "http://")}, Peers: peer}
 	_, err := do(t, caller)
-	var long *LongAnswerError
-	must.True(t, errors.As(err, &long))
-	must.False(t, caller.isAway())
+	var longAnswer *LongAnswerError
+	must.True(t, errors.As(err, &longAnswer))
+	must.False(t, caller.isDirectDown())
 	must.Eq(t, 0, peer.calls.Load())
 }
 
-// The store's machine is up and resets every connection. All calls of all
-// gateways were made again each tenth of a second, four and a half thousand in
-// five seconds.
+// Guards against floods of calls while the store's host resets every connection: all
+// calls of all gateways were retried each tenth of a second, four and a half thousand
+// in five seconds.
 func TestResetsAreRemembered(t *testing.T) {
-	calls, isWell := &atomic.Int64{}, &atomic.Bool{}
+	calls, isHealthy := &atomic.Int64{}, &atomic.Bool{}
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		calls.Add(1)
-		if !isWell.Load() {
+		if !isHealthy.Load() {
 			panic(http.ErrAbortHandler)
 		}
 	}))
@@ -202,17 +203,17 @@
 		answer, err := direct.Do(t.Context(), call)
 		must.True(t, err != nil || answer.Status == http.StatusServiceUnavailable)
 	}
-	must.Eq(t, resetsInRow, calls.Load())
-	isWell.Store(true)
-	time.Sleep(refusedFor)
+	must.Eq(t, maxResets, calls.Load())
+	isHealthy.Store(true)
+	time.Sleep(rejectionTTL)
 	answer, err := direct.Do(t.Context(), call)
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, answer.Status)
 	t.Run("one that is cut says nothing of the others", func(t *testing.T) {
-		isWell.Store(false)
+		isHealthy.Store(false)
 		_, err := direct.Do(t.Context(), call)
 		must.Error(t, err)
-		isWell.Store(true)
+		isHealthy.Store(true)
 		answer, err := direct.Do(t.Context(), call)
 		must.NoError(t, err)
 		must.Eq(t, http.StatusOK, answer.Status)
--- a/internal/detour/direct.go
+++ b/internal/detour/direct.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	// refusedFor is how long a refusal of the store, or a connection that could not
-	// be had, stands for the calls after it: as long as the parts of a process wait
-	// until they ask again, so that they ask once and not each by itself.
-	refusedFor = 100 * time.Millisecond
-	// resetsInRow is how many calls in a row must end without an answer and before
-	// their time until that stands for the next ones as well: single connections,
-	// such as that of a waiting watch, are cut while the store is well.
-	resetsInRow = 2
-	// maxAnswerBytes is above the largest page of the store, base64 included.
+	// rejectionTTL is how long a rejection by the store, or a failed connection
+	// attempt, is assumed for later calls: as long as the parts of a process wait
+	// before they ask again, so that they share one call.
+	rejectionTTL = 100 * time.Millisecond
+	// maxResets is the number of consecutive calls that end without an answer before
+	// their timeout, from which on later calls are rejected too: single connections,
+	// such as that of a waiting watch, are cut while the store is healthy.
+	maxResets = 2
+	// maxAnswerBytes is above the size of the largest page of the store, including
+	// base64.
 	maxAnswerBytes = 16 << 20
 )
 
-// LongAnswerError says that the store answered, and its answer did not come
-// whole in time. The store is well; over another process the same bytes would
-// come through the same link.
+// LongAnswerError reports that the store answered, and the answer did not arrive
+// completely in time. The store is healthy; through another process the same bytes
+// would cross the same link.
 type LongAnswerError struct {
 	// Target is the path and query of the call.
 	Target string
-	// Bytes are those that came.
+	// Bytes is the number of bytes received.
 	Bytes   int
 	Timeout time.Duration
 }
 
-// Error names the call and what came of its answer.
 func (e *LongAnswerError) Error() string {
 	return "the answer to " + e.Target + " did not come whole within " + e.Timeout.String() + ": " + strconv.Itoa(e.Bytes) + " bytes"
 }
@@ -53,61 +53,62 @@
 	once   sync.Once
 	client httpc.Service
 	mutex  sync.Mutex
-	// refused is when the store turned a call away last; zero if it did not.
-	refused clock.Boot
-	// resets counts calls in a row that ended without an answer and before their time.
+	// rejectedAt is when the store last rejected a call or could not be reached; zero
+	// if the last call succeeded.
+	rejectedAt clock.Boot
+	// resets counts consecutive calls that ended without an answer before their
+	// timeout.
 	resets int
 }
 
-// Do makes one call. For a moment after the store has turned a call away, the
-// next ones are not made and count as turned away too.
+// Do makes one call. For rejectionTTL after a rejection, calls are not made and are
+// reported as rejected too.
 //
-// While the store is away, all parts of all processes learn of it by calls of their
-// own, and help each other by more. Unbounded, these took up the store's limit just as
-// it came back.
+// During an outage of the store all parts of all processes detect it by calls of their
+// own, and relay calls for each other. Unbounded, these calls used up the store's rate
+// limit just as it recovered.
 func (d *Direct) Do(ctx context.Context, call Call) (Answer, error) {
-	if d.isRefused() {
+	if d.isRejected() {
 		return Answer{Status: http.StatusServiceUnavailable}, nil
 	}
-	return d.ask(ctx, call)
+	return d.exchange(ctx, call)
 }
 
-// ask makes one call, whatever became of those before.
-func (d *Direct) ask(ctx context.Context, call Call) (Answer, error) {
+// exchange makes one call, regardless of earlier ones.
+func (d *Direct) exchange(ctx context.Context, call Call) (Answer, error) {
 	answer, err := d.send(ctx, call)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	switch {
 	case err == nil && !platform.IsTurnedAway(answer.Status):
-		d.refused, d.resets = 0, 0
-	case err == nil, isNoConnection(err):
-		d.refused = clock.Now()
+		d.rejectedAt, d.resets = 0, 0
+	case err == nil, isDialError(err):
+		d.rejectedAt = clock.Now()
 	case ctx.Err() == nil && !isTimeout(err):
 		d.resets++
-		if d.resets >= resetsInRow {
-			d.refused = clock.Now()
+		if d.resets >= maxResets {
+			d.rejectedAt = clock.Now()
 		}
 	}
 	return answer, err
 }
 
-func (d *Direct) isRefused() bool {
+func (d *Direct) isRejected() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.refused != 0 && clock.Now().Sub(d.refused) < refusedFor
+	return d.rejectedAt != 0 && clock.Now().Sub(d.rejectedAt) < rejectionTTL
 }
 
-// isTimeout reports whether a call ended with its own time.
+// isTimeout reports whether a call ended by its own timeout.
 func isTimeout(err error) bool {
-	var long *LongAnswerError
-	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &long)
+	var longAnswer *LongAnswerError
+	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &longAnswer)
 }
 
-// isNoConnection reports whether a call was not sent since there was no
-// connection to send it on.
-func isNoConnection(err error) bool {
-	var fault *net.OpError
-	return errors.As(err, &fault) && fault.Op == "dial" && !fault.Timeout()
+// isDialError reports whether a call was not sent because connecting failed.
+func isDialError(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial" && !opErr.Timeout()
 }
 
 func (d *Direct) send(ctx context.Context, call Call) (Answer, error) {
--- a/internal/detour/metrics.go
+++ b/internal/detour/metrics.go
@@ -2,13 +2,13 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Ways of calls, and their results.
+// Values of the labels way and result.
 const (
-	wayDirect  = "direct"
-	wayDetour  = "detour"
-	resultDone = "answered"
-	resultAway = "turned_away"
-	resultNone = "no_answer"
+	wayDirect        = "direct"
+	wayDetour        = "detour"
+	resultAnswered   = "answered"
+	resultTurnedAway = "turned_away"
+	resultNoAnswer   = "no_answer"
 )
 
 func newCalls(registerer prometheus.Registerer) *prometheus.CounterVec {
