--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -29,8 +29,8 @@
 	must.Eq(t, "b", route.Pool(1))
 }
 
-// A read of the store shows an older version than a watch has brought already.
-// Taken, a key that was withdrawn would work again.
+// Guards against a withdrawn key that works again: a read of the store may return an
+// older version than a watch has delivered already.
 func TestVersionsDoNotFall(t *testing.T) {
 	view := &table.View{}
 	must.Nil(t, view.Current())
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -6,8 +6,8 @@
 	"k8s.io/klog/v2"
 )
 
-// View is the newest table that a process knows. Its zero value knows none.
-// It is safe for concurrent use.
+// View holds the newest table that a process knows. Its zero value has none. It is safe
+// for concurrent use.
 type View struct {
 	current atomic.Pointer[Table]
 }
@@ -15,19 +15,19 @@
 // Current returns the table in force, or nil.
 func (v *View) Current() *Table { return v.current.Load() }
 
-// Take puts a table in force if its version is higher than that of the present
-// one. It reports whether it did.
+// Take puts a table in force if its version is higher than that of the current one. It
+// reports whether it did.
 //
-// A read of the store may be older than what a watch has brought already; a key
-// that was withdrawn would then work again for a moment.
+// A read of the store may be older than what a watch has delivered already; a withdrawn
+// key would then work again for a moment.
 func (v *View) Take(next *Table) bool {
 	for {
-		now := v.current.Load()
-		if now != nil && now.Version >= next.Version {
+		current := v.current.Load()
+		if current != nil && current.Version >= next.Version {
 			return false
 		}
-		if v.current.CompareAndSwap(now, next) {
-			klog.InfoS("table: a version is in force", "version", next.Version, "routes", len(next.Routes), "pools", len(next.Pools), "keys", len(next.Keys))
+		if v.current.CompareAndSwap(current, next) {
+			klog.InfoS("table: new version in force", "version", next.Version, "routes", len(next.Routes), "pools", len(next.Pools), "keys", len(next.Keys))
 			return true
 		}
 	}
