--- /dev/null
+++ b/internal/roster/connections.go
@@ -0,0 +1,31 @@
+package roster
+
+import (
+	"time"
+
+	"github.com/bramleyhatch/bramleyhatch/internal/clock"
+)
+
+// Timed records whether an answer exceeded the latency target of its route. A server
+// that does is not preferred for its connections.
+func (r *Roster) Timed(server *Server, isLate bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	server.isLate = isLate
+}
+
+// mayPreferConnection reports whether a server may be preferred for its open
+// connections. On a server with models each additional request slows down all its
+// generations, which costs a caller more than a new connection.
+func (s *Server) mayPreferConnection() bool { return len(s.entry.Versions) == 0 && !s.isLate }
+
+// hasIdleConnection removes connections that have reached the idle timeout, and reports
+// whether one is left.
+func (s *Server) hasIdleConnection(now clock.Boot, idle time.Duration) bool {
+	expired := 0
+	for expired < len(s.idleConnections) && now.Sub(s.idleConnections[expired]) >= idle {
+		expired++
+	}
+	s.idleConnections = s.idleConnections[expired:]
+	return len(s.idleConnections) > 0
+}
