--- a/internal/weight/choice.go
+++ b/internal/weight/choice.go
@@ -7,87 +7,88 @@
 	"time"
 )
 
-// comingWeight is what a sampler for the coming step counts beside one for the
-// open step: a model with half of the samplers that its open step can use goes
-// before one that has them all and none for the step after.
-const comingWeight = 0.5
+// nextStepOffset ranks the next step against the open one: a model with less than half of the
+// samplers that its open step can use comes before one with all of them and none for the next
+// step.
+const nextStepOffset = 0.5
 
-// plan is what a model has and may have in one round.
+// plan holds the samplers that a model has and those that may load for it in one round.
 type plan struct {
 	Change
 
 	work *Work
-	// zones are the samplers that may load for it, in each zone the one first where a
-	// load costs least.
+	// zones lists the samplers that may load the model's newest version, in each zone by
+	// increasing cost.
 	zones map[string][]*sampler
-	// isOver says that none of them is left.
-	isOver bool
+	// isExhausted says that no such sampler is left.
+	isExhausted bool
 }
 
-// plans returns the plans of all models whose coming step lacks samplers.
+// plans returns a plan for each model whose next step lacks samplers.
 func (s *Schedule) plans(now time.Time) []*plan {
 	var plans []*plan
 	for i := range s.work {
 		work := &s.work[i]
-		one := &plan{Change: s.coverage(work), work: work}
-		if work.Named == 0 || one.Coming >= one.Wanted {
+		plan := &plan{Change: s.coverage(work), work: work}
+		if work.Named == 0 || plan.Coming >= plan.Wanted {
 			continue
 		}
-		one.zones = s.candidates(work, now)
-		plans = append(plans, one)
+		plan.zones = s.candidates(work, now)
+		plans = append(plans, plan)
 	}
 	return plans
 }
 
-// cover counts a sampler that is ordered to load.
-func (p *plan) cover(sampler *sampler) {
-	if sampler.shown[p.Model] < p.work.Oldest {
+// countLoad adds a sampler that is ordered to load.
+func (p *plan) countLoad(sampler *sampler) {
+	if sampler.versions[p.Model] < p.work.Oldest {
 		p.Open++
 	}
-	if sampler.shown[p.Model] < p.work.Coming {
+	if sampler.versions[p.Model] < p.work.Coming {
 		p.Coming++
 	}
 }
 
-// neediest returns the plan of the model whose steps lack samplers most; nil if
-// none lacks any that it may have.
+// neediest returns the plan of the model that lacks samplers most, nil if no model lacks one
+// that it may load.
 func neediest(plans []*plan) *plan {
 	var best *plan
-	for _, one := range plans {
-		if one.isOver || one.Coming >= one.Wanted {
+	for _, candidate := range plans {
+		if candidate.isExhausted || candidate.Coming >= candidate.Wanted {
 			continue
 		}
-		if best == nil || one.goesBefore(best.Change) {
-			best = one
+		if best == nil || candidate.isMoreUrgent(best.Change) {
+			best = candidate
 		}
 	}
 	return best
 }
 
-// goesBefore reports whether a change helps more than another one: its model is
-// served worse, or has more work where both are served alike.
-func (c Change) goesBefore(other Change) bool {
+// isMoreUrgent reports whether c goes before other: its model is served worse, or equally well
+// and can use more samplers.
+func (c Change) isMoreUrgent(other Change) bool {
 	if served, otherServed := c.served(), other.served(); served != otherServed {
 		return served < otherServed
 	}
 	return c.Wanted > other.Wanted
 }
 
-// served returns how well a model is served: by the share of the samplers it can
-// use that its open step has, or its coming one.
+// served returns how well a model is served: the share of the samplers it can use that its
+// open step has, or that of its next step plus nextStepOffset if that is lower.
 func (c Change) served() float64 {
 	open := float64(c.Open) / float64(c.Wanted)
-	coming := comingWeight + float64(c.Coming)/float64(c.Wanted)
+	coming := nextStepOffset + float64(c.Coming)/float64(c.Wanted)
 	return min(open, coming)
 }
 
-// coverage counts the samplers that a model has, those included that load for it.
+// coverage counts the samplers that have a model's versions, including those that are loading
+// them.
 func (s *Schedule) coverage(work *Work) Change {
 	change := Change{Model: work.Model, Version: work.Named, Wanted: s.wanted(work)}
 	for _, sampler := range s.samplers {
-		version := sampler.shown[work.Model]
-		if sampler.changing && sampler.model == work.Model {
-			version = max(version, sampler.ordered)
+		version := sampler.versions[work.Model]
+		if sampler.isLoading && sampler.orderedModel == work.Model {
+			version = max(version, sampler.orderedVersion)
 		}
 		if version >= work.Oldest {
 			change.Open++
@@ -99,7 +100,7 @@
 	return change
 }
 
-// wanted returns how many samplers a step can use: as many as run all that it
+// wanted returns how many samplers a step can use: enough to run all generations that it
 // begins at once.
 func (s *Schedule) wanted(work *Work) int {
 	slots := 0
@@ -113,81 +114,82 @@
 	return min(len(s.samplers), int(math.Ceil(float64(work.Runs)/mean)))
 }
 
-// candidates returns the samplers that may load a model's newest version, by zone
-// and in each zone ordered by cost. They are ordered once in a round, since comparing
-// all for each order would grow with samplers and orders.
+// candidates returns the samplers that may load a model's newest version, by zone and sorted
+// by cost. They are sorted once per round, since comparing all of them for each order would
+// grow with samplers times orders.
 func (s *Schedule) candidates(work *Work, now time.Time) map[string][]*sampler {
 	zones := map[string][]*sampler{}
 	for _, sampler := range s.samplers {
-		if sampler.changing || sampler.shown[work.Model] >= work.Named || now.Before(sampler.notBefore) {
+		if sampler.isLoading || sampler.versions[work.Model] >= work.Named || now.Before(sampler.retryAt) {
 			continue
 		}
-		sampler.price = s.price(work, sampler)
+		sampler.cost = s.loadCost(work, sampler)
 		zones[sampler.zone] = append(zones[sampler.zone], sampler)
 	}
 	for _, zone := range zones {
 		slices.SortFunc(zone, func(a, b *sampler) int {
-			return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(a.running, b.running), cmp.Compare(a.server, b.server))
+			return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.running, b.running), cmp.Compare(a.server, b.server))
 		})
 	}
 	return zones
 }
 
-// take takes the sampler where a plan's next load costs least; nil if none is
-// left. Among equal ones it is in the zone where the fewest change.
-func (s *Schedule) take(plan *plan, changing map[string]int) *sampler {
+// cheapestSampler returns the sampler at which a plan's next load costs least, nil if none is
+// left. Ties go to the zone with the fewest loads in progress.
+func (s *Schedule) cheapestSampler(plan *plan, loadsByZone map[string]int) *sampler {
 	var best *sampler
-	for zone, waiting := range plan.zones {
-		for len(waiting) > 0 && waiting[0].changing {
-			waiting = waiting[1:]
+	for zone, candidates := range plan.zones {
+		for len(candidates) > 0 && candidates[0].isLoading {
+			candidates = candidates[1:]
 		}
-		plan.zones[zone] = waiting
-		if len(waiting) > 0 && (best == nil || s.compare(plan.work, waiting[0], best, changing) < 0) {
-			best = waiting[0]
+		plan.zones[zone] = candidates
+		if len(candidates) > 0 && (best == nil || s.compareCost(plan.work, candidates[0], best, loadsByZone) < 0) {
+			best = candidates[0]
 		}
 	}
 	return best
 }
 
-// compare orders two samplers by what a load costs there.
-func (s *Schedule) compare(work *Work, a, b *sampler, changing map[string]int) int {
+// compareCost orders two samplers by the cost of a load.
+func (s *Schedule) compareCost(work *Work, a, b *sampler, loadsByZone map[string]int) int {
 	return cmp.Or(
-		cmp.Compare(s.price(work, a), s.price(work, b)),
-		cmp.Compare(changing[a.zone], changing[b.zone]),
+		cmp.Compare(s.loadCost(work, a), s.loadCost(work, b)),
+		cmp.Compare(loadsByZone[a.zone], loadsByZone[b.zone]),
 		cmp.Compare(a.running, b.running),
 		cmp.Compare(a.server, b.server),
 	)
 }
 
-// Prices of a load at a sampler, each above all below it together.
+// Costs of a load at a sampler. Each exceeds the sum of all lower ones.
 const (
-	// priceOther is for each other model that can use the sampler: models are spread.
-	priceOther = 1
-	// priceComing is for weights that the coming step takes too, priceOpen for
-	// those that the open one takes: weights that no step takes any more cost nothing.
-	priceComing = 1 << 20
-	priceOpen   = 1 << 21
+	// otherModelCost is added for each other model that can use the sampler, which spreads the
+	// models.
+	otherModelCost = 1
+	// nextStepCost is added for weights that the next step also accepts, openStepCost for
+	// those that the open step accepts. Weights that no step accepts any more cost nothing.
+	nextStepCost = 1 << 20
+	openStepCost = 1 << 21
 )
 
-// price returns what a load costs at a sampler.
-func (s *Schedule) price(work *Work, sampler *sampler) int {
-	price := priceOther * s.others(work, sampler)
-	version := sampler.shown[work.Model]
+// loadCost returns the cost of a load at a sampler.
+func (s *Schedule) loadCost(work *Work, sampler *sampler) int {
+	cost := otherModelCost * s.otherModels(work, sampler)
+	version := sampler.versions[work.Model]
 	if version >= work.Coming {
-		price += priceComing
+		cost += nextStepCost
 	}
 	if version >= work.Oldest {
-		price += priceOpen
+		cost += openStepCost
 	}
-	return price
+	return cost
 }
 
-// others returns how many other models can use a sampler for their open step.
-func (s *Schedule) others(work *Work, sampler *sampler) int {
+// otherModels returns how many other models can use a sampler for their open step.
+func (s *Schedule) otherModels(work *Work, sampler *sampler) int {
 	count := 0
 	for i := range s.work {
 		other := &s.work[i]
-		if other.Model != work.Model && other.Named > 0 && sampler.shown[other.Model] >= other.Oldest {
+		if other.Model != work.Model && other.Named > 0 && sampler.versions[other.Model] >= other.Oldest {
 			count++
 		}
 	}
--- a/internal/weight/coordinator.go
+++ b/internal/weight/coordinator.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	// lookInterval is the time between two rounds while samplers are behind.
-	lookInterval = 100 * time.Millisecond
-	// idleInterval is that time while none is.
+	// roundInterval is the time between two rounds while samplers are behind.
+	roundInterval = 100 * time.Millisecond
+	// idleInterval is the time between two rounds while no sampler is behind.
 	idleInterval = time.Second
 )
 
-// Orderer passes an order to a sampler through its sidecar. It returns the
-// version that the engine shows afterwards.
+// Orderer passes an order to a sampler through its sidecar and returns the version that the
+// engine shows afterwards.
 type Orderer interface {
 	Order(ctx context.Context, server string, order *peerpb.OrderRequest) (uint64, error)
 }
 
-// Directory knows the samplers.
+// Directory lists processes and returns the load reports of servers.
 type Directory interface {
 	Processes(role peerpb.Role) []*peerpb.Process
 	Load(server string) *peerpb.Load
 }
 
-// Record keeps the version wanted in the platform's store.
+// Record keeps the target version in the platform's store.
 type Record interface {
-	// Load returns what is kept; nil if nothing is.
+	// Load returns the stored value, nil if there is none.
 	Load(ctx context.Context) ([]byte, error)
-	// Write replaces it unless another process has changed it.
+	// Write replaces the value unless another process has changed it.
 	Write(ctx context.Context, data []byte) error
 }
 
-// Term is the time for which this process is in charge.
+// Term is the time for which this process holds the duty.
 type Term interface {
 	Fence() uint64
 	Valid(now time.Time) bool
 }
 
-// NotLoadedError says that the version kept in the store isn't known yet.
+// NotLoadedError reports that the version in the store has not been read yet.
 type NotLoadedError struct {
 	Model string
 }
@@ -56,10 +56,10 @@
 	return "weight: the version kept for " + e.Model + " isn't known yet"
 }
 
-// Key returns the store's key of the version wanted of a model.
+// Key returns the store key of a model's target version.
 func Key(model string) string { return "weight/" + model }
 
-// Coordinator orders a model's samplers to load new weights while it is in charge.
+// Coordinator orders a model's samplers to load new weights while this process holds the duty.
 // Exported fields are set before Run.
 type Coordinator struct {
 	Model     string
@@ -67,35 +67,35 @@
 	Directory Directory
 	Orderer   Orderer
 	Decisions *decision.Log
-	// Share of the samplers that change at the same time.
+	// Share is the maximum share of the samplers that load at the same time.
 	Share float64
-	// Timeout bounds one change.
+	// Timeout bounds one load.
 	Timeout time.Duration
 
-	writing sync.Mutex
-	mutex   sync.Mutex
-	wave    Wave
-	fence   uint64
-	loaded  bool
-	whole   uint64
-	started time.Time
-	// announced wakes Run.
-	announced chan struct{}
+	storeMutex  sync.Mutex
+	mutex       sync.Mutex
+	wave        Wave
+	fence       uint64
+	loaded      bool
+	completed   uint64
+	announcedAt time.Time
+	// wake makes Run start a round at once.
+	wake chan struct{}
 }
 
 // NewCoordinator returns a coordinator of a model's samplers.
 func NewCoordinator(model string) *Coordinator {
-	return &Coordinator{Model: model, announced: make(chan struct{}, 1)}
+	return &Coordinator{Model: model, wake: make(chan struct{}, 1)}
 }
 
-// Announce sets the version wanted. It is ordered at once; an error says that
-// the store doesn't hold it yet, and that it is to be announced again.
+// Announce sets the target version. Samplers are ordered to load it at once; an error means
+// that the store doesn't hold it yet and that it has to be announced again.
 func (c *Coordinator) Announce(ctx context.Context, version uint64) error {
 	if c.announce(version) {
 		c.Decisions.Record(Key(c.Model), "weight", "version %d is wanted on all samplers", version)
 	}
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.storeMutex.Lock()
+	defer c.storeMutex.Unlock()
 	if !c.loaded {
 		return &NotLoadedError{Model: c.Model}
 	}
@@ -109,9 +109,9 @@
 	if !newer {
 		return false
 	}
-	c.started = time.Now()
+	c.announcedAt = time.Now()
 	select {
-	case c.announced <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 	return true
@@ -129,7 +129,7 @@
 	return c.Record.Write(ctx, data)
 }
 
-// Run orders samplers until the context ends, which it does with the term.
+// Run orders samplers until the context ends, at the latest with the term.
 func (c *Coordinator) Run(ctx context.Context, term Term) error {
 	c.mutex.Lock()
 	c.wave.Share = c.Share
@@ -145,7 +145,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
-		case <-c.announced:
+		case <-c.wake:
 		}
 		c.load(ctx)
 		for _, server := range c.next() {
@@ -160,15 +160,15 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.wave.Behind() > 0 {
-		return lookInterval
+		return roundInterval
 	}
 	return idleInterval
 }
 
-// load reads the version wanted, until the store has answered once.
+// load reads the target version, until the store has answered once.
 func (c *Coordinator) load(ctx context.Context) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.storeMutex.Lock()
+	defer c.storeMutex.Unlock()
 	if c.loaded {
 		return
 	}
@@ -191,9 +191,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.wave.Observe(live, now)
-	if c.wave.Target() > c.whole && len(live) > 0 && c.wave.Behind() == 0 {
-		c.whole = c.wave.Target()
-		c.Decisions.Record(Key(c.Model), "weight", "all %d samplers show version %d after %s", len(live), c.whole, now.Sub(c.started))
+	if c.wave.Target() > c.completed && len(live) > 0 && c.wave.Behind() == 0 {
+		c.completed = c.wave.Target()
+		c.Decisions.Record(Key(c.Model), "weight", "all %d samplers show version %d after %s", len(live), c.completed, now.Sub(c.announcedAt))
 	}
 	return c.wave.Next(now)
 }
@@ -215,7 +215,7 @@
 	return live
 }
 
-// order changes one sampler.
+// order orders one sampler to load the target version.
 func (c *Coordinator) order(ctx context.Context, term Term, server string) {
 	c.mutex.Lock()
 	version := c.wave.Target()
--- a/internal/weight/coordinator_test.go
+++ b/internal/weight/coordinator_test.go
@@ -12,7 +12,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// fakeSamplers are the samplers of a model, their load reports and orders.
+// fakeSamplers simulates the samplers of a model, their load reports and orders.
 type fakeSamplers struct {
 	mutex   sync.Mutex
 	shown   map[string]uint64
@@ -63,7 +63,7 @@
 	return order.GetVersion(), nil
 }
 
-func (f *fakeSamplers) show(t *testing.T, version uint64) {
+func (f *fakeSamplers) awaitVersion(t *testing.T, version uint64) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for {
@@ -83,11 +83,11 @@
 	}
 }
 
-// fakeRecord is the version wanted as the store holds it.
+// fakeRecord keeps the target version in memory.
 type fakeRecord struct {
-	mutex sync.Mutex
-	data  []byte
-	away  bool
+	mutex         sync.Mutex
+	data          []byte
+	isUnavailable bool
 }
 
 var _ Record = &fakeRecord{}
@@ -95,8 +95,8 @@
 func (r *fakeRecord) Load(context.Context) ([]byte, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.away {
-		return nil, errors.New("away")
+	if r.isUnavailable {
+		return nil, errors.New("unavailable")
 	}
 	return r.data, nil
 }
@@ -104,29 +104,29 @@
 func (r *fakeRecord) Write(_ context.Context, data []byte) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.away {
-		return errors.New("away")
+	if r.isUnavailable {
+		return errors.New("unavailable")
 	}
 	r.data = data
 	return nil
 }
 
-func (r *fakeRecord) setAway(away bool) {
+func (r *fakeRecord) setUnavailable(unavailable bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.away = away
+	r.isUnavailable = unavailable
 }
 
-// fakeTerm is over or not.
+// fakeTerm is a term that is over or not.
 type fakeTerm struct {
-	fence uint64
-	over  bool
+	fence  uint64
+	isOver bool
 }
 
 var _ Term = fakeTerm{}
 
 func (f fakeTerm) Fence() uint64        { return f.fence }
-func (f fakeTerm) Valid(time.Time) bool { return !f.over }
+func (f fakeTerm) Valid(time.Time) bool { return !f.isOver }
 
 func runCoordinator(t *testing.T, samplers *fakeSamplers, record Record, term fakeTerm) *Coordinator {
 	t.Helper()
@@ -163,7 +163,7 @@
 		samplers.failing = 2
 		coordinator := runCoordinator(t, samplers, &fakeRecord{}, fakeTerm{fence: 7})
 		announce(t, coordinator)
-		samplers.show(t, 2)
+		samplers.awaitVersion(t, 2)
 		must.Eq(t, 7, samplers.fences[0])
 	})
 	t.Run("a successor goes on with the version kept", func(t *testing.T) {
@@ -171,14 +171,14 @@
 		announce(t, runCoordinator(t, newFakeSamplers(), record, fakeTerm{fence: 1}))
 		samplers := newFakeSamplers("a", "b")
 		runCoordinator(t, samplers, record, fakeTerm{fence: 2})
-		samplers.show(t, 2)
+		samplers.awaitVersion(t, 2)
 	})
 	t.Run("a term that is over orders nothing", func(t *testing.T) {
 		samplers := newFakeSamplers("a")
-		coordinator := runCoordinator(t, samplers, &fakeRecord{}, fakeTerm{fence: 1, over: true})
+		coordinator := runCoordinator(t, samplers, &fakeRecord{}, fakeTerm{fence: 1, isOver: true})
 		announce(t, coordinator)
 		coordinator.next()
-		coordinator.order(t.Context(), fakeTerm{over: true}, "a")
+		coordinator.order(t.Context(), fakeTerm{isOver: true}, "a")
 		must.MapEmpty(t, samplers.orders)
 	})
 	t.Run("while the store is away the version is ordered, but not acknowledged", func(t *testing.T) {
@@ -186,8 +186,8 @@
 		record := &fakeRecord{}
 		coordinator := runCoordinator(t, samplers, record, fakeTerm{fence: 1})
 		announce(t, coordinator)
-		record.setAway(true)
+		record.setUnavailable(true)
 		must.Error(t, coordinator.Announce(t.Context(), 3))
-		samplers.show(t, 3)
+		samplers.awaitVersion(t, 3)
 	})
 }
--- a/internal/weight/schedule.go
+++ b/internal/weight/schedule.go
@@ -7,116 +7,115 @@
 )
 
 const (
-	leastPause    = 200 * time.Millisecond
-	greatestPause = 5 * time.Second
-	// DefaultLag is for how long a load report may show what was before a change.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// DefaultLag is how long a load report may show the version from before a load.
 	DefaultLag = 3 * time.Second
 )
 
-// Work is what the steps of a model's trainer ask of the samplers of a pool.
+// Work is what the steps of a model's trainer need from the samplers of a pool.
 type Work struct {
 	Model string
-	// Named is the newest version that was named; 0 if none was.
+	// Named is the newest version that the trainer has named, 0 if none.
 	Named uint64
-	// Oldest is the oldest version that the open step takes, or the next one if none is open.
+	// Oldest is the oldest version that the open step accepts, or the next step if none is
+	// open.
 	Oldest uint64
-	// Coming is the oldest version that the step after that one will take; it is
-	// not above Named.
+	// Coming is the oldest version that the step after that one accepts; it is not above
+	// Named.
 	Coming uint64
-	// Runs is the number of generations that a step begins at once; 0 if it isn't
-	// known, which asks for all samplers.
+	// Runs is the number of generations that a step begins at once; 0 if unknown, which wants
+	// all samplers.
 	Runs int
 }
 
-// Seat is a sampler of a pool as it is seen now.
+// Seat is the observed state of a sampler of a pool.
 type Seat struct {
 	ID   string
 	Zone string
-	// Born tells its starts apart; a new one has forgotten all orders.
+	// Born identifies a start of the sampler; a new start has forgotten all orders.
 	Born int64
-	// Slots is the number of generations that it runs at the same time; 0 if not known.
+	// Slots is the number of generations that it can run at the same time, 0 if unknown.
 	Slots int
-	// Running is the number of generations that it runs now; 0 if not known.
+	// Running is the number of generations that it runs now, 0 if unknown.
 	Running uint32
-	// Versions of the weights by model.
+	// Versions of the loaded weights by model.
 	Versions map[string]uint64
 }
 
-// Change is a sampler that is to load a version.
+// Change is a load of a version that a sampler is to be ordered.
 type Change struct {
 	Seat    string
 	Model   string
 	Version uint64
-	// Open and Coming are the samplers that the model had for its open and for its
-	// coming step, and Wanted those that it can use: what decided.
+	// Open and Coming count the samplers that the model had for its open step and for the next
+	// one, Wanted those that it can use. They decided on the load.
 	Open, Coming, Wanted int
 }
 
-// Schedule decides which sampler of a pool loads which version of which model
-// next. It does no input or output, takes the time from its caller and is not
-// safe for concurrent use.
+// Schedule decides which sampler of a pool loads which version of which model next. It does no
+// I/O, takes the time from its caller and is not safe for concurrent use.
 //
-// Loads are scarce: the weights' store carries a few at a time, and a version
-// serves few steps. A sampler holds weights of every model at once, and a load
-// concerns one of them only, so samplers aren't divided between models: each
-// load goes to the model whose step lacks samplers most, and replaces the oldest
-// weights of that model.
+// Loads are scarce: the weight store serves a few at a time, and a version is used by few
+// steps. A sampler holds weights of every model at once, and a load replaces those of one
+// model only, so samplers aren't divided between models: each load goes to the model whose
+// step lacks samplers most, and replaces the oldest weights of that model.
 type Schedule struct {
-	// Share is the greatest share of the samplers that change at the same time.
+	// Share is the maximum share of the samplers that load at the same time.
 	Share float64
-	// Lag is for how long a load report may show what was before a change.
+	// Lag is how long a load report may show the version from before a load.
 	Lag time.Duration
 
 	samplers map[string]*sampler
 	work     []Work
-	width    width
-	// under is the number of changes under way.
-	under int
-	// busy is the time of all changes added up until counted.
-	busy    time.Duration
-	counted time.Time
+	limiter  limiter
+	// inFlight is the number of loads in progress.
+	inFlight int
+	// loadTime is the sum of the durations of all loads until countedAt.
+	loadTime  time.Duration
+	countedAt time.Time
 }
 
-// sampler is what is known of one sampler.
+// sampler is the known state of one sampler.
 type sampler struct {
 	server  string
 	zone    string
-	born    int64
+	start   int64
 	slots   int
 	running uint32
-	// price of a load in the round that is being decided.
-	price int
-	shown map[string]uint64
-	// model and ordered are those of the newest order.
-	model    string
-	ordered  uint64
-	changing bool
-	since    time.Time
-	// busy is the schedule's own when the order was sent.
-	busy time.Duration
-	// settled is when it last answered an order.
-	settled   time.Time
-	failures  int
-	notBefore time.Time
+	// cost of a load in the current round.
+	cost     int
+	versions map[string]uint64
+	// orderedModel and orderedVersion are those of the newest order.
+	orderedModel   string
+	orderedVersion uint64
+	isLoading      bool
+	orderedAt      time.Time
+	// loadTime is the schedule's loadTime when the order was sent.
+	loadTime time.Duration
+	// answeredAt is when it last answered an order.
+	answeredAt time.Time
+	failures   int
+	retryAt    time.Time
 }
 
-// Want sets what the models' steps ask for. A version that is newer than before
-// is tried at once, also where the one before has failed.
+// Want sets what the models' steps need. A version newer than before is tried at once, even
+// where the previous one has failed.
 func (s *Schedule) Want(work []Work) {
-	for _, one := range work {
-		before := s.workOf(one.Model)
-		if before != nil && one.Named <= before.Named {
+	for _, modelWork := range work {
+		before := s.findWork(modelWork.Model)
+		if before != nil && modelWork.Named <= before.Named {
 			continue
 		}
 		for _, sampler := range s.samplers {
 			sampler.failures = 0
-			sampler.notBefore = time.Time{}
+			sampler.retryAt = time.Time{}
 		}
 	}
 	s.work = slices.Clone(work)
 }
 
-func (s *Schedule) workOf(model string) *Work {
+func (s *Schedule) findWork(model string) *Work {
 	for i := range s.work {
 		if s.work[i].Model == model {
 			return &s.work[i]
@@ -125,156 +124,156 @@
 	return nil
 }
 
-// Observe takes the samplers that are live now, as registrations and load reports
-// show them.
+// Observe sets the samplers that are live now, from registrations and load reports.
 func (s *Schedule) Observe(live []Seat, now time.Time) {
-	known := s.begin(len(live), now)
+	known := s.resetSamplers(len(live), now)
 	for i := range live {
 		seat := &live[i]
-		one := s.observe(known, seat.ID, seat.Zone, seat.Born)
-		one.slots = seat.Slots
-		one.running = seat.Running
+		entry := s.observeSampler(known, seat.ID, seat.Zone, seat.Born)
+		entry.slots = seat.Slots
+		entry.running = seat.Running
 		for model, version := range seat.Versions {
-			s.see(one, model, version, now)
+			s.observeVersion(entry, model, version, now)
 		}
 	}
 }
 
-// begin begins a new set of samplers, and returns the one before.
-func (s *Schedule) begin(count int, now time.Time) map[string]*sampler {
-	s.count(now)
+// resetSamplers starts a new set of samplers and returns the previous one.
+func (s *Schedule) resetSamplers(count int, now time.Time) map[string]*sampler {
+	s.updateLoadTime(now)
 	known := s.samplers
 	s.samplers = make(map[string]*sampler, count)
-	s.under = 0
+	s.inFlight = 0
 	return known
 }
 
-// observe notes that a sampler is live, and keeps what is known of its start.
-func (s *Schedule) observe(known map[string]*sampler, server, zone string, born int64) *sampler {
-	one := known[server]
-	if one == nil || one.born != born {
-		one = &sampler{server: server, born: born, shown: map[string]uint64{}}
+// observeSampler adds a live sampler and keeps its known state unless it has restarted.
+func (s *Schedule) observeSampler(known map[string]*sampler, server, zone string, born int64) *sampler {
+	entry := known[server]
+	if entry == nil || entry.start != born {
+		entry = &sampler{server: server, start: born, versions: map[string]uint64{}}
 	}
-	one.zone = zone
-	s.samplers[server] = one
-	if one.changing {
-		s.under++
+	entry.zone = zone
+	s.samplers[server] = entry
+	if entry.isLoading {
+		s.inFlight++
 	}
-	return one
+	return entry
 }
 
-// see takes the version of a load report. Reports lag: just after a change they
-// still show the version before, and believing them would order it again.
-func (s *Schedule) see(sampler *sampler, model string, version uint64, now time.Time) {
-	if version == 0 || version == sampler.shown[model] {
+// observeVersion applies the version of a load report. Reports lag: just after a load they
+// still show the previous version, and believing them would order it again.
+func (s *Schedule) observeVersion(sampler *sampler, model string, version uint64, now time.Time) {
+	if version == 0 || version == sampler.versions[model] {
 		return
 	}
-	if version < sampler.shown[model] && now.Sub(sampler.settled) < s.Lag {
+	if version < sampler.versions[model] && now.Sub(sampler.answeredAt) < s.Lag {
 		return
 	}
-	sampler.shown[model] = version
+	sampler.versions[model] = version
 }
 
-// Changing returns the number of samplers with an order under way.
-func (s *Schedule) Changing() int { return s.under }
+// Changing returns the number of loads in progress.
+func (s *Schedule) Changing() int { return s.inFlight }
 
-// Done notes the version of the ordered model that a sampler showed after an order.
+// Done records the version of the ordered model that a sampler shows after an order.
 //
-// A swap can fail while the order is answered, and an engine that ignores
-// fencing numbers can be set back by an old order: only the version shown
-// counts, and one that is too old is ordered again.
+// A swap can fail although the order is answered, and an old order can set back an engine that
+// ignores fencing tokens. So only the version shown counts, and one that is too old is ordered
+// again.
 func (s *Schedule) Done(server string, shown uint64, now time.Time) {
 	sampler := s.samplers[server]
-	if sampler == nil || !sampler.changing {
+	if sampler == nil || !sampler.isLoading {
 		return
 	}
-	s.end(sampler, now)
-	sampler.settled = now
-	sampler.shown[sampler.model] = shown
-	if shown < sampler.ordered {
-		sampler.fail(now)
+	s.endLoad(sampler, now)
+	sampler.answeredAt = now
+	sampler.versions[sampler.orderedModel] = shown
+	if shown < sampler.orderedVersion {
+		sampler.backOff(now)
 		return
 	}
 	sampler.failures = 0
-	took := now.Sub(sampler.since)
-	s.width.learn(took, (s.busy-sampler.busy).Seconds()/took.Seconds())
+	duration := now.Sub(sampler.orderedAt)
+	s.limiter.recordLoad(duration, (s.loadTime-sampler.loadTime).Seconds()/duration.Seconds())
 }
 
-// Failed notes that an order was not answered, or refused.
+// Failed records that an order was refused or not answered.
 func (s *Schedule) Failed(server string, now time.Time) {
 	sampler := s.samplers[server]
-	if sampler == nil || !sampler.changing {
+	if sampler == nil || !sampler.isLoading {
 		return
 	}
-	s.end(sampler, now)
-	// An order that timed out has waited for the store; one refused at once says nothing of it.
-	s.width.narrow(now.Sub(sampler.since))
-	sampler.fail(now)
+	s.endLoad(sampler, now)
+	// An order that timed out has waited for the store; one refused at once says nothing about
+	// it.
+	s.limiter.recordFailure(now.Sub(sampler.orderedAt))
+	sampler.backOff(now)
 }
 
-// end notes that an order is under way no more.
-func (s *Schedule) end(sampler *sampler, now time.Time) {
-	s.count(now)
-	s.under--
-	sampler.changing = false
+// endLoad records that a load is no longer in progress.
+func (s *Schedule) endLoad(sampler *sampler, now time.Time) {
+	s.updateLoadTime(now)
+	s.inFlight--
+	sampler.isLoading = false
 }
 
-func (s *sampler) fail(now time.Time) {
+func (s *sampler) backOff(now time.Time) {
 	s.failures++
-	s.notBefore = now.Add(min(leastPause<<min(s.failures-1, 5), greatestPause))
+	s.retryAt = now.Add(min(minBackoff<<min(s.failures-1, 5), maxBackoff))
 }
 
-// Next returns the samplers to order now.
+// Next returns the loads to order now.
 func (s *Schedule) Next(now time.Time) []Change {
-	s.count(now)
+	s.updateLoadTime(now)
 	free := s.Limit() - s.Changing()
 	if free <= 0 {
 		return nil
 	}
 	plans := s.plans(now)
-	changing := s.changingByZone()
+	loadsByZone := s.loadsByZone()
 	var changes []Change
 	for len(changes) < free {
 		plan := neediest(plans)
 		if plan == nil {
 			break
 		}
-		sampler := s.take(plan, changing)
+		sampler := s.cheapestSampler(plan, loadsByZone)
 		if sampler == nil {
-			plan.isOver = true
+			plan.isExhausted = true
 			continue
 		}
 		plan.Seat = sampler.server
 		changes = append(changes, plan.Change)
-		plan.cover(sampler)
-		s.under++
-		sampler.changing = true
-		sampler.since, sampler.busy = now, s.busy
-		sampler.model, sampler.ordered = plan.Model, plan.Version
-		changing[sampler.zone]++
+		plan.countLoad(sampler)
+		s.inFlight++
+		sampler.isLoading = true
+		sampler.orderedAt, sampler.loadTime = now, s.loadTime
+		sampler.orderedModel, sampler.orderedVersion = plan.Model, plan.Version
+		loadsByZone[sampler.zone]++
 	}
 	return changes
 }
 
-// count adds up the time of changes: how many were under way while one was tells
-// whether it had to share the way to the weights.
-func (s *Schedule) count(now time.Time) {
-	s.busy += time.Duration(s.under) * now.Sub(s.counted)
-	s.counted = now
+// updateLoadTime adds the time of the loads in progress. How many were in progress during a
+// load tells whether it had to share the bandwidth to the weights.
+func (s *Schedule) updateLoadTime(now time.Time) {
+	s.loadTime += time.Duration(s.inFlight) * now.Sub(s.countedAt)
+	s.countedAt = now
 }
 
-// Limit returns how many samplers may change at the same time now.
+// Limit returns how many samplers may load at the same time now.
 func (s *Schedule) Limit() int {
-	most := int(math.Max(1, s.Share*float64(len(s.samplers))))
-	return s.width.limit(most)
+	maxLimit := int(math.Max(1, s.Share*float64(len(s.samplers))))
+	return s.limiter.limit(maxLimit)
 }
 
-func (s *Schedule) changingByZone() map[string]int {
-	changing := map[string]int{}
+func (s *Schedule) loadsByZone() map[string]int {
+	loads := map[string]int{}
 	for _, sampler := range s.samplers {
-		if sampler.changing {
-			changing[sampler.zone]++
+		if sampler.isLoading {
+			loads[sampler.zone]++
 		}
 	}
-	return changing
+	return loads
 }
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -9,59 +9,59 @@
 	"pgregory.net/rapid"
 )
 
-// pool is a pool of samplers in simulated time: each load takes a second.
+// pool simulates a pool of samplers in which each load takes a second.
 type pool struct {
 	schedule *Schedule
 	seats    []Seat
-	ends     map[string]end
+	pending  map[string]pendingLoad
 	now      time.Time
-	// loads counts the loads of a version of a model.
+	// loads counts the loads by model and version.
 	loads map[string]int
 }
 
-// end is the end of a load.
-type end struct {
+// pendingLoad is a load in progress and when it ends.
+type pendingLoad struct {
 	Change
 
-	at time.Time
+	endsAt time.Time
 }
 
 func newPool(count int) *pool {
 	return &pool{
 		schedule: &Schedule{Share: 0.5, Lag: DefaultLag}, seats: seats(count),
-		ends: map[string]end{}, now: start, loads: map[string]int{},
+		pending: map[string]pendingLoad{}, now: start, loads: map[string]int{},
 	}
 }
 
-// holds sets the version that samplers have of a model.
-func (p *pool) holds(model string, version uint64, seats ...int) *pool {
+// setVersion sets the version that samplers have of a model.
+func (p *pool) setVersion(model string, version uint64, seats ...int) *pool {
 	for _, seat := range seats {
 		p.seats[seat].Versions[model] = version
 	}
 	return p
 }
 
-// next returns what is ordered now.
+// next returns the loads ordered now.
 func (p *pool) next(work ...Work) []Change {
 	p.schedule.Want(work)
 	p.schedule.Observe(p.seats, p.now)
 	changes := p.schedule.Next(p.now)
 	for _, change := range changes {
 		p.loads[fmt.Sprintf("%s %d", change.Model, change.Version)]++
-		p.ends[change.Seat] = end{Change: change, at: p.now.Add(time.Second)}
+		p.pending[change.Seat] = pendingLoad{Change: change, endsAt: p.now.Add(time.Second)}
 	}
 	return changes
 }
 
-// pass lets time pass, and ends the loads that are over then.
-func (p *pool) pass(length time.Duration) {
+// advance advances the time and ends the loads that are due.
+func (p *pool) advance(length time.Duration) {
 	p.now = p.now.Add(length)
 	for i := range p.seats {
-		done, isLoading := p.ends[p.seats[i].ID]
-		if isLoading && !p.now.Before(done.at) {
-			delete(p.ends, done.Seat)
-			p.seats[i].Versions[done.Model] = done.Version
-			p.schedule.Done(done.Seat, done.Version, p.now)
+		load, isLoading := p.pending[p.seats[i].ID]
+		if isLoading && !p.now.Before(load.endsAt) {
+			delete(p.pending, load.Seat)
+			p.seats[i].Versions[load.Model] = load.Version
+			p.schedule.Done(load.Seat, load.Version, p.now)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	return count
 }
 
-func through(first, last int) []int {
+func indices(first, last int) []int {
 	var all []int
 	for i := first; i <= last; i++ {
 		all = append(all, i)
@@ -85,13 +85,14 @@
 	return all
 }
 
-// Three trainers share eleven samplers. One of them has a single sampler whose
-// weights its open step takes; the others have four each, and theirs still serve
-// this step and the next. Its generations wait for that one sampler, while each
-// new version of the others is loaded first since their names come first.
+// Guards against refreshing one model while another waits for samplers. Three trainers share
+// eleven samplers. One has a single sampler whose weights its open step accepts; the others
+// have four each, which still serve this step and the next. When loads follow the order of
+// names, each new version of the others is loaded first, and all generations of the one wait
+// for its single sampler.
 func TestNoModelWaitsWhileAnotherIsRefreshed(t *testing.T) {
 	p := newPool(11)
-	p.holds("a", 5, through(0, 3)...).holds("b", 5, through(4, 7)...).holds("c", 5, 8)
+	p.setVersion("a", 5, indices(0, 3)...).setVersion("b", 5, indices(4, 7)...).setVersion("c", 5, 8)
 	a := Work{Model: "a", Named: 6, Oldest: 5, Coming: 6, Runs: 32}
 	b := Work{Model: "b", Named: 6, Oldest: 5, Coming: 6, Runs: 32}
 	c := Work{Model: "c", Named: 5, Oldest: 4, Coming: 5, Runs: 48}
@@ -100,15 +101,16 @@
 	}
 }
 
-// One trainer's steps have four times the generations of the other's. Given
-// equal parts, its generations wait while slots of the other part stand idle.
+// Guards against equal parts for unequal work. One trainer's steps have four times the
+// generations of the other's. With equal parts its generations wait while slots of the other
+// part are idle.
 func TestSamplersByWork(t *testing.T) {
 	p := newPool(10)
 	large := Work{Model: "a", Named: 2, Oldest: 2, Coming: 2, Runs: 64}
 	small := Work{Model: "b", Named: 2, Oldest: 2, Coming: 2, Runs: 16}
 	for range 20 {
 		p.next(large, small)
-		p.pass(time.Second)
+		p.advance(time.Second)
 	}
 	must.Eq(t, 8, p.usable("a", 2))
 	must.Eq(t, 2, p.usable("b", 2))
@@ -120,9 +122,9 @@
 		set  func(p *pool)
 		want string
 	}{
-		"weights that no step takes any more":    {func(p *pool) { p.holds("a", 5, 0, 1).holds("a", 4, 2).holds("a", 6, 3) }, "s02"},
-		"weights that the coming step can't use": {func(p *pool) { p.holds("a", 6, 0, 1, 2).holds("a", 5, 3) }, "s03"},
-		"one that other models don't use":        {func(p *pool) { p.holds("b", 3, 0, 1, 3) }, "s02"},
+		"weights that no step takes any more":    {func(p *pool) { p.setVersion("a", 5, 0, 1).setVersion("a", 4, 2).setVersion("a", 6, 3) }, "s02"},
+		"weights that the coming step can't use": {func(p *pool) { p.setVersion("a", 6, 0, 1, 2).setVersion("a", 5, 3) }, "s03"},
+		"one that other models don't use":        {func(p *pool) { p.setVersion("b", 3, 0, 1, 3) }, "s02"},
 		"one that runs less": {func(p *pool) {
 			p.seats[0].Running, p.seats[1].Running, p.seats[2].Running = 3, 2, 4
 			p.seats[3].Running = 1
@@ -142,68 +144,67 @@
 	}
 }
 
-// Versions are named faster than samplers load. One that is named while another
-// one loads is passed over once a newer one is there: it would be too old before
-// it was used.
+// Versions are named faster than samplers load. One named while another loads is skipped once
+// a newer one exists, since it would be too old before it was used.
 func TestVersionsAreSkipped(t *testing.T) {
 	p := newPool(2)
 	for version := uint64(2); version <= 9; version++ {
 		p.next(Work{Model: "a", Named: version, Oldest: version, Coming: version})
-		p.pass(300 * time.Millisecond)
+		p.advance(300 * time.Millisecond)
 	}
 	must.Eq(t, 0, p.loads["a 3"]+p.loads["a 4"])
 }
 
-// Loads cost, and a sampler that loads refuses new work: once the coming step has
-// the samplers that it can use, nothing more is loaded for it.
+// Loads are expensive, and a loading sampler refuses new work: once the next step has the
+// samplers that it can use, nothing more is loaded for it.
 func TestNoMoreThanAStepCanUse(t *testing.T) {
 	p := newPool(12)
 	for range 30 {
 		p.next(Work{Model: "a", Named: 4, Oldest: 3, Coming: 4, Runs: 20})
-		p.pass(time.Second)
+		p.advance(time.Second)
 	}
 	must.Eq(t, 3, p.loads["a 4"])
 }
 
-// A sampler answers no order and is asked again and again. The others must not
-// wait for it.
+// Guards against one sampler blocking the others: it answers no order and is ordered again and
+// again.
 func TestOneSamplerFails(t *testing.T) {
 	p := newPool(6)
 	work := Work{Model: "a", Named: 2, Oldest: 2, Coming: 2}
 	for range 60 {
 		for _, change := range p.next(work) {
 			if change.Seat == "s00" {
-				delete(p.ends, change.Seat)
+				delete(p.pending, change.Seat)
 				p.schedule.Failed(change.Seat, p.now)
 			}
 		}
-		p.pass(200 * time.Millisecond)
+		p.advance(200 * time.Millisecond)
 	}
 	must.Eq(t, 5, p.usable("a", 2))
 }
 
-// A sampler starts again while it loads, with nothing of what it had. An answer to
-// the order before says nothing of its new start.
+// A sampler restarts while it loads and loses all its weights. The new start must be ordered
+// again: an answer to the earlier order says nothing about it.
 func TestSamplerStartsAgain(t *testing.T) {
 	p := newPool(1)
 	work := Work{Model: "a", Named: 2, Oldest: 2, Coming: 2}
 	must.Len(t, 1, p.next(work))
 	p.seats[0].Born++
-	p.pass(100 * time.Millisecond)
+	p.advance(100 * time.Millisecond)
 	must.Len(t, 1, p.next(work))
 }
 
-// A new holder knows nothing of what the one before it decided. It reads it off
-// the versions, since each change of a sampler's model costs a load.
+// A new holder knows nothing of its predecessor's decisions. It derives them from the
+// samplers' versions, since each change of a sampler's model costs a load.
 func TestScheduleAfterTakeover(t *testing.T) {
 	p := newPool(4)
-	p.holds("m1", 5, 1, 3).holds("m2", 5, 0, 2)
+	p.setVersion("m1", 5, 1, 3).setVersion("m2", 5, 0, 2)
 	m1 := Work{Model: "m1", Named: 5, Oldest: 4, Coming: 5, Runs: 16}
 	m2 := Work{Model: "m2", Named: 5, Oldest: 4, Coming: 5, Runs: 16}
 	must.SliceEmpty(t, p.next(m1, m2))
 }
 
-// drawWork returns models whose trainers are anywhere in their steps.
+// drawWork draws models whose trainers are anywhere in their steps.
 func drawWork(t *rapid.T) []Work {
 	var work []Work
 	for i := range rapid.IntRange(1, 8).Draw(t, "models") {
@@ -217,9 +218,9 @@
 	return work
 }
 
-// Whatever models and samplers there are, each model has a sampler for its open
-// step before any model has all that it can use twice over: within as many loads
-// as there are models.
+// Guards against starving a model. For any models and samplers, each model has a sampler for
+// its open step within as many loads as there are models, before any model has all that it can
+// use twice over.
 func TestNoModelStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(rapid.IntRange(1, 30).Draw(t, "samplers"))
@@ -230,20 +231,20 @@
 			for range p.next(work...) {
 				loads++
 			}
-			p.pass(time.Second)
-			if before == len(p.loads) && len(p.ends) == 0 {
+			p.advance(time.Second)
+			if before == len(p.loads) && len(p.pending) == 0 {
 				break
 			}
 		}
-		p.pass(time.Second)
-		for _, one := range work {
-			must.Positive(t, p.usable(one.Model, one.Oldest))
+		p.advance(time.Second)
+		for _, modelWork := range work {
+			must.Positive(t, p.usable(modelWork.Model, modelWork.Oldest))
 		}
 	})
 }
 
-// While nothing changes, loads end: no version is loaded more often than there are
-// samplers, and what every model can use is there.
+// While nothing changes, loads end: no version is loaded more often than there are samplers,
+// and each model has the samplers that it can use.
 func TestLoadsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 20).Draw(t, "samplers")
@@ -251,29 +252,29 @@
 		work := drawWork(t)
 		for range len(work)*count + 1 {
 			p.next(work...)
-			p.pass(time.Second)
+			p.advance(time.Second)
 		}
 		must.SliceEmpty(t, p.next(work...))
-		for _, one := range work {
-			must.LessEq(t, count, p.loads[fmt.Sprintf("%s %d", one.Model, one.Named)])
-			must.GreaterEq(t, p.schedule.wanted(&one), p.usable(one.Model, one.Coming))
+		for _, modelWork := range work {
+			must.LessEq(t, count, p.loads[fmt.Sprintf("%s %d", modelWork.Model, modelWork.Named)])
+			must.GreaterEq(t, p.schedule.wanted(&modelWork), p.usable(modelWork.Model, modelWork.Coming))
 		}
 	})
 }
 
-// Other names of models change nothing but which of two equal ones is first.
+// Model names decide nothing but the order of two equal models.
 func TestNamesDecideNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		work := drawWork(t)
 		other := make([]Work, len(work))
-		for i, one := range work {
-			one.Model = fmt.Sprintf("x%d", len(work)-i)
-			other[len(work)-1-i] = one
+		for i, modelWork := range work {
+			modelWork.Model = fmt.Sprintf("x%d", len(work)-i)
+			other[len(work)-1-i] = modelWork
 		}
 		p, q := newPool(12), newPool(12)
 		p.next()
-		// Models that can use as many samplers as another one are told apart by their
-		// places only: they are left out.
+		// Models that can use equally many samplers are ordered by position only and are left
+		// out.
 		for i := range work {
 			for j := range work[:i] {
 				if p.schedule.wanted(&work[i]) == p.schedule.wanted(&work[j]) {
@@ -305,8 +306,8 @@
 		steps.Name("a", 6)
 		steps.Open("b1", Step{Model: "a", Oldest: 5, Runs: 64})
 		must.Eq(t, Work{Model: "a", Named: 6, Oldest: 5, Coming: 6, Runs: 64}, steps.Work("a"))
-		// The step is over, and its trainer names the next version: its next step is
-		// about to come, and takes versions from 6 on.
+		// The step is over and its trainer names the next version: its next step is about to
+		// come and accepts versions from 6 on.
 		steps.Close("b1")
 		must.True(t, steps.Name("a", 7))
 		must.Eq(t, Work{Model: "a", Named: 7, Oldest: 6, Coming: 7, Runs: 64}, steps.Work("a"))
--- a/internal/weight/steering.go
+++ b/internal/weight/steering.go
@@ -12,29 +12,28 @@
 )
 
 const (
-	// steerInterval is the time between two looks at what is to be ordered.
-	steerInterval = 50 * time.Millisecond
-	// askInterval is the time between two questions whether a load is done: a small
-	// part of a load, since the next one begins when it is seen.
-	askInterval = 60 * time.Millisecond
-	// askGrowth is how much longer each wait between two questions is than the one
-	// before: a load that waits for others is asked about half as often, and its end
-	// is seen late by a quarter of its wait at most.
-	askGrowth = 1.3
-	// firstLoad is how long the first load is expected to take.
-	firstLoad = 900 * time.Millisecond
-	// patience bounds one load; after that it is ordered again.
-	patience = 5 * time.Second
+	// scheduleInterval is the time between two scheduling rounds.
+	scheduleInterval = 50 * time.Millisecond
+	// pollInterval is the time between two polls for the end of a load: a small part of a
+	// load, since the next one starts only when the end is seen.
+	pollInterval = 60 * time.Millisecond
+	// pollGrowth is the factor between two successive waits: a load that queues behind others
+	// is polled about half as often, and its end is seen at most a quarter of its wait late.
+	pollGrowth = 1.3
+	// initialLoadTime is the expected duration of the first load.
+	initialLoadTime = 900 * time.Millisecond
+	// loadTimeout bounds one load, which is then ordered again.
+	loadTimeout = 5 * time.Second
 )
 
-// ErrHolds says that a sampler has the version that it was ordered to load.
+// ErrHolds reports that a sampler already has the version that it was ordered to load.
 var ErrHolds = errors.New("weight: the sampler has that version already")
 
-// Target is a sampler that is sent orders.
+// Target is a sampler that receives orders.
 type Target struct {
 	ID      string
 	Address string
-	// Born is the start of the sampler; a new start has forgotten all orders.
+	// Born identifies a start of the sampler; a new start has forgotten all orders.
 	Born int64
 }
 
@@ -43,24 +42,24 @@
 	Model   string
 	Version uint64
 	Fence   uint64
-	// Orders is how many orders the sampler has accepted before.
+	// Orders is the number of orders that the sampler has accepted before this one.
 	Orders uint64
-	// Whole lets running generations end first; else they go on under the new version.
+	// Whole lets running generations end first; otherwise they continue under the new version.
 	Whole bool
 }
 
-// State is what a sampler says of itself.
+// State is what a sampler reports about itself.
 type State struct {
 	IsLoading bool
-	// Orders is how many orders it has accepted since its start.
+	// Orders is the number of orders that it has accepted since its start.
 	Orders   uint64
 	Versions map[string]uint64
 }
 
-// Samplers sends orders and questions to samplers.
+// Samplers sends orders and state requests to samplers.
 type Samplers interface {
-	// Load returns nil once the sampler has accepted the order, ErrHolds if it has
-	// the version, a *platform.ConflictError if a newer holder has sent it orders.
+	// Load returns nil once the sampler has accepted the order, ErrHolds if it already has the
+	// version, and a *platform.ConflictError if a newer holder has sent it orders.
 	Load(ctx context.Context, sampler Target, load Load, guard func() error) error
 	State(ctx context.Context, sampler Target) (State, error)
 }
@@ -68,48 +67,47 @@
 // Pool is a pool of samplers that several models share.
 type Pool struct {
 	Name string
-	// Work is what the models' steps ask for.
+	// Work is what the models' steps need.
 	Work []Work
 	// Whole lets running generations end before new weights are loaded.
 	Whole bool
 	Seats []Seat
-	// Targets by the samplers' identities.
+	// Targets by sampler identity.
 	Targets map[string]Target
 }
 
-// Steering brings the versions that trainers name to the samplers of pools
-// that several models share, while this process is in charge.
-// Exported fields are set before Run.
+// Steering rolls out the versions that trainers name to pools of samplers that several models
+// share, while this process holds the duty. Exported fields are set before Run.
 type Steering struct {
 	Samplers Samplers
-	// Pools returns the pools as they are now.
+	// Pools returns the current pools.
 	Pools func() []Pool
-	// Loaded is told that a sampler has a version.
+	// Loaded is called when a sampler has a version.
 	Loaded    func(sampler, model string, version uint64)
 	Decisions *decision.Log
-	// Share is the greatest share of a pool's samplers that load at the same time.
+	// Share is the maximum share of a pool's samplers that load at the same time.
 	Share float64
 
 	mutex     sync.Mutex
 	schedules map[string]*Schedule
-	// orders is how many orders a sampler has accepted since its start.
-	orders map[Target]uint64
-	took   time.Duration
-	loads  sync.WaitGroup
+	// orders is the number of orders that a sampler has accepted since its start.
+	orders      map[Target]uint64
+	minLoadTime time.Duration
+	loads       sync.WaitGroup
 }
 
-// Run steers until the term ends.
+// Run schedules loads until the term ends.
 func (s *Steering) Run(ctx context.Context, term Term) error {
 	s.mutex.Lock()
 	s.schedules = map[string]*Schedule{}
 	s.orders = map[Target]uint64{}
-	s.took = firstLoad
+	s.minLoadTime = initialLoadTime
 	s.mutex.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	for pause.For(ctx, steerInterval) {
+	for pause.For(ctx, scheduleInterval) {
 		for _, pool := range s.Pools() {
-			s.steer(ctx, term, pool, cancel)
+			s.schedulePool(ctx, term, pool, cancel)
 		}
 	}
 	s.loads.Wait()
@@ -120,8 +118,8 @@
 	return nil
 }
 
-// steer orders what is to be loaded now in one pool.
-func (s *Steering) steer(ctx context.Context, term Term, pool Pool, cancel context.CancelCauseFunc) {
+// schedulePool orders the loads that are due in one pool.
+func (s *Steering) schedulePool(ctx context.Context, term Term, pool Pool, cancel context.CancelCauseFunc) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	schedule := s.schedules[pool.Name]
@@ -144,11 +142,11 @@
 // load orders one sampler and waits until it has the version.
 func (s *Steering) load(ctx context.Context, term Term, schedule *Schedule, target Target, load Load, cancel context.CancelCauseFunc) {
 	began := time.Now()
-	ctx, stop := context.WithTimeout(ctx, patience)
+	ctx, stop := context.WithTimeout(ctx, loadTimeout)
 	defer stop()
 	err := s.order(ctx, term, target, load)
 	if err == nil {
-		err = s.await(ctx, target, load, began)
+		err = s.awaitVersion(ctx, target, load, began)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -167,11 +165,11 @@
 	}
 }
 
-// order sends the order.
+// order sends an order.
 //
-// An order without an answer may be accepted seconds later, after a newer one,
-// and would set the sampler back. So each names the orders accepted before it,
-// and after a lost answer the sampler is asked how many these are.
+// An order without an answer may be accepted seconds later, after a newer one, and would set
+// the sampler back. So each order carries the number of orders accepted before it, and after a
+// lost answer the sampler is asked for that number.
 func (s *Steering) order(ctx context.Context, term Term, target Target, load Load) error {
 	s.mutex.Lock()
 	orders, known := s.orders[target]
@@ -182,7 +180,7 @@
 			return err
 		}
 		if state.Versions[load.Model] >= load.Version && !state.IsLoading {
-			s.know(target, state.Orders)
+			s.setOrders(target, state.Orders)
 			return nil
 		}
 		orders = state.Orders
@@ -198,10 +196,10 @@
 	err := s.Samplers.Load(ctx, target, load, guard)
 	switch {
 	case err == nil:
-		s.know(target, orders+1)
+		s.setOrders(target, orders+1)
 		return nil
 	case errors.Is(err, ErrHolds):
-		s.know(target, orders)
+		s.setOrders(target, orders)
 		return nil
 	default:
 		s.mutex.Lock()
@@ -211,23 +209,23 @@
 	}
 }
 
-func (s *Steering) know(target Target, orders uint64) {
+func (s *Steering) setOrders(target Target, orders uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.orders[target] = orders
 }
 
-// await asks the sampler from the time on at which it should have the version.
-func (s *Steering) await(ctx context.Context, target Target, load Load, began time.Time) error {
+// awaitVersion polls the sampler from the time at which it should have the version.
+func (s *Steering) awaitVersion(ctx context.Context, target Target, load Load, began time.Time) error {
 	s.mutex.Lock()
-	took := s.took
+	expected := s.minLoadTime
 	s.mutex.Unlock()
-	pause.For(ctx, took)
-	for wait := askInterval; ; wait = time.Duration(askGrowth * float64(wait)) {
+	pause.For(ctx, expected)
+	for wait := pollInterval; ; wait = time.Duration(pollGrowth * float64(wait)) {
 		state, err := s.Samplers.State(ctx, target)
 		if err == nil && state.Versions[load.Model] >= load.Version {
 			s.mutex.Lock()
-			s.took = min(s.took, time.Since(began)-askInterval)
+			s.minLoadTime = min(s.minLoadTime, time.Since(began)-pollInterval)
 			s.mutex.Unlock()
 			return nil
 		}
--- a/internal/weight/steering_test.go
+++ b/internal/weight/steering_test.go
@@ -21,19 +21,19 @@
 	return all
 }
 
-// fleet is a pool of samplers that load for a second.
+// fleet simulates a pool of samplers whose loads take a second.
 type fleet struct {
-	mutex    sync.Mutex
-	versions map[string]uint64
-	orders   map[string]uint64
-	loading  map[string]bool
-	most     int
-	fences   []uint64
-	// lose makes the next order take effect without an answer.
-	lose bool
-	// newer makes samplers refuse orders as old.
-	newer bool
-	// named is the version that is wanted.
+	mutex      sync.Mutex
+	versions   map[string]uint64
+	orders     map[string]uint64
+	loading    map[string]bool
+	maxLoading int
+	fences     []uint64
+	// loseAnswer makes the next order take effect without an answer.
+	loseAnswer bool
+	// isSuperseded makes samplers refuse orders as those of an earlier holder.
+	isSuperseded bool
+	// named is the target version.
 	named uint64
 }
 
@@ -48,7 +48,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	switch {
-	case f.newer:
+	case f.isSuperseded:
 		return &platform.ConflictError{Key: sampler.ID}
 	case f.loading[sampler.ID] || load.Orders != f.orders[sampler.ID]:
 		return &platform.UnavailableError{Operation: "load", Status: 409}
@@ -56,15 +56,15 @@
 	f.fences = append(f.fences, load.Fence)
 	f.orders[sampler.ID]++
 	f.loading[sampler.ID] = true
-	f.most = max(f.most, len(f.loading))
+	f.maxLoading = max(f.maxLoading, len(f.loading))
 	time.AfterFunc(time.Second, func() {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
 		delete(f.loading, sampler.ID)
 		f.versions[sampler.ID] = load.Version
 	})
-	if f.lose {
-		f.lose = false
+	if f.loseAnswer {
+		f.loseAnswer = false
 		return &platform.UnavailableError{Operation: "load"}
 	}
 	return nil
@@ -88,12 +88,12 @@
 	return []Pool{pool}
 }
 
-type term struct{ ended bool }
+type term struct{ hasEnded bool }
 
 func (term) Fence() uint64          { return 7 }
-func (t term) Valid(time.Time) bool { return !t.ended }
+func (t term) Valid(time.Time) bool { return !t.hasEnded }
 
-// steer runs a steering for a while of fake time.
+// steer runs a Steering for a duration of fake time.
 func steer(t *testing.T, f *fleet, length time.Duration) error {
 	t.Helper()
 	return steerIn(t, f, term{}, length)
@@ -117,32 +117,32 @@
 			must.NoError(t, steer(t, f, 20*time.Second))
 			must.MapLen(t, 6, f.versions)
 			must.SliceLen(t, 6, f.fences)
-			must.LessEq(t, 2, f.most)
+			must.LessEq(t, 2, f.maxLoading)
 		})
 	})
-	// The answer to an order is lost, and the order is carried out all the same. It
-	// is sent again only with the number of orders that the sampler has accepted, so
-	// that it can't be set back by one that comes late.
+	// The answer to an order is lost although the order takes effect. It is sent again only
+	// with the number of orders that the sampler has accepted, so that a late order can't set
+	// it back.
 	t.Run("an answer is lost", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet()
-			f.lose = true
+			f.loseAnswer = true
 			must.NoError(t, steer(t, f, 30*time.Second))
 			must.MapLen(t, 6, f.versions)
 		})
 	})
-	// A holder stands still for longer than its lease and goes on where it was: with
-	// an order to send. Another one may hold the duty by then.
+	// A holder is suspended for longer than its lease and then resumes with an order to send.
+	// Another process may hold the duty by then.
 	t.Run("the term has ended", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet()
-			must.NoError(t, steerIn(t, f, term{ended: true}, 3*time.Second))
+			must.NoError(t, steerIn(t, f, term{hasEnded: true}, 3*time.Second))
 			must.SliceEmpty(t, f.fences)
 		})
 	})
-	// An order that got no answer may be accepted seconds later. A sampler tells it
-	// by the number of orders before it, so each order must name that number: one
-	// that names another is refused, and the second version never comes.
+	// An order without an answer may be accepted seconds later. A sampler detects it by the
+	// number of orders before it, so each order must carry that number: one with another
+	// number is refused, and the second version is never loaded.
 	t.Run("each order names those before it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet()
@@ -158,12 +158,12 @@
 			must.MapLen(t, 6, f.versions)
 		})
 	})
-	// A holder that was suspended wakes, and samplers have had orders of a newer
-	// one: it must stop at once, and send nothing more.
+	// A suspended holder wakes after samplers have had orders of a newer one: it must stop at
+	// once and send nothing more.
 	t.Run("a newer holder", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet()
-			f.newer = true
+			f.isSuperseded = true
 			must.Error(t, steer(t, f, 10*time.Second))
 			must.SliceEmpty(t, f.fences)
 		})
--- a/internal/weight/steps.go
+++ b/internal/weight/steps.go
@@ -2,38 +2,37 @@
 
 import "sync"
 
-// Step is a trainer's step that is open.
+// Step is an open step of a trainer.
 type Step struct {
 	Model string
-	// Oldest version that may make any of its tokens.
+	// Oldest is the oldest version that may generate any of its tokens.
 	Oldest uint64
 	// Runs is the number of its generations.
 	Runs int
 }
 
-// Steps knows the versions that trainers have named and the steps that are open,
-// and says what they ask of samplers. Its zero value knows nothing. It is safe
-// for concurrent use.
+// Steps tracks the versions that trainers have named and the open steps, and derives what they
+// need from samplers. Its zero value is empty. It is safe for concurrent use.
 type Steps struct {
-	mutex  sync.Mutex
-	named  map[string]uint64
-	open   map[string]Step
-	trails map[string]trail
+	mutex     sync.Mutex
+	named     map[string]uint64
+	open      map[string]Step
+	lastSteps map[string]lastStep
 }
 
-// trail is what a model's last step has told.
-type trail struct {
+// lastStep is the newest step of a model.
+type lastStep struct {
 	step Step
-	// lag is how far the oldest version that the step takes is behind the newest
-	// one named when it was opened.
+	// lag is how far the oldest version that the step accepts is behind the newest one named
+	// when it was opened.
 	lag uint64
 }
 
-// Name takes a version that was named. It reports whether it is newer than all before.
+// Name records a named version and reports whether it is newer than all before.
 func (s *Steps) Name(model string, version uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.prepare()
+	s.initMaps()
 	if version <= s.named[model] {
 		return false
 	}
@@ -41,54 +40,53 @@
 	return true
 }
 
-// Open takes a step that is open, under the identity of its batch.
+// Open records an open step under the identity of its batch.
 func (s *Steps) Open(batch string, step Step) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.prepare()
+	s.initMaps()
 	if _, isKnown := s.open[batch]; isKnown {
 		return
 	}
 	s.open[batch] = step
-	last, isKnown := s.trails[step.Model]
+	last, isKnown := s.lastSteps[step.Model]
 	if isKnown && step.Oldest < last.step.Oldest {
 		return
 	}
-	next := trail{step: step}
+	next := lastStep{step: step}
 	if named := s.named[step.Model]; named > step.Oldest {
 		next.lag = named - step.Oldest
 	}
-	s.trails[step.Model] = next
+	s.lastSteps[step.Model] = next
 }
 
-// Close notes that the batch of a step is ended.
+// Close records that the batch of a step has ended.
 func (s *Steps) Close(batch string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.open, batch)
 }
 
-// Work returns what the steps of a model ask of samplers.
+// Work returns what the steps of a model need from samplers.
 //
-// A trainer asks its next step as soon as it has named a version, and the step
-// takes versions as far behind that one as the step before did. So the next step is
-// known from the moment its version is named, and the one after it takes versions
-// from one further on.
+// A trainer requests its next step as soon as it has named a version, and that step accepts
+// versions as far behind it as the previous step did. So the next step is known once its
+// version is named, and the step after it accepts versions from one later on.
 func (s *Steps) Work(model string) Work {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	named := s.named[model]
-	last := s.trails[model]
+	last := s.lastSteps[model]
 	work := Work{Model: model, Named: named, Oldest: named - min(named, last.lag), Runs: last.step.Runs}
 	work.Coming = min(named, work.Oldest+1)
 	return work
 }
 
-func (s *Steps) prepare() {
+func (s *Steps) initMaps() {
 	if s.named != nil {
 		return
 	}
 	s.named = map[string]uint64{}
 	s.open = map[string]Step{}
-	s.trails = map[string]trail{}
+	s.lastSteps = map[string]lastStep{}
 }
--- a/internal/weight/wave.go
+++ b/internal/weight/wave.go
@@ -1,35 +1,33 @@
-// Package weight brings new weights to the samplers of models.
+// Package weight rolls out new weights to the samplers of models.
 //
-// Schedule decides which samplers change next and takes the time from its
-// caller; Wave is the schedule of one model that all its samplers serve.
-// Steering and Coordinator send the orders.
+// Schedule decides which samplers load next and takes the time from its caller; Wave is the
+// schedule of one model that all its samplers serve. Steering and Coordinator send the orders.
 package weight
 
 import "time"
 
-// Wave decides which samplers of one model change their weights next, where all
-// of them serve that model only. It does no input or output and is not safe for
-// concurrent use.
+// Wave decides which samplers load next where all of them serve the same single model. It does
+// no I/O and is not safe for concurrent use.
 type Wave struct {
 	Schedule
 
 	target uint64
 }
 
-// Sampler is what the other parts know of a sampler.
+// Sampler is the observed state of a sampler.
 type Sampler struct {
 	Server string
 	Zone   string
-	// Version that it shows; 0 if it is not known.
+	// Version that it shows, 0 if unknown.
 	Version uint64
 	Running uint32
 }
 
-// soleModel is the name under which a wave's schedule holds its only model.
+// soleModel is the name of the only model in a wave's schedule.
 const soleModel = ""
 
-// Announce sets the version wanted; a lower one than before is ignored. It
-// reports whether it is newer.
+// Announce sets the target version and reports whether it is newer than before; others are
+// ignored.
 func (w *Wave) Announce(version uint64) bool {
 	if version <= w.target {
 		return false
@@ -39,19 +37,19 @@
 	return true
 }
 
-// Behind returns the number of samplers that don't show the version wanted.
+// Behind returns the number of samplers that don't show the target version.
 func (w *Wave) Behind() int {
 	behind := 0
 	for _, sampler := range w.samplers {
-		if sampler.shown[soleModel] < w.target {
+		if sampler.versions[soleModel] < w.target {
 			behind++
 		}
 	}
 	return behind
 }
 
-// Next returns the samplers to order now, those in the zones where the fewest
-// change first, and of them the least busy.
+// Next returns the samplers to order now: first those in the zones with the fewest loads, and
+// among them the least busy.
 func (w *Wave) Next(now time.Time) []string {
 	changes := w.Schedule.Next(now)
 	var chosen []string
@@ -61,15 +59,15 @@
 	return chosen
 }
 
-// Observe takes the samplers that are live now, as load reports show them.
+// Observe sets the samplers that are live now, from load reports.
 func (w *Wave) Observe(live []Sampler, now time.Time) {
-	known := w.begin(len(live), now)
+	known := w.resetSamplers(len(live), now)
 	for i := range live {
-		one := w.observe(known, live[i].Server, live[i].Zone, 0)
-		one.running = live[i].Running
-		w.see(one, soleModel, live[i].Version, now)
+		entry := w.observeSampler(known, live[i].Server, live[i].Zone, 0)
+		entry.running = live[i].Running
+		w.observeVersion(entry, soleModel, live[i].Version, now)
 	}
 }
 
-// Target returns the version wanted.
+// Target returns the version that all samplers are to load.
 func (w *Wave) Target() uint64 { return w.target }
--- a/internal/weight/wave_test.go
+++ b/internal/weight/wave_test.go
@@ -40,16 +40,16 @@
 	must.SliceEmpty(t, wave.Next(now))
 }
 
-// One sampler's swap fails, and one of a kind that ignores fencing numbers was
-// set back by an old order. Both go on serving old weights while the wave is
-// taken for done, unless what they show is what counts.
+// Guards against taking a rollout for complete while samplers serve old weights: one sampler's
+// swap fails, and one that ignores fencing tokens is set back by an old order. Only the
+// version shown counts.
 func TestWaveOrdersAgain(t *testing.T) {
 	t.Run("a swap that fails is retried after a pause", func(t *testing.T) {
 		wave := newWave(1, 1)
 		must.Len(t, 1, wave.Next(start))
 		wave.Failed("s0000", start)
 		must.SliceEmpty(t, wave.Next(start))
-		must.Len(t, 1, wave.Next(start.Add(leastPause)))
+		must.Len(t, 1, wave.Next(start.Add(minBackoff)))
 	})
 	t.Run("an answer that shows the old version counts as failed", func(t *testing.T) {
 		wave := newWave(1, 1)
@@ -57,7 +57,7 @@
 		wave.Done("s0000", 1, start)
 		must.Eq(t, 1, wave.Behind())
 		must.SliceEmpty(t, wave.Next(start))
-		must.Len(t, 1, wave.Next(start.Add(leastPause)))
+		must.Len(t, 1, wave.Next(start.Add(minBackoff)))
 	})
 	t.Run("a sampler set back is ordered again", func(t *testing.T) {
 		wave := newWave(1, 1)
@@ -94,7 +94,7 @@
 func TestWaveSpreadsZones(t *testing.T) {
 	wave := newWave(70, 1)
 	for range 20 {
-		wave.width.learn(time.Second, 1)
+		wave.limiter.recordLoad(time.Second, 1)
 	}
 	zones := map[string]int{}
 	for _, server := range wave.Next(start) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// BenchmarkWave is one round of the coordinator over the letter's samplers, of
-// which it runs ten a second.
+// BenchmarkWave runs one round of the coordinator over 930 samplers; the coordinator runs ten
+// rounds a second.
 func BenchmarkWave(b *testing.B) {
 	wave := newWave(930, 1)
 	live := samplers(930, 1)
