--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,8 +1,8 @@
-// Package duty gives each duty that needs one process to one process.
+// Package duty elects one process for each duty that must have exactly one.
 //
-// The holder of a duty owns a key of the platform's store that ends with a
-// lease. Its term counts on this process's own clock from before the last
-// renewal was sent, less a margin, so it ends here before it ends in the store.
+// The holder of a duty owns a key in the platform's store that is bound to a lease. Its term
+// counts on the local clock from before the last renewal was sent, less a margin, so it ends
+// locally before it ends in the store.
 package duty
 
 import (
@@ -33,10 +33,10 @@
 	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
-// Key returns the store's key of a duty.
+// Key returns the store key of a duty.
 func Key(name string) string { return Prefix + name }
 
-// Holder returns who holds a duty. The error is a *platform.NotFoundError if nobody does.
+// Holder returns the holder of a duty, or a *platform.NotFoundError if there is none.
 func Holder(ctx context.Context, store Reader, name string) (*statepb.Holder, error) {
 	value, err := store.Get(ctx, Key(name))
 	if err != nil {
@@ -45,13 +45,12 @@
 	return ParseHolder(value)
 }
 
-// ParseHolder reads the value of a duty's key.
+// ParseHolder decodes the value of a duty's key.
 //
-// The fence is the revision at which the holder created the key. The store's
-// revisions are one sequence that never falls, so the fence also grows when the
-// key has gone with its lease; a number kept in the value would be lost then. Only a
-// term that a new start of its holder goes on with is named in the value: it began
-// at an earlier revision of the key.
+// The fence is the revision at which the holder created the key. The store's revisions are one
+// sequence that never falls, so the fence also grows after the key has expired with its lease;
+// a counter in the value would be lost then. Only a term resumed by a new start of its holder
+// has its fence in the value, since it began at an earlier revision of the key.
 func ParseHolder(value platform.Value) (*statepb.Holder, error) {
 	holder := &statepb.Holder{}
 	if err := proto.Unmarshal(value.Data, holder); err != nil {
--- a/internal/duty/group.go
+++ b/internal/duty/group.go
@@ -12,52 +12,52 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pause"
 )
 
-// Group takes part in duties whose names come and go, such as one for each zone.
-// Exported fields are set before Run.
+// Group takes part in duties whose names change over time, such as one for each zone. Exported
+// fields are set before Start.
 type Group struct {
 	// Names returns the duties wanted now.
 	Names func() []string
 	// Run takes part in one duty until its context ends.
 	Run func(ctx context.Context, name string) error
-	// Interval is the time between two looks at the names.
+	// Interval is the time between two calls of Names.
 	Interval time.Duration
 
-	running map[string]context.CancelFunc
-	joined  sync.WaitGroup
+	cancels map[string]context.CancelFunc
+	keepers sync.WaitGroup
 }
 
 // Start takes part in all duties until the context ends.
 func (g *Group) Start(ctx context.Context) error {
-	g.running = map[string]context.CancelFunc{}
+	g.cancels = map[string]context.CancelFunc{}
 	for {
 		names := g.Names()
-		g.end(names)
-		g.begin(ctx, names)
+		g.stopRemoved(names)
+		g.startNew(ctx, names)
 		if !pause.For(ctx, g.Interval) {
 			break
 		}
 	}
-	g.end(nil)
-	g.joined.Wait()
+	g.stopRemoved(nil)
+	g.keepers.Wait()
 	return nil
 }
 
-func (g *Group) begin(ctx context.Context, names []string) {
+func (g *Group) startNew(ctx context.Context, names []string) {
 	for _, name := range names {
-		if g.running[name] != nil {
+		if g.cancels[name] != nil {
 			continue
 		}
 		running, cancel := context.WithCancel(ctx)
-		g.running[name] = cancel
-		g.joined.Go(func() { g.run(running, name) })
+		g.cancels[name] = cancel
+		g.keepers.Go(func() { g.run(running, name) })
 	}
 }
 
-func (g *Group) end(names []string) {
-	for name, cancel := range g.running {
+func (g *Group) stopRemoved(names []string) {
+	for name, cancel := range g.cancels {
 		if !slices.Contains(names, name) {
 			cancel()
-			delete(g.running, name)
+			delete(g.cancels, name)
 		}
 	}
 }
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// maxCandidates bounds the processes that ask the store about one duty, so
-	// that its calls don't grow with the processes.
+	// maxCandidates bounds the processes that poll the store for one duty, so that the number
+	// of calls doesn't grow with the processes.
 	maxCandidates = 3
-	// renewals is how often a lease is renewed within its length.
-	renewals = 4
-	// polls is how often another candidate looks within a lease's length.
-	polls = 2
-	// releaseTimeout bounds the wait for the store when a duty is given up.
+	// renewalsPerLease is how often a lease is renewed within its length.
+	renewalsPerLease = 4
+	// pollsPerLease is how often another candidate polls within a lease's length.
+	pollsPerLease = 2
+	// releaseTimeout bounds the store call that releases a duty.
 	releaseTimeout = 2 * time.Second
 )
 
-// Work does a duty until its context ends, which it does at the end of the term.
-// A nil error within the term says that the duty has nothing left to do.
+// Work does a duty until its context ends, at the latest with the term. A nil error within the
+// term means that the duty has nothing left to do.
 type Work func(ctx context.Context, term *Term) error
 
-// Keeper takes part in one duty for a process: it takes it when it is free,
-// works while it holds it, and gives it up. Exported fields are set before Run.
+// Keeper takes part in one duty for a process: it acquires the duty when it is free, works
+// while it holds it, and releases it. Exported fields are set before Run.
 type Keeper struct {
 	Store Store
 	// Name of the duty.
@@ -40,31 +40,31 @@
 	Address string
 	// Lease is the length of the store's lease.
 	Lease time.Duration
-	// Margin is how much earlier a term ends here than in the store.
+	// Margin is how much earlier a term ends locally than in the store.
 	Margin time.Duration
-	// Prefix of the duty's key; "" takes the package's.
+	// Prefix of the duty's key; "" means the package's.
 	Prefix string
-	// Free reports whether nobody holds the duty, where that is known without
-	// asking the store; nil asks it.
+	// Free reports whether nobody holds the duty, if that is known without asking the store;
+	// nil asks the store.
 	Free func() bool
-	// Left returns what an earlier start of this process holds; nil is nothing.
+	// Left returns what an earlier start of this process holds; nil means nothing.
 	Left func() Left
-	// Look is the wait between two looks at a duty that another process holds; 0
-	// takes a half of the lease.
+	// Look is the time between two polls of a duty that another process holds; 0 means half of
+	// the lease.
 	Look time.Duration
-	// Rank returns this process's place among the candidates; nil is 0.
+	// Rank returns this process's place among the candidates; nil means 0.
 	Rank func() int
-	// Held is told when the duty is taken and given up; nil is allowed.
+	// Held is called when the duty is acquired and released; it may be nil.
 	Held      func(name string, held bool)
 	Decisions *decision.Log
 
 	// hasHeld is true once this start of the process has held the duty.
 	hasHeld bool
-	// revision is that of the duty's key in the present term.
+	// revision of the duty's key in the current term.
 	revision uint64
 }
 
-// Left is what an earlier start of a process has left of a duty; its zero value is nothing.
+// Left is what an earlier start of a process still holds of a duty; its zero value is nothing.
 type Left struct {
 	// Revision of the duty's key.
 	Revision uint64
@@ -75,9 +75,9 @@
 // Run takes part until the context ends or the work has nothing left to do.
 func (k *Keeper) Run(ctx context.Context, work Work) error {
 	for ctx.Err() == nil {
-		term, lease := k.take(ctx)
+		term, lease := k.acquire(ctx)
 		if term == nil {
-			pause.For(ctx, k.look())
+			pause.For(ctx, k.pollInterval())
 			continue
 		}
 		term, err := k.serve(ctx, term, lease, work)
@@ -87,16 +87,16 @@
 		if err != nil && !errors.Is(err, context.Canceled) {
 			k.Decisions.Record(k.Name, "duty", "%s failed in its term %d: %v", k.Process, term.Fence(), err)
 		}
-		pause.For(ctx, k.look())
+		pause.For(ctx, k.pollInterval())
 	}
 	return nil
 }
 
-func (k *Keeper) look() time.Duration {
+func (k *Keeper) pollInterval() time.Duration {
 	if k.Look > 0 {
 		return k.Look
 	}
-	return k.Lease / polls
+	return k.Lease / pollsPerLease
 }
 
 // key returns the store's key of the duty.
@@ -107,14 +107,14 @@
 	return Key(k.Name)
 }
 
-// take returns a term if the duty was free and is now held here.
-func (k *Keeper) take(ctx context.Context) (*Term, uint64) {
-	rank, left := k.rank(), k.left()
+// acquire returns a term and its lease if the duty was free, else nil.
+func (k *Keeper) acquire(ctx context.Context) (*Term, uint64) {
+	rank, left := k.rank(), k.leftByEarlierStart()
 	if left.Revision == 0 {
 		if rank >= maxCandidates || !k.isFree(ctx) {
 			return nil, 0
 		}
-		pause.For(ctx, time.Duration(rank)*k.Lease/(2*renewals))
+		pause.For(ctx, time.Duration(rank)*k.Lease/(2*renewalsPerLease))
 	}
 	sent := time.Now()
 	lease, err := k.Store.Grant(ctx, k.Lease)
@@ -136,17 +136,16 @@
 	return NewTerm(fence, until), lease
 }
 
-// left returns what an earlier start of this process has left of the duty.
+// leftByEarlierStart returns what an earlier start of this process still holds.
 //
-// A process that was killed and is back would wait for its own lease to lapse. All
-// processes ended at once, no weights were loaded for the length of the lease, and the
-// steps that were asked meanwhile waited for samplers. The start before is gone
-// for good: this one has its address. Its term goes on under its fence, so that a
-// call of it that is done late is no call of an earlier holder; under a new fence
-// a platform that takes such calls has to be left alone for a while first, and usage
-// windows were reported too late. A term that this start has had goes on by regain,
-// or not at all.
-func (k *Keeper) left() Left {
+// Without it, a process that was killed and restarted waits for its own lease to lapse. When
+// all processes had ended at once, no weights were loaded for the length of the lease, and the
+// steps requested meanwhile waited for samplers. The earlier start is gone for good, since
+// this one has its address. Its term is resumed under its fence, so that a late call of it
+// isn't one of an earlier holder. Under a new fence, a platform that accepts such calls has to
+// be left alone for a while first, and usage windows were reported too late. A term that this
+// start has held is resumed by resume, or not at all.
+func (k *Keeper) leftByEarlierStart() Left {
 	if k.Left == nil || k.hasHeld {
 		return Left{}
 	}
@@ -169,29 +168,29 @@
 	return errors.As(err, &missing)
 }
 
-// write creates the duty's key, or replaces the one that was left, and returns its
+// write creates the duty's key, or replaces the one left by an earlier start, and returns its
 // revision, which is the fence of a new term.
 //
-// The answer may be lost after the change took effect; giving up then would
-// leave the duty held by nobody for a whole lease. The lease's number is known
-// to this process alone, so a key that carries it is its own write.
+// The answer may be lost after the change took effect; giving up then would leave the duty
+// without a holder for a whole lease. Only this process knows the lease's number, so a key
+// bound to that lease is its own write.
 func (k *Keeper) write(ctx context.Context, left Left, lease uint64, until time.Time) (uint64, error) {
-	data, err := k.holder(left.Fence)
+	data, err := k.encodeHolder(left.Fence)
 	if err != nil {
 		return 0, err
 	}
 	revision, err := k.Store.Swap(ctx, k.key(), left.Revision, data, lease)
-	var lost *platform.UnavailableError
-	for errors.As(err, &lost) && ctx.Err() == nil && time.Now().Before(until) {
-		pause.For(ctx, k.Lease/(2*renewals))
+	var unavailable *platform.UnavailableError
+	for errors.As(err, &unavailable) && ctx.Err() == nil && time.Now().Before(until) {
+		pause.For(ctx, k.Lease/(2*renewalsPerLease))
 		revision, err = k.readBack(ctx, lease)
 	}
 	return revision, err
 }
 
-// holder returns the value of the duty's key. A new term's fence is the revision
-// that the key gets, so only that of a term that goes on is in it.
-func (k *Keeper) holder(fence uint64) ([]byte, error) {
+// encodeHolder returns the value of the duty's key. A new term's fence is the revision that
+// the key gets, so the value only has the fence of a resumed term.
+func (k *Keeper) encodeHolder(fence uint64) ([]byte, error) {
 	holder := statepb.Holder_builder{
 		Process: k.Process,
 		Fence:   fence,
@@ -214,16 +213,16 @@
 	return value.Revision, nil
 }
 
-// serve works through a term and all that follow it under the same lease, then
-// gives the duty up. It returns the last term.
+// serve works through a term and all that follow under the same lease, then releases the duty.
+// It returns the last term.
 func (k *Keeper) serve(ctx context.Context, term *Term, lease uint64, work Work) (*Term, error) {
 	for {
-		hasRunOut, err := k.hold(ctx, term, lease, work)
-		if !hasRunOut || ctx.Err() != nil {
+		hasExpired, err := k.runTerm(ctx, term, lease, work)
+		if !hasExpired || ctx.Err() != nil {
 			k.release(term)
 			return term, err
 		}
-		next := k.regain(ctx, term, lease)
+		next := k.resume(ctx, term, lease)
 		if next == nil {
 			return term, err
 		}
@@ -231,14 +230,14 @@
 	}
 }
 
-// regain returns a term that goes on under the lease of one that has run out; nil
-// if the lease has ended or the context has.
+// resume returns a new term under the lease of one that has expired, nil if the lease or the
+// context has ended.
 //
-// The store was away for longer than a term, and may count no lease meanwhile. The
-// holder then waited, as all others did, for its own lease to lapse, and nothing of
-// the duty was done for a lease more. As long as the lease stands, and the key with
-// it, nobody else has held the duty; so the holder goes on under its own fence.
-func (k *Keeper) regain(ctx context.Context, term *Term, lease uint64) *Term {
+// A store that was unavailable for longer than a term may count no lease meanwhile. Without
+// resume, the holder waits for its own lease to lapse, as all others do, and the duty isn't
+// done for another lease. As long as the lease is valid and the key is unchanged, nobody else
+// has held the duty, so the holder continues under its own fence.
+func (k *Keeper) resume(ctx context.Context, term *Term, lease uint64) *Term {
 	for ctx.Err() == nil {
 		sent := time.Now()
 		err := k.Store.Renew(ctx, lease, k.Lease)
@@ -250,54 +249,54 @@
 		case err == nil && revision == k.revision:
 			k.Decisions.Record(k.Name, "duty", "%s goes on with term %d, its lease stands", k.Process, term.Fence())
 			return NewTerm(term.Fence(), sent.Add(k.Lease-k.Margin))
-		case err == nil, isOver(err):
+		case err == nil, isLeaseGone(err):
 			k.Decisions.Record(k.Name, "duty", "term %d has run out and its lease has ended", term.Fence())
 			return nil
 		}
-		pause.For(ctx, k.Lease/(2*renewals))
+		pause.For(ctx, k.Lease/(2*renewalsPerLease))
 	}
 	k.release(term)
 	return nil
 }
 
-// isOver reports whether an answer of the store says that a lease or its key has gone.
-func isOver(err error) bool {
+// isLeaseGone reports whether a store error says that a lease or its key is gone.
+func isLeaseGone(err error) bool {
 	var missing *platform.NotFoundError
 	var conflict *platform.ConflictError
 	return errors.As(err, &missing) || errors.As(err, &conflict)
 }
 
-// hold works until the term ends, and reports whether it has run out with nothing
-// known of its lease. It returns only once the work has, so that a successor never
-// meets it.
-func (k *Keeper) hold(ctx context.Context, term *Term, lease uint64, work Work) (hasRunOut bool, err error) {
-	k.tell(true)
-	defer k.tell(false)
+// runTerm works until the term ends, and reports whether it expired while the state of its
+// lease was unknown. It returns only after the work has, so that a successor never runs at the
+// same time.
+func (k *Keeper) runTerm(ctx context.Context, term *Term, lease uint64, work Work) (hasExpired bool, err error) {
+	k.notifyHeld(true)
+	defer k.notifyHeld(false)
 	working, cancel := context.WithCancel(ctx)
 	defer cancel()
-	renewed, watched := make(chan struct{}), make(chan bool, 1)
+	renewed, expired := make(chan struct{}), make(chan bool, 1)
 	go func() {
 		defer close(renewed)
 		k.renew(working, term, lease, cancel)
 	}()
-	go func() { watched <- watch(working, term, cancel) }()
+	go func() { expired <- endAtExpiry(working, term, cancel) }()
 	err = work(working, term)
 	cancel()
 	<-renewed
-	return <-watched, err
+	return <-expired, err
 }
 
-func (k *Keeper) tell(held bool) {
+func (k *Keeper) notifyHeld(held bool) {
 	if k.Held != nil {
 		k.Held(k.Name, held)
 	}
 }
 
-// renew lengthens the lease until the context ends or the lease is gone.
-// A term is counted from before the renewal is sent: the store may have counted
-// the lease from any moment since, and an answer may come late.
+// renew extends the lease until the context ends or the lease is gone. A term counts from
+// before the renewal is sent: the store may have counted the lease from any moment since, and
+// the answer may come late.
 func (k *Keeper) renew(ctx context.Context, term *Term, lease uint64, cancel func()) {
-	for pause.For(ctx, k.Lease/renewals) {
+	for pause.For(ctx, k.Lease/renewalsPerLease) {
 		sent := time.Now()
 		err := k.Store.Renew(ctx, lease, k.Lease)
 		var gone *platform.NotFoundError
@@ -313,10 +312,10 @@
 	}
 }
 
-// watch ends the work at the end of the term, and reports whether it did. The term
-// is ended for good, since a renewal's answer that comes after that would otherwise
-// revive it under work that is being ended.
-func watch(ctx context.Context, term *Term, cancel func()) bool {
+// endAtExpiry ends the work at the end of the term, and reports whether it did. It also ends
+// the term for good, since a renewal's late answer would otherwise revive it while its work is
+// being stopped.
+func endAtExpiry(ctx context.Context, term *Term, cancel func()) bool {
 	for pause.For(ctx, time.Until(term.Until())) {
 		if !term.Valid(time.Now()) {
 			isLapsed := !term.Until().IsZero()
@@ -328,7 +327,7 @@
 	return false
 }
 
-// release removes the duty's key if it is still this term's.
+// release deletes the duty's key if it is still this term's.
 func (k *Keeper) release(term *Term) {
 	term.End()
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
--- a/internal/duty/keeper_test.go
+++ b/internal/duty/keeper_test.go
@@ -19,50 +19,50 @@
 const (
 	lease  = 10 * time.Second
 	margin = 3 * time.Second
-	// tick keeps a test's own events apart from those of the keeper's timers.
+	// tick keeps a test's own events apart from the keeper's timers.
 	tick = time.Millisecond
 )
 
-// record is what the holders of a duty did.
-type record struct {
-	mutex  sync.Mutex
-	terms  []*duty.Term
-	active int
-	most   int
+// workLog records what the holders of a duty did.
+type workLog struct {
+	mutex     sync.Mutex
+	terms     []*duty.Term
+	active    int
+	maxActive int
 }
 
 // work stays in its term until the context ends.
-func (r *record) work(ctx context.Context, term *duty.Term) error {
+func (r *workLog) work(ctx context.Context, term *duty.Term) error {
 	r.enter(term, 1)
 	defer r.enter(nil, -1)
 	<-ctx.Done()
 	return nil
 }
 
-func (r *record) enter(term *duty.Term, by int) {
+func (r *workLog) enter(term *duty.Term, delta int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.active += by
-	r.most = max(r.most, r.active)
+	r.active += delta
+	r.maxActive = max(r.maxActive, r.active)
 	if term != nil {
 		r.terms = append(r.terms, term)
 	}
 }
 
-func (r *record) count() int {
+func (r *workLog) count() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.terms)
 }
 
-// working returns how many work now.
-func (r *record) working() int {
+// working returns how many holders work now.
+func (r *workLog) working() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.active
 }
 
-func (r *record) term(i int) *duty.Term {
+func (r *workLog) term(i int) *duty.Term {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.terms[i]
@@ -93,7 +93,7 @@
 
 func TestOneHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, record := newStore(), &record{}
+		store, record := newStore(), &workLog{}
 		var stops []func()
 		for rank, process := range []string{"e1", "e2", "e3", "e4"} {
 			stops = append(stops, start(t, newKeeper(store, process, rank), record.work))
@@ -103,22 +103,22 @@
 		for _, stop := range stops {
 			stop()
 		}
-		must.Eq(t, 1, record.most)
+		must.Eq(t, 1, record.maxActive)
 		for i := 1; i < record.count(); i++ {
 			must.Greater(t, record.term(i-1).Fence(), record.term(i).Fence())
 		}
 	})
 }
 
-// Two processes send orders to one zone: the store goes away, the holder's
-// lease lapses in it unseen, and the holder works on. Its term must have ended
-// here before the store could give the duty to another.
+// Guards against two processes that send orders to one zone: in a store outage the holder's
+// lease lapses unnoticed, and the holder works on. Its term must end locally before the store
+// can give the duty to another process.
 func TestTermEndsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, record := newStore(), &record{}
+		store, record := newStore(), &workLog{}
 		stop := start(t, newKeeper(store, "e1", 0), record.work)
 		time.Sleep(lease + tick)
-		store.set(func() { store.down = true })
+		store.set(func() { store.isDown = true })
 		time.Sleep(lease - margin)
 		synctest.Wait()
 		must.False(t, record.term(0).Valid(time.Now()))
@@ -127,23 +127,23 @@
 	})
 }
 
-// Two processes send orders to one zone: the answer of a renewal comes late and
-// is the last one before an outage. Counted from the answer, the term would end
-// here only after the lease has lapsed in the store.
+// Guards against two processes that send orders to one zone: the answer of a renewal comes
+// late and is the last one before an outage. Counted from the answer, the term would end
+// locally only after the lease has lapsed in the store.
 func TestTermCountsFromBeforeRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, record := newStore(), &record{}
+		store, record := newStore(), &workLog{}
 		stop := start(t, newKeeper(&lateStore{store: store}, "e1", 0), record.work)
 		for range 40 {
 			time.Sleep(lease/10 + tick)
-			must.False(t, record.term(0).Until().After(store.lapses(1).Add(-margin)))
+			must.False(t, record.term(0).Until().After(store.leaseEnd(1).Add(-margin)))
 		}
 		must.Eq(t, 1, record.count())
 		stop()
 	})
 }
 
-// lateStore gives the answers of renewals late.
+// lateStore delays the answers of renewals.
 type lateStore struct {
 	*store
 }
@@ -154,11 +154,11 @@
 	return err
 }
 
-// Nobody orders servers for a whole lease: the write that took the duty was
-// done, its answer was lost, and the process gave up what it held.
+// Guards against a whole lease in which nobody orders servers: the write that acquired the
+// duty took effect, its answer was lost, and the process gave up what it held.
 func TestTakesDutyWhoseAnswerWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, record := newStore(), &record{}
+		store, record := newStore(), &workLog{}
 		keeper := newKeeper(&losingStore{store: store}, "e1", 0)
 		stop := start(t, keeper, record.work)
 		time.Sleep(lease / 4)
@@ -182,14 +182,14 @@
 	return revision, err
 }
 
-// One renewal's answer is lost, which must not end the term.
+// The loss of one renewal's answer must not end the term.
 func TestLostRenewalKeepsTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, record := newStore(), &record{}
+		store, record := newStore(), &workLog{}
 		stop := start(t, newKeeper(store, "e1", 0), record.work)
 		for range 20 {
 			time.Sleep(lease + tick)
-			store.set(func() { store.lose = 1 })
+			store.set(func() { store.lostAnswers = 1 })
 		}
 		must.Eq(t, 1, record.count())
 		must.True(t, record.term(0).Valid(time.Now()))
@@ -197,17 +197,17 @@
 	})
 }
 
-// The store's calls must not grow with the processes that could hold a duty.
+// Store calls must not grow with the number of processes that could hold a duty.
 func TestCallsDoNotGrowWithProcesses(t *testing.T) {
-	few, many := callsOf(t, 10), callsOf(t, 400)
-	// Candidates that start at once may each see the duty free: four calls each.
+	few, many := countCalls(t, 10), countCalls(t, 400)
+	// Candidates that start at the same time may each see the duty free: four calls each.
 	must.Between(t, few-8, many, few+8)
 }
 
-func callsOf(t *testing.T, processes int) int {
+func countCalls(t *testing.T, processes int) int {
 	var calls int
 	synctest.Test(t, func(t *testing.T) {
-		store, record := newStore(), &record{}
+		store, record := newStore(), &workLog{}
 		var stops []func()
 		for rank := range processes {
 			stops = append(stops, start(t, newKeeper(store, "e", rank), record.work))
@@ -253,9 +253,9 @@
 	must.SliceEmpty(t, duty.Order("usage", nil))
 }
 
-// A holder is killed and is back within its lease. Waiting for its own lease to
-// lapse, it left the duty undone for seconds: no weights were loaded, and the steps
-// asked meanwhile found no sampler. What it had in its own start is no such case.
+// A holder is killed and restarts within its lease. If it waits for its own lease to lapse,
+// the duty isn't done for seconds: no weights are loaded, and the steps requested meanwhile
+// find no sampler. What it has held in its own start is not resumed this way.
 func TestResumesWhatItsLastStartHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
@@ -263,7 +263,7 @@
 		must.NoError(t, err)
 		left, err := store.Swap(t.Context(), duty.Key("order-a"), 0, []byte("an earlier start"), granted)
 		must.NoError(t, err)
-		resuming, waiting := &record{}, &record{}
+		resuming, waiting := &workLog{}, &workLog{}
 		restarted := newKeeper(store, "p1", 2)
 		restarted.Left = func() duty.Left { return duty.Left{Revision: left, Fence: left} }
 		stop := start(t, restarted, resuming.work)
@@ -273,7 +273,7 @@
 		must.Eq(t, 1, resuming.count())
 		must.Eq(t, 0, waiting.count())
 		must.Eq(t, left, resuming.term(0).Fence())
-		// Killed once more, the next start has to go on under the same fence.
+		// If it is killed once more, the next start must resume under the same fence.
 		value, err := store.Get(t.Context(), duty.Key("order-a"))
 		must.NoError(t, err)
 		holder := &statepb.Holder{}
@@ -286,14 +286,13 @@
 	})
 }
 
-// The store is away for longer than a term and counts no lease meanwhile. The holder
-// waited for its own lease to lapse before it took the duty anew: for three seconds
-// more nobody loaded weights. It goes on as soon as the store has renewed its lease,
-// under the same fence; while that isn't known it does nothing.
+// The store is unavailable for longer than a term and counts no lease meanwhile. A holder that
+// waits for its own lease to lapse loads no weights for three seconds more. It resumes as soon
+// as the store has renewed its lease, under the same fence; until then it does nothing.
 func TestTermGoesOnUnderItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
-		held, other := &record{}, &record{}
+		held, other := &workLog{}, &workLog{}
 		stop := start(t, newKeeper(store, "p1", 0), held.work)
 		defer stop()
 		defer start(t, newKeeper(store, "p2", 1), other.work)()
@@ -312,12 +311,12 @@
 	})
 }
 
-// The store is away for longer than a lease and counts it. Another process may hold
-// the duty by then, and the former holder must not go on with its term.
+// The store is unavailable for longer than a lease and counts it. Another process may hold the
+// duty by then, and the former holder must not continue its term.
 func TestTermEndsWithItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
-		held, other := &record{}, &record{}
+		held, other := &workLog{}, &workLog{}
 		first := newKeeper(store, "p1", 0)
 		var rank atomic.Int64
 		first.Rank = func() int { return int(rank.Load()) }
--- a/internal/duty/rank.go
+++ b/internal/duty/rank.go
@@ -7,21 +7,20 @@
 	"slices"
 )
 
-// Rank returns the place of a process among the candidates for a duty, from 0.
-// Each duty has an order of its own (rendezvous hashing), so duties spread and
-// a candidate that comes or goes moves few of them. A process that is not a
-// candidate gets the number of candidates.
+// Rank returns the place of a process among the candidates for a duty, from 0. Each duty has
+// its own order (rendezvous hashing), so duties spread and a candidate that joins or leaves
+// moves few of them. A process that is not a candidate gets the number of candidates.
 func Rank(name, process string, candidates []string) int {
-	own := weight(name, process)
+	own := rankScore(name, process)
 	rank := 0
-	known := false
+	isCandidate := false
 	for _, candidate := range candidates {
-		known = known || candidate == process
-		if weight(name, candidate) > own {
+		isCandidate = isCandidate || candidate == process
+		if rankScore(name, candidate) > own {
 			rank++
 		}
 	}
-	if !known {
+	if !isCandidate {
 		return len(candidates)
 	}
 	return rank
@@ -40,15 +39,15 @@
 // Candidate is a process that may do a duty.
 type Candidate struct {
 	Name string
-	// Cores of processor time that the process has; 0 if that isn't known.
+	// Cores of CPU time that the process has, 0 if unknown.
 	Cores float64
 }
 
-// OrderBySize returns the candidates for a duty, those first that have half of the
-// largest one's processor time or more.
+// OrderBySize returns the candidates for a duty, first those with at least half of the largest
+// one's CPU time.
 //
-// A duty takes the processor time of one process. At a small one its work waits, while
-// larger ones are idle.
+// A duty uses the CPU time of one process. On a small one its work waits while larger ones are
+// idle.
 func OrderBySize(name string, candidates []Candidate) []string {
 	var largest float64
 	for _, candidate := range candidates {
@@ -65,7 +64,7 @@
 	return append(Order(name, large), Order(name, small)...)
 }
 
-// cores returns the processor time; one that isn't told is a whole core.
+// cores returns the CPU time; an unknown one counts as a whole core.
 func (c Candidate) cores() float64 {
 	if c.Cores <= 0 {
 		return 1
@@ -75,16 +74,16 @@
 
 // Order returns the candidates for a duty by their rank.
 func Order(name string, candidates []string) []string {
-	weights := make(map[string]uint64, len(candidates))
+	scores := make(map[string]uint64, len(candidates))
 	for _, candidate := range candidates {
-		weights[candidate] = weight(name, candidate)
+		scores[candidate] = rankScore(name, candidate)
 	}
 	order := slices.Clone(candidates)
-	slices.SortFunc(order, func(a, b string) int { return cmp.Compare(weights[b], weights[a]) })
+	slices.SortFunc(order, func(a, b string) int { return cmp.Compare(scores[b], scores[a]) })
 	return order
 }
 
-func weight(name, process string) uint64 {
+func rankScore(name, process string) uint64 {
 	sum := sha256.Sum256([]byte(name + "\x00" + process))
 	return binary.BigEndian.Uint64(sum[:8])
 }
--- a/internal/duty/rank_test.go
+++ b/internal/duty/rank_test.go
@@ -11,8 +11,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/duty"
 )
 
-// All trainers' batches were owned by hosts with a sixth of the processor time of
-// others, which were idle.
+// Guards against small hosts as owners: all trainers' batches were owned by hosts with a sixth
+// of the CPU time of others, which were idle.
 func TestSmallHostsComeLast(t *testing.T) {
 	candidates := []duty.Candidate{{Name: "small1", Cores: 0.15}, {Name: "small2", Cores: 0.15}, {Name: "large1", Cores: 0.8}, {Name: "large2", Cores: 0.6}}
 	for _, work := range []string{"model/a", "model/b", "model/c", "model/d", "model/e"} {
@@ -22,8 +22,7 @@
 	}
 }
 
-// A process that doesn't tell its size counts as one with a whole core, as one that
-// wasn't given a share does.
+// A process of unknown size counts as one with a whole core, like one without a CPU limit.
 func TestUntoldSize(t *testing.T) {
 	must.Eq(t, "untold", duty.OrderBySize("work", []duty.Candidate{{Name: "small", Cores: 0.3}, {Name: "untold"}})[0])
 }
@@ -48,7 +47,7 @@
 }
 
 func reversed(candidates []duty.Candidate) []duty.Candidate {
-	turned := slices.Clone(candidates)
-	slices.Reverse(turned)
-	return turned
+	clone := slices.Clone(candidates)
+	slices.Reverse(clone)
+	return clone
 }
--- a/internal/duty/store_test.go
+++ b/internal/duty/store_test.go
@@ -11,17 +11,17 @@
 
 var errCut = &platform.UnavailableError{Operation: "call", Cause: errors.New("connection cut")}
 
-// store is a key-value service in memory with leases and the faults of the real one.
+// store is an in-memory key-value store with leases and the faults of the real one.
 type store struct {
 	mutex    sync.Mutex
 	revision uint64
 	values   map[string]platform.Value
 	leases   map[uint64]time.Time
 	calls    int
-	// down makes calls fail before they take effect.
-	down bool
-	// lose makes this many answers be lost after the change took effect.
-	lose int
+	// isDown makes calls fail before they take effect.
+	isDown bool
+	// lostAnswers is the number of answers to lose after the change took effect.
+	lostAnswers int
 }
 
 func newStore() *store {
@@ -29,7 +29,7 @@
 }
 
 func (s *store) Delete(_ context.Context, key string, expect uint64) error {
-	return s.do(func() error {
+	return s.call(func() error {
 		if s.values[key].Revision != expect {
 			return &platform.ConflictError{Key: key}
 		}
@@ -41,7 +41,7 @@
 
 func (s *store) Get(_ context.Context, key string) (platform.Value, error) {
 	var value platform.Value
-	err := s.do(func() error {
+	err := s.call(func() error {
 		value = s.values[key]
 		if value.Revision == 0 {
 			return &platform.NotFoundError{Key: key}
@@ -53,7 +53,7 @@
 
 func (s *store) Grant(_ context.Context, length time.Duration) (uint64, error) {
 	var lease uint64
-	err := s.do(func() error {
+	err := s.call(func() error {
 		lease = uint64(len(s.leases) + 1)
 		s.leases[lease] = time.Now().Add(length)
 		return nil
@@ -62,7 +62,7 @@
 }
 
 func (s *store) Renew(_ context.Context, lease uint64, length time.Duration) error {
-	return s.do(func() error {
+	return s.call(func() error {
 		if !time.Now().Before(s.leases[lease]) {
 			return &platform.NotFoundError{Key: "lease"}
 		}
@@ -73,7 +73,7 @@
 
 func (s *store) Swap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	var revision uint64
-	err := s.do(func() error {
+	err := s.call(func() error {
 		if s.values[key].Revision != expect {
 			return &platform.ConflictError{Key: key, Revision: s.values[key].Revision}
 		}
@@ -85,24 +85,24 @@
 	return revision, err
 }
 
-// do runs one call under the faults that are set.
-func (s *store) do(call func() error) error {
+// call runs one call with the injected faults.
+func (s *store) call(apply func() error) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls++
-	if s.down {
+	if s.isDown {
 		return errCut
 	}
-	s.lapse()
-	err := call()
-	if s.lose > 0 {
-		s.lose--
+	s.expireLeases()
+	err := apply()
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
 		return errCut
 	}
 	return err
 }
 
-func (s *store) lapse() {
+func (s *store) expireLeases() {
 	for key, value := range s.values {
 		if value.Lease != 0 && !time.Now().Before(s.leases[value.Lease]) {
 			s.revision++
@@ -123,8 +123,8 @@
 	return s.calls
 }
 
-// lapses returns when a lease lapses.
-func (s *store) lapses(lease uint64) time.Time {
+// leaseEnd returns when a lease lapses.
+func (s *store) leaseEnd(lease uint64) time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.leases[lease]
