--- a/internal/cold/sent.go
+++ b/internal/cold/sent.go
@@ -2,30 +2,30 @@
 
 import "github.com/bramleyhatch/bramleyhatch/internal/clock"
 
-// mostSent is the greatest number of requests that Sent counts.
-const mostSent = 32
+// maxSent is the greatest number of requests that Sent counts.
+const maxSent = 32
 
-// Sent counts the requests that a process has sent to a server of late. Its zero
-// value has none.
+// Sent counts the requests that a process has recently sent to a server. Its zero value is
+// empty.
 type Sent struct {
-	times [mostSent]clock.Boot
+	times [maxSent]clock.Boot
 	count int
 }
 
-// Add notes a request.
+// Add records a request.
 func (s *Sent) Add(now clock.Boot) {
-	s.times[s.count%mostSent] = now
+	s.times[s.count%maxSent] = now
 	s.count++
 }
 
-// Within reports whether fewer than most requests were sent within Span up to now.
-func (s *Sent) Within(most int, now clock.Boot) bool {
-	most = min(most, mostSent)
-	if most <= 0 {
+// Within reports whether fewer than limit requests were sent within Span up to now.
+func (s *Sent) Within(limit int, now clock.Boot) bool {
+	limit = min(limit, maxSent)
+	if limit <= 0 {
 		return false
 	}
-	if s.count < most {
+	if s.count < limit {
 		return true
 	}
-	return now.Sub(s.times[(s.count-most)%mostSent]) >= Span
+	return now.Sub(s.times[(s.count-limit)%maxSent]) >= Span
 }
--- a/internal/cold/users.go
+++ b/internal/cold/users.go
@@ -1,7 +1,7 @@
-// Package cold decides how many requests a process may send to a backend server
-// that is cold: one that has just started, and fails under more than a few requests
-// a second. All processes together keep a server's rate without a call between them.
-// It does no input or output and takes the time from its caller.
+// Package cold limits how many requests a process may send to a cold backend server: one that
+// has just started and fails under more than a few requests a second. All processes together
+// keep to a server's rate without calls between them. The package does no I/O and takes the
+// time from its caller.
 package cold
 
 import (
@@ -13,90 +13,88 @@
 )
 
 const (
-	// Span is the time in which a process's requests to a cold server are counted: the
-	// second of the rate, and what requests sent in it may differ on their way.
+	// Span is the window in which a process's requests to a cold server are counted: one
+	// second for the rate, and the rest for differences in the requests' transit times.
 	Span = 1250 * time.Millisecond
-	// viewAge is how old the view of other processes may be while a process sends
-	// to cold servers.
-	viewAge = 1500 * time.Millisecond
-	// followAge is how much older that view may be because it came by another process.
-	followAge = 1900 * time.Millisecond
-	// lag is how much later than another process one may see a change.
-	lag = viewAge + followAge
-	// settle is how long a process counts as a user before it sends as one: until
-	// then every other process has seen it, and has sent its last request as one
-	// of fewer users.
-	settle = lag + Span + 350*time.Millisecond
-	// linger is how long a process that is a user no more may send: owners of batches
-	// have none between two of them. forget is how long the others count it, which may
-	// have seen its end first, and see last that it is a user again. A process that has
-	// started knows of none that lingers, and waits as long.
+	// maxViewAge is the maximum age of the view of other processes while a process sends to
+	// cold servers.
+	maxViewAge = 1500 * time.Millisecond
+	// maxRelayAge is how much older that view may be because another process relayed it.
+	maxRelayAge = 1900 * time.Millisecond
+	// maxLag is how much later than another process one may see a change.
+	maxLag = maxViewAge + maxRelayAge
+	// settle is how long a process counts as a user before it sends as one: by then every
+	// other process has seen it, and has sent its last request as one of fewer users.
+	settle = maxLag + Span + 350*time.Millisecond
+	// linger is how long a process that is no longer a user may still send: owners of batches
+	// have none between two of them. forget is how long the others count it, as they may see
+	// its end first and its return last. A process that has started knows no lingering ones,
+	// so it waits as long.
 	linger = 5 * time.Second
-	forget = linger + lag + settle
+	forget = linger + maxLag + settle
 )
 
-// Users are the processes that send to the servers of a pool, as one of them
-// sees them. Exported fields are set before the first call; it is not safe for
-// concurrent use.
+// Users holds the processes that send to the servers of a pool, as one of them sees them.
+// Exported fields are set before the first call; it is not safe for concurrent use.
 //
-// Where a zone is back, all its servers are cold, and every process finds them empty.
-// Two processes that don't count each other send twice the rate. So a user is counted
-// from when it is seen until long after it was seen last, and sends only once all others
-// must count it.
+// When a zone comes back, all its servers are cold, and every process finds them empty. Two
+// processes that don't count each other send twice the rate. So a user is counted from when it
+// is first seen until long after it was last seen, and sends only once all others must count
+// it.
 type Users struct {
 	// Self is the name of this process.
 	Self string
 
-	known map[string]user
-	// began is when a view was complete first, heard when it was last.
-	began, heard clock.Boot
+	users map[string]user
+	// firstHeard and lastHeard are when a view was complete first and last.
+	firstHeard, lastHeard clock.Boot
 }
 
-// user is a process as it is seen here.
+// user is another process or this one, as seen here.
 type user struct {
 	since clock.Boot
-	// gone is when it was seen as a user last; 0 while it is one.
-	gone clock.Boot
+	// removedAt is when it stopped being a user, 0 while it is one.
+	removedAt clock.Boot
 }
 
-// Add notes that a process is a user.
+// Add records that a process is a user.
 func (u *Users) Add(name string, now clock.Boot) {
-	if u.known == nil {
-		u.known = map[string]user{}
+	if u.users == nil {
+		u.users = map[string]user{}
 	}
-	one, isKnown := u.known[name]
-	if !isKnown || one.gone != 0 && now.Sub(one.gone) >= linger {
-		one.since = now
+	entry, isKnown := u.users[name]
+	if !isKnown || entry.removedAt != 0 && now.Sub(entry.removedAt) >= linger {
+		entry.since = now
 	}
-	one.gone = 0
-	u.known[name] = one
+	entry.removedAt = 0
+	u.users[name] = entry
 }
 
-// Remove notes that a process is a user no more.
+// Remove records that a process is no longer a user.
 func (u *Users) Remove(name string, now clock.Boot) {
-	one, isKnown := u.known[name]
-	if !isKnown || one.gone != 0 {
+	entry, isKnown := u.users[name]
+	if !isKnown || entry.removedAt != 0 {
 		return
 	}
-	one.gone = now
-	u.known[name] = one
+	entry.removedAt = now
+	u.users[name] = entry
 }
 
-// Heard notes that all changes of users up to now are known.
+// Heard records that all changes of users up to now are known.
 func (u *Users) Heard(now clock.Boot) {
-	if u.began == 0 {
-		u.began = now
+	if u.firstHeard == 0 {
+		u.firstHeard = now
 	}
-	u.heard = now
+	u.lastHeard = now
 }
 
-// Share returns how many requests this process may send to a server within Span,
-// where all processes together may send rate requests in a second.
+// Share returns how many requests this process may send to a server within Span, where all
+// processes together may send rate requests a second.
 //
-// Where there are more users than requests, each server has its own users, by
-// rendezvous hashing: all processes agree on them without a word.
+// With more users than requests, each server has its own users by rendezvous hashing, on which
+// all processes agree without communication.
 func (u *Users) Share(server string, rate float64, now clock.Boot) int {
-	if !u.mayUse(now) {
+	if !u.maySend(now) {
 		return 0
 	}
 	counted := u.counted(now)
@@ -110,24 +108,24 @@
 	return 1
 }
 
-// mayUse reports whether all other users count this process, and it counts them.
-func (u *Users) mayUse(now clock.Boot) bool {
-	if u.heard == 0 || now.Sub(u.heard) > viewAge || now.Sub(u.began) < forget {
+// maySend reports whether all other users count this process, and it counts them.
+func (u *Users) maySend(now clock.Boot) bool {
+	if u.lastHeard == 0 || now.Sub(u.lastHeard) > maxViewAge || now.Sub(u.firstHeard) < forget {
 		return false
 	}
-	self, isKnown := u.known[u.Self]
+	self, isKnown := u.users[u.Self]
 	if !isKnown || now.Sub(self.since) < settle {
 		return false
 	}
-	return self.gone == 0 || now.Sub(self.gone) < linger
+	return self.removedAt == 0 || now.Sub(self.removedAt) < linger
 }
 
-// counted returns the users that may send, and forgets those that can't any more.
+// counted returns the users that may send, and deletes those that no longer can.
 func (u *Users) counted(now clock.Boot) []string {
-	names := make([]string, 0, len(u.known))
-	for name, one := range u.known {
-		if one.gone != 0 && now.Sub(one.gone) >= forget {
-			delete(u.known, name)
+	names := make([]string, 0, len(u.users))
+	for name, entry := range u.users {
+		if entry.removedAt != 0 && now.Sub(entry.removedAt) >= forget {
+			delete(u.users, name)
 			continue
 		}
 		names = append(names, name)
--- a/internal/cold/users_test.go
+++ b/internal/cold/users_test.go
@@ -14,12 +14,12 @@
 
 const (
 	step = 50 * time.Millisecond
-	// greatestLag is how much older than it knows a process's view may be.
-	greatestLag = 1900 * time.Millisecond
-	start       = clock.Boot(time.Hour)
+	// maxLag is how much older than it knows a process's view may be.
+	maxLag = 1900 * time.Millisecond
+	start  = clock.Boot(time.Hour)
 )
 
-// settled returns users that have known of each other for long.
+// settled returns users that have known each other for long.
 func settled(self string, names ...string) (*cold.Users, clock.Boot) {
 	users := &cold.Users{Self: self}
 	for _, name := range names {
@@ -87,8 +87,8 @@
 	})
 }
 
-// Guards against a cold server that gets more than its rate from all processes
-// together, whoever joins, leaves, starts anew, stands still or hears late.
+// Guards against a cold server that gets more than its rate from all processes together,
+// whichever of them join, leave, restart, stall or receive changes late.
 func TestRateHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.5, 30).Draw(t, "rate")
@@ -96,14 +96,14 @@
 		for range 1200 {
 			fleet.step(rate)
 		}
-		most := max(1, int(rate))
+		limit := max(1, int(rate))
 		for server, times := range fleet.sent {
 			first := 0
 			for last, at := range times {
 				for at.Sub(times[first]) > time.Second {
 					first++
 				}
-				if count := last - first + 1; count > most {
+				if count := last - first + 1; count > limit {
 					t.Fatalf("%s got %d requests in the second to %s, rate %f", server, count, at.Sub(start), rate)
 				}
 			}
@@ -111,27 +111,28 @@
 	})
 }
 
-// change is one of who is a user, as the store has it.
+// change is a change of who is a user, as stored.
 type change struct {
 	name   string
 	isUser bool
 	at     clock.Boot
 }
 
-// process is one of a fleet with its own view.
+// process is a process of a fleet with its own view.
 type process struct {
 	*cold.Users
 
-	seen int
-	lag  time.Duration
-	// mute is until when it does nothing, deaf until when it hears nothing.
-	mute, deaf clock.Boot
+	seenChanges int
+	lag         time.Duration
+	// stalledUntil is the end of a time in which it does nothing, deafUntil of one in which it
+	// receives no changes.
+	stalledUntil, deafUntil clock.Boot
 
-	sent  map[string]*cold.Sent
-	known clock.Boot
+	sent       map[string]*cold.Sent
+	knownUntil clock.Boot
 }
 
-// fleet is processes that send to cold servers as often as they may.
+// fleet simulates processes that send to cold servers as often as they may.
 type fleet struct {
 	t         *rapid.T
 	now       clock.Boot
@@ -153,7 +154,7 @@
 	return f
 }
 
-// begin starts a process, for the first time or anew: it has forgotten all.
+// begin starts or restarts a process, without any state.
 func (f *fleet) begin(name string) {
 	f.processes[name] = &process{Users: &cold.Users{Self: name}, sent: map[string]*cold.Sent{}}
 }
@@ -163,61 +164,61 @@
 	f.changes = append(f.changes, change{name: name, isUser: f.isUser[name], at: f.now})
 }
 
-// step lets something happen, and every process hear and send.
+// step advances the time, may inject an event, and lets each process receive and send.
 func (f *fleet) step(rate float64) {
 	f.now = f.now.Add(step)
 	if rapid.IntRange(0, 24).Draw(f.t, "event") == 0 {
-		f.happen(f.names[rapid.IntRange(0, len(f.names)-1).Draw(f.t, "who")])
+		f.inject(f.names[rapid.IntRange(0, len(f.names)-1).Draw(f.t, "who")])
 	}
 	for _, name := range f.names {
-		one := f.processes[name]
-		if f.now < one.mute {
+		proc := f.processes[name]
+		if f.now < proc.stalledUntil {
 			continue
 		}
-		if f.now >= one.deaf {
-			f.hear(one)
+		if f.now >= proc.deafUntil {
+			f.receive(proc)
 		}
-		f.send(one, rate)
+		f.send(proc, rate)
 	}
 }
 
-func (f *fleet) happen(name string) {
-	one := f.processes[name]
+func (f *fleet) inject(name string) {
+	proc := f.processes[name]
 	switch rapid.IntRange(0, 6).Draw(f.t, "what") {
 	case 0:
 		f.begin(name)
 	case 1:
-		one.mute = f.now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(f.t, "mute")) * time.Millisecond)
+		proc.stalledUntil = f.now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(f.t, "mute")) * time.Millisecond)
 	case 2:
-		one.deaf = f.now.Add(time.Duration(rapid.IntRange(0, 9000).Draw(f.t, "deaf")) * time.Millisecond)
+		proc.deafUntil = f.now.Add(time.Duration(rapid.IntRange(0, 9000).Draw(f.t, "deaf")) * time.Millisecond)
 	case 3:
-		one.lag = time.Duration(rapid.IntRange(0, int(greatestLag/time.Millisecond)).Draw(f.t, "lag")) * time.Millisecond
+		proc.lag = time.Duration(rapid.IntRange(0, int(maxLag/time.Millisecond)).Draw(f.t, "lag")) * time.Millisecond
 	default:
 		f.toggle(name)
 	}
 }
 
-// hear shows a process what the store had a while ago, and never less than before.
-func (f *fleet) hear(one *process) {
-	one.known = max(one.known, f.now.Add(-one.lag))
-	for ; one.seen < len(f.changes) && f.changes[one.seen].at <= one.known; one.seen++ {
-		if f.changes[one.seen].isUser {
-			one.Add(f.changes[one.seen].name, f.now)
+// receive shows a process the store's changes up to its lag, never fewer than before.
+func (f *fleet) receive(proc *process) {
+	proc.knownUntil = max(proc.knownUntil, f.now.Add(-proc.lag))
+	for ; proc.seenChanges < len(f.changes) && f.changes[proc.seenChanges].at <= proc.knownUntil; proc.seenChanges++ {
+		if f.changes[proc.seenChanges].isUser {
+			proc.Add(f.changes[proc.seenChanges].name, f.now)
 		} else {
-			one.Remove(f.changes[one.seen].name, f.now)
+			proc.Remove(f.changes[proc.seenChanges].name, f.now)
 		}
 	}
-	one.Heard(f.now)
+	proc.Heard(f.now)
 }
 
-func (f *fleet) send(one *process, rate float64) {
+func (f *fleet) send(proc *process, rate float64) {
 	for _, server := range []string{"s1", "s2"} {
-		sent := one.sent[server]
+		sent := proc.sent[server]
 		if sent == nil {
 			sent = &cold.Sent{}
-			one.sent[server] = sent
+			proc.sent[server] = sent
 		}
-		for sent.Within(one.Share(server, rate, f.now), f.now) {
+		for sent.Within(proc.Share(server, rate, f.now), f.now) {
 			sent.Add(f.now)
 			f.sent[server] = append(f.sent[server], f.now)
 		}
