--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time or the end of a context.
+// Package pause waits for a duration unless a context ends first.
 package pause
 
 import (
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// For waits for a length of time and reports true, or false as soon as the
-// context has ended.
+// For waits for length and returns true, or false as soon as the context has ended.
 func For(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
