--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock tells time that neither jumps with the time of day nor stands
-// still while the host is suspended.
+// Package clock provides clocks that neither jump with the wall clock nor stop while the host
+// is suspended.
 package clock
 
 import (
@@ -8,25 +8,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is the time since the host started, suspensions included.
+// Boot is the time since the host started, including suspensions.
 type Boot time.Duration
 
-// Now reads the clock.
+// Now reads CLOCK_BOOTTIME.
 //
-// Go's own monotonic time doesn't count a suspension: the holder of a lease
-// that was suspended over its end would go on as if it still held it. The time
-// of day counts suspensions and jumps. CLOCK_BOOTTIME does neither wrong.
+// Go's monotonic clock doesn't count suspensions: the holder of a lease that was suspended
+// past its end would go on as if it still held it. The wall clock counts suspensions but
+// jumps. CLOCK_BOOTTIME has neither fault.
 func Now() Boot {
 	var spec unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &spec); err != nil {
-		// The clock exists on every Linux since 2.6.39; without it no lease can be trusted.
+		// CLOCK_BOOTTIME exists since Linux 2.6.39; without it no lease can be trusted.
 		panic("clock: CLOCK_BOOTTIME: " + err.Error())
 	}
 	return Boot(spec.Nano())
 }
 
-// Add returns the time a while later.
+// Add returns the time after a duration has passed.
 func (b Boot) Add(length time.Duration) Boot { return b + Boot(length) }
 
-// Sub returns the time between two moments.
+// Sub returns the duration from other to b.
 func (b Boot) Sub(other Boot) time.Duration { return time.Duration(b - other) }
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Wall tells the time of day without its jumps: as it was when it was set, plus
-// what the boot clock has counted since.
+// Wall is a wall clock without jumps: the wall time at its creation plus the boot time counted
+// since.
 type Wall struct {
 	at   time.Time
 	boot Boot
 }
 
-// NewWall returns a Wall that agrees with the time of day now.
+// NewWall returns a Wall set to the current wall time.
 func NewWall() *Wall {
 	return &Wall{at: time.Now().Round(0), boot: Now()}
 }
 
-// Now returns the time of day.
+// Now returns the wall time.
 func (w *Wall) Now() time.Time { return w.at.Add(Now().Sub(w.boot)) }
