--- a/internal/weight/limiter.go
+++ b/internal/weight/limiter.go
@@ -22,7 +22,8 @@
 	// capacitySamples is the number of last loads from which the store's capacity is
 	// estimated: those of a few seconds, so that one slow sampler doesn't decide.
 	capacitySamples = 6
-	// growthPerRound is what the limit gains while as many loads end as are in progress.
+	// growthPerRound is what the limit gains, once loads have queued, while as many loads end
+	// as are in progress.
 	growthPerRound = 8
 	// shrinkPerRound is what it loses in that time when loads queue at the store.
 	shrinkPerRound = 24
