--- a/internal/rollout/answer.go
+++ b/internal/rollout/answer.go
@@ -6,18 +6,18 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// AnswerError says that an attempt's answer isn't a whole sample.
+// AnswerError reports that the answer of an attempt is not a whole sample.
 type AnswerError struct {
 	Request string
 	Problem string
 }
 
-// Error names the attempt.
+// Error names the attempt and the problem.
 func (e *AnswerError) Error() string {
 	return "sample " + e.Request + ": " + e.Problem
 }
 
-// Answer gathers the chunks of one attempt.
+// Answer collects the chunks of one attempt.
 type Answer struct {
 	text     []byte
 	tokens   []int32
@@ -25,8 +25,8 @@
 	ranges   []*peerpb.Range
 }
 
-// Add takes a chunk. Its version is the one that the engine showed for these
-// tokens, never the one that was ordered. It refuses tokens without a version.
+// Add appends a chunk. Its version is the one that the engine reported for these
+// tokens, never the ordered one. Add rejects tokens without a version.
 func (a *Answer) Add(request string, chunk *peerpb.Chunk) error {
 	tokens := uint32(len(chunk.GetTokens()))
 	if tokens > 0 && chunk.GetVersion() == 0 {
@@ -49,9 +49,9 @@
 
 // Sample returns the whole sample, or an AnswerError if tokens are missing.
 //
-// An engine that resumes another one's answer may leave tokens out or repeat
-// some; the sample would then teach what no version produced. The count in the
-// end frame shows it, and the slot runs again.
+// An engine that resumes another engine's answer may omit or repeat tokens; the
+// trainer would then learn from text that no version produced. Sample detects this by
+// the token count in the end frame, and the slot runs again.
 func (a *Answer) Sample(attempt Attempt, open *peerpb.OpenRequest, end *peerpb.End) (*peerpb.Sample, error) {
 	if err := a.check(attempt.ID(), end); err != nil {
 		return nil, err
@@ -86,14 +86,14 @@
 	return checkRanges(request, a.ranges, uint32(len(a.tokens)))
 }
 
-// checkRanges refuses ranges that overlap, leave a gap or don't reach the end.
+// checkRanges rejects ranges that overlap, leave a gap or do not reach the last token.
 func checkRanges(request string, ranges []*peerpb.Range, tokens uint32) error {
 	var until uint32
-	for _, part := range ranges {
-		if part.GetFrom() != until || part.GetUntil() <= part.GetFrom() {
+	for _, r := range ranges {
+		if r.GetFrom() != until || r.GetUntil() <= r.GetFrom() {
 			return &AnswerError{Request: request, Problem: fmt.Sprintf("no version for tokens from %d on", until)}
 		}
-		until = part.GetUntil()
+		until = r.GetUntil()
 	}
 	if until != tokens {
 		return &AnswerError{Request: request, Problem: fmt.Sprintf("versions for %d of %d tokens", until, tokens)}
--- a/internal/rollout/attempt.go
+++ b/internal/rollout/attempt.go
@@ -7,57 +7,57 @@
 
 // Attempt is one run of a slot's prompt.
 type Attempt struct {
-	slot   uint32
-	term   uint64
-	number uint32
-	id     string
-	group  uint32
-	prompt string
-	second bool
-	oldest uint64
+	slot       uint32
+	term       uint64
+	number     uint32
+	id         string
+	group      uint32
+	prompt     string
+	isSecond   bool
+	minVersion uint64
 }
 
-// Group returns the number of the prompt among those of the step.
+// Group returns the index of the prompt within the step.
 func (a Attempt) Group() uint32 { return a.group }
 
-// ID returns the identity of the request that runs the attempt.
+// ID returns the ID of the request that runs the attempt.
 func (a Attempt) ID() string { return a.id }
 
-// Number returns the attempt's number among those of its slot and term, from 1.
+// Number returns the attempt's number within its slot and term, from 1.
 func (a Attempt) Number() uint32 { return a.number }
 
-// Oldest returns the oldest version that a sampler may show to run the attempt.
-func (a Attempt) Oldest() uint64 { return a.oldest }
+// Oldest returns the lowest weight version that a sampler may serve to run the attempt.
+func (a Attempt) Oldest() uint64 { return a.minVersion }
 
 // Prompt returns the text to complete.
 func (a Attempt) Prompt() string { return a.prompt }
 
-// Second reports whether another attempt at the slot was running.
-func (a Attempt) Second() bool { return a.second }
+// Second reports whether another attempt at the slot was running at the start.
+func (a Attempt) Second() bool { return a.isSecond }
 
-// Slot returns the number of the slot in the step.
+// Slot returns the index of the slot within the step.
 func (a Attempt) Slot() uint32 { return a.slot }
 
-// Term returns the fencing number of the holder that runs it.
+// Term returns the fencing token of the holder that runs the attempt.
 func (a Attempt) Term() uint64 { return a.term }
 
-// run is what is known of a running attempt.
-type run struct {
-	attempt Attempt
-	pace    pace
-	// oldest is the lowest version among its tokens; 0 while it has none.
-	oldest uint64
+// runningAttempt is the state of an attempt in progress.
+type runningAttempt struct {
+	attempt    Attempt
+	throughput throughput
+	// oldestVersion is the lowest version among its tokens; 0 while it has none.
+	oldestVersion uint64
 }
 
 func attemptID(trainer string, step uint64, slot uint32, term uint64, number uint32) string {
 	return fmt.Sprintf("%s/%d/%d/%d.%d", trainer, step, slot, term, number)
 }
 
-// pace measures how fast an attempt yields tokens, over the newest one or two windows.
-type pace struct {
-	start time.Time
-	first time.Time
-	// Token counts and times at the two newest marks.
+// throughput measures an attempt's tokens per second over the newest one or two windows.
+type throughput struct {
+	start      time.Time
+	firstToken time.Time
+	// Token counts and times at the starts of the two newest windows.
 	markTime   time.Time
 	markTokens uint64
 	lastTime   time.Time
@@ -65,23 +65,23 @@
 	tokens     uint64
 }
 
-const paceWindow = 2 * time.Second
+const throughputWindow = 2 * time.Second
 
-func (p *pace) add(tokens uint64, now time.Time) {
-	if p.first.IsZero() {
-		p.first = now
+func (p *throughput) add(tokens uint64, now time.Time) {
+	if p.firstToken.IsZero() {
+		p.firstToken = now
 		p.markTime, p.lastTime = now, now
 	}
 	p.tokens += tokens
-	if now.Sub(p.lastTime) >= paceWindow {
+	if now.Sub(p.lastTime) >= throughputWindow {
 		p.markTime, p.markTokens = p.lastTime, p.lastTokens
 		p.lastTime, p.lastTokens = now, p.tokens
 	}
 }
 
-// rate returns tokens a second. It falls while no token comes.
-func (p *pace) rate(now time.Time) float64 {
-	if p.first.IsZero() {
+// rate returns tokens per second. It falls while no token arrives.
+func (p *throughput) rate(now time.Time) float64 {
+	if p.firstToken.IsZero() {
 		return 0
 	}
 	elapsed := now.Sub(p.markTime).Seconds()
--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -3,43 +3,44 @@
 import "time"
 
 const (
-	budgetStart   = 4
-	budgetShare   = 0.05
-	budgetEarned  = 0.1
-	leastPause    = 100 * time.Millisecond
-	greatestPause = 5 * time.Second
-	// refusedPause and greatestRefusedPause bound the wait after an attempt that was not run.
-	refusedPause         = 200 * time.Millisecond
-	greatestRefusedPause = time.Second
+	baseBudget      = 4
+	budgetPerSlot   = 0.05
+	budgetPerFinish = 0.1
+	minBackoff      = 100 * time.Millisecond
+	maxBackoff      = 5 * time.Second
+	// minRefusedBackoff and maxRefusedBackoff bound the wait after an attempt that was not run.
+	minRefusedBackoff = 200 * time.Millisecond
+	maxRefusedBackoff = time.Second
 )
 
-// budget bounds second runs by what was finished, so that they never multiply:
-// when engines slow down or fail, fewer samples finish, less is earned, and
-// second runs stop instead of adding load. Failed attempts use it up too.
+// budget limits second runs by the number of finished attempts, so that they never
+// multiply: when engines slow down or fail, fewer samples finish, less budget is
+// earned, and second runs stop instead of adding load. Failed attempts spend budget
+// too.
 type budget struct {
-	left float64
-	most float64
+	remaining float64
+	limit     float64
 }
 
 func newBudget(slots int) budget {
-	most := budgetStart + budgetShare*float64(slots)
-	return budget{left: most, most: most}
+	limit := baseBudget + budgetPerSlot*float64(slots)
+	return budget{remaining: limit, limit: limit}
 }
 
 func (b *budget) earn() {
-	b.left = min(b.most, b.left+budgetEarned)
+	b.remaining = min(b.limit, b.remaining+budgetPerFinish)
 }
 
-func (b *budget) has() bool { return b.left >= 1 }
+func (b *budget) isAvailable() bool { return b.remaining >= 1 }
 
-func (b *budget) take() {
-	b.left = max(0, b.left-1)
+func (b *budget) spend() {
+	b.remaining = max(0, b.remaining-1)
 }
 
-// pause returns how long a slot waits after its nth failure in a row: at least
-// what the refusal asked for, and longer with each failure.
-func (b *budget) pause(failures int, asked time.Duration) time.Duration {
-	b.take()
-	pause := leastPause << min(failures-1, 6)
-	return max(asked, min(pause, greatestPause))
+// backoff returns how long a slot waits after its nth consecutive failure: at least as
+// long as the refusal requested, and longer with each failure.
+func (b *budget) backoff(failures int, minWait time.Duration) time.Duration {
+	b.spend()
+	backoff := minBackoff << min(failures-1, 6)
+	return max(minWait, min(backoff, maxBackoff))
 }
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -10,10 +10,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// Codes of refusals after which the same call is sent again.
+// Refusal codes after which the client retries the same call.
 const (
-	codeNoHolder    = "no_holder"
-	codeUnreachable = "holder_unreachable"
+	codeNoHolder          = "no_holder"
+	codeHolderUnreachable = "holder_unreachable"
 )
 
 // Location is the process that holds a duty.
@@ -22,7 +22,7 @@
 	address string
 }
 
-// NewLocation returns a process and its peer address.
+// NewLocation returns the location of a process with its peer address.
 func NewLocation(process, address string) *Location {
 	return &Location{process: process, address: address}
 }
@@ -30,7 +30,7 @@
 // Address returns the peer address.
 func (l *Location) Address() string { return l.address }
 
-// Process returns the name.
+// Process returns the name of the process.
 func (l *Location) Process() string { return l.process }
 
 // TrainerDuty returns the name of the duty that runs a trainer's steps.
@@ -39,10 +39,10 @@
 // WeightDuty returns the name of the duty that orders a model's weights.
 func WeightDuty(model string) string { return "weight/" + model }
 
-// Client passes a trainer's calls on to the process that holds its steps. Any
-// entry can take them. Each call is idempotent, so while the duty changes hands
-// the client sends it again, and the trainer sees no failure.
-// Exported fields are set before the first call.
+// Client forwards a trainer's calls to the process that holds its steps. Any entry
+// process can accept them. Each call is idempotent, so the client retries it while the
+// duty moves between processes, and the trainer sees no failure. Exported fields must
+// be set before the first call.
 type Client struct {
 	Locate func(duty string) (*Location, bool)
 	Peers  *Peers
@@ -50,8 +50,8 @@
 	Patience time.Duration
 }
 
-// Announce tells the holder of the trainer's steps of a newer version, then
-// whoever orders the samplers of its model.
+// Announce sends a newer version to the holder of the trainer's steps, then to the
+// process that orders the samplers of its model.
 func (c *Client) Announce(ctx context.Context, request *peerpb.AnnounceRequest) error {
 	for _, duty := range []string{TrainerDuty(request.GetTrainer()), WeightDuty(request.GetModel())} {
 		request.SetDuty(duty)
@@ -75,7 +75,7 @@
 	return reply, err
 }
 
-// Pull acknowledges what comes before a place and returns the samples from it on.
+// Pull acknowledges the places before the requested one and returns the samples from it on.
 func (c *Client) Pull(ctx context.Context, request *peerpb.PullRequest) (reply *peerpb.PullReply, err error) {
 	err = c.call(ctx, TrainerDuty(request.GetTrainer()), func(client peerpb.StepClient) (*peerpb.Refusal, error) {
 		reply, err = client.Pull(ctx, request)
@@ -84,33 +84,33 @@
 	return reply, err
 }
 
-// call sends a call to the holder of a duty, again and to the newest known one
-// as long as there is none or it gives no answer.
+// call sends a call to the newest known holder of a duty and retries it while there is
+// no holder or the holder does not answer.
 func (c *Client) call(ctx context.Context, duty string, send func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
-	end := time.Now().Add(c.Patience)
-	gap := leastPause
+	deadline := time.Now().Add(c.Patience)
+	backoff := minBackoff
 	for {
-		err := c.try(duty, send)
-		if err == nil || !mayTryAgain(err) || time.Now().Add(gap).After(end) || !pause.For(ctx, gap) {
+		err := c.sendOnce(duty, send)
+		if err == nil || !isRetryable(err) || time.Now().Add(backoff).After(deadline) || !pause.For(ctx, backoff) {
 			return err
 		}
-		gap = min(2*gap, retry)
+		backoff = min(2*backoff, retryAfter)
 	}
 }
 
-func (c *Client) try(duty string, send func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
+func (c *Client) sendOnce(duty string, send func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
 	location, ok := c.Locate(duty)
 	if !ok {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds %s yet", duty).After(retry)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds %s yet", duty).After(retryAfter)
 	}
 	client, err := c.Peers.Client(location.Address())
 	if err != nil {
-		return unreachable(duty)
+		return holderUnreachable(duty)
 	}
 	refused, err := send(client)
 	switch {
 	case err != nil:
-		return unreachable(duty)
+		return holderUnreachable(duty)
 	case refused != nil:
 		return refusal.FromMessage(refused)
 	default:
@@ -118,11 +118,11 @@
 	}
 }
 
-func unreachable(duty string) error {
-	return refusal.Unknown(http.StatusServiceUnavailable, codeUnreachable, "the holder of %s gave no answer, send the same again", duty).After(retry)
+func holderUnreachable(duty string) error {
+	return refusal.Unknown(http.StatusServiceUnavailable, codeHolderUnreachable, "the holder of %s gave no answer, send the same again", duty).After(retryAfter)
 }
 
-func mayTryAgain(err error) bool {
+func isRetryable(err error) bool {
 	code := refusal.Of(err).Code
-	return code == codeNoHolder || code == codeUnreachable
+	return code == codeNoHolder || code == codeHolderUnreachable
 }
--- a/internal/rollout/deliver.go
+++ b/internal/rollout/deliver.go
@@ -9,17 +9,17 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// announceWait bounds the wait for the store in an announcement.
-const announceWait = 3 * time.Second
+// announceTimeout bounds how long an announcement waits for the store.
+const announceTimeout = 3 * time.Second
 
-// Pull acknowledges what comes before a place and returns the samples from it
-// on, waiting for the first of them.
+// Pull acknowledges the places before the requested one and returns the samples from
+// it on, waiting for the first of them.
 func (h *Holder) Pull(ctx context.Context, request *peerpb.PullRequest) (*peerpb.PullReply, error) {
 	wait := min(request.GetWait().AsDuration(), h.Poll)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		pulled, changed, waiting, err := h.pullNow(request)
+		pulled, changed, waiting, err := h.tryPull(request)
 		if err != nil {
 			return nil, err
 		}
@@ -40,82 +40,82 @@
 	return peerpb.PullReply_builder{Samples: pulled.Samples(), Next: pulled.Next(), Done: pulled.Done(), Waiting: waiting}.Build()
 }
 
-func (h *Holder) pullNow(request *peerpb.PullRequest) (Pulled, <-chan struct{}, string, error) {
+func (h *Holder) tryPull(request *peerpb.PullRequest) (Pulled, <-chan struct{}, string, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.step == nil {
-		return Pulled{}, nil, "", noHolder(h.Trainer)
+		return Pulled{}, nil, "", noHolderError(h.Trainer)
 	}
 	if !h.step.IsOpenFor(request.GetAccount()) {
-		return Pulled{}, nil, "", otherAccount(h.Trainer)
+		return Pulled{}, nil, "", otherAccountError(h.Trainer)
 	}
 	before := h.step.Newest()
 	pulled, err := h.step.Pull(request.GetPlace(), int(request.GetMax()), request.GetVersion())
-	h.stop(h.step.Doomed(), "its tokens are too old")
-	h.forget = append(h.forget, h.step.Released()...)
+	h.cancelAttempts(h.step.Doomed(), "its tokens are too old")
+	h.released = append(h.released, h.step.Released()...)
 	for _, sample := range pulled.Samples() {
-		h.Metrics.handedOver(lag(h.step.Newest(), OldestVersion(sample)))
+		h.Metrics.observeStaleness(versionLag(h.step.Newest(), OldestVersion(sample)))
 	}
 	if h.step.Newest() != before {
 		h.notify()
 	}
 	waiting := "running"
-	if h.away != nil {
+	if h.writeErr != nil {
 		waiting = "store"
 	}
 	return pulled, h.changed, waiting, err
 }
 
-// Announce takes a newer version of the trainer. It is in force at once; it is
+// Announce sets a newer version of the trainer. It takes effect at once and is
 // acknowledged once the store holds it, so that a successor knows it too.
 func (h *Holder) Announce(ctx context.Context, request *peerpb.AnnounceRequest) error {
 	if err := h.announce(request.GetAccount(), request.GetVersion()); err != nil {
 		return err
 	}
-	timer := time.NewTimer(announceWait)
+	timer := time.NewTimer(announceTimeout)
 	defer timer.Stop()
 	for {
-		kept, changed := h.keptVersion(request.GetVersion())
-		if kept {
+		stored, changed := h.isVersionStored(request.GetVersion())
+		if stored {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return notKept()
+			return versionNotStored()
 		case <-timer.C:
-			return notKept()
+			return versionNotStored()
 		case <-changed:
 		}
 	}
 }
 
-func notKept() error {
-	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the version is in force but not kept yet, announce it again").After(retry)
+func versionNotStored() error {
+	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the version is in force but not kept yet, announce it again").After(retryAfter)
 }
 
 func (h *Holder) announce(account string, version uint64) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.step == nil {
-		return noHolder(h.Trainer)
+		return noHolderError(h.Trainer)
 	}
 	if !h.step.IsOpenFor(account) {
-		return otherAccount(h.Trainer)
+		return otherAccountError(h.Trainer)
 	}
 	h.step.Announce(version)
-	h.stop(h.step.Doomed(), "its tokens are too old")
+	h.cancelAttempts(h.step.Doomed(), "its tokens are too old")
 	h.Decisions.Record(h.Trainer, "step", "version %d is the newest of the trainer", h.step.Newest())
 	h.notify()
 	return nil
 }
 
-func (h *Holder) keptVersion(version uint64) (bool, <-chan struct{}) {
+func (h *Holder) isVersionStored(version uint64) (bool, <-chan struct{}) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.step != nil && h.version >= version, h.changed
+	return h.step != nil && h.storedVersion >= version, h.changed
 }
 
-func lag(newest, oldest uint64) uint64 {
+func versionLag(newest, oldest uint64) uint64 {
 	if newest < oldest {
 		return 0
 	}
--- a/internal/rollout/digest.go
+++ b/internal/rollout/digest.go
@@ -11,22 +11,22 @@
 
 const digestBytes = 16
 
-// Digest returns the digest of a sample's bytes without its place.
+// Digest returns the hash of a sample's encoding without its place.
 func Digest(sample *peerpb.Sample) []byte {
-	bare, ok := proto.Clone(sample).(*peerpb.Sample)
+	unplaced, ok := proto.Clone(sample).(*peerpb.Sample)
 	if !ok {
 		return nil
 	}
-	bare.SetPlace(0)
-	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(bare)
+	unplaced.SetPlace(0)
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(unplaced)
 	if err != nil {
 		return nil
 	}
-	sum := sha256.Sum256(text)
+	sum := sha256.Sum256(data)
 	return sum[:digestBytes]
 }
 
-func hasDigest(sample *peerpb.Sample, digest []byte) bool {
+func matchesDigest(sample *peerpb.Sample, digest []byte) bool {
 	return len(digest) > 0 && bytes.Equal(Digest(sample), digest)
 }
 
--- a/internal/rollout/entries_test.go
+++ b/internal/rollout/entries_test.go
@@ -13,15 +13,15 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// fakeDirectory is the members as all entries see them, and who holds the duty.
+// fakeDirectory holds the processes that all entry processes see, and the holder of the duty.
 type fakeDirectory struct {
 	mutex     sync.Mutex
 	processes map[string]*peerpb.Process
 	holder    string
 }
 
-// entry is one entry of a deployment in this process, joined to the others by
-// real connections.
+// entry is one entry process of a deployment, run in the test's process and connected
+// to the others by gRPC.
 type entry struct {
 	name      string
 	directory *fakeDirectory
@@ -32,15 +32,15 @@
 	kill      context.CancelFunc
 }
 
-// view is the directory as one entry sees it.
-type view struct {
+// directoryView is the directory as one entry process sees it.
+type directoryView struct {
 	*fakeDirectory
 	name string
 }
 
-var _ Directory = view{}
+var _ Directory = directoryView{}
 
-func (v view) Processes(peerpb.Role) []*peerpb.Process {
+func (v directoryView) Processes(peerpb.Role) []*peerpb.Process {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	var found []*peerpb.Process
@@ -52,7 +52,7 @@
 	return found
 }
 
-func (v view) Self() *peerpb.Process {
+func (v directoryView) Self() *peerpb.Process {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.processes[v.name]
@@ -76,21 +76,21 @@
 
 func newEntry(t *testing.T, directory *fakeDirectory, name, zone string, store Store) *entry {
 	t.Helper()
-	one := &entry{name: name, directory: directory, runner: &fakeRunner{version: 1}}
+	created := &entry{name: name, directory: directory, runner: &fakeRunner{version: 1}}
 	replicas := &Replicas{}
-	one.peers = &Peers{Directory: view{fakeDirectory: directory, name: name}, Replicas: replicas}
-	one.client = &Client{Locate: directory.locate, Peers: one.peers, Patience: 10 * time.Second}
-	one.service = &Service{
+	created.peers = &Peers{Directory: directoryView{fakeDirectory: directory, name: name}, Replicas: replicas}
+	created.client = &Client{Locate: directory.locate, Peers: created.peers, Patience: 10 * time.Second}
+	created.service = &Service{
 		New: func(string) *Holder {
-			return newTestHolder(name, store, one.runner, one.peers)
+			return newTestHolder(name, store, created.runner, created.peers)
 		},
 		Replicas: replicas,
 		Locate:   directory.locate,
 		Process:  name,
 		Wanted:   func(string) bool { return true },
 	}
-	one.start(t, zone)
-	return one
+	created.start(t, zone)
+	return created
 }
 
 func (e *entry) start(t *testing.T, zone string) {
@@ -123,7 +123,7 @@
 	})
 }
 
-// lead makes an entry the holder.
+// lead makes an entry process the holder.
 func (e *entry) lead(t *testing.T, fence uint64) {
 	t.Helper()
 	var group sync.WaitGroup
@@ -147,16 +147,16 @@
 }
 
 func byName(entries []*entry, name string) *entry {
-	for _, one := range entries {
-		if one.name == name {
-			return one
+	for _, candidate := range entries {
+		if candidate.name == name {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// A trainer sends its calls through any entry, the same pull through two at
-// once. Both must give it the same samples.
+// A trainer sends the same pull through several entry processes at once. All must
+// return the same samples.
 func TestTwoEntriesAtOnce(t *testing.T) {
 	entries := newEntries(t, newFakeStore())
 	byName(entries, "a").lead(t, 1)
@@ -168,18 +168,18 @@
 	})
 	replies := make([]*peerpb.PullReply, len(entries))
 	var group sync.WaitGroup
-	for i, one := range entries {
-		group.Go(func() { replies[i], _ = one.client.Pull(t.Context(), pullRequest(0, 16, time.Second)) })
+	for i, target := range entries {
+		group.Go(func() { replies[i], _ = target.client.Pull(t.Context(), pullRequest(0, 16, time.Second)) })
 	}
 	group.Wait()
-	mustBeOnce(t, replies[0].GetSamples(), 16, 0)
-	mustBeSame(t, replies[0].GetSamples(), replies[1].GetSamples())
-	mustBeSame(t, replies[0].GetSamples(), replies[2].GetSamples())
+	mustDeliverOnce(t, replies[0].GetSamples(), 16, 0)
+	mustEqualSamples(t, replies[0].GetSamples(), replies[1].GetSamples())
+	mustEqualSamples(t, replies[0].GetSamples(), replies[2].GetSamples())
 }
 
-// The entry that holds the step is killed while a trainer pulls through
-// another one. The pull waits for the successor and gets the same samples, whose
-// bytes an entry in another zone has kept.
+// The entry process that holds the step dies while a trainer pulls through another
+// one. The pull must wait for the successor and return the same samples, which an
+// entry process in another zone holds.
 func TestHolderEntryDies(t *testing.T) {
 	entries := newEntries(t, newFakeStore())
 	holder, other, successor := byName(entries, "a"), byName(entries, "b"), byName(entries, "c")
@@ -200,6 +200,6 @@
 		pulled <- reply
 	}()
 	successor.lead(t, 2)
-	mustBeSame(t, before.GetSamples(), (<-pulled).GetSamples())
+	mustEqualSamples(t, before.GetSamples(), (<-pulled).GetSamples())
 	must.Eq(t, 0, successor.runner.runs)
 }
--- a/internal/rollout/execution.go
+++ b/internal/rollout/execution.go
@@ -15,13 +15,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-const scorePause = 200 * time.Millisecond
+const scoreRetryInterval = 200 * time.Millisecond
 
-// errNotNeeded ends an attempt whose sample can't be used any more.
+// errNotNeeded ends an attempt whose sample can no longer be used.
 var errNotNeeded = errors.New("rollout: the slot needs the attempt no more")
 
-// completion is the body that an engine sees.
-type completion struct {
+// completionRequest is the body of the request to an engine.
+type completionRequest struct {
 	Model       string  `json:"model"`
 	Prompt      string  `json:"prompt"`
 	MaxTokens   uint32  `json:"max_tokens,omitempty"`
@@ -45,14 +45,14 @@
 		return
 	}
 	if e.finish(sample) {
-		e.keep(ctx, sample)
+		e.replicate(ctx, sample)
 	}
 }
 
 // generate returns a whole, scored sample.
 func (e *execution) generate(ctx context.Context) (*peerpb.Sample, error) {
 	e.holder.Decisions.Record(e.attempt.ID(), "sample", "slot %d of step %d starts, second run %t", e.attempt.Slot(), e.open.GetStep(), e.attempt.Second())
-	end, err := e.holder.Runner.Run(ctx, e.request(), e.take)
+	end, err := e.holder.Runner.Run(ctx, e.request(), e.addFrame)
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 }
 
 func (e *execution) request() *peerpb.RunRequest {
-	body, err := json.Marshal(completion{
+	body, err := json.Marshal(completionRequest{
 		Model:       e.open.GetModel(),
 		Prompt:      e.attempt.Prompt(),
 		MaxTokens:   e.open.GetMaxTokens(),
@@ -89,16 +89,16 @@
 	}.Build()
 }
 
-// seed is the same for all attempts at a slot, so that a second run draws the
-// same answer and the faster of two is not the shorter one.
+// seed returns the same value for all attempts at a slot, so that a second run
+// generates the same answer and the faster of two attempts is not the shorter one.
 func seed(open *peerpb.OpenRequest, attempt Attempt) int64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(attemptID(open.GetTrainer(), open.GetStep(), attempt.Slot(), 0, 0)))
 	return int64(hash.Sum64() >> 1)
 }
 
-// take adds a frame, and ends the attempt once it is doomed.
-func (e *execution) take(frame *peerpb.Frame) error {
+// addFrame adds a frame to the answer and ends the attempt once its sample is of no use.
+func (e *execution) addFrame(frame *peerpb.Frame) error {
 	if frame.WhichPart() != peerpb.Frame_Chunk_case {
 		return nil
 	}
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// score asks the scorer until it answers or the attempt's time is over: the
-// sample is whole, and generating it again would cost more.
+// score retries the scorer until it answers or the attempt times out: the sample is
+// whole, and generating it again would cost more.
 func (e *execution) score(ctx context.Context, sample *peerpb.Sample) error {
 	if e.holder.Scorer == nil {
 		return nil
@@ -126,7 +126,7 @@
 			sample.SetScore(score)
 			return nil
 		}
-		if !pause.For(ctx, scorePause) {
+		if !pause.For(ctx, scoreRetryInterval) {
 			return err
 		}
 	}
@@ -136,14 +136,14 @@
 	h := e.holder
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.ended(e.step, e.attempt)
+	h.removeRunning(e.step, e.attempt)
 	h.Decisions.Record(e.attempt.ID(), "sample", "gave no sample: %v", err)
-	e.note(err)
+	e.recordFailure(err)
 	h.notify()
 }
 
-// note tells the step what came of the attempt.
-func (e *execution) note(err error) {
+// recordFailure reports the failure of the attempt to the step.
+func (e *execution) recordFailure(err error) {
 	var refused *refusal.Error
 	switch {
 	case !errors.As(err, &refused):
@@ -155,13 +155,13 @@
 	}
 }
 
-// finish reports whether the sample fills its slot; then it cancels the other
-// attempts at it.
+// finish reports whether the sample fills its slot; if so, it cancels the other
+// attempts at the slot.
 func (e *execution) finish(sample *peerpb.Sample) bool {
 	h := e.holder
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.ended(e.step, e.attempt)
+	h.removeRunning(e.step, e.attempt)
 	others := e.step.Others(e.attempt)
 	if !e.step.Finish(e.attempt, sample, time.Now()) {
 		h.Decisions.Record(e.attempt.ID(), "sample", "whole but not needed: slot %d has one, or it is stale", e.attempt.Slot())
@@ -169,21 +169,21 @@
 		return false
 	}
 	if h.step == e.step {
-		h.stop(others, "attempt "+e.attempt.ID()+" was first")
+		h.cancelAttempts(others, "attempt "+e.attempt.ID()+" was first")
 		h.Metrics.observe(e.step)
 	}
 	h.notify()
 	return true
 }
 
-// keep brings the bytes to another process, then lets the sample be fixed.
-func (e *execution) keep(ctx context.Context, sample *peerpb.Sample) {
+// replicate copies the sample to another process, then allows the step to commit it.
+func (e *execution) replicate(ctx context.Context, sample *peerpb.Sample) {
 	h := e.holder
 	h.mutex.Lock()
-	forget := h.forget
-	h.forget = nil
+	released := h.released
+	h.released = nil
 	h.mutex.Unlock()
-	holders := h.Keeping.Keep(ctx, sample, forget)
+	holders := h.Keeping.Keep(ctx, sample, released)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	e.step.Kept(e.attempt, append([]string{h.Process}, holders...))
--- a/internal/rollout/fake_test.go
+++ b/internal/rollout/fake_test.go
@@ -12,18 +12,19 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/sidecar"
 )
 
-var errAway = &platform.UnavailableError{Operation: "test", Cause: errors.New("away")}
+var errUnavailable = &platform.UnavailableError{Operation: "test", Cause: errors.New("away")}
 
-// fakeStore is the platform's key-value service as far as steps need it.
+// fakeStore is the part of the platform's key-value service that steps use.
 type fakeStore struct {
 	mutex    sync.Mutex
 	values   map[string]platform.Value
 	revision uint64
 	writes   int
 	largest  int
-	// away fails every call; loseNext lets one write take effect without an answer.
-	away     bool
-	loseNext bool
+	// isUnavailable fails every call; loseNextAnswer lets one write take effect without
+	// a reply.
+	isUnavailable  bool
+	loseNextAnswer bool
 	// beforeSwap is called without the lock before each write.
 	beforeSwap func(key string)
 }
@@ -41,8 +42,8 @@
 func (s *fakeStore) Delete(_ context.Context, key string, expect uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.away {
-		return errAway
+	if s.isUnavailable {
+		return errUnavailable
 	}
 	if s.values[key].Revision != expect {
 		return &platform.ConflictError{Key: key}
@@ -54,8 +55,8 @@
 func (s *fakeStore) Get(_ context.Context, key string) (platform.Value, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.away {
-		return platform.Value{}, errAway
+	if s.isUnavailable {
+		return platform.Value{}, errUnavailable
 	}
 	value, ok := s.values[key]
 	if !ok {
@@ -82,8 +83,8 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.away {
-		return 0, errAway
+	if s.isUnavailable {
+		return 0, errUnavailable
 	}
 	if s.values[key].Revision != expect {
 		return 0, &platform.ConflictError{Key: key, Revision: s.values[key].Revision}
@@ -92,22 +93,22 @@
 	s.writes++
 	s.largest = max(s.largest, len(data))
 	s.values[key] = platform.Value{Key: key, Data: data, Revision: s.revision}
-	if s.loseNext {
-		s.loseNext = false
-		return 0, errAway
+	if s.loseNextAnswer {
+		s.loseNextAnswer = false
+		return 0, errUnavailable
 	}
 	return s.revision, nil
 }
 
-// fakeRunner yields answers of two chunks under the present version.
+// fakeRunner generates answers of two chunks under the current version.
 type fakeRunner struct {
 	mutex   sync.Mutex
 	version uint64
 	runs    int
-	// gate holds every run until it yields; nil holds none.
+	// gate blocks each run until a receive from it succeeds; nil blocks none.
 	gate chan struct{}
-	// cut leaves tokens out of the first answers.
-	cut int
+	// shortAnswers is how many of the first answers lack tokens.
+	shortAnswers int
 }
 
 var _ Runner = &fakeRunner{}
@@ -123,8 +124,8 @@
 	r.mutex.Lock()
 	r.runs++
 	version, tokens := r.version, uint64(4)
-	if r.cut > 0 {
-		r.cut--
+	if r.shortAnswers > 0 {
+		r.shortAnswers--
 		tokens++
 	}
 	r.mutex.Unlock()
@@ -141,23 +142,23 @@
 	return peerpb.Frame_builder{Chunk: chunk}.Build()
 }
 
-// fakeKeeping is the memory of other processes, by name.
-type fakeKeeping struct {
+// fakeReplicator is the memory of other processes, by name.
+type fakeReplicator struct {
 	mutex    sync.Mutex
 	replicas map[string]*Replicas
 }
 
-var _ Keeping = &fakeKeeping{}
+var _ Keeping = &fakeReplicator{}
 
-func newFakeKeeping(names ...string) *fakeKeeping {
-	keeping := &fakeKeeping{replicas: map[string]*Replicas{}}
+func newFakeReplicator(names ...string) *fakeReplicator {
+	replicator := &fakeReplicator{replicas: map[string]*Replicas{}}
 	for _, name := range names {
-		keeping.replicas[name] = &Replicas{}
+		replicator.replicas[name] = &Replicas{}
 	}
-	return keeping
+	return replicator
 }
 
-func (k *fakeKeeping) Keep(_ context.Context, sample *peerpb.Sample, forget []uint32) []string {
+func (k *fakeReplicator) Keep(_ context.Context, sample *peerpb.Sample, forget []uint32) []string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	var holders []string
@@ -169,7 +170,7 @@
 	return holders
 }
 
-func (k *fakeKeeping) Fetch(_ context.Context, process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error) {
+func (k *fakeReplicator) Fetch(_ context.Context, process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	replicas := k.replicas[process]
@@ -179,7 +180,7 @@
 	return replicas.Fetch(trainer, step, slots), nil
 }
 
-func (k *fakeKeeping) kill(name string) {
+func (k *fakeReplicator) kill(name string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	delete(k.replicas, name)
@@ -193,11 +194,11 @@
 	return request
 }
 
-func newTestHolder(process string, store Store, runner Runner, keeping Keeping) *Holder {
+func newTestHolder(process string, store Store, runner Runner, replicator Keeping) *Holder {
 	holder := NewHolder("drafts", store)
 	holder.Process = process
 	holder.Runner = runner
-	holder.Keeping = keeping
+	holder.Keeping = replicator
 	holder.Attempts = 64
 	holder.Timeout = time.Minute
 	holder.Batch = time.Millisecond
--- a/internal/rollout/holder.go
+++ b/internal/rollout/holder.go
@@ -19,12 +19,13 @@
 )
 
 const (
-	// dispatchInterval bounds the time until a pause of a slot or a second run is looked at.
+	// dispatchInterval bounds the delay until the end of a slot's backoff or a due
+	// second run is noticed.
 	dispatchInterval = 100 * time.Millisecond
-	// capacityAge is for how long an answer of Capacity is used; it looks at every sampler.
-	capacityAge        = time.Second
-	storePause         = 200 * time.Millisecond
-	greatestStorePause = 2 * time.Second
+	// capacityTTL is how long a result of Capacity is cached; Capacity inspects every sampler.
+	capacityTTL     = time.Second
+	minStoreBackoff = 200 * time.Millisecond
+	maxStoreBackoff = 2 * time.Second
 )
 
 // Runner sends one request to a sampler.
@@ -37,21 +38,20 @@
 	Score(ctx context.Context, prompt, text string) (float64, error)
 }
 
-// Keeping holds the bytes of finished samples in other processes.
+// Keeping stores copies of finished samples in other processes.
 type Keeping interface {
-	// Keep returns the names of the processes that hold the sample now, which
-	// may be none.
+	// Keep returns the names of the processes that now hold the sample, possibly none.
 	Keep(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string
-	// Fetch returns what a process holds of the given slots.
+	// Fetch returns the samples of the given slots that a process holds.
 	Fetch(ctx context.Context, process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error)
 }
 
-// Holder runs the steps of one trainer. It may outlive its term: while the
-// platform's store is away no other process can take the duty, and generating
-// and handing over what is fixed go on. What it fixes goes through
-// compare-and-swap, so a successor's first write ends it.
+// Holder runs the steps of one trainer. It may outlive its term: while the platform's
+// store is unavailable no other process can take over the duty, and generation and the
+// delivery of committed samples continue. It commits samples through compare-and-swap,
+// so a successor's first write ends it.
 //
-// Exported fields are set before Run.
+// Exported fields must be set before Run.
 type Holder struct {
 	Trainer   string
 	Process   string
@@ -60,56 +60,56 @@
 	Scorer    Scorer
 	Keeping   Keeping
 	Decisions *decision.Log
-	// Attempts is the number of samples that run at the same time.
+	// Attempts is the maximum number of concurrent attempts.
 	Attempts int
-	// Capacity returns how many requests a model's samplers run at the same time,
-	// 0 if it isn't known; nil never knows. An attempt beyond it would wait in a
-	// queue, bound to its sampler too early, and begin under older weights.
+	// Capacity returns how many requests a model's samplers run concurrently, 0 if
+	// unknown; if nil, it is never known. An attempt beyond it would wait in a queue,
+	// bound to its sampler too early, and begin under older weights.
 	Capacity func(model string) int
 	// Timeout bounds one attempt.
 	Timeout time.Duration
-	// Batch is the shortest time between two writes of the state.
+	// Batch is the minimum interval between two writes of the state.
 	Batch time.Duration
-	// Poll is the longest wait of a pull.
+	// Poll is the maximum wait of a pull.
 	Poll time.Duration
 	// Metrics may be nil.
 	Metrics *Metrics
 
-	// writing is held while the store is read or written; it is taken before mutex.
-	writing sync.Mutex
-	state   record.Record
+	// storeMutex is held while the store is read or written; it is locked before mutex.
+	storeMutex sync.Mutex
+	state      record.Record
 
 	mutex   sync.Mutex
 	step    *Step
 	running map[string]context.CancelFunc
-	// away is the error of the newest write, nil if it took effect.
-	away error
-	// version is the newest announced one that the store holds.
-	version uint64
-	changed chan struct{}
-	forget  []uint32
-	// capacity is what Capacity returned when it was last asked.
-	capacity int
-	looked   time.Time
-	lost     chan struct{}
+	// writeErr is the error of the newest write, nil if it took effect.
+	writeErr error
+	// storedVersion is the newest announced version that the store holds.
+	storedVersion uint64
+	changed       chan struct{}
+	released      []uint32
+	// capacity is the latest result of Capacity.
+	capacity     int
+	capacityTime time.Time
+	superseded   chan struct{}
 }
 
 // NewHolder returns a holder without a step; see Lead.
 func NewHolder(trainer string, store Store) *Holder {
 	return &Holder{
-		Trainer: trainer,
-		Store:   store,
-		state:   record.Record{Store: store, Key: StateKey(trainer)},
-		running: map[string]context.CancelFunc{},
-		changed: make(chan struct{}),
-		lost:    make(chan struct{}, 1),
+		Trainer:    trainer,
+		Store:      store,
+		state:      record.Record{Store: store, Key: StateKey(trainer)},
+		running:    map[string]context.CancelFunc{},
+		changed:    make(chan struct{}),
+		superseded: make(chan struct{}, 1),
 	}
 }
 
-// StateKey returns the store's key of a trainer's open step.
+// StateKey returns the store key of a trainer's open step.
 func StateKey(trainer string) string { return "step/" + trainer }
 
-// PromptsKey returns the store's key of a step's prompts.
+// PromptsKey returns the store key of a step's prompts.
 func PromptsKey(trainer string, step uint64) string {
 	return promptsPrefix(trainer) + strconv.FormatUint(step, 10)
 }
@@ -120,13 +120,13 @@
 func (h *Holder) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	group.Go(func() { h.dispatch(ctx) })
-	group.Go(func() { h.write(ctx) })
+	group.Go(func() { h.writeLoop(ctx) })
 	group.Wait()
 	h.Drop("the process stops")
 	return nil
 }
 
-// Drop stops all attempts and forgets the step: another process is the holder.
+// Drop cancels all attempts and discards the step, as when another process is the holder.
 func (h *Holder) Drop(reason string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -134,10 +134,10 @@
 		return
 	}
 	h.Decisions.Record(h.Trainer, "step", "%s lets go of step %d: %s", h.Process, h.step.Number(), reason)
-	h.replace(nil)
+	h.setStep(nil)
 }
 
-// Step returns the number of the open step and false if none is held.
+// Step returns the number of the open step and false if there is none.
 func (h *Holder) Step() (uint64, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -147,44 +147,44 @@
 	return h.step.Number(), true
 }
 
-// replace makes step the open one and stops the attempts of the one before.
-func (h *Holder) replace(step *Step) {
+// setStep makes step the open one and cancels the attempts of the previous one.
+func (h *Holder) setStep(step *Step) {
 	for _, cancel := range h.running {
 		cancel()
 	}
 	h.running = map[string]context.CancelFunc{}
 	h.step = step
-	h.forget = nil
-	h.looked = time.Time{}
+	h.released = nil
+	h.capacityTime = time.Time{}
 	if step == nil {
-		h.Metrics.forget(h.Trainer)
+		h.Metrics.removeTrainer(h.Trainer)
 	} else {
 		h.Metrics.observe(step)
 	}
 	h.notify()
 }
 
-// notify wakes all who wait for a change.
+// notify wakes all goroutines that wait for a change.
 func (h *Holder) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// wait returns a channel that is closed at the next change.
-func (h *Holder) wait() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change.
+func (h *Holder) nextChange() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.changed
 }
 
-// dispatch starts attempts.
+// dispatch starts attempts until the context ends.
 func (h *Holder) dispatch(ctx context.Context) {
 	ticker := time.NewTicker(dispatchInterval)
 	defer ticker.Stop()
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
-		changed := h.wait()
+		changed := h.nextChange()
 		for h.startNext(ctx, &group) {
 			continue
 		}
@@ -197,11 +197,11 @@
 	}
 }
 
-// startNext starts the next attempt if there is one and room for it.
+// startNext starts the next attempt if there is one and maxRunning allows it.
 func (h *Holder) startNext(ctx context.Context, group *sync.WaitGroup) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.step == nil || len(h.running) >= h.room(h.step.open.GetModel()) || ctx.Err() != nil {
+	if h.step == nil || len(h.running) >= h.maxRunning(h.step.open.GetModel()) || ctx.Err() != nil {
 		return false
 	}
 	step := h.step
@@ -211,21 +211,21 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, h.Timeout)
 	h.running[attempt.ID()] = cancel
-	run := &execution{holder: h, step: step, attempt: attempt, open: step.open}
+	e := &execution{holder: h, step: step, attempt: attempt, open: step.open}
 	group.Go(func() {
 		defer cancel()
-		run.run(ctx)
+		e.run(ctx)
 	})
 	return true
 }
 
-// room returns how many attempts may run at the same time.
-func (h *Holder) room(model string) int {
+// maxRunning returns how many attempts may run concurrently.
+func (h *Holder) maxRunning(model string) int {
 	if h.Capacity == nil {
 		return h.Attempts
 	}
-	if now := time.Now(); now.Sub(h.looked) >= capacityAge || h.looked.IsZero() {
-		h.looked = now
+	if now := time.Now(); now.Sub(h.capacityTime) >= capacityTTL || h.capacityTime.IsZero() {
+		h.capacityTime = now
 		h.capacity = h.Capacity(model)
 	}
 	if h.capacity == 0 {
@@ -234,16 +234,16 @@
 	return min(h.Attempts, h.capacity)
 }
 
-// ended forgets a running attempt.
-func (h *Holder) ended(step *Step, attempt Attempt) {
+// removeRunning removes an attempt that has ended.
+func (h *Holder) removeRunning(step *Step, attempt Attempt) {
 	if h.step != step {
 		return
 	}
 	delete(h.running, attempt.ID())
 }
 
-// stop cancels attempts.
-func (h *Holder) stop(attempts []Attempt, reason string) {
+// cancelAttempts cancels the given attempts as far as they still run.
+func (h *Holder) cancelAttempts(attempts []Attempt, reason string) {
 	for _, attempt := range attempts {
 		cancel := h.running[attempt.ID()]
 		if cancel == nil {
@@ -254,17 +254,17 @@
 	}
 }
 
-// write brings the state into the store, at most once in a batch's time.
-func (h *Holder) write(ctx context.Context) {
-	gap := h.Batch
+// writeLoop writes the state to the store, at most once per Batch.
+func (h *Holder) writeLoop(ctx context.Context) {
+	interval := h.Batch
 	for {
-		changed := h.wait()
+		changed := h.nextChange()
 		wrote, err := h.writeOnce(ctx)
 		switch {
 		case err != nil:
-			gap = min(max(2*gap, storePause), greatestStorePause)
+			interval = min(max(2*interval, minStoreBackoff), maxStoreBackoff)
 		case wrote:
-			gap = h.Batch
+			interval = h.Batch
 		default:
 			select {
 			case <-ctx.Done():
@@ -272,7 +272,7 @@
 			case <-changed:
 			}
 		}
-		if !pause.For(ctx, gap) {
+		if !pause.For(ctx, interval) {
 			return
 		}
 	}
@@ -280,14 +280,14 @@
 
 // writeOnce writes the state if it has changed.
 func (h *Holder) writeOnce(ctx context.Context) (bool, error) {
-	h.writing.Lock()
-	defer h.writing.Unlock()
+	h.storeMutex.Lock()
+	defer h.storeMutex.Unlock()
 	step, proposed := h.propose()
 	if proposed == nil {
 		return false, nil
 	}
 	err := h.state.Write(ctx, encode(proposed))
-	h.settled(step, proposed, err)
+	h.finishWrite(step, proposed, err)
 	return true, err
 }
 
@@ -300,8 +300,8 @@
 	return h.step, h.step.Propose()
 }
 
-// settled takes the outcome of a write.
-func (h *Holder) settled(step *Step, proposed *statepb.Step, err error) {
+// finishWrite applies the result of a write.
+func (h *Holder) finishWrite(step *Step, proposed *statepb.Step, err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.step != step {
@@ -310,17 +310,17 @@
 	var lost *record.LostError
 	if errors.As(err, &lost) {
 		h.Decisions.Record(h.Trainer, "step", "%s is no longer the holder: %v", h.Process, err)
-		h.replace(nil)
+		h.setStep(nil)
 		select {
-		case h.lost <- struct{}{}:
+		case h.superseded <- struct{}{}:
 		default:
 		}
 		return
 	}
-	if err != nil && h.away == nil {
-		klog.Warningf("step: %s: new places wait for the store: %v", h.Trainer, err)
+	if err != nil && h.writeErr == nil {
+		klog.Warningf("step: %s: writing the state failed, new samples wait for the store: %v", h.Trainer, err)
 	}
-	h.away = err
+	h.writeErr = err
 	if err == nil {
 		h.commit(step, proposed)
 	}
@@ -328,19 +328,19 @@
 }
 
 func (h *Holder) commit(step *Step, proposed *statepb.Step) {
-	h.version = max(h.version, proposed.GetVersion())
+	h.storedVersion = max(h.storedVersion, proposed.GetVersion())
 	for _, sample := range step.Commit() {
 		h.Decisions.Record(sample.GetRequest(), "sample", "slot %d of step %d has place %d", sample.GetSlot(), sample.GetStep(), sample.GetPlace())
 	}
 	h.Metrics.observe(step)
 }
 
-// decode reads a message from the store.
+// decode unmarshals a message read from the store.
 func decode[M proto.Message](data []byte, message M) (M, error) {
 	return message, proto.Unmarshal(data, message)
 }
 
-// Counts returns what happened to the attempts of the open step.
+// Counts returns the outcomes of the attempts of the open step.
 func (h *Holder) Counts() Counts {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/rollout/holder_test.go
+++ b/internal/rollout/holder_test.go
@@ -15,8 +15,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// runHolder runs a holder until the returned function is called, which is what
-// the end of its process looks like to the others.
+// runHolder runs a holder until the returned function is called, which other processes
+// see as the end of its process.
 func runHolder(t *testing.T, holder *Holder, fence uint64) (kill func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -32,11 +32,11 @@
 	return kill
 }
 
-func await(t *testing.T, reached func() bool) {
+func await(t *testing.T, condition func() bool) {
 	t.Helper()
-	end := time.Now().Add(10 * time.Second)
-	for !reached() {
-		must.True(t, time.Now().Before(end), must.Sprint("the state was not reached"))
+	deadline := time.Now().Add(10 * time.Second)
+	for !condition() {
+		must.True(t, time.Now().Before(deadline), must.Sprint("timed out waiting for the condition"))
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -48,15 +48,15 @@
 	return reply
 }
 
-func mustPull(t *testing.T, holder *Holder, place uint64, most uint32) *peerpb.PullReply {
+func mustPull(t *testing.T, holder *Holder, place uint64, maxSamples uint32) *peerpb.PullReply {
 	t.Helper()
-	reply, err := holder.Pull(t.Context(), pullRequest(place, most, 10*time.Second))
+	reply, err := holder.Pull(t.Context(), pullRequest(place, maxSamples, 10*time.Second))
 	must.NoError(t, err)
 	return reply
 }
 
-func pullRequest(place uint64, most uint32, wait time.Duration) *peerpb.PullRequest {
-	return peerpb.PullRequest_builder{Trainer: "drafts", Account: "casa", Place: place, Max: most, Wait: durationpb.New(wait)}.Build()
+func pullRequest(place uint64, maxSamples uint32, wait time.Duration) *peerpb.PullRequest {
+	return peerpb.PullRequest_builder{Trainer: "drafts", Account: "casa", Place: place, Max: maxSamples, Wait: durationpb.New(wait)}.Build()
 }
 
 // pullAll pulls a step to its end and returns its samples by place.
@@ -73,8 +73,8 @@
 	}
 }
 
-// mustBeOnce asserts that every slot came once and every place in order.
-func mustBeOnce(t *testing.T, samples []*peerpb.Sample, slots int, place uint64) {
+// mustDeliverOnce asserts that every slot is delivered once and the places are in order.
+func mustDeliverOnce(t *testing.T, samples []*peerpb.Sample, slots int, place uint64) {
 	t.Helper()
 	must.Len(t, slots, samples)
 	seen := map[uint32]bool{}
@@ -85,7 +85,7 @@
 	}
 }
 
-func mustBeSame(t *testing.T, want, got []*peerpb.Sample) {
+func mustEqualSamples(t *testing.T, want, got []*peerpb.Sample) {
 	t.Helper()
 	must.Len(t, len(want), got)
 	for i := range want {
@@ -100,18 +100,18 @@
 }
 
 func TestHolderRunsSteps(t *testing.T) {
-	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1}, newFakeKeeping("b"))
+	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1}, newFakeReplicator("b"))
 	runHolder(t, holder, 1)
 	reply := mustOpen(t, holder, openRequest(1, 8, 8, 1))
 	must.Eq(t, 64, reply.GetSlots())
-	mustBeOnce(t, pullAll(t, holder, 0), 64, 0)
+	mustDeliverOnce(t, pullAll(t, holder, 0), 64, 0)
 	reply = mustOpen(t, holder, openRequest(2, 2, 8, 1))
 	must.Eq(t, 64, reply.GetPlace())
-	mustBeOnce(t, pullAll(t, holder, 64), 16, 64)
+	mustDeliverOnce(t, pullAll(t, holder, 64), 16, 64)
 }
 
 func TestOpenAgain(t *testing.T) {
-	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1, gate: make(chan struct{})}, newFakeKeeping("b"))
+	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1, gate: make(chan struct{})}, newFakeReplicator("b"))
 	runHolder(t, holder, 1)
 	first := mustOpen(t, holder, openRequest(1, 2, 2, 1))
 	t.Run("same content is idempotent", func(t *testing.T) {
@@ -131,11 +131,11 @@
 	})
 }
 
-// The trainer's connection breaks while the answer to a pull is on its way. It
-// pulls the same place again, then through two entries at once. If the holder
-// had counted the first answer as received, those samples would be lost.
+// The connection breaks while the reply to a pull is in transit. The trainer repeats
+// the pull, then sends it through two entry processes at once. If the holder counted
+// the first reply as received, those samples would be lost.
 func TestPullRepeated(t *testing.T) {
-	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1}, newFakeKeeping("b"))
+	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1}, newFakeReplicator("b"))
 	runHolder(t, holder, 1)
 	mustOpen(t, holder, openRequest(1, 2, 8, 1))
 	await(t, func() bool { return len(mustPull(t, holder, 0, 16).GetSamples()) == 16 })
@@ -146,63 +146,63 @@
 		group.Go(func() { replies[i], _ = holder.Pull(t.Context(), pullRequest(0, 8, time.Second)) })
 	}
 	group.Wait()
-	mustBeSame(t, lost.GetSamples(), replies[0].GetSamples())
-	mustBeSame(t, lost.GetSamples(), replies[1].GetSamples())
+	mustEqualSamples(t, lost.GetSamples(), replies[0].GetSamples())
+	mustEqualSamples(t, lost.GetSamples(), replies[1].GetSamples())
 	rest := pullAll(t, holder, 8)
-	mustBeOnce(t, append(lost.GetSamples(), rest...), 16, 0)
+	mustDeliverOnce(t, append(lost.GetSamples(), rest...), 16, 0)
 	_, err := holder.Pull(t.Context(), pullRequest(0, 8, 0))
 	mustRefuse(t, err, "acknowledged")
 }
 
-// The answer of the store to the write that binds places is lost, though the
-// write took effect. The next write would conflict with the holder's own one,
-// and a holder that took this for a successor would run the whole step again.
+// The store applies the write that binds places, but its reply is lost. The next write
+// conflicts with the holder's own; a holder that took the conflict for a successor
+// would run the whole step again.
 func TestStoreAnswerLost(t *testing.T) {
 	store := newFakeStore()
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
-	holder := newTestHolder("a", store, runner, newFakeKeeping("b"))
+	holder := newTestHolder("a", store, runner, newFakeReplicator("b"))
 	runHolder(t, holder, 1)
 	mustOpen(t, holder, openRequest(1, 1, 4, 1))
-	store.set(func(s *fakeStore) { s.loseNext = true })
+	store.set(func(s *fakeStore) { s.loseNextAnswer = true })
 	close(runner.gate)
-	mustBeOnce(t, pullAll(t, holder, 0), 4, 0)
+	mustDeliverOnce(t, pullAll(t, holder, 0), 4, 0)
 	must.Eq(t, 4, runner.runs)
 }
 
-// The store goes away in the middle of a step. The trainer still gets what was
-// fixed, generation goes on, nothing new is handed over, and once the store is
-// back the step comes whole, each slot once.
+// The store becomes unavailable in the middle of a step. The trainer still receives
+// what was committed, generation continues, nothing new is delivered, and once the
+// store is back the step is delivered whole, each slot once.
 func TestStoreAway(t *testing.T) {
 	store := newFakeStore()
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
-	holder := newTestHolder("a", store, runner, newFakeKeeping("b"))
+	holder := newTestHolder("a", store, runner, newFakeReplicator("b"))
 	runHolder(t, holder, 1)
 	mustOpen(t, holder, openRequest(1, 2, 4, 1))
 	for range 4 {
 		runner.gate <- struct{}{}
 	}
 	await(t, func() bool { return len(mustPull(t, holder, 0, 8).GetSamples()) == 4 })
-	store.set(func(s *fakeStore) { s.away = true })
+	store.set(func(s *fakeStore) { s.isUnavailable = true })
 	close(runner.gate)
 	await(t, func() bool { return holder.Counts().Accepted() == 8 })
-	fixed := mustPull(t, holder, 0, 8)
-	must.Len(t, 4, fixed.GetSamples())
+	committed := mustPull(t, holder, 0, 8)
+	must.Len(t, 4, committed.GetSamples())
 	await(t, func() bool {
 		reply, err := holder.Pull(t.Context(), pullRequest(4, 8, 0))
 		return err == nil && len(reply.GetSamples()) == 0 && reply.GetWaiting() == "store"
 	})
-	store.set(func(s *fakeStore) { s.away = false })
-	mustBeOnce(t, append(fixed.GetSamples(), pullAll(t, holder, 4)...), 8, 0)
+	store.set(func(s *fakeStore) { s.isUnavailable = false })
+	mustDeliverOnce(t, append(committed.GetSamples(), pullAll(t, holder, 4)...), 8, 0)
 }
 
-// The holder's process dies after it has handed over half of the step, and the
-// trainer pulls the unacknowledged half again from the successor. It must get
-// the same bytes; the rest of the step goes on.
+// The holder dies after it has delivered half of the step, and the trainer pulls the
+// unacknowledged half again from the successor. It must receive the same bytes, and
+// the rest of the step must continue.
 func TestHolderDies(t *testing.T) {
 	store := newFakeStore()
-	keeping := newFakeKeeping("b")
+	replicator := newFakeReplicator("b")
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
-	first := newTestHolder("a", store, runner, keeping)
+	first := newTestHolder("a", store, runner, replicator)
 	kill := runHolder(t, first, 1)
 	mustOpen(t, first, openRequest(1, 2, 4, 1))
 	for range 4 {
@@ -211,89 +211,89 @@
 	await(t, func() bool { return len(mustPull(t, first, 0, 8).GetSamples()) == 4 })
 	before := mustPull(t, first, 0, 4)
 	kill()
-	second := newTestHolder("b", store, &fakeRunner{version: 1}, keeping)
+	second := newTestHolder("b", store, &fakeRunner{version: 1}, replicator)
 	runHolder(t, second, 2)
-	mustBeSame(t, before.GetSamples(), mustPull(t, second, 0, 4).GetSamples())
-	mustBeOnce(t, append(before.GetSamples(), pullAll(t, second, 4)...), 8, 0)
+	mustEqualSamples(t, before.GetSamples(), mustPull(t, second, 0, 4).GetSamples())
+	mustDeliverOnce(t, append(before.GetSamples(), pullAll(t, second, 4)...), 8, 0)
 }
 
-// The holder dies together with the only other process that holds the samples.
-// The successor runs their slots again for the same places.
+// The holder dies together with the only other process that holds the samples. The
+// successor must run their slots again for the same places.
 func TestSampleHolderDies(t *testing.T) {
 	store := newFakeStore()
-	keeping := newFakeKeeping("b")
-	first := newTestHolder("a", store, &fakeRunner{version: 1}, keeping)
+	replicator := newFakeReplicator("b")
+	first := newTestHolder("a", store, &fakeRunner{version: 1}, replicator)
 	kill := runHolder(t, first, 1)
 	mustOpen(t, first, openRequest(1, 1, 4, 1))
 	await(t, func() bool { return len(mustPull(t, first, 0, 8).GetSamples()) == 4 })
 	before := mustPull(t, first, 0, 4).GetSamples()
 	kill()
-	keeping.kill("b")
-	second := newTestHolder("c", store, &fakeRunner{version: 1}, keeping)
+	replicator.kill("b")
+	second := newTestHolder("c", store, &fakeRunner{version: 1}, replicator)
 	runHolder(t, second, 2)
 	after := pullAll(t, second, 0)
-	mustBeOnce(t, after, 4, 0)
+	mustDeliverOnce(t, after, 4, 0)
 	for i, sample := range after {
 		must.Eq(t, before[i].GetSlot(), sample.GetSlot())
 		must.Eq(t, 2, sample.GetTerm())
 	}
 }
 
-// The holder is frozen just before its write that binds places, and thawed
-// after a successor has taken the step over. Were its write to count, the two
-// would hand the same places over for other slots.
+// The holder is paused just before the write that binds places, and resumes after a
+// successor has taken over the step. If its write took effect, the two would deliver
+// the same places for different slots.
 func TestHolderFrozen(t *testing.T) {
-	store := &freezingStore{fakeStore: newFakeStore(), frozen: make(chan struct{}), thaw: make(chan struct{})}
-	keeping := newFakeKeeping("b")
+	store := &pausingStore{fakeStore: newFakeStore(), paused: make(chan struct{}), resume: make(chan struct{})}
+	replicator := newFakeReplicator("b")
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
-	first := newTestHolder("a", store, runner, keeping)
+	first := newTestHolder("a", store, runner, replicator)
 	runHolder(t, first, 1)
 	mustOpen(t, first, openRequest(1, 1, 4, 1))
 	store.armed.Store(true)
 	close(runner.gate)
-	<-store.frozen
-	second := newTestHolder("b", store.fakeStore, &fakeRunner{version: 1}, keeping)
+	<-store.paused
+	second := newTestHolder("b", store.fakeStore, &fakeRunner{version: 1}, replicator)
 	runHolder(t, second, 2)
 	await(t, func() bool { return mustPull(t, second, 0, 4).GetDone() })
 	samples := mustPull(t, second, 0, 4).GetSamples()
-	close(store.thaw)
+	close(store.resume)
 	await(t, func() bool { _, ok := first.Step(); return !ok })
-	mustBeOnce(t, samples, 4, 0)
-	mustBeSame(t, samples, mustPull(t, second, 0, 4).GetSamples())
+	mustDeliverOnce(t, samples, 4, 0)
+	mustEqualSamples(t, samples, mustPull(t, second, 0, 4).GetSamples())
 }
 
-// freezingStore holds its next write once it is armed.
-type freezingStore struct {
+// pausingStore blocks its next write once it is armed.
+type pausingStore struct {
 	*fakeStore
 	armed  atomic.Bool
-	frozen chan struct{}
-	thaw   chan struct{}
+	paused chan struct{}
+	resume chan struct{}
 }
 
-func (s *freezingStore) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+func (s *pausingStore) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	if s.armed.CompareAndSwap(true, false) {
-		close(s.frozen)
-		<-s.thaw
+		close(s.paused)
+		<-s.resume
 	}
 	return s.fakeStore.Swap(ctx, key, expect, data, lease)
 }
 
-// An engine's answer is cut short by a resume that left tokens out. The sample
-// would name versions for tokens that nobody produced; it is run again.
+// A resume omits tokens of an engine's answer. The sample would name versions for
+// tokens that were never generated, so its slot must run again.
 func TestShortAnswerRunsAgain(t *testing.T) {
-	runner := &fakeRunner{version: 1, cut: 3}
-	holder := newTestHolder("a", newFakeStore(), runner, newFakeKeeping("b"))
+	runner := &fakeRunner{version: 1, shortAnswers: 3}
+	holder := newTestHolder("a", newFakeStore(), runner, newFakeReplicator("b"))
 	runHolder(t, holder, 1)
 	mustOpen(t, holder, openRequest(1, 1, 4, 1))
-	mustBeOnce(t, pullAll(t, holder, 0), 4, 0)
+	mustDeliverOnce(t, pullAll(t, holder, 0), 4, 0)
 	must.Eq(t, 7, runner.runs)
 }
 
-// Attempts beyond what the samplers run would wait in queues, and begin under
-// weights that are old by then.
+// Attempts beyond the samplers' capacity would wait in queues and begin under weights
+// that are old by then.
 func TestAttemptsWithinCapacity(t *testing.T) {
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
-	holder := newTestHolder("a", newFakeStore(), runner, newFakeKeeping("b"))
+	holder := newTestHolder("a", newFakeStore(), runner, newFakeReplicator("b"))
 	holder.Capacity = func(string) int { return 3 }
 	runHolder(t, holder, 1)
 	mustOpen(t, holder, openRequest(1, 2, 8, 1))
@@ -302,13 +302,13 @@
 	await(t, func() bool { return holder.Counts().Started() == 4 })
 	must.Eq(t, 1, holder.Counts().Accepted())
 	close(runner.gate)
-	mustBeOnce(t, pullAll(t, holder, 0), 16, 0)
+	mustDeliverOnce(t, pullAll(t, holder, 0), 16, 0)
 }
 
-// Two accounts share a plan that lists the trainer. One pulls while the other's
-// step is open. It must not get, acknowledge or age the other's samples.
+// Two accounts share a plan that lists the trainer, and one makes calls while the
+// other's step is open. It must not receive, acknowledge or age the other's samples.
 func TestOtherAccount(t *testing.T) {
-	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1}, newFakeKeeping("b"))
+	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1}, newFakeReplicator("b"))
 	runHolder(t, holder, 1)
 	mustOpen(t, holder, openRequest(1, 1, 4, 1))
 	await(t, func() bool { return mustPull(t, holder, 0, 4).GetDone() })
--- a/internal/rollout/interleaving_test.go
+++ b/internal/rollout/interleaving_test.go
@@ -15,26 +15,27 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/record"
 )
 
-// actor is a process that believes to hold the step. Each of its moves can be
-// delayed at will, which is what a freeze between any two of them looks like.
+// actor is a process that believes that it holds the step. Each of its operations can
+// be delayed arbitrarily, which models a pause between any two of them.
 type actor struct {
 	step    *Step
 	record  *record.Record
 	running []Attempt
-	// proposed is on its way to the store; written is in it but not committed.
+	// proposed is being written to the store; if written, the store holds it but it is
+	// not committed.
 	proposed []byte
 	written  bool
 }
 
-// interleaving runs two actors, one store and one trainer.
+// interleaving models actors that share one store and one trainer.
 type interleaving struct {
-	store   *fakeStore
-	keeping *fakeKeeping
-	actors  []*actor
-	fence   uint64
-	newest  uint64
-	now     time.Time
-	// next is the trainer's place; places are what was ever handed over.
+	store      *fakeStore
+	replicator *fakeReplicator
+	actors     []*actor
+	fence      uint64
+	newest     uint64
+	now        time.Time
+	// next is the trainer's place; places are all samples that were ever delivered.
 	next   uint64
 	places map[uint64]*peerpb.Sample
 	slots  map[uint32]uint64
@@ -44,12 +45,12 @@
 
 func newInterleaving(t *rapid.T) *interleaving {
 	i := &interleaving{
-		store:   newFakeStore(),
-		keeping: newFakeKeeping("x"),
-		newest:  1,
-		now:     time.Unix(0, 0),
-		places:  map[uint64]*peerpb.Sample{},
-		slots:   map[uint32]uint64{},
+		store:      newFakeStore(),
+		replicator: newFakeReplicator("x"),
+		newest:     1,
+		now:        time.Unix(0, 0),
+		places:     map[uint64]*peerpb.Sample{},
+		slots:      map[uint32]uint64{},
 	}
 	open := openRequest(1, 2, interleavingSlots/2, 1)
 	first := &actor{record: &record.Record{Store: i.store, Key: "step"}}
@@ -65,107 +66,107 @@
 	return i.actors[rapid.IntRange(0, len(i.actors)-1).Draw(t, "actor")]
 }
 
-// run starts up to three attempts and finishes as many, in any order, with
-// versions near the newest; their bytes are kept.
+// run starts up to three attempts and finishes as many, in any order, with versions
+// near the newest; their samples are replicated.
 func (i *interleaving) run(t *rapid.T) {
-	one := i.pick(t)
+	holder := i.pick(t)
 	i.now = i.now.Add(time.Minute)
 	for range rapid.IntRange(1, 3).Draw(t, "attempts") {
-		if attempt, ok := one.step.Next(i.now); ok {
-			one.running = append(one.running, attempt)
+		if attempt, ok := holder.step.Next(i.now); ok {
+			holder.running = append(holder.running, attempt)
 		}
 	}
 	for range rapid.IntRange(1, 3).Draw(t, "finished") {
-		i.finish(t, one)
+		i.finish(t, holder)
 	}
 }
 
-func (i *interleaving) finish(t *rapid.T, one *actor) {
-	if len(one.running) == 0 {
+func (i *interleaving) finish(t *rapid.T, holder *actor) {
+	if len(holder.running) == 0 {
 		return
 	}
-	at := rapid.IntRange(0, len(one.running)-1).Draw(t, "running")
-	attempt := one.running[at]
-	one.running = append(one.running[:at:at], one.running[at+1:]...)
+	index := rapid.IntRange(0, len(holder.running)-1).Draw(t, "running")
+	attempt := holder.running[index]
+	holder.running = append(holder.running[:index:index], holder.running[index+1:]...)
 	version := i.newest - min(i.newest-1, uint64(rapid.IntRange(0, 2).Draw(t, "lag")))
 	var answer Answer
 	must.NoError(t, answer.Add(attempt.ID(), peerpb.Chunk_builder{Tokens: []int32{1}, Version: version}.Build()))
-	sample, err := answer.Sample(attempt, one.step.open, peerpb.End_builder{OutputTokens: 1}.Build())
+	sample, err := answer.Sample(attempt, holder.step.open, peerpb.End_builder{OutputTokens: 1}.Build())
 	must.NoError(t, err)
-	if one.step.Finish(attempt, sample, i.now) {
-		one.step.Kept(attempt, i.keeping.Keep(context.Background(), sample, nil))
+	if holder.step.Finish(attempt, sample, i.now) {
+		holder.step.Kept(attempt, i.replicator.Keep(context.Background(), sample, nil))
 	}
 }
 
-// propose chooses what is written next.
+// propose chooses the state to write next.
 func (i *interleaving) propose(t *rapid.T) {
-	one := i.pick(t)
-	if state := one.step.Propose(); state != nil && !one.written {
-		one.proposed = encode(state)
+	holder := i.pick(t)
+	if state := holder.step.Propose(); state != nil && !holder.written {
+		holder.proposed = encode(state)
 	}
 }
 
-// write brings it into the store; the answer may be lost.
+// write stores the proposed state; the reply may be lost.
 func (i *interleaving) write(t *rapid.T) {
-	one := i.pick(t)
-	if one.proposed == nil || one.written {
+	holder := i.pick(t)
+	if holder.proposed == nil || holder.written {
 		return
 	}
-	i.store.loseNext = rapid.Bool().Draw(t, "lose")
-	err := one.record.Write(context.Background(), one.proposed)
-	i.store.loseNext = false
+	i.store.loseNextAnswer = rapid.Bool().Draw(t, "lose")
+	err := holder.record.Write(context.Background(), holder.proposed)
+	i.store.loseNextAnswer = false
 	var lost *record.LostError
 	switch {
 	case errors.As(err, &lost):
-		i.remove(one)
+		i.remove(holder)
 	case err == nil:
-		one.written = true
+		holder.written = true
 	}
 }
 
-// flush is propose, write and commit without a delay between them.
+// flush proposes, writes and commits without a delay in between.
 func (i *interleaving) flush(t *rapid.T) {
-	one := i.pick(t)
-	state := one.step.Propose()
-	if state == nil || one.written {
+	holder := i.pick(t)
+	state := holder.step.Propose()
+	if state == nil || holder.written {
 		return
 	}
 	var lost *record.LostError
-	switch err := one.record.Write(context.Background(), encode(state)); {
+	switch err := holder.record.Write(context.Background(), encode(state)); {
 	case errors.As(err, &lost):
-		i.remove(one)
+		i.remove(holder)
 	case err == nil:
-		one.step.Commit()
-		one.proposed = nil
+		holder.step.Commit()
+		holder.proposed = nil
 	}
 }
 
-// commit takes note of a write that took effect.
+// commit records a write that took effect.
 func (i *interleaving) commit(t *rapid.T) {
-	one := i.pick(t)
-	if one.written {
-		one.step.Commit()
-		one.proposed, one.written = nil, false
+	holder := i.pick(t)
+	if holder.written {
+		holder.step.Commit()
+		holder.proposed, holder.written = nil, false
 	}
 }
 
-// remove ends an actor that was told of a successor; one always stays.
+// remove ends an actor that has learned of a successor; at least one always stays.
 func (i *interleaving) remove(gone *actor) {
-	for at, one := range i.actors {
-		if one == gone && len(i.actors) > 1 {
-			i.actors = append(i.actors[:at:at], i.actors[at+1:]...)
+	for index, candidate := range i.actors {
+		if candidate == gone && len(i.actors) > 1 {
+			i.actors = append(i.actors[:index:index], i.actors[index+1:]...)
 			return
 		}
 	}
 }
 
-// takeOver makes a successor while the others still believe to be the holder.
+// takeOver adds a successor while the others still believe that they are the holder.
 func (i *interleaving) takeOver(t *rapid.T) {
 	if len(i.actors) > 2 {
 		return
 	}
 	if rapid.IntRange(0, 9).Draw(t, "lose bytes") == 0 {
-		i.keeping.replicas["x"] = &Replicas{}
+		i.replicator.replicas["x"] = &Replicas{}
 	}
 	next := &actor{record: &record.Record{Store: i.store, Key: "step"}}
 	data, err := next.record.Load(context.Background())
@@ -178,7 +179,7 @@
 	must.NoError(t, next.record.Write(context.Background(), encode(next.step.Propose())))
 	next.step.Commit()
 	for process, slots := range next.step.Missing() {
-		samples, _ := i.keeping.Fetch(context.Background(), process, "drafts", 1, slots)
+		samples, _ := i.replicator.Fetch(context.Background(), process, "drafts", 1, slots)
 		for _, sample := range samples {
 			next.step.Found(sample)
 		}
@@ -187,13 +188,13 @@
 	i.actors = append(i.actors, next)
 }
 
-// announce raises the trainer's version at one actor; the others learn it by pulls.
+// announce raises the trainer's version at one actor; the others learn it from pulls.
 func (i *interleaving) announce(t *rapid.T) {
 	i.newest++
 	i.pick(t).step.Announce(i.newest)
 }
 
-// pull is the trainer's; its answer may be lost, and it may come again later.
+// pull is a pull by the trainer; its reply may be lost, and it may be repeated later.
 func (i *interleaving) pull(t *rapid.T) {
 	pulled, err := i.pick(t).step.Pull(i.next, rapid.IntRange(1, 4).Draw(t, "max"), i.newest)
 	if err != nil {
@@ -207,9 +208,9 @@
 	}
 }
 
-// check asserts what must hold of each sample handed over.
+// check asserts the invariants of a delivered sample.
 func (i *interleaving) check(t *rapid.T, sample *peerpb.Sample) {
-	must.False(t, lags(i.newest, OldestVersion(sample), 1), must.Sprint("a stale sample was handed over"))
+	must.False(t, isStale(i.newest, OldestVersion(sample), 1), must.Sprint("a stale sample was delivered"))
 	place, known := i.slots[sample.GetSlot()]
 	must.True(t, !known || place == sample.GetPlace(), must.Sprintf("slot %d has two places", sample.GetSlot()))
 	before := i.places[sample.GetPlace()]
@@ -218,10 +219,10 @@
 	i.places[sample.GetPlace()] = proto.CloneOf(sample)
 }
 
-// Holders are frozen, thawed and replaced between any two of their moves, the
-// store loses answers, versions come in the middle, pulls are lost and repeated
-// at whichever process believes to be the holder. If a place could ever change
-// its slot, the trainer would learn one sample twice and another one never.
+// Holders are paused, resumed and replaced between any two operations, the store loses
+// replies, versions change in the middle, and pulls are lost and repeated at any
+// process that believes that it is the holder. If a place could ever change its slot,
+// the trainer would receive one sample twice and another one never.
 func TestPlaceKeepsSlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		i := newInterleaving(t)
--- a/internal/rollout/main_test.go
+++ b/internal/rollout/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of properties, so that every run gives the same verdict.
+// TestMain fixes the seed of the property tests, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "2000", "rapid.nofailfile": "true"} {
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts what happens to steps; nil counts nothing.
+// Metrics exports metrics of steps; nil exports nothing.
 type Metrics struct {
 	attempts *prometheus.GaugeVec
 	places   *prometheus.GaugeVec
@@ -35,7 +35,7 @@
 		return
 	}
 	trainer, counts := step.open.GetTrainer(), step.Counts()
-	m.places.WithLabelValues(trainer).Set(float64(step.bound))
+	m.places.WithLabelValues(trainer).Set(float64(step.placedCount))
 	for outcome, count := range map[string]uint64{
 		"started":  counts.Started(),
 		"second":   counts.Seconds(),
@@ -50,8 +50,8 @@
 	}
 }
 
-// forget removes the figures of a trainer whose steps another process holds.
-func (m *Metrics) forget(trainer string) {
+// removeTrainer deletes the series of a trainer whose steps another process holds.
+func (m *Metrics) removeTrainer(trainer string) {
 	if m == nil {
 		return
 	}
@@ -59,7 +59,7 @@
 	m.places.DeletePartialMatch(prometheus.Labels{"trainer": trainer})
 }
 
-func (m *Metrics) handedOver(lag uint64) {
+func (m *Metrics) observeStaleness(lag uint64) {
 	if m != nil {
 		m.lag.Observe(float64(lag))
 	}
--- a/internal/rollout/open.go
+++ b/internal/rollout/open.go
@@ -16,89 +16,89 @@
 
 const (
 	// MaxSlots bounds the samples of a step.
-	MaxSlots = 8192
-	retry    = time.Second
+	MaxSlots   = 8192
+	retryAfter = time.Second
 )
 
-// Open opens a step, or answers again for the one that is open already. It
-// acknowledges the whole step before it.
+// Open opens a step, or repeats its reply if the step is already open. It acknowledges
+// the whole step before it.
 func (h *Holder) Open(ctx context.Context, request *peerpb.OpenRequest) (*peerpb.OpenReply, error) {
-	h.writing.Lock()
-	defer h.writing.Unlock()
-	current, err := h.mayOpen(request)
+	h.storeMutex.Lock()
+	defer h.storeMutex.Unlock()
+	current, err := h.checkOpen(request)
 	if err != nil {
 		return nil, err
 	}
 	if current.Matches(request) {
-		return opened(current), nil
+		return openReply(current), nil
 	}
 	step := NewStep(request, current.End(), current.term, current.Newest())
-	step.write = current.write
-	if err := h.keepStep(ctx, step); err != nil {
-		return nil, h.openFailed(err)
+	step.writeNumber = current.writeNumber
+	if err := h.storeStep(ctx, step); err != nil {
+		return nil, h.openError(err)
 	}
 	h.install(current, step)
-	h.forgetPrompts(ctx, step.Number())
-	return opened(step), nil
+	h.deleteOldPrompts(ctx, step.Number())
+	return openReply(step), nil
 }
 
-func opened(step *Step) *peerpb.OpenReply {
+func openReply(step *Step) *peerpb.OpenReply {
 	return peerpb.OpenReply_builder{Slots: uint32(step.Slots()), Place: step.Place()}.Build()
 }
 
-// mayOpen returns the present step if the request may follow it or is the same.
-func (h *Holder) mayOpen(request *peerpb.OpenRequest) (*Step, error) {
+// checkOpen returns the current step if the request may follow it or opens the same step.
+func (h *Holder) checkOpen(request *peerpb.OpenRequest) (*Step, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.step == nil {
-		return nil, noHolder(h.Trainer)
+		return nil, noHolderError(h.Trainer)
 	}
 	switch {
 	case h.step.Slots() == 0 || h.step.Matches(request):
 		return h.step, nil
 	case !h.step.IsOpenFor(request.GetAccount()) && !h.step.IsAcknowledged():
-		return nil, otherAccount(h.Trainer)
+		return nil, otherAccountError(h.Trainer)
 	case request.GetStep() == h.step.Number():
 		return nil, refusal.NotRun(http.StatusConflict, "step_differs", "step %d is open with other content", request.GetStep())
 	case request.GetStep() < h.step.Number():
 		return nil, refusal.NotRun(http.StatusConflict, "step_past", "step %d is past, step %d is open", request.GetStep(), h.step.Number())
 	case !h.step.IsWhole():
-		return nil, refusal.NotRun(http.StatusConflict, "step_open", "step %d is not whole yet", h.step.Number()).After(retry)
+		return nil, refusal.NotRun(http.StatusConflict, "step_open", "step %d is not whole yet", h.step.Number()).After(retryAfter)
 	default:
 		return h.step, nil
 	}
 }
 
-func otherAccount(trainer string) *refusal.Error {
+func otherAccountError(trainer string) *refusal.Error {
 	return refusal.NotRun(http.StatusForbidden, "other_account", "the open step of %s belongs to another account", trainer)
 }
 
-func noHolder(trainer string) *refusal.Error {
-	return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds the steps of %s yet", trainer).After(retry)
+func noHolderError(trainer string) *refusal.Error {
+	return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds the steps of %s yet", trainer).After(retryAfter)
 }
 
-// keepStep writes the prompts, then the state, which opens the step.
-func (h *Holder) keepStep(ctx context.Context, step *Step) error {
+// storeStep writes the prompts, then the state, which opens the step.
+func (h *Holder) storeStep(ctx context.Context, step *Step) error {
 	prompts := EncodePrompts(step.open)
 	state := encode(step.Propose())
 	if err := checkSize(step, prompts, state); err != nil {
 		return err
 	}
-	kept := &record.Record{Store: h.Store, Key: PromptsKey(h.Trainer, step.Number())}
-	known, err := kept.Load(ctx)
+	promptsRecord := &record.Record{Store: h.Store, Key: PromptsKey(h.Trainer, step.Number())}
+	stored, err := promptsRecord.Load(ctx)
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(known, prompts) {
-		if err := kept.Write(ctx, prompts); err != nil {
+	if !bytes.Equal(stored, prompts) {
+		if err := promptsRecord.Write(ctx, prompts); err != nil {
 			return err
 		}
 	}
 	return h.state.Write(ctx, state)
 }
 
-// checkSize refuses steps whose values would outgrow the store's bound. The
-// state grows as slots are filled, by no more than fullSlotBytes each.
+// checkSize rejects steps whose values would exceed the store's size limit. The state
+// grows as slots are filled, by at most fullSlotBytes each.
 func checkSize(step *Step, prompts, state []byte) error {
 	const fullSlotBytes = 64
 	full := len(state) + fullSlotBytes*step.Slots()
@@ -108,8 +108,9 @@
 	return nil
 }
 
-// openFailed says that the step may be open or not; opening it again is idempotent.
-func (h *Holder) openFailed(err error) error {
+// openError returns the error of a failed open. Whether the step is open is unknown;
+// opening it again is idempotent. Refusals are returned as they are.
+func (h *Holder) openError(err error) error {
 	var refused *refusal.Error
 	if errors.As(err, &refused) {
 		return err
@@ -117,14 +118,14 @@
 	var lost *record.LostError
 	if errors.As(err, &lost) {
 		h.Drop(err.Error())
-		h.signalLost()
+		h.signalSuperseded()
 	}
-	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the step can't be kept now, open it again: %v", err).After(retry)
+	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the step can't be kept now, open it again: %v", err).After(retryAfter)
 }
 
-func (h *Holder) signalLost() {
+func (h *Holder) signalSuperseded() {
 	select {
-	case h.lost <- struct{}{}:
+	case h.superseded <- struct{}{}:
 	default:
 	}
 }
@@ -137,13 +138,13 @@
 		return
 	}
 	step.Announce(current.Newest())
-	h.replace(step)
+	h.setStep(step)
 	h.Decisions.Record(h.Trainer, "step", "step %d is open with %d slots from place %d on", step.Number(), step.Slots(), step.Place())
 }
 
-// forgetPrompts removes the prompts of other steps; what fails is tried again
+// deleteOldPrompts deletes the prompts of other steps. A failed deletion is retried
 // when the next step opens.
-func (h *Holder) forgetPrompts(ctx context.Context, open uint64) {
+func (h *Holder) deleteOldPrompts(ctx context.Context, open uint64) {
 	reply, err := h.Store.List(ctx, promptsPrefix(h.Trainer))
 	if err != nil {
 		return
@@ -153,7 +154,7 @@
 			continue
 		}
 		if err := h.Store.Delete(ctx, value.Key, value.Revision); err != nil {
-			klog.V(1).Infof("step: %s stays for now: %v", value.Key, err)
+			klog.V(1).Infof("step: deleting %s failed, retrying when the next step opens: %v", value.Key, err)
 		}
 	}
 }
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	keepTimeout  = 2 * time.Second
-	fetchTimeout = 5 * time.Second
-	// fetchSlots is the number of samples asked for in one call.
-	fetchSlots = 64
-	// keepTries is the number of entries that are asked to hold a sample.
-	keepTries = 3
+	replicateTimeout = 2 * time.Second
+	fetchTimeout     = 5 * time.Second
+	// maxFetchSlots is the maximum number of samples per fetch call.
+	maxFetchSlots = 64
+	// maxReplicaCandidates is the maximum number of entry processes that are asked to
+	// hold a sample.
+	maxReplicaCandidates = 3
 )
 
-// Directory knows the other processes.
+// Directory lists the other processes.
 type Directory interface {
 	Processes(role peerpb.Role) []*peerpb.Process
 	Self() *peerpb.Process
 }
 
-// Peers speaks to the other entries. Exported fields are set before the first call.
+// Peers calls the other entry processes. Exported fields must be set before the first call.
 type Peers struct {
 	Directory Directory
 	// Replicas holds this process's own samples.
@@ -42,15 +43,15 @@
 
 var _ Keeping = &Peers{}
 
-// Keep gives a sample to an entry in another zone, or to one in this zone if no
-// other zone has one. Without any, the sample has one holder: losing it costs
-// another run of its slot.
+// Keep copies a sample to an entry process in another zone, or in this zone if no
+// other zone has one. Without any, the sample has one holder: losing it costs another
+// run of its slot.
 func (p *Peers) Keep(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string {
 	p.Replicas.Keep(sample, forget)
 	request := peerpb.KeepSampleRequest_builder{Samples: []*peerpb.Sample{sample}, Forget: forget}.Build()
 	for _, process := range p.candidates(sample.GetSlot()) {
-		if err := p.keep(ctx, process, request); err != nil {
-			klog.Warningf("sample: %s: %s doesn't hold it: %v", sample.GetRequest(), process.GetName(), err)
+		if err := p.replicateTo(ctx, process, request); err != nil {
+			klog.Warningf("sample: %s: copying to %s failed: %v", sample.GetRequest(), process.GetName(), err)
 			continue
 		}
 		return []string{process.GetName()}
@@ -58,31 +59,31 @@
 	return nil
 }
 
-func (p *Peers) keep(ctx context.Context, process *peerpb.Process, request *peerpb.KeepSampleRequest) error {
+func (p *Peers) replicateTo(ctx context.Context, process *peerpb.Process, request *peerpb.KeepSampleRequest) error {
 	client, err := p.Client(process.GetAddress())
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+	ctx, cancel := context.WithTimeout(ctx, replicateTimeout)
 	defer cancel()
 	_, err = client.Keep(ctx, request)
 	return err
 }
 
-// Fetch returns what a process holds of the given slots.
+// Fetch returns the samples of the given slots that a process holds.
 func (p *Peers) Fetch(ctx context.Context, process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error) {
 	if process == p.Directory.Self().GetName() {
 		return p.Replicas.Fetch(trainer, step, slots), nil
 	}
 	for _, entry := range p.Directory.Processes(peerpb.Role_ROLE_ENTRY) {
 		if entry.GetName() == process {
-			return p.fetch(ctx, entry, trainer, step, slots)
+			return p.fetchFrom(ctx, entry, trainer, step, slots)
 		}
 	}
 	return nil, refusal.NotRun(0, "no_process", "%s is gone", process)
 }
 
-func (p *Peers) fetch(ctx context.Context, process *peerpb.Process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error) {
+func (p *Peers) fetchFrom(ctx context.Context, process *peerpb.Process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error) {
 	client, err := p.Client(process.GetAddress())
 	if err != nil {
 		return nil, err
@@ -91,7 +92,7 @@
 	defer cancel()
 	var samples []*peerpb.Sample
 	for len(slots) > 0 {
-		count := min(len(slots), fetchSlots)
+		count := min(len(slots), maxFetchSlots)
 		request := peerpb.FetchRequest_builder{Trainer: trainer, Step: step, Slots: slots[:count]}.Build()
 		reply, err := client.Fetch(ctx, request)
 		if err != nil {
@@ -103,7 +104,7 @@
 	return samples, nil
 }
 
-// Client returns a client of the entry at an address.
+// Client returns a client of the entry process at an address.
 func (p *Peers) Client(address string) (peerpb.StepClient, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -122,22 +123,22 @@
 	return peerpb.NewStepClient(connection), nil
 }
 
-// candidates returns the entries to ask, those in other zones first, another
-// one first for each slot.
+// candidates returns the entry processes to ask, those in other zones first; the first
+// one rotates by slot.
 func (p *Peers) candidates(slot uint32) []*peerpb.Process {
 	self := p.Directory.Self()
-	var far, near []*peerpb.Process
+	var otherZone, sameZone []*peerpb.Process
 	for _, process := range p.Directory.Processes(peerpb.Role_ROLE_ENTRY) {
 		switch {
 		case process.GetName() == self.GetName() || process.GetState() != peerpb.State_STATE_LIVE:
 		case process.GetZone() != self.GetZone():
-			far = append(far, process)
+			otherZone = append(otherZone, process)
 		default:
-			near = append(near, process)
+			sameZone = append(sameZone, process)
 		}
 	}
-	found := append(rotate(far, slot), rotate(near, slot)...)
-	return found[:min(len(found), keepTries)]
+	found := append(rotate(otherZone, slot), rotate(sameZone, slot)...)
+	return found[:min(len(found), maxReplicaCandidates)]
 }
 
 func rotate(processes []*peerpb.Process, by uint32) []*peerpb.Process {
--- a/internal/rollout/prompts.go
+++ b/internal/rollout/prompts.go
@@ -7,8 +7,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// EncodePrompts returns the value of the key that holds a step's prompts. It is
-// written once a step, so that the often written state stays small.
+// EncodePrompts returns the stored value of a step's prompts. It is written once per
+// step, so that the frequently written state stays small.
 func EncodePrompts(open *peerpb.OpenRequest) []byte {
 	prompts := statepb.Prompts_builder{Step: open.GetStep()}.Build()
 	texts := make([]string, 0, len(open.GetPrompts()))
@@ -19,8 +19,8 @@
 	return encode(prompts)
 }
 
-// encode returns the same bytes for the same message. Encoding can only fail
-// for text that isn't UTF-8, which is refused where it enters.
+// encode marshals a message deterministically. Marshaling fails only for text that is
+// not UTF-8, which is rejected on input.
 func encode(message proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
--- a/internal/rollout/proposal.go
+++ b/internal/rollout/proposal.go
@@ -8,79 +8,79 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// MaxStateBytes bounds the value of a step in the store, which takes a megabyte.
+// MaxStateBytes bounds a step's value in the store, which accepts up to a megabyte.
 const MaxStateBytes = 900 << 10
 
-// proposal is a state that is on its way into the store.
+// proposal is a state that is being written to the store.
 type proposal struct {
 	state *statepb.Step
-	// fixes are the samples that it binds.
-	fixes []fix
+	// bindings are the samples that the state binds to places.
+	bindings []binding
 }
 
-type fix struct {
+type binding struct {
 	slot    *slot
 	term    uint64
 	attempt uint32
 	place   uint64
 }
 
-// Propose returns the state to write next, or nil if nothing has changed. It
-// returns the same one until Commit: an answer of the store that got lost may
-// stand for a write that took effect, and only the same bytes can be known again.
+// Propose returns the state to write next, or nil if nothing has changed. It returns
+// the same state until Commit: a write may take effect although the store's reply is
+// lost, and only identical bytes are recognized as that write.
 func (s *Step) Propose() *statepb.Step {
 	if s.proposal != nil {
 		return s.proposal.state
 	}
-	if !s.changed {
+	if !s.isChanged {
 		return nil
 	}
-	s.changed = false
-	s.write++
+	s.isChanged = false
+	s.writeNumber++
 	next := &proposal{}
-	bound := s.bound
+	placed := s.placedCount
 	for _, slot := range s.slots {
-		if slot.sample == nil || !slot.kept || slot.fixed {
+		if slot.sample == nil || !slot.replicated || slot.committed {
 			continue
 		}
 		place := slot.place
 		if place == 0 {
-			place = s.place + bound + 1
-			bound++
+			place = s.firstPlace + placed + 1
+			placed++
 		}
-		next.fixes = append(next.fixes, fix{slot: slot, term: slot.term, attempt: slot.attempt, place: place})
+		next.bindings = append(next.bindings, binding{slot: slot, term: slot.term, attempt: slot.attempt, place: place})
 	}
-	next.state = s.state(next.fixes)
+	next.state = s.state(next.bindings)
 	s.proposal = next
 	return next.state
 }
 
-// Commit notes that the store holds the state proposed last. From then on its
-// samples may be handed over.
+// Commit records that the store holds the last proposed state, whose samples may be
+// delivered from then on.
 func (s *Step) Commit() []*peerpb.Sample {
 	if s.proposal == nil {
 		return nil
 	}
-	var fixed []*peerpb.Sample
-	for _, fix := range s.proposal.fixes {
-		slot := fix.slot
+	var committed []*peerpb.Sample
+	for _, binding := range s.proposal.bindings {
+		slot := binding.slot
 		if slot.place == 0 {
-			s.bound++
+			s.placedCount++
 		}
-		slot.place = fix.place
-		if slot.sample == nil || slot.term != fix.term || slot.attempt != fix.attempt {
+		slot.place = binding.place
+		if slot.sample == nil || slot.term != binding.term || slot.attempt != binding.attempt {
 			continue
 		}
-		slot.fixed = true
-		slot.sample = withPlace(slot.sample, fix.place-1)
-		fixed = append(fixed, slot.sample)
+		slot.committed = true
+		slot.sample = withPlace(slot.sample, binding.place-1)
+		committed = append(committed, slot.sample)
 	}
 	s.proposal = nil
-	return fixed
+	return committed
 }
 
-// state returns the value for the store with the given samples bound.
-func (s *Step) state(fixes []fix) *statepb.Step {
+// state returns the value to store with the given samples bound.
+func (s *Step) state(bindings []binding) *statepb.Step {
 	state := statepb.Step_builder{
 		Trainer:      s.open.GetTrainer(),
 		Account:      s.open.GetAccount(),
@@ -91,55 +91,55 @@
 		Temperature:  s.open.GetTemperature(),
 		Weight:       s.open.GetWeight(),
 		Priority:     s.open.GetPriority(),
-		Prompts:      s.prompts,
-		Place:        s.place,
+		Prompts:      s.promptsHash,
+		Place:        s.firstPlace,
 		Acknowledged: s.acknowledged,
-		Version:      s.newest,
+		Version:      s.newestVersion,
 		Fence:        s.fence,
-		Write:        s.write,
+		Write:        s.writeNumber,
 	}.Build()
 	for _, prompt := range s.open.GetPrompts() {
 		state.SetCounts(append(state.GetCounts(), prompt.GetSamples()))
 	}
 	places := map[uint32]uint64{}
-	for _, fix := range fixes {
-		places[fix.slot.index] = fix.place
+	for _, binding := range bindings {
+		places[binding.slot.index] = binding.place
 	}
-	names := map[string]uint32{}
+	processIndexes := map[string]uint32{}
 	for _, slot := range s.slots {
-		place, fixing := places[slot.index]
-		if !fixing {
+		place, isNew := places[slot.index]
+		if !isNew {
 			place = slot.place
 		}
-		state.SetSlots(append(state.GetSlots(), slotState(state, slot, place, fixing || slot.fixed, names)))
+		state.SetSlots(append(state.GetSlots(), slotState(state, slot, place, isNew || slot.committed, processIndexes)))
 	}
 	return state
 }
 
-func slotState(state *statepb.Step, slot *slot, place uint64, bound bool, names map[string]uint32) *statepb.Slot {
+func slotState(state *statepb.Step, slot *slot, place uint64, bound bool, processIndexes map[string]uint32) *statepb.Slot {
 	entry := statepb.Slot_builder{Place: place}.Build()
-	// A successor writes before it has fetched the bytes that are bound already.
+	// A successor writes before it has fetched the samples that are already bound.
 	if !bound && !slot.isMissing() {
 		return entry
 	}
 	entry.SetTerm(slot.term)
 	entry.SetAttempt(slot.attempt)
 	entry.SetDigest(slot.digest)
-	entry.SetOldest(slot.oldest)
+	entry.SetOldest(slot.oldestVersion)
 	for _, holder := range slot.holders {
-		position, known := names[holder]
+		index, known := processIndexes[holder]
 		if !known {
-			position = uint32(len(names))
-			names[holder] = position
+			index = uint32(len(processIndexes))
+			processIndexes[holder] = index
 			state.SetProcesses(append(state.GetProcesses(), holder))
 		}
-		entry.SetHolders(append(entry.GetHolders(), position))
+		entry.SetHolders(append(entry.GetHolders(), index))
 	}
 	return entry
 }
 
-// Restore returns the step that the store holds, for a new holder with its own
-// fencing number. No sample's bytes are in memory yet: see Missing.
+// Restore returns the step that the store holds, for a new holder with its own fencing
+// token. No sample is in memory yet: see Missing.
 func Restore(state *statepb.Step, prompts *statepb.Prompts, term uint64) (*Step, error) {
 	if len(prompts.GetPrompts()) != len(state.GetCounts()) {
 		return nil, refusal.NotRun(http.StatusInternalServerError, "state_broken", "the prompts of step %d are not those of its state", state.GetStep())
@@ -161,7 +161,7 @@
 	}
 	step := NewStep(open, state.GetPlace(), term, state.GetVersion())
 	step.acknowledged = state.GetAcknowledged()
-	step.write = state.GetWrite()
+	step.writeNumber = state.GetWrite()
 	for index, entry := range state.GetSlots() {
 		step.restoreSlot(step.slots[index], entry, state)
 	}
@@ -173,7 +173,7 @@
 	if slot.place == 0 {
 		return
 	}
-	s.bound++
+	s.placedCount++
 	if slot.place <= s.acknowledged {
 		slot.acknowledge()
 		return
@@ -181,14 +181,14 @@
 	slot.term = entry.GetTerm()
 	slot.attempt = entry.GetAttempt()
 	slot.digest = entry.GetDigest()
-	slot.oldest = entry.GetOldest()
-	for _, position := range entry.GetHolders() {
-		slot.holders = append(slot.holders, state.GetProcesses()[position])
+	slot.oldestVersion = entry.GetOldest()
+	for _, index := range entry.GetHolders() {
+		slot.holders = append(slot.holders, state.GetProcesses()[index])
 	}
 }
 
-// Missing returns, by process, the slots whose fixed sample it may hold and
-// this process does not.
+// Missing returns, by process, the slots whose committed sample that process may hold
+// and this one lacks.
 func (s *Step) Missing() map[string][]uint32 {
 	missing := map[string][]uint32{}
 	for _, slot := range s.slots {
@@ -202,31 +202,31 @@
 	return missing
 }
 
-// Found takes a sample that another process kept, if it is the one that the
-// store binds to its slot, byte for byte.
+// Found accepts a sample that another process holds, if it is byte for byte the one
+// that the store binds to its slot.
 func (s *Step) Found(sample *peerpb.Sample) bool {
 	if int(sample.GetSlot()) >= len(s.slots) {
 		return false
 	}
 	slot := s.slots[sample.GetSlot()]
-	if !slot.isMissing() || !hasDigest(sample, slot.digest) {
+	if !slot.isMissing() || !matchesDigest(sample, slot.digest) {
 		return false
 	}
 	slot.sample = withPlace(sample, slot.place-1)
-	slot.kept = true
-	slot.fixed = true
-	// The holder before may have handed it over.
-	slot.handed = true
+	slot.replicated = true
+	slot.committed = true
+	// The previous holder may have delivered it.
+	slot.delivered = true
 	return true
 }
 
-// GiveUp empties the slots whose bytes no process has any more; they run again
-// for the same places. It returns their number.
+// GiveUp resets the slots whose samples no process holds any more and returns their
+// number. They run again for the same places.
 func (s *Step) GiveUp() int {
 	lost := 0
 	for _, slot := range s.slots {
 		if slot.isMissing() {
-			slot.drop()
+			slot.reset()
 			lost++
 		}
 	}
--- a/internal/rollout/pull.go
+++ b/internal/rollout/pull.go
@@ -9,10 +9,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// maxPullBytes bounds an answer below the largest message between processes.
+// maxPullBytes keeps a reply below the maximum message size between processes.
 const maxPullBytes = 8 << 20
 
-// Pulled is the answer to a pull.
+// Pulled is the result of a pull.
 type Pulled struct {
 	samples []*peerpb.Sample
 	next    uint64
@@ -22,21 +22,20 @@
 // Done reports whether the trainer now has the whole step.
 func (p Pulled) Done() bool { return p.done }
 
-// Next returns the place from which to pull next.
+// Next returns the place to pull from next.
 func (p Pulled) Next() uint64 { return p.next }
 
-// Samples returns the samples by place, without gaps.
+// Samples returns the samples in the order of their places, without gaps.
 func (p Pulled) Samples() []*peerpb.Sample { return p.samples }
 
-// Pull acknowledges all places before place and returns the samples from there
-// on, at most most, up to the first place that is not fixed. Version is the
-// newest that the trainer knows itself.
+// Pull acknowledges all places before place and returns at most maxSamples samples
+// from there on, up to the first place that is not committed. Version is the newest
+// one that the trainer itself knows.
 //
-// A sample handed over may never have arrived, so a pull from its place again
-// gets it again. It is dropped only if it has grown too old since: then the
-// same slot fills the place again, and the trainer, which counts by place, has
-// each slot once all the same.
-func (s *Step) Pull(place uint64, most int, version uint64) (Pulled, error) {
+// A delivered sample may never have arrived, so a repeated pull from its place returns
+// it again. It is dropped only if it has become stale since: then the same slot fills
+// the place again, and the trainer, which counts by place, still gets each slot once.
+func (s *Step) Pull(place uint64, maxSamples int, version uint64) (Pulled, error) {
 	if err := s.checkPlace(place); err != nil {
 		return Pulled{}, err
 	}
@@ -45,21 +44,21 @@
 	placed := s.byPlace()
 	for _, slot := range placed {
 		if slot != nil && slot.place > place && slot.sample != nil {
-			s.dropStale(slot)
+			s.resetIfStale(slot)
 		}
 	}
 	pulled := Pulled{next: place}
 	size := 0
-	for pulled.next < s.End() && len(pulled.samples) < most {
-		slot := placed[pulled.next-s.place]
-		if slot == nil || !slot.fixed || slot.sample == nil {
+	for pulled.next < s.End() && len(pulled.samples) < maxSamples {
+		slot := placed[pulled.next-s.firstPlace]
+		if slot == nil || !slot.committed || slot.sample == nil {
 			break
 		}
 		size += proto.Size(slot.sample)
 		if size > maxPullBytes && len(pulled.samples) > 0 {
 			break
 		}
-		slot.handed = true
+		slot.delivered = true
 		pulled.samples = append(pulled.samples, slot.sample)
 		pulled.next++
 	}
@@ -71,8 +70,8 @@
 	if place < s.acknowledged {
 		return refusal.NotRun(http.StatusConflict, "acknowledged", "place %d is acknowledged already, the next one is %d", place, s.acknowledged)
 	}
-	if place > s.place+s.bound {
-		return refusal.NotRun(http.StatusBadRequest, "place_unknown", "place %d was never handed over, the next one is %d", place, s.place+s.bound)
+	if place > s.firstPlace+s.placedCount {
+		return refusal.NotRun(http.StatusBadRequest, "place_unknown", "place %d was never handed over, the next one is %d", place, s.firstPlace+s.placedCount)
 	}
 	return nil
 }
@@ -89,7 +88,7 @@
 		}
 	}
 	if place == s.End() {
-		s.changed = true
+		s.isChanged = true
 	}
 }
 
@@ -100,12 +99,12 @@
 	return released
 }
 
-// byPlace returns the slots in the order of their places; nil where none is bound.
+// byPlace returns the slots in the order of their places, nil for a place without a slot.
 func (s *Step) byPlace() []*slot {
 	placed := make([]*slot, len(s.slots))
 	for _, slot := range s.slots {
 		if slot.place > 0 {
-			placed[slot.place-1-s.place] = slot
+			placed[slot.place-1-s.firstPlace] = slot
 		}
 	}
 	return placed
--- a/internal/rollout/replicas.go
+++ b/internal/rollout/replicas.go
@@ -8,10 +8,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// maxReplicaBytes bounds what a process holds for one trainer.
+// maxReplicaBytes bounds the samples that a process holds for one trainer.
 const maxReplicaBytes = 128 << 20
 
-// Replicas holds finished samples for holders in other processes: for each trainer
+// Replicas stores finished samples for holders in other processes: for each trainer
 // those of its newest step. Its zero value is empty. It is safe for concurrent use.
 type Replicas struct {
 	mutex    sync.Mutex
@@ -24,12 +24,12 @@
 	size    int
 }
 
-// Keep takes a sample and forgets the given slots. It reports false if the
-// sample is of an older step or there is no room.
+// Keep stores a sample and removes the given slots. It reports false if the sample
+// belongs to an older step or would exceed maxReplicaBytes.
 func (r *Replicas) Keep(sample *peerpb.Sample, forget []uint32) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	held := r.of(sample.GetTrainer(), sample.GetStep())
+	held := r.setFor(sample.GetTrainer(), sample.GetStep())
 	if held.step > sample.GetStep() {
 		return false
 	}
@@ -46,7 +46,7 @@
 	return true
 }
 
-// Fetch returns what is held of the given slots.
+// Fetch returns the stored samples of the given slots.
 func (r *Replicas) Fetch(trainer string, step uint64, slots []uint32) []*peerpb.Sample {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,7 +63,7 @@
 	return found
 }
 
-func (r *Replicas) of(trainer string, step uint64) *replicaSet {
+func (r *Replicas) setFor(trainer string, step uint64) *replicaSet {
 	if r.trainers == nil {
 		r.trainers = map[string]*replicaSet{}
 	}
--- a/internal/rollout/scorer.go
+++ b/internal/rollout/scorer.go
@@ -20,15 +20,15 @@
 	maxScoreBytes = 1 << 16
 )
 
-// ScoreError says that the scorer gave no score.
+// ScoreError reports that the scorer returned no score.
 type ScoreError struct {
 	Status int
 }
 
-// Error names the status.
+// Error names the HTTP status.
 func (e *ScoreError) Error() string { return fmt.Sprintf("scorer: status %d", e.Status) }
 
-// HTTPScorer asks a scorer over HTTP.
+// HTTPScorer calls a scorer over HTTP.
 type HTTPScorer struct {
 	address string
 	service httpc.Service
@@ -50,7 +50,7 @@
 	Score *float64 `json:"score"`
 }
 
-// Score returns the score of a text. Asking again is idempotent.
+// Score returns the score of a text. The call is idempotent.
 func (s *HTTPScorer) Score(ctx context.Context, prompt, text string) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, scoreTimeout)
 	defer cancel()
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -11,45 +11,45 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-const lookInterval = 500 * time.Millisecond
+const holderCheckInterval = 500 * time.Millisecond
 
-// Weights takes announced versions of models for which this process is in charge.
+// Weights accepts announced versions of the models that this process is responsible for.
 type Weights interface {
 	Announce(ctx context.Context, model string, version uint64) error
 }
 
-// Service answers other entries about the trainers whose steps this one holds,
-// and holds samples for them. Exported fields are set before Run.
+// Service serves the other entry processes for the trainers whose steps this process
+// holds, and stores samples for them. Exported fields must be set before Run.
 type Service struct {
 	peerpb.UnimplementedStepServer
 
 	// New returns a holder for a trainer.
 	New      func(trainer string) *Holder
 	Replicas *Replicas
-	// Locate returns the process that holds a duty, as far as is known.
+	// Locate returns the process that holds a duty, if known.
 	Locate  func(duty string) (*Location, bool)
 	Process string
 	Weights Weights
 	// Wanted reports whether a plan lists the trainer.
 	Wanted func(trainer string) bool
 
-	mutex   sync.Mutex
-	holders map[string]*Holder
-	run     context.Context
-	group   sync.WaitGroup
+	mutex      sync.Mutex
+	holders    map[string]*Holder
+	runContext context.Context
+	group      sync.WaitGroup
 }
 
 var _ peerpb.StepServer = &Service{}
 
-// Run runs the holders until the context ends. One whose duty another process
-// is known to hold lets go of its step.
+// Run runs the holders until the context ends. A holder drops its step when another
+// process is known to hold its duty.
 func (s *Service) Run(ctx context.Context) error {
 	s.mutex.Lock()
-	s.run = ctx
+	s.runContext = ctx
 	s.mutex.Unlock()
-	for pause.For(ctx, lookInterval) {
-		for _, holder := range s.all() {
-			s.look(holder)
+	for pause.For(ctx, holderCheckInterval) {
+		for _, holder := range s.allHolders() {
+			s.checkHolder(holder)
 		}
 	}
 	s.group.Wait()
@@ -58,7 +58,7 @@
 
 // Lead makes this process the holder of a trainer's steps until the context ends.
 func (s *Service) Lead(ctx context.Context, trainer string, fence uint64) error {
-	return s.holder(trainer).Lead(ctx, fence)
+	return s.ensureHolder(trainer).Lead(ctx, fence)
 }
 
 // Open opens a step that this process holds.
@@ -71,14 +71,14 @@
 }
 
 func (s *Service) open(ctx context.Context, request *peerpb.OpenRequest) (*peerpb.OpenReply, error) {
-	holder, err := s.known(request.GetTrainer())
+	holder, err := s.existingHolder(request.GetTrainer())
 	if err != nil {
 		return nil, err
 	}
 	return holder.Open(ctx, request)
 }
 
-// Pull hands over samples of a step that this process holds.
+// Pull delivers samples of a step that this process holds.
 func (s *Service) Pull(ctx context.Context, request *peerpb.PullRequest) (*peerpb.PullReply, error) {
 	reply, err := s.pull(ctx, request)
 	if err != nil {
@@ -88,14 +88,14 @@
 }
 
 func (s *Service) pull(ctx context.Context, request *peerpb.PullRequest) (*peerpb.PullReply, error) {
-	holder, err := s.known(request.GetTrainer())
+	holder, err := s.existingHolder(request.GetTrainer())
 	if err != nil {
 		return nil, err
 	}
 	return holder.Pull(ctx, request)
 }
 
-// Announce takes a newer version for a trainer's steps, or for the samplers of a model.
+// Announce accepts a newer version for a trainer's steps, or for the samplers of a model.
 func (s *Service) Announce(ctx context.Context, request *peerpb.AnnounceRequest) (*peerpb.AnnounceReply, error) {
 	if err := s.announce(ctx, request); err != nil {
 		return peerpb.AnnounceReply_builder{Refusal: refusal.Of(err).ToMessage()}.Build(), nil
@@ -107,14 +107,14 @@
 	if request.GetDuty() == WeightDuty(request.GetModel()) {
 		return s.Weights.Announce(ctx, request.GetModel(), request.GetVersion())
 	}
-	holder, err := s.known(request.GetTrainer())
+	holder, err := s.existingHolder(request.GetTrainer())
 	if err != nil {
 		return err
 	}
 	return holder.Announce(ctx, request)
 }
 
-// Keep holds samples for another process.
+// Keep stores samples for another process.
 func (s *Service) Keep(_ context.Context, request *peerpb.KeepSampleRequest) (*peerpb.KeepSampleReply, error) {
 	for _, sample := range request.GetSamples() {
 		if !s.Replicas.Keep(sample, request.GetForget()) {
@@ -124,23 +124,23 @@
 	return &peerpb.KeepSampleReply{}, nil
 }
 
-// Fetch returns samples held for another process.
+// Fetch returns samples stored for another process.
 func (s *Service) Fetch(_ context.Context, request *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
 	samples := s.Replicas.Fetch(request.GetTrainer(), request.GetStep(), request.GetSlots())
 	return peerpb.FetchReply_builder{Samples: samples}.Build(), nil
 }
 
-// known returns the holder of a trainer if this process has been it.
-func (s *Service) known(trainer string) (*Holder, error) {
+// existingHolder returns the holder of a trainer if this process has ever led it.
+func (s *Service) existingHolder(trainer string) (*Holder, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if holder := s.holders[trainer]; holder != nil {
 		return holder, nil
 	}
-	return nil, noHolder(trainer)
+	return nil, noHolderError(trainer)
 }
 
-func (s *Service) holder(trainer string) *Holder {
+func (s *Service) ensureHolder(trainer string) *Holder {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.holders == nil {
@@ -149,13 +149,13 @@
 	if s.holders[trainer] == nil {
 		holder := s.New(trainer)
 		s.holders[trainer] = holder
-		ctx := s.run
+		ctx := s.runContext
 		s.group.Go(func() { _ = holder.Run(ctx) })
 	}
 	return s.holders[trainer]
 }
 
-func (s *Service) all() []*Holder {
+func (s *Service) allHolders() []*Holder {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	holders := make([]*Holder, 0, len(s.holders))
@@ -165,7 +165,7 @@
 	return holders
 }
 
-func (s *Service) look(holder *Holder) {
+func (s *Service) checkHolder(holder *Holder) {
 	location, ok := s.Locate(TrainerDuty(holder.Trainer))
 	if ok && location.Process() != s.Process {
 		holder.Drop(location.Process() + " is the holder")
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -1,9 +1,9 @@
 // Package rollout runs the steps of trainers: it opens a step, runs its slots on
-// samplers, binds each sample to a place in the trainer's stream and hands the
-// samples over exactly once.
+// samplers, binds each sample to a place in the trainer's stream and delivers the
+// samples exactly once.
 //
-// Step holds the decisions and takes the time from its caller. Holder runs a
-// step; Service answers the other entries.
+// Step makes the decisions and takes the time from its caller. Holder runs a step;
+// Service serves the other entry processes.
 package rollout
 
 import (
@@ -15,33 +15,33 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Step decides about the slots of one open step. It does no input or output,
-// takes the time from its caller and is not safe for concurrent use.
+// Step decides about the slots of one open step. It performs no I/O, takes the time
+// from its caller and is not safe for concurrent use.
 type Step struct {
 	open *peerpb.OpenRequest
 	// term is that of the attempts, fence that of the newest term of the same holder.
-	term   uint64
-	fence  uint64
-	place  uint64
-	newest uint64
-	slots  []*slot
-	// bound counts the slots that have a place.
-	bound        uint64
+	term          uint64
+	fence         uint64
+	firstPlace    uint64
+	newestVersion uint64
+	slots         []*slot
+	// placedCount counts the slots that have a place.
+	placedCount  uint64
 	acknowledged uint64
 	released     []uint32
-	write        uint64
-	changed      bool
+	writeNumber  uint64
+	isChanged    bool
 	proposal     *proposal
 	budget       budget
-	// prompts is the digest of the encoded prompts.
-	prompts []byte
-	lengths spread
-	paces   spread
-	waits   spread
-	counts  Counts
+	// promptsHash is the digest of the encoded prompts.
+	promptsHash     []byte
+	lengths         history
+	throughputs     history
+	firstTokenWaits history
+	counts          Counts
 }
 
-// Counts is what happened to the attempts of a step.
+// Counts are the attempts and samples of a step by outcome.
 type Counts struct {
 	started  uint64
 	seconds  uint64
@@ -53,10 +53,10 @@
 	accepted uint64
 }
 
-// Accepted returns the number of samples taken.
+// Accepted returns the number of accepted samples.
 func (c Counts) Accepted() uint64 { return c.accepted }
 
-// Failed returns the number of attempts that gave no whole sample.
+// Failed returns the number of attempts that produced no whole sample.
 func (c Counts) Failed() uint64 { return c.failed }
 
 // Lost returns the number of samples whose bytes were lost before they were acknowledged.
@@ -74,88 +74,87 @@
 // Started returns the number of attempts.
 func (c Counts) Started() uint64 { return c.started }
 
-// Wasted returns the number of whole samples that came after another one of their slot.
+// Wasted returns the number of whole samples that arrived after another one of their slot.
 func (c Counts) Wasted() uint64 { return c.wasted }
 
 // NewStep returns an open step without samples. Place is its first place in the
-// trainer's stream, term the fencing number of its holder and newest the
-// newest version that the trainer announced.
+// trainer's stream, term the fencing token of its holder and newest the newest version
+// that the trainer announced.
 func NewStep(open *peerpb.OpenRequest, place, term, newest uint64) *Step {
-	step := &Step{open: open, term: term, fence: term, place: place, acknowledged: place, newest: newest, changed: true}
+	step := &Step{open: open, term: term, fence: term, firstPlace: place, acknowledged: place, newestVersion: newest, isChanged: true}
 	for group, prompt := range open.GetPrompts() {
 		for range prompt.GetSamples() {
-			step.slots = append(step.slots, &slot{index: uint32(len(step.slots)), group: uint32(group), runs: map[uint32]*run{}})
+			step.slots = append(step.slots, &slot{index: uint32(len(step.slots)), group: uint32(group), running: map[uint32]*runningAttempt{}})
 		}
 	}
 	step.budget = newBudget(len(step.slots))
-	step.prompts = promptsDigest(EncodePrompts(open))
+	step.promptsHash = promptsDigest(EncodePrompts(open))
 	return step
 }
 
-// Counts returns what happened so far.
+// Counts returns the counts so far.
 func (s *Step) Counts() Counts { return s.counts }
 
 // End returns the first place after the step.
-func (s *Step) End() uint64 { return s.place + uint64(len(s.slots)) }
+func (s *Step) End() uint64 { return s.firstPlace + uint64(len(s.slots)) }
 
 // IsAcknowledged reports whether the trainer has acknowledged the whole step.
 func (s *Step) IsAcknowledged() bool { return s.acknowledged == s.End() }
 
-// IsOpenFor reports whether an account may use the step. Accounts can share a
-// plan, and with it the right to run a trainer; without this check one of them
-// would get the other's samples, and acknowledge them.
+// IsOpenFor reports whether an account may use the step. Accounts can share a plan,
+// and with it the right to run a trainer; without this check one account could receive
+// and acknowledge another's samples.
 func (s *Step) IsOpenFor(account string) bool {
 	return len(s.slots) == 0 || s.open.GetAccount() == account
 }
 
-// IsWhole reports whether the store binds a sample to every slot, or the
-// trainer has acknowledged it.
+// IsWhole reports whether each slot is committed in the store or acknowledged by the trainer.
 func (s *Step) IsWhole() bool {
 	for _, slot := range s.slots {
-		if !slot.acknowledged && !slot.fixed {
+		if !slot.acknowledged && !slot.committed {
 			return false
 		}
 	}
 	return true
 }
 
-// Number returns the trainer's number of the step.
+// Number returns the step number that the trainer assigned.
 func (s *Step) Number() uint64 { return s.open.GetStep() }
 
 // Place returns the first place of the step.
-func (s *Step) Place() uint64 { return s.place }
+func (s *Step) Place() uint64 { return s.firstPlace }
 
-// Matches reports whether a request opens this same step with the same content.
+// Matches reports whether a request opens this step with the same content.
 func (s *Step) Matches(open *peerpb.OpenRequest) bool {
-	return proto.Equal(content(s.open), content(open))
+	return proto.Equal(comparableRequest(s.open), comparableRequest(open))
 }
 
-// Renew notes that the same holder has a new term; its attempts go on.
+// Renew records a new term of the same holder; its attempts continue.
 func (s *Step) Renew(fence uint64) {
 	s.fence = fence
-	s.changed = true
+	s.isChanged = true
 }
 
 // Slots returns the number of slots.
 func (s *Step) Slots() int { return len(s.slots) }
 
-// content leaves out what may differ between two calls that open the same step.
-func content(open *peerpb.OpenRequest) *peerpb.OpenRequest {
-	same, ok := proto.Clone(open).(*peerpb.OpenRequest)
+// comparableRequest omits what may differ between two calls that open the same step.
+func comparableRequest(open *peerpb.OpenRequest) *peerpb.OpenRequest {
+	cleared, ok := proto.Clone(open).(*peerpb.OpenRequest)
 	if !ok {
 		return nil
 	}
-	same.SetWeight(0)
-	same.SetPriority(0)
-	return same
+	cleared.SetWeight(0)
+	cleared.SetPriority(0)
+	return cleared
 }
 
-// Next returns the attempt to start now, if there is one: first slots whose
-// place the trainer waits for, then empty ones, then second runs that pay.
+// Next returns the attempt to start now, if there is one: first for slots whose place
+// the trainer waits for, then for other empty slots, then second runs that save time.
 func (s *Step) Next(now time.Time) (Attempt, bool) {
 	var chosen *slot
 	for _, slot := range s.slots {
-		if !slot.wants(now) {
+		if !slot.shouldStart(now) {
 			continue
 		}
 		if chosen == nil || slot.place > 0 && chosen.place == 0 {
@@ -163,42 +162,42 @@
 		}
 	}
 	if chosen != nil {
-		return s.start(chosen, now, false), true
+		return s.startAttempt(chosen, now, false), true
 	}
-	if chosen = s.straggler(now); chosen != nil {
-		s.budget.take()
-		return s.start(chosen, now, true), true
+	if chosen = s.findStraggler(now); chosen != nil {
+		s.budget.spend()
+		return s.startAttempt(chosen, now, true), true
 	}
 	return Attempt{}, false
 }
 
-// Second starts a second run of a slot whatever its budget, for policies that
-// are measured beside this one.
+// Second starts a second run of a slot regardless of the budget, to compare other
+// policies with this one.
 func (s *Step) Second(slot uint32, now time.Time) (Attempt, bool) {
-	if int(slot) >= len(s.slots) || !s.slots[slot].isEmpty() || len(s.slots[slot].runs) == 0 {
+	if int(slot) >= len(s.slots) || !s.slots[slot].isEmpty() || len(s.slots[slot].running) == 0 {
 		return Attempt{}, false
 	}
-	return s.start(s.slots[slot], now, true), true
+	return s.startAttempt(s.slots[slot], now, true), true
 }
 
-// WithoutSeconds makes Next start no second runs.
+// WithoutSeconds disables second runs in Next.
 func (s *Step) WithoutSeconds() {
 	s.budget = budget{}
 }
 
-func (s *Step) start(slot *slot, now time.Time, second bool) Attempt {
+func (s *Step) startAttempt(slot *slot, now time.Time, second bool) Attempt {
 	slot.attempts++
 	attempt := Attempt{
-		slot:   slot.index,
-		term:   s.term,
-		number: slot.attempts,
-		id:     attemptID(s.open.GetTrainer(), s.open.GetStep(), slot.index, s.term, slot.attempts),
-		group:  slot.group,
-		prompt: s.open.GetPrompts()[slot.group].GetText(),
-		second: second,
-		oldest: s.oldest(slot),
+		slot:       slot.index,
+		term:       s.term,
+		number:     slot.attempts,
+		id:         attemptID(s.open.GetTrainer(), s.open.GetStep(), slot.index, s.term, slot.attempts),
+		group:      slot.group,
+		prompt:     s.open.GetPrompts()[slot.group].GetText(),
+		isSecond:   second,
+		minVersion: s.minVersion(slot),
 	}
-	slot.runs[attempt.number] = &run{attempt: attempt, pace: pace{start: now}}
+	slot.running[attempt.number] = &runningAttempt{attempt: attempt, throughput: throughput{start: now}}
 	s.counts.started++
 	if second {
 		s.counts.seconds++
@@ -206,156 +205,156 @@
 	return attempt
 }
 
-// oldest returns the oldest version that an attempt at a slot may use.
+// minVersion returns the lowest version that an attempt at a slot may use.
 //
-// An announcement stops an attempt as stale at a time when most samplers still
-// show the version before. Started again on one of those, it has a version less
-// to go: a long answer is stopped again and again, and the step never comes
-// whole. So it waits for a sampler with the newest version.
-func (s *Step) oldest(slot *slot) uint64 {
-	if slot.stale {
-		return s.newest
+// An announcement stops stale attempts at a time when most samplers still serve the
+// previous version. An attempt restarted on one of those has one version less until it
+// is stale: a long answer is stopped repeatedly, and the step never completes. So it
+// waits for a sampler with the newest version.
+func (s *Step) minVersion(slot *slot) uint64 {
+	if slot.wasStale {
+		return s.newestVersion
 	}
-	if s.newest <= s.open.GetStaleness() {
+	if s.newestVersion <= s.open.GetStaleness() {
 		return 0
 	}
-	return s.newest - s.open.GetStaleness()
+	return s.newestVersion - s.open.GetStaleness()
 }
 
-// Progress notes tokens of an attempt and the version that the engine showed
-// for them. It reports false if the attempt is to be stopped: its sample is
-// already too old, or its slot needs it no more.
+// Progress records tokens of an attempt and the version that the engine reported for
+// them. It reports false if the attempt must stop: its sample is already stale, or its
+// slot no longer needs it.
 func (s *Step) Progress(attempt Attempt, tokens int, version uint64, now time.Time) bool {
 	slot := s.slots[attempt.slot]
-	run := slot.runs[attempt.number]
+	run := slot.running[attempt.number]
 	if run == nil || attempt.term != s.term || !slot.isEmpty() {
 		return false
 	}
-	run.pace.add(uint64(tokens), now)
-	if tokens > 0 && (run.oldest == 0 || version < run.oldest) {
-		run.oldest = version
+	run.throughput.add(uint64(tokens), now)
+	if tokens > 0 && (run.oldestVersion == 0 || version < run.oldestVersion) {
+		run.oldestVersion = version
 	}
-	return !s.isDoomed(run)
+	return !s.isStaleRun(run)
 }
 
-func (s *Step) isDoomed(run *run) bool {
-	return run.oldest > 0 && lags(s.newest, run.oldest, s.open.GetStaleness())
+func (s *Step) isStaleRun(run *runningAttempt) bool {
+	return run.oldestVersion > 0 && isStale(s.newestVersion, run.oldestVersion, s.open.GetStaleness())
 }
 
-// Fail notes that an attempt gave no whole sample. Its slot runs again, not
-// before the given wait and the slot's own growing pause are over.
+// Fail records that an attempt produced no whole sample. Its slot runs again after the
+// given wait and the slot's own growing backoff.
 func (s *Step) Fail(attempt Attempt, wait time.Duration, now time.Time) {
 	slot := s.slots[attempt.slot]
-	run := slot.runs[attempt.number]
+	run := slot.running[attempt.number]
 	if run == nil {
 		return
 	}
-	delete(slot.runs, attempt.number)
-	if s.isDoomed(run) {
+	delete(slot.running, attempt.number)
+	if s.isStaleRun(run) {
 		s.counts.stale++
-		slot.stale = true
+		slot.wasStale = true
 		return
 	}
 	s.counts.failed++
 	slot.failures++
-	slot.notBefore = now.Add(s.budget.pause(slot.failures, wait))
+	slot.notBefore = now.Add(s.budget.backoff(slot.failures, wait))
 }
 
-// Refuse notes that an attempt was not run: no sampler had room, or none showed
-// a version that is new enough. Nothing was added to the samplers' work, so it
-// uses no budget up and the pause stays short: samplers that have just loaded
-// new weights would else stand idle while slots sit out long pauses.
+// Refuse records that an attempt was not run: no sampler had capacity, or none served
+// a version that is new enough. It added no load to the samplers, so it spends no
+// budget and the backoff stays short: samplers that have just loaded new weights would
+// otherwise idle while slots wait out long backoffs.
 func (s *Step) Refuse(attempt Attempt, wait time.Duration, now time.Time) {
 	slot := s.slots[attempt.slot]
-	if slot.runs[attempt.number] == nil {
+	if slot.running[attempt.number] == nil {
 		return
 	}
-	delete(slot.runs, attempt.number)
+	delete(slot.running, attempt.number)
 	s.counts.refused++
-	slot.notBefore = now.Add(max(refusedPause, min(wait, greatestRefusedPause)))
+	slot.notBefore = now.Add(max(minRefusedBackoff, min(wait, maxRefusedBackoff)))
 }
 
-// Finish takes a whole sample. It reports false if the slot has one already or
-// the sample is stale. The other attempts at the slot are to be cancelled.
+// Finish accepts a whole sample. It reports false if the slot already has one or the
+// sample is stale. The caller cancels the other attempts at the slot.
 func (s *Step) Finish(attempt Attempt, sample *peerpb.Sample, now time.Time) bool {
 	slot := s.slots[attempt.slot]
-	run := slot.runs[attempt.number]
+	run := slot.running[attempt.number]
 	if run == nil || attempt.term != s.term {
 		s.counts.wasted++
 		return false
 	}
-	delete(slot.runs, attempt.number)
+	delete(slot.running, attempt.number)
 	if !slot.isEmpty() {
 		s.counts.wasted++
 		return false
 	}
 	oldest := OldestVersion(sample)
-	if lags(s.newest, oldest, s.open.GetStaleness()) {
+	if isStale(s.newestVersion, oldest, s.open.GetStaleness()) {
 		s.counts.stale++
-		slot.stale = true
+		slot.wasStale = true
 		return false
 	}
-	s.learn(run, now)
+	s.recordFinished(run, now)
 	slot.sample = sample
 	slot.term, slot.attempt = attempt.term, attempt.number
 	slot.digest = Digest(sample)
-	slot.oldest = oldest
-	clear(slot.runs)
+	slot.oldestVersion = oldest
+	clear(slot.running)
 	s.counts.accepted++
 	return true
 }
 
-// Kept notes the processes that hold the sample of an attempt.
+// Kept records the processes that hold the sample of an attempt.
 func (s *Step) Kept(attempt Attempt, holders []string) {
 	slot := s.slots[attempt.slot]
 	if slot.sample == nil || slot.term != attempt.term || slot.attempt != attempt.number {
 		return
 	}
 	slot.holders = holders
-	slot.kept = true
-	s.changed = true
+	slot.replicated = true
+	s.isChanged = true
 }
 
-// Announce notes a newer version of the trainer. Samples not yet handed over
-// that are too old by it are dropped; see Doomed for attempts.
+// Announce records a newer version of the trainer and drops the undelivered samples
+// that it makes stale; see Doomed for attempts.
 func (s *Step) Announce(version uint64) {
-	if version <= s.newest {
+	if version <= s.newestVersion {
 		return
 	}
-	s.newest = version
-	s.changed = true
+	s.newestVersion = version
+	s.isChanged = true
 	for _, slot := range s.slots {
-		if slot.sample != nil && !slot.handed {
-			s.dropStale(slot)
+		if slot.sample != nil && !slot.delivered {
+			s.resetIfStale(slot)
 		}
 	}
 }
 
 // Doomed returns the running attempts whose sample would be stale.
 func (s *Step) Doomed() []Attempt {
-	var doomed []Attempt
+	var stale []Attempt
 	for _, slot := range s.slots {
-		for _, run := range slot.runs {
-			if s.isDoomed(run) {
-				doomed = append(doomed, run.attempt)
+		for _, run := range slot.running {
+			if s.isStaleRun(run) {
+				stale = append(stale, run.attempt)
 			}
 		}
 	}
-	return doomed
+	return stale
 }
 
 // Newest returns the newest version that the trainer announced.
-func (s *Step) Newest() uint64 { return s.newest }
+func (s *Step) Newest() uint64 { return s.newestVersion }
 
-func (s *Step) dropStale(slot *slot) {
-	if lags(s.newest, slot.oldest, s.open.GetStaleness()) {
+func (s *Step) resetIfStale(slot *slot) {
+	if isStale(s.newestVersion, slot.oldestVersion, s.open.GetStaleness()) {
 		s.counts.stale++
-		slot.stale = true
-		slot.drop()
+		slot.wasStale = true
+		slot.reset()
 	}
 }
 
-// promptsDigest binds the value of the prompts to the state.
+// promptsDigest returns the digest that binds the value of the prompts to the state.
 func promptsDigest(data []byte) []byte {
 	sum := sha256.Sum256(data)
 	return sum[:]
@@ -375,7 +374,7 @@
 // Others returns the other running attempts at an attempt's slot.
 func (s *Step) Others(attempt Attempt) []Attempt {
 	var others []Attempt
-	for number, run := range s.slots[attempt.slot].runs {
+	for number, run := range s.slots[attempt.slot].running {
 		if number != attempt.number {
 			others = append(others, run.attempt)
 		}
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// finishAttempt gives an attempt a whole sample with the versions of its tokens.
+// finishAttempt finishes an attempt with a whole sample whose tokens have the given versions.
 func finishAttempt(t *testing.T, step *Step, attempt Attempt, now time.Time, versions ...uint64) bool {
 	t.Helper()
 	var answer Answer
@@ -47,9 +47,9 @@
 	must.Len(t, count, pulled.Samples())
 }
 
-// A swap of weights during generation puts two versions into one sample. The
-// trainer weighs tokens by the version that produced them, so each range is
-// named, and a count that doesn't fit is no sample.
+// A weight swap during generation puts two versions into one sample. The trainer
+// weights tokens by the version that produced them, so each range must be named, and
+// an answer with a different token count is no sample.
 func TestVersionsByRange(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -90,8 +90,8 @@
 	return text
 }
 
-// New weights are announced while samples wait. Those too old by then must not
-// reach the trainer, whatever their state; their slots run again.
+// New weights are announced while samples wait. Samples that are stale by then must
+// not reach the trainer, whatever their state; their slots run again.
 func TestStaleness(t *testing.T) {
 	t.Run("a sample that waits is dropped at once", func(t *testing.T) {
 		step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 1)
@@ -151,7 +151,7 @@
 	})
 }
 
-// The letter's step has 1,024 samples. Its value must stay below the store's
+// The state of a step with 1,024 samples must stay below the store's limit of a
 // megabyte, with every slot full at the same time.
 func TestStateSize(t *testing.T) {
 	step := NewStep(openRequest(1, 128, 8, 1), 1<<40, 1<<40, 1<<20)
@@ -175,8 +175,8 @@
 	must.Less(t, full/2, acknowledged)
 }
 
-// One engine is slow. Its attempts are the last of the step, and the trainer
-// idles until they end, unless a faster engine runs them too.
+// One engine is slow. Its attempts are the last of the step, and the trainer idles
+// until they end, unless a faster engine runs them too.
 func TestStragglers(t *testing.T) {
 	t.Run("a slow attempt is run twice, and one counts", func(t *testing.T) {
 		step, slow := stepWithStraggler(t, 38)
@@ -204,7 +204,7 @@
 			mustNext(t, step, start)
 		}
 		for slot := range uint32(8) {
-			attempt := step.slots[slot].runs[1].attempt
+			attempt := step.slots[slot].running[1].attempt
 			must.True(t, step.Progress(attempt, 100, 1, start.Add(time.Second)))
 			must.True(t, finishAttempt(t, step, attempt, start.Add(2*time.Second), 1))
 		}
@@ -213,22 +213,22 @@
 	})
 	t.Run("nor one beyond the budget", func(t *testing.T) {
 		step, _ := stepWithStraggler(t, 4)
-		step.budget.left = 0
+		step.budget.remaining = 0
 		_, ok := step.Next(start.Add(20 * time.Second))
 		must.False(t, ok)
 	})
 	t.Run("failures use the budget up", func(t *testing.T) {
 		step, slow := stepWithStraggler(t, 4)
 		for range 20 {
-			step.budget.pause(1, 0)
+			step.budget.backoff(1, 0)
 		}
 		_, ok := step.Next(start.Add(20 * time.Second))
 		must.False(t, ok, must.Sprintf("slot %d", slow.Slot()))
 	})
 }
 
-// stepWithStraggler returns a step of which all but one slot took 10 s for 100
-// tokens; the last has the given tokens after 20 s.
+// stepWithStraggler returns a step in which all slots but one took 10 s for 100
+// tokens; the last has the given number of tokens after 20 s.
 func stepWithStraggler(t *testing.T, tokens int) (*Step, Attempt) {
 	t.Helper()
 	step := NewStep(openRequest(1, 1, 9, 1), 0, 1, 1)
@@ -238,7 +238,7 @@
 		must.True(t, step.Progress(last, 1, 1, start.Add(time.Second)))
 	}
 	for slot := range uint32(8) {
-		attempt := step.slots[slot].runs[1].attempt
+		attempt := step.slots[slot].running[1].attempt
 		must.True(t, step.Progress(attempt, 99, 1, start.Add(11*time.Second)))
 		must.True(t, finishAttempt(t, step, attempt, start.Add(11*time.Second), 1))
 	}
@@ -248,8 +248,8 @@
 	return step, last
 }
 
-// An engine refuses everything. Its slots wait longer each time, so retries
-// don't pile up, and at least as long as the refusal asked for.
+// An engine refuses every request. Its slots must wait longer each time, so that
+// retries do not pile up, and at least as long as the refusal requested.
 func TestFailuresPause(t *testing.T) {
 	step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 1)
 	now := start
@@ -260,29 +260,29 @@
 		pauses = append(pauses, step.slots[0].notBefore.Sub(now))
 		now = step.slots[0].notBefore
 	}
-	must.Eq(t, leastPause, pauses[0])
-	must.Eq(t, 2*leastPause, pauses[1])
-	must.Eq(t, greatestPause, pauses[7])
+	must.Eq(t, minBackoff, pauses[0])
+	must.Eq(t, 2*minBackoff, pauses[1])
+	must.Eq(t, maxBackoff, pauses[7])
 	step.Fail(mustNext(t, step, now), time.Minute, now)
 	must.Eq(t, time.Minute, step.slots[0].notBefore.Sub(now))
 }
 
-// New weights are announced with a bound of 0. Until samplers have loaded them
-// every attempt is refused without having run. The slots must start soon after
-// the first sampler has, not sit out pauses that grew meanwhile.
+// New weights are announced with a staleness bound of 0. Until samplers have loaded
+// them, every attempt is refused without having run. The slots must start soon after
+// the first sampler has loaded them and not wait out backoffs that grew meanwhile.
 func TestRefusalsPauseShortly(t *testing.T) {
 	step := NewStep(openRequest(1, 1, 1, 0), 0, 1, 2)
 	now := start
 	for range 20 {
 		step.Refuse(mustNext(t, step, now), 30*time.Second, now)
-		must.LessEq(t, greatestRefusedPause, step.slots[0].notBefore.Sub(now))
+		must.LessEq(t, maxRefusedBackoff, step.slots[0].notBefore.Sub(now))
 		now = step.slots[0].notBefore
 	}
-	must.True(t, step.budget.has())
+	must.True(t, step.budget.isAvailable())
 	must.Eq(t, 0, step.Counts().Failed())
 }
 
-// benchmarkStep returns the letter's step with half of its slots fixed.
+// benchmarkStep returns a step of 1,024 slots with half of them committed.
 func benchmarkStep(b *testing.B) *Step {
 	b.Helper()
 	step := NewStep(openRequest(1, 128, 8, 1), 0, 1, 1)
@@ -300,7 +300,7 @@
 	return step
 }
 
-// BenchmarkPropose is one write of the state, of which there are ten a second at most.
+// BenchmarkPropose measures one write of the state; there are at most ten per second.
 func BenchmarkPropose(b *testing.B) {
 	step := benchmarkStep(b)
 	b.ReportAllocs()
@@ -311,7 +311,7 @@
 	}
 }
 
-// BenchmarkNext is the look for an attempt while none is to be started.
+// BenchmarkNext measures the search for an attempt while none is to be started.
 func BenchmarkNext(b *testing.B) {
 	step := benchmarkStep(b)
 	b.ReportAllocs()
@@ -320,7 +320,7 @@
 	}
 }
 
-// BenchmarkProgress is what each chunk of an answer costs under the holder's lock.
+// BenchmarkProgress measures what each chunk of an answer costs under the holder's lock.
 func BenchmarkProgress(b *testing.B) {
 	step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 1)
 	attempt, _ := step.Next(start)
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -7,7 +7,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/record"
 )
 
-// Store is what steps need of the platform's key-value service.
+// Store is the part of the platform's key-value service that steps use.
 type Store interface {
 	record.Store
 	Delete(ctx context.Context, key string, expect uint64) error
--- a/internal/rollout/straggler.go
+++ b/internal/rollout/straggler.go
@@ -3,103 +3,106 @@
 import "time"
 
 const (
-	// leastFinished is the number of finished attempts from which others are judged.
-	leastFinished = 4
-	// secondGain is by how much an attempt's remaining time must exceed a fresh run's.
-	secondGain = 1.5
-	// secondLeast is the shortest remaining time for which a second run is started.
-	secondLeast = 500 * time.Millisecond
-	// silentWaits is how many usual waits for a first token an attempt may take.
-	silentWaits = 3
-	usualShare  = 0.9
-	// queuedShare of the running attempts without a token means that samplers are full.
-	queuedShare = 0.125
+	// minFinished is the number of finished attempts required to judge the others.
+	minFinished = 4
+	// minSecondRunRatio is the factor by which an attempt's remaining time must exceed
+	// a fresh run's.
+	minSecondRunRatio = 1.5
+	// minSecondRunRemaining is the minimum remaining time for which a second run starts.
+	minSecondRunRemaining = 500 * time.Millisecond
+	// An attempt without a token is stalled after maxFirstTokenWaits times the
+	// lateQuantile of the waits for a first token.
+	maxFirstTokenWaits = 3
+	lateQuantile       = 0.9
+	// A larger share than maxQueuedShare of running attempts without a token means that
+	// the samplers are full.
+	maxQueuedShare = 0.125
 )
 
-// outlook is what is expected of fresh runs, from those that have finished.
-type outlook struct {
-	// Tokens a second and seconds.
-	pace float64
-	wait float64
-	late float64
+// estimate is the expected performance of a fresh run, from the attempts that have finished.
+type estimate struct {
+	// throughput is in tokens per second, the others are in seconds.
+	throughput     float64
+	firstTokenWait float64
+	lateFirstToken float64
 }
 
-// straggler returns the slot whose second run pays most, or nil.
+// findStraggler returns the slot whose second run saves the most time, or nil.
 //
-// A slot is judged by its engine's pace and not by its length: the second run
-// uses the same seed, so a long answer stays long, and taking whichever comes
-// first doesn't favour short answers.
-func (s *Step) straggler(now time.Time) *slot {
-	if len(s.paces.values) < leastFinished || !s.budget.has() || s.isQueued() {
+// It judges a slot by its engine's throughput and not by the answer's length: the
+// second run uses the same seed, so a long answer stays long, and accepting whichever
+// finishes first does not favour short answers.
+func (s *Step) findStraggler(now time.Time) *slot {
+	if len(s.throughputs.values) < minFinished || !s.budget.isAvailable() || s.hasFullSamplers() {
 		return nil
 	}
-	usual := outlook{pace: s.paces.quantile(0.5), wait: s.waits.quantile(0.5), late: s.waits.quantile(usualShare)}
+	typical := estimate{throughput: s.throughputs.quantile(0.5), firstTokenWait: s.firstTokenWaits.quantile(0.5), lateFirstToken: s.firstTokenWaits.quantile(lateQuantile)}
 	var chosen *slot
-	most := 0.0
+	maxGain := 0.0
 	for _, slot := range s.slots {
-		if !slot.isEmpty() || len(slot.runs) != 1 {
+		if !slot.isEmpty() || len(slot.running) != 1 {
 			continue
 		}
-		if gain := s.gain(slot, usual, now); gain > most {
-			chosen, most = slot, gain
+		if gain := s.secondRunGain(slot, typical, now); gain > maxGain {
+			chosen, maxGain = slot, gain
 		}
 	}
 	return chosen
 }
 
-// isQueued reports whether many attempts wait for their first token: then the
-// samplers are full, and a second run would only wait too and make others wait.
-func (s *Step) isQueued() bool {
+// hasFullSamplers reports whether many attempts wait for their first token: then the
+// samplers are full, and a second run would only wait too and delay others.
+func (s *Step) hasFullSamplers() bool {
 	waiting, running := 0, 0
 	for _, slot := range s.slots {
-		for _, run := range slot.runs {
+		for _, run := range slot.running {
 			running++
-			if run.pace.tokens == 0 {
+			if run.throughput.tokens == 0 {
 				waiting++
 			}
 		}
 	}
-	return waiting > 1 && float64(waiting) > queuedShare*float64(running)
+	return waiting > 1 && float64(waiting) > maxQueuedShare*float64(running)
 }
 
-// gain returns the seconds that a second run saves; 0 if it doesn't pay.
-func (s *Step) gain(slot *slot, usual outlook, now time.Time) float64 {
-	for _, run := range slot.runs {
-		rest, known := s.lengths.residual(float64(run.pace.tokens))
-		if !known {
-			rest = s.lengths.quantile(0.5)
+// secondRunGain returns the seconds that a second run saves; 0 if it is not worthwhile.
+func (s *Step) secondRunGain(slot *slot, typical estimate, now time.Time) float64 {
+	for _, run := range slot.running {
+		tokensLeft, ok := s.lengths.residual(float64(run.throughput.tokens))
+		if !ok {
+			tokensLeft = s.lengths.quantile(0.5)
 		}
-		fresh := usual.wait + (float64(run.pace.tokens)+rest)/usual.pace
-		remaining := s.remaining(run, rest, usual, now)
-		if remaining > secondGain*fresh && remaining > secondLeast.Seconds() {
-			return remaining - fresh
+		freshSeconds := typical.firstTokenWait + (float64(run.throughput.tokens)+tokensLeft)/typical.throughput
+		remainingSeconds := s.remainingSeconds(run, tokensLeft, typical, now)
+		if remainingSeconds > minSecondRunRatio*freshSeconds && remainingSeconds > minSecondRunRemaining.Seconds() {
+			return remainingSeconds - freshSeconds
 		}
 	}
 	return 0
 }
 
-// remaining returns the seconds that a run is expected to take still.
-func (s *Step) remaining(run *run, rest float64, usual outlook, now time.Time) float64 {
-	rate := run.pace.rate(now)
+// remainingSeconds returns the expected time until a run finishes.
+func (s *Step) remainingSeconds(run *runningAttempt, tokensLeft float64, typical estimate, now time.Time) float64 {
+	rate := run.throughput.rate(now)
 	if rate > 0 {
-		return rest / rate
+		return tokensLeft / rate
 	}
-	if run.pace.tokens == 0 && now.Sub(run.pace.start).Seconds() <= silentWaits*usual.late {
+	if run.throughput.tokens == 0 && now.Sub(run.throughput.start).Seconds() <= maxFirstTokenWaits*typical.lateFirstToken {
 		return 0
 	}
-	// It stands still: the longer, the more another engine is worth.
-	return secondGain*(usual.wait+(float64(run.pace.tokens)+rest)/usual.pace) + now.Sub(run.pace.start).Seconds()
+	// The attempt is stalled: the longer it has run, the more a second run gains.
+	return minSecondRunRatio*(typical.firstTokenWait+(float64(run.throughput.tokens)+tokensLeft)/typical.throughput) + now.Sub(run.throughput.start).Seconds()
 }
 
-// learn takes the figures of a finished run.
-func (s *Step) learn(run *run, now time.Time) {
+// recordFinished adds the measurements of a finished run.
+func (s *Step) recordFinished(run *runningAttempt, now time.Time) {
 	s.budget.earn()
-	if run.pace.first.IsZero() {
+	if run.throughput.firstToken.IsZero() {
 		return
 	}
-	s.lengths.add(float64(run.pace.tokens))
-	s.waits.add(run.pace.first.Sub(run.pace.start).Seconds())
-	if length := now.Sub(run.pace.first).Seconds(); length > 0 {
-		s.paces.add(float64(run.pace.tokens) / length)
+	s.lengths.add(float64(run.throughput.tokens))
+	s.firstTokenWaits.add(run.throughput.firstToken.Sub(run.throughput.start).Seconds())
+	if length := now.Sub(run.throughput.firstToken).Seconds(); length > 0 {
+		s.throughputs.add(float64(run.throughput.tokens) / length)
 	}
 }
--- a/internal/rollout/takeover.go
+++ b/internal/rollout/takeover.go
@@ -13,7 +13,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// TermError says that a process with a newer term holds a trainer's steps.
+// TermError reports that a process with a newer term holds a trainer's steps.
 type TermError struct {
 	Trainer string
 	Fence   uint64
@@ -22,61 +22,62 @@
 
 // Error names both terms.
 func (e *TermError) Error() string {
-	return fmt.Sprintf("rollout: term %d for %s is over, term %d has begun", e.Fence, e.Trainer, e.Newer)
+	return fmt.Sprintf("rollout: term %d for %s was superseded by term %d", e.Fence, e.Trainer, e.Newer)
 }
 
-// Lead makes this process the holder for a term, whose fencing number is given,
-// until the context ends. It loads the step that the store holds, or goes on
-// with its own if nobody has changed it since an earlier term.
+// Lead makes this process the holder for a term, given by its fencing token, until the
+// context ends. It loads the step from the store, or continues its own step if no
+// other process has changed the state since an earlier term.
 func (h *Holder) Lead(ctx context.Context, fence uint64) error {
-	gap := storePause
+	backoff := minStoreBackoff
 	for ctx.Err() == nil {
 		err := h.takeOver(ctx, fence)
 		if err != nil {
-			klog.Warningf("step: %s: the step can't be taken over yet: %v", h.Trainer, err)
-			pause.For(ctx, gap)
-			gap = min(2*gap, greatestStorePause)
+			klog.Warningf("step: %s: taking over the step failed, retrying: %v", h.Trainer, err)
+			pause.For(ctx, backoff)
+			backoff = min(2*backoff, maxStoreBackoff)
 			continue
 		}
-		gap = storePause
+		backoff = minStoreBackoff
 		select {
 		case <-ctx.Done():
-		case <-h.lost:
+		case <-h.superseded:
 		}
 	}
 	return nil
 }
 
 func (h *Holder) takeOver(ctx context.Context, fence uint64) error {
-	h.writing.Lock()
-	defer h.writing.Unlock()
-	if h.goesOn(ctx, fence) {
+	h.storeMutex.Lock()
+	defer h.storeMutex.Unlock()
+	if h.tryResume(ctx, fence) {
 		return nil
 	}
 	h.Drop("the store's state is loaded anew")
-	step, err := h.load(ctx, fence)
+	step, err := h.loadStep(ctx, fence)
 	if err != nil {
 		return err
 	}
-	// The first write carries the new fence: a holder of an earlier term, thawed
-	// in the middle of its own write, finds another revision and gives up.
+	// The first write carries the new fence: a holder of an earlier term that resumes
+	// in the middle of its own write finds another revision and gives up.
 	proposed := step.Propose()
 	if err := h.state.Write(ctx, encode(proposed)); err != nil {
 		return err
 	}
 	step.Commit()
-	h.fetch(ctx, step)
+	h.fetchMissing(ctx, step)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.version = step.Newest()
-	h.away = nil
-	h.replace(step)
+	h.storedVersion = step.Newest()
+	h.writeErr = nil
+	h.setStep(step)
 	h.Decisions.Record(h.Trainer, "step", "%s holds step %d in term %d", h.Process, step.Number(), fence)
 	return nil
 }
 
-// goesOn reports whether the store's state is still the one of this process.
-func (h *Holder) goesOn(ctx context.Context, fence uint64) bool {
+// tryResume continues with the current step and reports true if the store's state is
+// still that of this process.
+func (h *Holder) tryResume(ctx context.Context, fence uint64) bool {
 	h.mutex.Lock()
 	step := h.step
 	h.mutex.Unlock()
@@ -95,8 +96,8 @@
 	return true
 }
 
-// load returns the step that the store holds; one without slots if there is none yet.
-func (h *Holder) load(ctx context.Context, fence uint64) (*Step, error) {
+// loadStep returns the step that the store holds, or one without slots if there is none yet.
+func (h *Holder) loadStep(ctx context.Context, fence uint64) (*Step, error) {
 	data, err := h.state.Load(ctx)
 	if err != nil {
 		return nil, err
@@ -118,27 +119,27 @@
 	if err != nil {
 		return nil, err
 	}
-	return restore(state, prompts.Data, fence)
+	return restoreStep(state, prompts.Data, fence)
 }
 
-func restore(state *statepb.Step, data []byte, fence uint64) (*Step, error) {
+func restoreStep(state *statepb.Step, data []byte, fence uint64) (*Step, error) {
 	prompts, err := decode(data, &statepb.Prompts{})
 	if err != nil {
 		return nil, err
 	}
 	if string(promptsDigest(data)) != string(state.GetPrompts()) {
-		return nil, errors.New("rollout: the prompts in the store are not those of the open step")
+		return nil, errors.New("rollout: the digest of the stored prompts does not match the open step")
 	}
 	return Restore(state, prompts, fence)
 }
 
-// fetch brings in the bytes of the samples that are fixed already, from the
-// processes that hold them. Slots whose bytes are lost run again.
-func (h *Holder) fetch(ctx context.Context, step *Step) {
+// fetchMissing fetches the committed samples from the processes that hold them. Slots
+// whose samples are lost run again.
+func (h *Holder) fetchMissing(ctx context.Context, step *Step) {
 	for process, slots := range step.Missing() {
 		samples, err := h.Keeping.Fetch(ctx, process, h.Trainer, step.Number(), slots)
 		if err != nil {
-			klog.Warningf("step: %s: %s gives no samples: %v", h.Trainer, process, err)
+			klog.Warningf("step: %s: fetching samples from %s failed: %v", h.Trainer, process, err)
 		}
 		for _, sample := range samples {
 			step.Found(sample)
