--- a/internal/steplog/print.go
+++ b/internal/steplog/print.go
@@ -14,8 +14,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Print writes the steps as a table, and below it what the late ones and all
-// lost in each part on average. A step is late from due on; 0 prints them all.
+// Print writes a table of the steps, followed by the mean of each part of the time,
+// for the late steps and for all. A step is late if it took at least due; 0 prints all
+// steps.
 func Print(w io.Writer, steps []Step, due time.Duration) error {
 	writer := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(writer, "at\tmodel\tstep\titems\thalf placed\twaited\tcut\tran\tlisted\tclosed\ttotal\tagain\ttakeovers\tunwritten\t")
@@ -38,29 +39,29 @@
 	if len(steps) == 0 {
 		return
 	}
-	mean := func(of func(*Step) time.Duration) float64 {
+	mean := func(duration func(*Step) time.Duration) float64 {
 		var sum time.Duration
 		for i := range steps {
-			sum += of(&steps[i])
+			sum += duration(&steps[i])
 		}
 		return sum.Seconds() / float64(len(steps))
 	}
 	fmt.Fprintf(w, "mean of %s\t\t\t%d steps\t", name, len(steps))
 	fmt.Fprintf(w, "%.2f\t", mean(func(s *Step) time.Duration { return s.Placed }))
-	for _, part := range parts {
-		fmt.Fprintf(w, "%.2f\t", mean(part.of))
+	for _, phase := range phases {
+		fmt.Fprintf(w, "%.2f\t", mean(phase.duration))
 	}
 	fmt.Fprintf(w, "%.2f\t\t\t\t\n", mean((*Step).Total))
 }
 
-// part is a part of a step's time.
-type part struct {
-	name  string
-	of    func(*Step) time.Duration
-	color color.Color
+// phase is a part of a step's time.
+type phase struct {
+	name     string
+	duration func(*Step) time.Duration
+	color    color.Color
 }
 
-var parts = []part{
+var phases = []phase{
 	{"waited", func(s *Step) time.Duration { return s.Waited }, color.RGBA{R: 214, G: 120, B: 60, A: 255}},
 	{"cut", func(s *Step) time.Duration { return s.Cut }, color.RGBA{R: 190, G: 60, B: 60, A: 255}},
 	{"ran", func(s *Step) time.Duration { return s.Ran }, color.RGBA{R: 90, G: 140, B: 190, A: 255}},
@@ -68,34 +69,34 @@
 	{"closed", func(s *Step) time.Duration { return s.Closed }, color.RGBA{R: 150, G: 150, B: 150, A: 255}},
 }
 
-// barWidth of a step in a plot.
+// barWidth is the width of a step's bar in points.
 const barWidth = 6
 
-// Plot draws the steps as bars of their parts into a file; its name's end says of
-// which kind it is (svg, png, pdf).
+// Plot draws the steps as stacked bars of their phases into a file; the file name's
+// extension sets the format (svg, png, pdf).
 func Plot(file string, steps []Step) error {
 	drawing := plot.New()
-	drawing.Title.Text = "Where the time of steps went"
-	drawing.X.Label.Text = "step, in the order of acceptance"
+	drawing.Title.Text = "Step time by part"
+	drawing.X.Label.Text = "step, in order of acceptance"
 	drawing.Y.Label.Text = "seconds"
 	var below *plotter.BarChart
-	for _, part := range parts {
+	for _, phase := range phases {
 		values := make(plotter.Values, len(steps))
 		for i := range steps {
-			values[i] = part.of(&steps[i]).Seconds()
+			values[i] = phase.duration(&steps[i]).Seconds()
 		}
 		bars, err := plotter.NewBarChart(values, vg.Points(barWidth))
 		if err != nil {
 			return eris.Wrap(err, "plot steps")
 		}
-		bars.Color = part.color
+		bars.Color = phase.color
 		bars.LineStyle.Width = 0
 		if below != nil {
 			bars.StackOn(below)
 		}
 		below = bars
 		drawing.Add(bars)
-		drawing.Legend.Add(part.name, bars)
+		drawing.Legend.Add(phase.name, bars)
 	}
 	width := vg.Points(float64(max(300, 2*barWidth*len(steps))))
 	return eris.Wrap(drawing.Save(width, 10*vg.Centimeter, file), "plot "+file)
--- a/internal/steplog/steplog.go
+++ b/internal/steplog/steplog.go
@@ -1,5 +1,5 @@
-// Package steplog reads the structured logs of gateways and tells for each step
-// of a trainer where its time went.
+// Package steplog reads the structured logs of gateways and reports where the time of
+// each of a trainer's steps went.
 package steplog
 
 import (
@@ -16,86 +16,86 @@
 	"github.com/rotisserie/eris"
 )
 
-// mostLine is the longest line of a log that is read.
-const mostLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// line matches what klog writes of a batch, whatever stands before it: what
-// gathers the logs of many hosts puts names and times of its own there.
-var line = regexp.MustCompile(`[IWE](\d{4} \d{2}:\d{2}:\d{2}\.\d{6})\s+\d+ \S+\] "batch: ([^"]*)"(.*)$`)
+// batchLine matches the lines that klog writes about batches, with any prefix:
+// collectors of logs from many hosts prepend names and times of their own.
+var batchLine = regexp.MustCompile(`[IWE](\d{4} \d{2}:\d{2}:\d{2}\.\d{6})\s+\d+ \S+\] "batch: ([^"]*)"(.*)$`)
 
-// lineTime is the time of a line; klog leaves the year out.
-const lineTime = "0102 15:04:05.000000"
+// lineTimeLayout is the layout of a line's time; klog omits the year.
+const lineTimeLayout = "0102 15:04:05.000000"
 
-// Step is a trainer's step and where its time went. Its parts are those of its
-// last text, the one that was made last before the trainer ended the step.
+// Step is a trainer's step and where its time went. The parts are those of its last
+// text, the one generated last before the trainer ended the step.
 type Step struct {
 	Batch  string
 	Model  string
 	Number int
 	Items  int
-	// Accepted is when the step was taken; the year is unknown.
+	// Accepted is when the step was accepted; the year is unknown.
 	Accepted time.Time
-	// Placed is when half of its items had a sampler, counted from Accepted.
+	// Placed is the time from Accepted until half of the items had a sampler.
 	Placed time.Duration
 	// Waited is how long the last text waited for its first sampler.
 	Waited time.Duration
-	// Cut is the time from its first placement to its last one: runs that were cut
-	// or moved, and the waits after them.
+	// Cut is the time from its first placement to its last one: interrupted or moved
+	// runs, and the waits after them.
 	Cut time.Duration
 	// Ran is the time of its last run.
 	Ran time.Duration
-	// Listed is the time from its end until the step's last outcome before its end was
-	// in the store: scorers, gathering, and a store that is away.
+	// Listed is the time from the end of that run until the step's last outcome before
+	// the step's end was in the store: scorers, collecting, and an unavailable store.
 	Listed time.Duration
 	// Closed is the time from then on until the trainer ended the step.
 	Closed time.Duration
 	// Again counts placements after the first one of an item, Takeovers owners after
-	// the first one, Unwritten writes to the store that failed.
+	// the first one, and Unwritten failed writes to the store.
 	Again, Takeovers, Unwritten int
 }
 
 // Total returns the time from the step's acceptance to its end.
 func (s *Step) Total() time.Duration { return s.Waited + s.Cut + s.Ran + s.Listed + s.Closed }
 
-// reading is what is known of a step while its lines are read.
-type reading struct {
+// stepTrace collects the events of a step while its lines are read.
+type stepTrace struct {
 	Step
 
-	ended time.Time
-	// listed are the times of writes of outcomes.
-	listed []time.Time
-	items  map[string]*item
+	endedAt time.Time
+	// listedAt are the times of writes of outcomes.
+	listedAt []time.Time
+	items    map[string]*itemTrace
 }
 
-// item is what is known of an item.
-type item struct {
-	placed []time.Time
-	made   time.Time
+// itemTrace collects the events of an item.
+type itemTrace struct {
+	placedAt    []time.Time
+	generatedAt time.Time
 }
 
-// Read reads logs and returns the steps that were ended, in the order in which
-// they were accepted. Lines that aren't of batches are passed over.
+// Read reads logs and returns the steps that were ended, in the order of their
+// acceptance. It skips lines that are not about batches.
 func Read(logs io.Reader) ([]Step, error) {
-	found := map[string]*reading{}
+	traces := map[string]*stepTrace{}
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(nil, mostLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		match := line.FindStringSubmatch(scanner.Text())
+		match := batchLine.FindStringSubmatch(scanner.Text())
 		if match == nil {
 			continue
 		}
-		at, err := time.Parse(lineTime, match[1])
+		at, err := time.Parse(lineTimeLayout, match[1])
 		if err != nil {
 			return nil, eris.Wrap(err, "read steps")
 		}
-		take(found, at, match[2], fields(match[3]))
+		addLine(traces, at, match[2], fields(match[3]))
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, eris.Wrap(err, "read steps")
 	}
 	var steps []Step
-	for _, one := range found {
-		if step, ok := one.finish(); ok {
+	for _, trace := range traces {
+		if step, ok := trace.summarize(); ok {
 			steps = append(steps, step)
 		}
 	}
@@ -105,7 +105,7 @@
 	return steps, nil
 }
 
-// fields returns the values of a line by their keys.
+// fields returns the values of a line by key.
 func fields(text string) map[string]string {
 	values := map[string]string{}
 	decoder := logfmt.NewDecoder(strings.NewReader(text))
@@ -117,38 +117,38 @@
 	return values
 }
 
-// take takes one line.
-func take(found map[string]*reading, at time.Time, what string, values map[string]string) {
+// addLine adds the event of one line to the trace of its batch.
+func addLine(traces map[string]*stepTrace, at time.Time, event string, values map[string]string) {
 	id := values["batch"]
-	one := found[id]
-	if one == nil {
-		one = &reading{Step: Step{Batch: id}, items: map[string]*item{}}
-		found[id] = one
+	trace := traces[id]
+	if trace == nil {
+		trace = &stepTrace{Step: Step{Batch: id}, items: map[string]*itemTrace{}}
+		traces[id] = trace
 	}
-	switch what {
+	switch event {
 	case "accepted":
-		one.Accepted, one.Model = at, values["model"]
-		one.Number, one.Items = number(values["step"]), number(values["items"])
+		trace.Accepted, trace.Model = at, values["model"]
+		trace.Number, trace.Items = parseCount(values["step"]), parseCount(values["items"])
 	case "placed":
-		placed := one.item(values["id"])
-		placed.placed = append(placed.placed, at)
+		item := trace.item(values["id"])
+		item.placedAt = append(item.placedAt, at)
 	case "generated":
-		one.item(values["id"]).made = at
+		trace.item(values["id"]).generatedAt = at
 	case "taken over", "taken from its owner":
-		one.Takeovers++
+		trace.Takeovers++
 	case "listed":
-		one.listed = append(one.listed, at)
+		trace.listedAt = append(trace.listedAt, at)
 	case "a chunk was not written":
-		one.Unwritten++
+		trace.Unwritten++
 	case "its trainer has ended it":
-		if one.ended.IsZero() {
-			one.ended = at
+		if trace.endedAt.IsZero() {
+			trace.endedAt = at
 		}
 	}
 }
 
-// number reads a count; what isn't one is 0, as where a line lacks it.
-func number(text string) int {
+// parseCount parses a count; a missing or malformed one is 0.
+func parseCount(text string) int {
 	value, err := strconv.Atoi(text)
 	if err != nil {
 		return 0
@@ -156,52 +156,52 @@
 	return value
 }
 
-func (r *reading) item(id string) *item {
+func (r *stepTrace) item(id string) *itemTrace {
 	if r.items[id] == nil {
-		r.items[id] = &item{}
+		r.items[id] = &itemTrace{}
 	}
 	return r.items[id]
 }
 
-// finish works out where the time went. It reports false for a step that wasn't
-// accepted and ended within the logs, or of which no text was made.
-func (r *reading) finish() (Step, bool) {
-	if r.Accepted.IsZero() || r.ended.IsZero() {
+// summarize computes where the time went. It reports false for a step that was not
+// accepted and ended within the logs, or that has no generated text.
+func (r *stepTrace) summarize() (Step, bool) {
+	if r.Accepted.IsZero() || r.endedAt.IsZero() {
 		return Step{}, false
 	}
-	var last *item
+	var last *itemTrace
 	var first []time.Duration
-	for _, one := range r.items {
-		if len(one.placed) == 0 {
+	for _, candidate := range r.items {
+		if len(candidate.placedAt) == 0 {
 			continue
 		}
-		first = append(first, one.placed[0].Sub(r.Accepted))
-		r.Again += len(one.placed) - 1
-		if !one.made.IsZero() && !one.made.After(r.ended) && (last == nil || one.made.After(last.made)) {
-			last = one
+		first = append(first, candidate.placedAt[0].Sub(r.Accepted))
+		r.Again += len(candidate.placedAt) - 1
+		if !candidate.generatedAt.IsZero() && !candidate.generatedAt.After(r.endedAt) && (last == nil || candidate.generatedAt.After(last.generatedAt)) {
+			last = candidate
 		}
 	}
 	if last == nil {
 		return Step{}, false
 	}
 	slices.Sort(first)
-	latest := last.placed[len(last.placed)-1]
+	latest := last.placedAt[len(last.placedAt)-1]
 	r.Placed = first[len(first)/2]
-	r.Waited = last.placed[0].Sub(r.Accepted)
-	r.Cut = latest.Sub(last.placed[0])
-	r.Ran = last.made.Sub(latest)
-	listed := r.lastListed(last.made)
-	r.Listed = listed.Sub(last.made)
-	r.Closed = r.ended.Sub(listed)
+	r.Waited = last.placedAt[0].Sub(r.Accepted)
+	r.Cut = latest.Sub(last.placedAt[0])
+	r.Ran = last.generatedAt.Sub(latest)
+	listed := r.lastListed(last.generatedAt)
+	r.Listed = listed.Sub(last.generatedAt)
+	r.Closed = r.endedAt.Sub(listed)
 	return r.Step, true
 }
 
-// lastListed returns the last write of outcomes between a time and the step's end; the
-// time itself if there is none.
-func (r *reading) lastListed(after time.Time) time.Time {
+// lastListed returns the last write of outcomes between a time and the step's end, or
+// the time itself if there is none.
+func (r *stepTrace) lastListed(after time.Time) time.Time {
 	last := after
-	for _, at := range r.listed {
-		if at.After(last) && !at.After(r.ended) {
+	for _, at := range r.listedAt {
+		if at.After(last) && !at.After(r.endedAt) {
 			last = at
 		}
 	}
--- a/internal/steplog/steplog_test.go
+++ b/internal/steplog/steplog_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// logs of a step whose second item is moved once. A gatherer of logs has put the
+// logs describe a step whose second item is moved once. A log collector has put the
 // host's name before each line.
 const logs = `g1 I0423 14:00:00.000000    8141 accept.go:144] "batch: accepted" batch="b1" account="a" step=7 model="m" items=2 owner=3
 g1 I0423 14:00:00.100000    8141 owner.go:258] "batch: placed" id="i0" batch="b1" server="s1" running=1 after=0 waiting=1
