--- a/internal/trainer/handler.go
+++ b/internal/trainer/handler.go
@@ -1,4 +1,4 @@
-// Package trainer serves trainers over HTTP: opening a step, pulling its
+// Package trainer serves the HTTP interface of trainers: opening a step, pulling its
 // samples and announcing weights.
 package trainer
 
@@ -17,30 +17,30 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// Grants knows what a key allows.
+// Grants looks up what a key allows.
 type Grants interface {
 	Grant(hash string) (lists.Grant, bool)
 	UntilWithdrawn(hash string, end func()) (stop func())
 }
 
-// Steps passes calls on to the holder of a trainer's steps.
+// Steps forwards calls to the holder of a trainer's steps.
 type Steps interface {
 	Announce(ctx context.Context, request *peerpb.AnnounceRequest) error
 	Open(ctx context.Context, request *peerpb.OpenRequest) (*peerpb.OpenReply, error)
 	Pull(ctx context.Context, request *peerpb.PullRequest) (*peerpb.PullReply, error)
 }
 
-// Handler serves trainers. Exported fields are set before Routes.
+// Handler serves trainers. Exported fields must be set before Routes.
 type Handler struct {
 	Grants Grants
 	Steps  Steps
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
-	// Poll is the longest wait of a pull.
+	// Poll is the maximum wait of a pull.
 	Poll time.Duration
 }
 
-// call is one request of a trainer whose key has been looked up.
+// call is an authorized request of a trainer.
 type call struct {
 	writer  http.ResponseWriter
 	request *http.Request
@@ -50,7 +50,7 @@
 	grant   lists.Grant
 }
 
-// Routes returns the routes of the interface.
+// Routes returns the HTTP routes.
 func (h *Handler) Routes() []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodPost, Path: "/v1/trainers/:trainer/steps", Handler: h.handle(h.open)},
@@ -61,16 +61,16 @@
 
 func (h *Handler) handle(serve func(*call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if err := h.admit(w, r, serve); err != nil {
+		if err := h.authorize(w, r, serve); err != nil {
 			refusal.Write(w, err)
 		}
 	}
 }
 
-// admit looks the key up and serves the call as long as it is not withdrawn.
-// The watch begins before the look-up: a key withdrawn between the two ends the
-// call all the same.
-func (h *Handler) admit(w http.ResponseWriter, r *http.Request, serve func(*call) error) error {
+// authorize looks up the key and serves the call until the key is withdrawn. The watch
+// begins before the lookup, so that a key withdrawn between the two still ends the
+// call.
+func (h *Handler) authorize(w http.ResponseWriter, r *http.Request, serve func(*call) error) error {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	key = strings.TrimSpace(key)
 	if !ok || key == "" {
@@ -95,7 +95,7 @@
 	return err
 }
 
-func (c *call) mayUse(model string) error {
+func (c *call) checkModel(model string) error {
 	if slices.Contains(c.grant.Plan().GetModels(), model) {
 		return nil
 	}
--- a/internal/trainer/handler_test.go
+++ b/internal/trainer/handler_test.go
@@ -20,12 +20,12 @@
 
 const testKey = "casa-key"
 
-// fakeSteps keeps the requests that reach the holder.
+// fakeSteps records the requests that reach the holder.
 type fakeSteps struct {
 	opened    *peerpb.OpenRequest
 	pulled    *peerpb.PullRequest
 	announced *peerpb.AnnounceRequest
-	// hold waits for the end of the call.
+	// hold blocks a pull until the call's context ends.
 	hold    bool
 	waiting chan struct{}
 }
@@ -73,7 +73,7 @@
 	return &Handler{Grants: view, Steps: steps, MaxBodyBytes: 4096, Poll: time.Second}, view
 }
 
-// call sends one request with a key, as the router would.
+// callHandler sends one request with a key, as the router would.
 func callHandler(handler *Handler, method, trainer, end, key, body string) *httptest.ResponseRecorder {
 	path := "/v1/trainers/" + trainer + end
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
--- a/internal/trainer/open.go
+++ b/internal/trainer/open.go
@@ -32,7 +32,7 @@
 	Samples uint32 `json:"samples"`
 }
 
-// openAnswer is the answer: the slots of the step and their first place.
+// openAnswer is the response: the slots of the step and their first place.
 type openAnswer struct {
 	Step  uint64 `json:"step"`
 	Slots uint32 `json:"slots"`
@@ -45,39 +45,39 @@
 	Version uint64 `json:"version"`
 }
 
-func malformed(format string, arguments ...any) error {
+func invalidRequest(format string, arguments ...any) error {
 	return refusal.NotRun(http.StatusBadRequest, "invalid_request", format, arguments...)
 }
 
 // open serves POST /v1/trainers/TRAINER/steps.
 func (h *Handler) open(c *call) error {
 	var body openBody
-	if err := h.read(c, &body); err != nil {
+	if err := h.decodeBody(c, &body); err != nil {
 		return err
 	}
 	if err := body.check(); err != nil {
 		return err
 	}
-	if err := c.mayUse(body.Model); err != nil {
+	if err := c.checkModel(body.Model); err != nil {
 		return err
 	}
 	reply, err := h.Steps.Open(c.ctx, body.request(c))
 	if err != nil {
 		return err
 	}
-	return write(c, openAnswer{Step: *body.Step, Slots: reply.GetSlots(), Place: reply.GetPlace()})
+	return writeAnswer(c, openAnswer{Step: *body.Step, Slots: reply.GetSlots(), Place: reply.GetPlace()})
 }
 
 // announce serves POST /v1/trainers/TRAINER/weights.
 func (h *Handler) announce(c *call) error {
 	var body announceBody
-	if err := h.read(c, &body); err != nil {
+	if err := h.decodeBody(c, &body); err != nil {
 		return err
 	}
 	if body.Version == 0 {
-		return malformed("version: must be 1 or more")
+		return invalidRequest("version: must be 1 or more")
 	}
-	if err := c.mayUse(body.Model); err != nil {
+	if err := c.checkModel(body.Model); err != nil {
 		return err
 	}
 	request := peerpb.AnnounceRequest_builder{
@@ -89,28 +89,28 @@
 	if err := h.Steps.Announce(c.ctx, request); err != nil {
 		return err
 	}
-	return write(c, body)
+	return writeAnswer(c, body)
 }
 
 func (b *openBody) check() error {
 	switch {
 	case b.Step == nil:
-		return malformed("step: is missing")
+		return invalidRequest("step: is missing")
 	case b.Model == "":
-		return malformed("model: is missing")
+		return invalidRequest("model: is missing")
 	case b.MaxTokens > maxTokens:
-		return malformed("max_tokens: must be at most %d", maxTokens)
+		return invalidRequest("max_tokens: must be at most %d", maxTokens)
 	case b.Temperature != nil && (*b.Temperature < 0 || *b.Temperature > maxTemperature):
-		return malformed("temperature: must be from 0 to %d", maxTemperature)
+		return invalidRequest("temperature: must be from 0 to %d", maxTemperature)
 	case len(b.Groups) == 0:
-		return malformed("groups: is empty")
+		return invalidRequest("groups: is empty")
 	}
 	for i, group := range b.Groups {
 		if group.Samples == 0 {
-			return malformed("groups[%d].samples: must be 1 or more", i)
+			return invalidRequest("groups[%d].samples: must be 1 or more", i)
 		}
 		if !utf8.ValidString(group.Prompt) {
-			return malformed("groups[%d].prompt: is not UTF-8", i)
+			return invalidRequest("groups[%d].prompt: is not UTF-8", i)
 		}
 	}
 	return nil
@@ -139,28 +139,28 @@
 	return request
 }
 
-// read decodes a body. One that holds the caller's key is refused: prompts go
-// to backend servers, which never see keys.
-func (h *Handler) read(c *call, body any) error {
+// decodeBody decodes a body. It rejects a body that contains the caller's key, because
+// prompts go to backend servers, which must never see keys.
+func (h *Handler) decodeBody(c *call, body any) error {
 	text, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, h.MaxBodyBytes))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return refusal.NotRun(http.StatusRequestEntityTooLarge, "body_too_large", "the body has more than %d bytes", h.MaxBodyBytes)
 	}
 	if err != nil {
-		return malformed("the body can't be read")
+		return invalidRequest("the body can't be read")
 	}
 	if strings.Contains(string(text), c.key) {
-		return malformed("the body holds the key")
+		return invalidRequest("the body holds the key")
 	}
 	if err := json.Unmarshal(text, body); err != nil {
-		return malformed("the body is not as expected: %v", err)
+		return invalidRequest("the body is not as expected: %v", err)
 	}
 	return nil
 }
 
-// write answers the call unless its key was withdrawn meanwhile.
-func write(c *call, answer any) error {
+// writeAnswer answers the call unless its key was withdrawn meanwhile.
+func writeAnswer(c *call, answer any) error {
 	if err := c.ctx.Err(); err != nil {
 		return err
 	}
--- a/internal/trainer/pull.go
+++ b/internal/trainer/pull.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	defaultMax = 64
-	greatest   = 1024
+	defaultPullSize = 64
+	maxPullSize     = 1024
 )
 
-// pullAnswer is the answer of GET /v1/trainers/TRAINER/samples.
+// pullAnswer is the response of GET /v1/trainers/TRAINER/samples.
 type pullAnswer struct {
 	Samples []sample `json:"samples"`
-	// Next is the place from which to pull next; that acknowledges these samples.
+	// Next is the place to pull from next, which acknowledges these samples.
 	Next uint64 `json:"next"`
 	// Done is true once the trainer has the whole step.
 	Done bool `json:"done"`
-	// Waiting says why no sample came: running or store.
+	// Waiting is the reason why there is no sample: running or store.
 	Waiting string `json:"waiting,omitempty"`
 }
 
@@ -35,15 +35,15 @@
 	Text     string    `json:"text"`
 	Tokens   []int32   `json:"tokens"`
 	Logprobs []float32 `json:"logprobs"`
-	// Versions name the weight version of each token.
-	Versions []versions `json:"versions"`
-	Finish   string     `json:"finish"`
-	Score    float64    `json:"score"`
-	Request  string     `json:"request"`
+	// Versions are the weight versions of all tokens.
+	Versions []versionRange `json:"versions"`
+	Finish   string         `json:"finish"`
+	Score    float64        `json:"score"`
+	Request  string         `json:"request"`
 }
 
-// versions names the version of the tokens from From until before Until.
-type versions struct {
+// versionRange is the weight version of the tokens from From to before Until.
+type versionRange struct {
 	From    uint32 `json:"from"`
 	Until   uint32 `json:"until"`
 	Version uint64 `json:"version"`
@@ -60,10 +60,10 @@
 		return err
 	}
 	answer := pullAnswer{Samples: []sample{}, Next: reply.GetNext(), Done: reply.GetDone(), Waiting: reply.GetWaiting()}
-	for _, one := range reply.GetSamples() {
-		answer.Samples = append(answer.Samples, newSample(one))
+	for _, received := range reply.GetSamples() {
+		answer.Samples = append(answer.Samples, newSample(received))
 	}
-	return write(c, answer)
+	return writeAnswer(c, answer)
 }
 
 func (h *Handler) parsePull(c *call) (*peerpb.PullRequest, error) {
@@ -72,12 +72,12 @@
 	if err != nil {
 		return nil, err
 	}
-	most, err := parseNumber(query, "max", defaultMax)
+	maxSamples, err := parseNumber(query, "max", defaultPullSize)
 	if err != nil {
 		return nil, err
 	}
-	if most == 0 || most > greatest {
-		return nil, malformed("max: must be from 1 to %d", greatest)
+	if maxSamples == 0 || maxSamples > maxPullSize {
+		return nil, invalidRequest("max: must be from 1 to %d", maxPullSize)
 	}
 	version, err := parseNumber(query, "version", 0)
 	if err != nil {
@@ -91,41 +91,41 @@
 		Account: c.grant.Account(),
 		Trainer: c.trainer,
 		Place:   place,
-		Max:     uint32(most),
+		Max:     uint32(maxSamples),
 		Wait:    durationpb.New(wait),
 		Version: version,
 	}.Build(), nil
 }
 
-func parseNumber(query url.Values, name string, absent uint64) (uint64, error) {
+func parseNumber(query url.Values, name string, fallback uint64) (uint64, error) {
 	text := query.Get(name)
 	if text == "" {
-		return absent, nil
+		return fallback, nil
 	}
 	number, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
-		return 0, malformed("%s: %q is not a whole number", name, text)
+		return 0, invalidRequest("%s: %q is not a whole number", name, text)
 	}
 	return number, nil
 }
 
-// parseWait reads a duration such as 5s, or a number of seconds.
-func parseWait(text string, longest time.Duration) (time.Duration, error) {
+// parseWait parses a duration such as 5s, or a number of seconds.
+func parseWait(text string, limit time.Duration) (time.Duration, error) {
 	if text == "" {
-		return longest, nil
+		return limit, nil
 	}
 	wait, err := time.ParseDuration(text)
 	if seconds, failed := strconv.ParseFloat(text, 64); failed == nil {
 		wait, err = time.Duration(seconds*float64(time.Second)), nil
 	}
 	if err != nil || wait < 0 {
-		return 0, malformed("wait: %q is not a duration such as 5s", text)
+		return 0, invalidRequest("wait: %q is not a duration such as 5s", text)
 	}
-	return min(wait, longest), nil
+	return min(wait, limit), nil
 }
 
 func newSample(from *peerpb.Sample) sample {
-	made := sample{
+	result := sample{
 		Place:    from.GetPlace(),
 		Step:     from.GetStep(),
 		Slot:     from.GetSlot(),
@@ -138,8 +138,8 @@
 		Score:    from.GetScore(),
 		Request:  from.GetRequest(),
 	}
-	for _, part := range from.GetVersions() {
-		made.Versions = append(made.Versions, versions{From: part.GetFrom(), Until: part.GetUntil(), Version: part.GetVersion()})
+	for _, r := range from.GetVersions() {
+		result.Versions = append(result.Versions, versionRange{From: r.GetFrom(), Until: r.GetUntil(), Version: r.GetVersion()})
 	}
-	return made
+	return result
 }
