--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -3,51 +3,51 @@
 import "time"
 
 const (
-	// retryShare of the requests may be tried elsewhere.
-	retryShare = 0.1
-	// retryFloor more may be, so that an entry with few requests can retry at all.
-	retryFloor = 10
-	// retryWindow is the time over which both are counted.
+	// maxRetryRatio is the share of requests that may be retried on another server.
+	maxRetryRatio = 0.1
+	// minRetries are allowed on top, so that an entry with few requests can retry at all.
+	minRetries = 10
+	// retryWindow is the length of a counting window.
 	retryWindow = 30 * time.Second
 )
 
-// Budget bounds how many requests are tried elsewhere: over one to two windows
-// at most a tenth of the requests and a small constant. Its zero value is ready.
+// Budget limits retries on other servers: over one to two windows, to a tenth of
+// the requests plus a small constant. The zero value is ready to use.
 // It is not safe for concurrent use.
 //
-// Without a bound, a fleet too slow for its load gets each request several
-// times, which makes it slower; the bound holds however many fail.
+// Without a limit, an overloaded fleet gets each request several times, which
+// slows it down further. The limit holds however many requests fail.
 type Budget struct {
-	began    time.Time
-	requests [2]float64
-	retries  [2]float64
+	windowStart time.Time
+	requests    [2]float64
+	retries     [2]float64
 }
 
-// Request counts a request of a caller.
+// Request counts an initial attempt, as opposed to a retry.
 func (b *Budget) Request(now time.Time) {
-	b.turn(now)
+	b.rotate(now)
 	b.requests[0]++
 }
 
-// Retry reports whether one more retry fits, and counts it if so.
+// Retry reports whether one more retry is within the budget, and counts it if so.
 func (b *Budget) Retry(now time.Time) bool {
-	b.turn(now)
-	if b.retries[0]+b.retries[1]+1 > retryFloor+retryShare*(b.requests[0]+b.requests[1]) {
+	b.rotate(now)
+	if b.retries[0]+b.retries[1]+1 > minRetries+maxRetryRatio*(b.requests[0]+b.requests[1]) {
 		return false
 	}
 	b.retries[0]++
 	return true
 }
 
-func (b *Budget) turn(now time.Time) {
-	passed := now.Sub(b.began)
-	if passed < retryWindow {
+func (b *Budget) rotate(now time.Time) {
+	elapsed := now.Sub(b.windowStart)
+	if elapsed < retryWindow {
 		return
 	}
 	b.requests[1], b.retries[1] = b.requests[0], b.retries[0]
-	if passed >= 2*retryWindow {
+	if elapsed >= 2*retryWindow {
 		b.requests[1], b.retries[1] = 0, 0
 	}
 	b.requests[0], b.retries[0] = 0, 0
-	b.began = now
+	b.windowStart = now
 }
--- a/internal/route/budget_test.go
+++ b/internal/route/budget_test.go
@@ -10,9 +10,8 @@
 )
 
 func TestBudget(t *testing.T) {
-	// All servers are too slow and every request fails. Each caller waits
-	// longer and longer: the entry sends each request three times, which makes
-	// the servers three times as slow. The budget keeps the added load small.
+	// Guards against a retry storm: all servers are overloaded, every request
+	// fails, and three attempts for each would triple the load and the latency.
 	var budget route.Budget
 	now := time.Unix(1000, 0)
 	requests, retries := 0, 0
--- a/internal/route/chooser.go
+++ b/internal/route/chooser.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// DefaultPrefixBytes of a prompt decide its server; requests of one
-	// assistant share their first bytes and so the engine's cache.
+	// DefaultPrefixBytes is the length of the prompt prefix that decides the server.
+	// Requests of one assistant share their first bytes and thus the engine's cache.
 	DefaultPrefixBytes = 256
-	// DefaultBound is how much above the mean utilization a server of a prefix may be.
+	// DefaultBound is the maximum utilization of a prefix's server relative to the mean.
 	DefaultBound = 1.25
-	// DefaultSpread is how much more servers a prefix gets than its share of the requests.
+	// DefaultSpread is the ratio of a prefix's share of servers to its share of requests.
 	DefaultSpread = 2
-	// leastReplicas of a prefix share its requests.
-	leastReplicas = 2
-	// spareBound is the utilization from which on an unused connection decides nothing.
-	spareBound = 0.5
-	// zoneMargin is the utilization by which another zone must be better.
+	// minReplicas is the minimum number of servers that share a prefix's requests.
+	minReplicas = 2
+	// maxIdleConnUtilization is the utilization from which a server with an idle
+	// connection is no longer preferred.
+	maxIdleConnUtilization = 0.5
+	// zoneMargin is how much lower the utilization in another zone must be to leave this one.
 	zoneMargin = 0.25
 )
 
-// Reason names why a server was chosen.
+// Reason says why a server was chosen.
 type Reason string
 
 // Reasons.
@@ -36,22 +37,22 @@
 	ReasonSuspect Reason = "suspected, no open one is left"
 )
 
-// Choice is the server chosen and why.
+// Choice is the chosen server and the reason.
 type Choice struct {
-	// Server is nil if none gets new work.
+	// Server is nil if no server gets new work.
 	Server *Server
 	Reason Reason
 }
 
-// Request is what the choice depends on.
+// Request describes the request that needs a server.
 type Request struct {
 	// Prefix is the hash of the prompt's first bytes; 0 if there is none.
 	Prefix uint64
-	// Version is the oldest weight version wanted; 0 takes any.
+	// Version is the minimum weight version; 0 accepts any.
 	Version uint64
-	// Now is the time by which the age of reports is told.
+	// Now is the time from which the age of reports is computed.
 	Now time.Time
-	// Tried holds the servers that are not to be chosen; nil for none.
+	// Tried holds the names of servers to exclude; nil for none.
 	Tried map[string]bool
 }
 
@@ -61,72 +62,73 @@
 	// Region and Zone of this entry.
 	Region string
 	Zone   string
-	// Bound is how much above the mean utilization a prefix's server may be;
-	// 0 takes DefaultBound.
+	// Bound is the maximum utilization of a prefix's server relative to the mean;
+	// 0 means DefaultBound.
 	Bound float64
-	// Spread is how much more servers a prefix gets than its share of the
-	// requests; 0 takes DefaultSpread.
+	// Spread is the ratio of a prefix's share of servers to its share of requests;
+	// 0 means DefaultSpread.
 	Spread float64
-	// Random draws; nil takes the process's own.
+	// Random is the source of random numbers; nil means the global one.
 	Random *rand.Rand
 
 	popularity Popularity
-	// mean is the mean utilization by other entries, as of the last choice.
+	// mean is the mean utilization caused by other entries, as of the last choice.
 	mean     float64
 	eligible []*Server
-	near     []*Server
-	spare    []*Server
+	nearby   []*Server
+	idle     []*Server
 }
 
 // Choose returns the server for a request. With a prefix it prefers the servers
-// that score highest for it, which all entries agree on without a word; where
-// those are loaded it takes the less loaded of two random servers. Without a
-// prefix it does so too, in this zone first.
+// with the highest rendezvous hash for it, on which all entries agree without
+// communication; if those are loaded, it picks the less loaded of two random
+// servers. Without a prefix it does the latter, in this zone first.
 func (c *Chooser) Choose(servers []*Server, request Request) Choice {
-	c.gather(servers, request, Open)
+	c.selectEligible(servers, request, Open)
 	if len(c.eligible) == 0 {
 		return c.chooseSuspect(servers, request)
 	}
 	if request.Prefix != 0 {
-		if choice := c.byPrefix(request.Prefix); choice.Server != nil {
+		if choice := c.chooseByPrefix(request.Prefix); choice.Server != nil {
 			return choice
 		}
-		return Choice{Server: c.draw(c.eligible), Reason: ReasonDraws}
+		return Choice{Server: c.pickLessLoaded(c.eligible), Reason: ReasonDraws}
 	}
-	return c.byZone()
+	return c.chooseByZone()
 }
 
-// gather keeps the servers that may be chosen, those of this region if there are any.
-func (c *Chooser) gather(servers []*Server, request Request, worst Standing) {
+// selectEligible collects the servers that may be chosen, only those of this region
+// if it has any.
+func (c *Chooser) selectEligible(servers []*Server, request Request, worst Standing) {
 	c.eligible = c.eligible[:0]
-	c.near = c.near[:0]
+	c.nearby = c.nearby[:0]
 	for _, server := range servers {
-		if !mayRun(server, request, worst) {
+		if !isEligible(server, request, worst) {
 			continue
 		}
 		if server.region == c.Region {
-			c.near = append(c.near, server)
+			c.nearby = append(c.nearby, server)
 		} else {
 			c.eligible = append(c.eligible, server)
 		}
 	}
-	if len(c.near) > 0 {
-		c.eligible = append(c.eligible[:0], c.near...)
+	if len(c.nearby) > 0 {
+		c.eligible = append(c.eligible[:0], c.nearby...)
 	}
-	c.near = c.near[:0]
+	c.nearby = c.nearby[:0]
 	var others, slots int64
 	for _, server := range c.eligible {
-		server.weigh(request.Now, c.mean)
+		server.updateEstimate(request.Now, c.mean)
 		others += server.Load() - server.own
 		slots += server.Slots()
 		if server.zone == c.Zone {
-			c.near = append(c.near, server)
+			c.nearby = append(c.nearby, server)
 		}
 	}
 	c.mean = float64(others) / float64(max(1, slots))
 }
 
-func mayRun(server *Server, request Request, worst Standing) bool {
+func isEligible(server *Server, request Request, worst Standing) bool {
 	if server.standing > worst || request.Tried[server.name] {
 		return false
 	}
@@ -134,45 +136,45 @@
 }
 
 func (c *Chooser) chooseSuspect(servers []*Server, request Request) Choice {
-	c.gather(servers, request, Suspect)
+	c.selectEligible(servers, request, Suspect)
 	if len(c.eligible) == 0 {
 		return Choice{Reason: ReasonNone}
 	}
-	return Choice{Server: c.draw(c.eligible), Reason: ReasonSuspect}
+	return Choice{Server: c.pickLessLoaded(c.eligible), Reason: ReasonSuspect}
 }
 
-// byPrefix returns the less loaded of two replicas of the prefix if it is within
-// the bound, or none.
-func (c *Chooser) byPrefix(prefix uint64) Choice {
+// chooseByPrefix chooses the less loaded of two replicas of the prefix if it is within
+// the bound, else none.
+func (c *Chooser) chooseByPrefix(prefix uint64) Choice {
 	replicas := c.replicas(c.popularity.Add(prefix))
-	first := c.random(replicas)
-	second := (first + 1 + c.random(replicas-1)) % replicas
-	one, other := rank(c.eligible, mix(prefix, uint64(first)), mix(prefix, uint64(second)))
-	if other.utilization() < one.utilization() {
-		one = other
+	i := c.randomIndex(replicas)
+	j := (i + 1 + c.randomIndex(replicas-1)) % replicas
+	chosen, alternative := highestScoring(c.eligible, mix(prefix, uint64(i)), mix(prefix, uint64(j)))
+	if alternative.utilization() < chosen.utilization() {
+		chosen = alternative
 	}
-	if one.utilization() < 1 || one.utilization() <= c.limit() {
-		return Choice{Server: one, Reason: ReasonPrefix}
+	if chosen.utilization() < 1 || chosen.utilization() <= c.maxUtilization() {
+		return Choice{Server: chosen, Reason: ReasonPrefix}
 	}
 	return Choice{}
 }
 
-// replicas returns over how many servers a prefix is spread: as many as its
-// share of the requests needs, and at least two.
+// replicas returns the number of servers over which a prefix is spread: in
+// proportion to its share of the requests, and at least two.
 //
-// A fixed number fails either way: reports lag, so many entries send a prefix
-// that all want to the same few servers long before they hear of the queue
-// there, while rare prefixes spread over many would be cached nowhere.
+// No fixed number works. With a small one, a popular prefix overloads its few
+// servers, since entries learn of the queue there only from delayed reports. With
+// a large one, a rare prefix is cached nowhere.
 func (c *Chooser) replicas(share float64) int {
 	spread := c.Spread
 	if spread == 0 {
 		spread = DefaultSpread
 	}
-	return max(leastReplicas, int(math.Ceil(spread*share*float64(len(c.eligible)))))
+	return max(minReplicas, int(math.Ceil(spread*share*float64(len(c.eligible)))))
 }
 
-// limit returns the utilization up to which a prefix keeps its server.
-func (c *Chooser) limit() float64 {
+// maxUtilization returns the utilization up to which a prefix stays with its server.
+func (c *Chooser) maxUtilization() float64 {
 	bound := c.Bound
 	if bound == 0 {
 		bound = DefaultBound
@@ -185,75 +187,77 @@
 	return bound * (load + 1) / slots
 }
 
-// rank returns the server that scores highest with each of two keys. When a
-// server comes or goes, only the keys that it scores highest for move.
-func rank(servers []*Server, key, otherKey uint64) (one, other *Server) {
-	var score, otherScore uint64
+// highestScoring returns the server with the highest score for each of two keys
+// (rendezvous hashing). When a server joins or leaves, only the keys for which it
+// scores highest move.
+func highestScoring(servers []*Server, key1, key2 uint64) (best, best2 *Server) {
+	var score1, score2 uint64
 	for _, server := range servers {
-		if next := mix(server.hash, key); one == nil || next > score {
-			one, score = server, next
+		if candidate := mix(server.hash, key1); best == nil || candidate > score1 {
+			best, score1 = server, candidate
 		}
-		if next := mix(server.hash, otherKey); other == nil || next > otherScore {
-			other, otherScore = server, next
+		if candidate := mix(server.hash, key2); best2 == nil || candidate > score2 {
+			best2, score2 = server, candidate
 		}
 	}
-	return one, other
+	return best, best2
 }
 
-// byZone draws in this zone, and elsewhere if that is clearly less loaded.
-func (c *Chooser) byZone() Choice {
-	if len(c.near) == 0 {
-		return Choice{Server: c.draw(c.eligible), Reason: ReasonDraws}
+// chooseByZone chooses a server of this zone, or of any zone if this one is full and
+// the other server clearly less loaded.
+func (c *Chooser) chooseByZone() Choice {
+	if len(c.nearby) == 0 {
+		return Choice{Server: c.pickLessLoaded(c.eligible), Reason: ReasonDraws}
 	}
-	if server := c.bySpare(); server != nil {
+	if server := c.chooseByIdleConn(); server != nil {
 		return Choice{Server: server, Reason: ReasonSpare}
 	}
-	near := c.draw(c.near)
-	away := c.draw(c.eligible)
-	if near.utilization() >= 1 && away.utilization()+zoneMargin < near.utilization() {
-		return Choice{Server: away, Reason: ReasonAway}
+	local := c.pickLessLoaded(c.nearby)
+	global := c.pickLessLoaded(c.eligible)
+	if local.utilization() >= 1 && global.utilization()+zoneMargin < local.utilization() {
+		return Choice{Server: global, Reason: ReasonAway}
 	}
-	return Choice{Server: near, Reason: ReasonZone}
+	return Choice{Server: local, Reason: ReasonZone}
 }
 
-// bySpare draws among the servers of this zone to which a connection is open and
-// unused, or returns nil if none of them has room enough.
+// chooseByIdleConn picks a server of this zone with an idle connection, or returns
+// nil if the picked one is too loaded or there is none.
 //
-// Where many entries share many servers, each sends to one server so rarely that its
-// connection is closed before the next request. Kept to those that it has used lately,
-// an entry uses a few servers, and others once these are half taken.
-func (c *Chooser) bySpare() *Server {
-	c.spare = c.spare[:0]
-	for _, server := range c.near {
-		if server.hasSpare {
-			c.spare = append(c.spare, server)
+// With many entries and servers, an entry sends to each server so rarely that the
+// connection is closed before the next request. Preferring recently used servers
+// limits an entry to a few of them until these are half full.
+func (c *Chooser) chooseByIdleConn() *Server {
+	c.idle = c.idle[:0]
+	for _, server := range c.nearby {
+		if server.hasIdleConn {
+			c.idle = append(c.idle, server)
 		}
 	}
-	if len(c.spare) == 0 {
+	if len(c.idle) == 0 {
 		return nil
 	}
-	server := c.draw(c.spare)
-	if server.utilization() >= spareBound {
+	server := c.pickLessLoaded(c.idle)
+	if server.utilization() >= maxIdleConnUtilization {
 		return nil
 	}
 	return server
 }
 
-// draw returns the less loaded of two random servers.
-func (c *Chooser) draw(servers []*Server) *Server {
-	first := c.random(len(servers))
-	one := servers[first]
+// pickLessLoaded returns the less loaded of two random servers.
+func (c *Chooser) pickLessLoaded(servers []*Server) *Server {
+	i := c.randomIndex(len(servers))
+	chosen := servers[i]
 	if len(servers) == 1 {
-		return one
+		return chosen
 	}
-	other := servers[(first+1+c.random(len(servers)-1))%len(servers)]
-	if other.utilization() < one.utilization() {
-		return other
+	alternative := servers[(i+1+c.randomIndex(len(servers)-1))%len(servers)]
+	if alternative.utilization() < chosen.utilization() {
+		return alternative
 	}
-	return one
+	return chosen
 }
 
-func (c *Chooser) random(n int) int {
+func (c *Chooser) randomIndex(n int) int {
 	if c.Random == nil {
 		return rand.IntN(n)
 	}
--- a/internal/route/chooser_test.go
+++ b/internal/route/chooser_test.go
@@ -32,7 +32,7 @@
 	servers := newServers(9, 4)
 	seen := map[string]int{}
 	for range 2 {
-		// Another entry that has heard nothing of the first agrees with it.
+		// A second entry agrees with the first without communication.
 		chooser := newChooser()
 		for i := range 50 {
 			seen[chooser.Choose(servers, route.Request{Prefix: route.Hash([]byte("assistant"))}).Server.Name()]++
@@ -52,8 +52,8 @@
 }
 
 func TestChooseLeavesLoadedPrefixServers(t *testing.T) {
-	// Every caller of one assistant waits behind a queue while other engines
-	// idle: its prefix keeps the requests at two servers.
+	// Guards against requests of one prefix queueing at its two servers while
+	// other servers are idle.
 	servers := newServers(9, 1)
 	chooser := newChooser()
 	for i := range 500 {
@@ -65,18 +65,18 @@
 			load(choice.Server, 40)
 		}
 	}
-	behind := 0
+	queued := 0
 	for range 20 {
 		if chooser.Choose(servers, request).Server.Load() >= 40 {
-			behind++
+			queued++
 		}
 	}
-	must.LessEq(t, 5, behind)
+	must.LessEq(t, 5, queued)
 }
 
 func TestChooseCountsOwnSends(t *testing.T) {
-	// A report says that one server is empty. Until the next report, all
-	// requests of the entry would go there.
+	// Guards against sending all requests between two reports to the server
+	// that the first one shows as idle.
 	servers := newServers(2, 1)
 	load(servers[0], 0)
 	load(servers[1], 3)
@@ -119,13 +119,13 @@
 	servers := newServers(4, 2)
 	load(servers[0], 40)
 	load(servers[2], 40)
-	away := 0
+	otherZone := 0
 	for i := range 50 {
 		if newChooserFor(uint64(i)).Choose(servers, route.Request{}).Reason == route.ReasonAway {
-			away++
+			otherZone++
 		}
 	}
-	must.Positive(t, away)
+	must.Positive(t, otherZone)
 }
 
 func newChooserFor(seed uint64) *route.Chooser {
@@ -161,19 +161,19 @@
 	chooser := newChooser()
 	chooser.Choose(servers, route.Request{Prefix: 1})
 	b.ReportAllocs()
-	began := time.Now()
+	start := time.Now()
 	for i := 0; b.Loop(); i++ {
 		choice := chooser.Choose(servers, route.Request{Prefix: uint64(i%500 + 1)})
 		choice.Server.Begin()
 		choice.Server.Finish()
 	}
-	b.ReportMetric(float64(b.N)/time.Since(began).Seconds(), "decisions/s")
+	b.ReportMetric(float64(b.N)/time.Since(start).Seconds(), "decisions/s")
 }
 
 func TestChooseSpreadsPopularPrefix(t *testing.T) {
-	// A third of all requests start with the same instructions. Kept at two of
-	// 930 servers they wait for minutes, and the load reports that would tell
-	// so come seconds later.
+	// A third of all requests share a prefix. If only two of 930 servers took
+	// them, they would queue for minutes, and the load reports that show it
+	// arrive seconds late.
 	servers := newServers(930, 7)
 	chooser := newChooser()
 	seen := map[string]bool{}
@@ -191,14 +191,14 @@
 }
 
 func TestChooseDistrustsOldReports(t *testing.T) {
-	// Many entries read in the same old report that one server is the emptier,
-	// and all send there until the next one comes: its queue grows by all of
-	// them while the other server idles.
+	// Guards against herding: many entries see in the same old report that one
+	// server is less loaded, and all send there until the next report while the
+	// other server is idle.
 	now := time.Unix(1_000_000, 0)
 	servers := newServers(2, 1)
 	servers[0].TakeReport(route.Report{Seq: 2, Time: now, Running: 2, Slots: 16})
 	servers[1].TakeReport(route.Report{Seq: 2, Time: now, Running: 6, Slots: 16})
-	first := func(age time.Duration) int {
+	countFirst := func(age time.Duration) int {
 		chooser := newChooser()
 		count := 0
 		for range 100 {
@@ -208,7 +208,7 @@
 		}
 		return count
 	}
-	must.Eq(t, 100, first(0))
+	must.Eq(t, 100, countFirst(0))
 	servers[0].Begin()
-	must.Less(t, 10, first(time.Minute))
+	must.Less(t, 10, countFirst(time.Minute))
 }
--- a/internal/route/popularity.go
+++ b/internal/route/popularity.go
@@ -3,12 +3,12 @@
 const (
 	// popularityWindow is the number of requests after which counts are halved.
 	popularityWindow = 1024
-	// popularityPrior damps the shares of the first requests.
+	// popularityPrior damps the shares while few requests have been counted.
 	popularityPrior = 8
 )
 
-// Popularity estimates which share of an entry's requests have a prefix.
-// It holds at most popularityWindow prefixes. Its zero value has seen none.
+// Popularity estimates the share of an entry's requests that have a given prefix.
+// It holds at most popularityWindow prefixes. The zero value is ready to use.
 // It is not safe for concurrent use.
 type Popularity struct {
 	counts map[uint64]uint32
--- a/internal/route/roomiest.go
+++ b/internal/route/roomiest.go
@@ -3,25 +3,25 @@
 // Candidate is a server that may run a generation.
 type Candidate struct {
 	Server *Server
-	// Slowness is the time that it takes for one event, in that of the fastest.
+	// Slowness is the server's time per event relative to the fastest server's.
 	Slowness float64
 }
 
-// tooSlow is the slowness from which a server gets new work only where no other
-// has a free slot. Samplers of one pool differ by less than half; one that a
-// fault has slowed takes three times as long and more.
-const tooSlow = 1.8
+// maxSlowness is the slowness above which a server gets new work only if no other
+// has a free slot. Healthy samplers of a pool differ by less than half; one slowed
+// by a fault takes at least three times as long.
+const maxSlowness = 1.8
 
-// IsSlow reports whether a server's slowness speaks against new work for it.
-func IsSlow(slowness float64) bool { return slowness > tooSlow }
+// IsSlow reports whether a server is so slow that others are preferred for new work.
+func IsSlow(slowness float64) bool { return slowness > maxSlowness }
 
-// Roomiest returns the open server with the most free slots for its own part,
-// slow and suspected ones last and those of the zone first among equals; nil if
-// none has a free slot.
+// Roomiest returns the server with the smallest share of its slots in use, or nil
+// if none has a free slot. Slow and suspect servers come last; among equals, those
+// of the zone come first.
 //
-// A generation that waits at a server can't go elsewhere any more, while one
-// that waits here takes the first slot that any server frees; so no server is
-// given more than it runs at once.
+// A generation queued at a server can't move to another, while one queued here
+// takes the first slot that any server frees. So no server gets more generations
+// than it has slots.
 func Roomiest(candidates []Candidate, zone string) *Server {
 	var best Candidate
 	for _, candidate := range candidates {
@@ -29,24 +29,24 @@
 		if server.standing == Closed || server.own >= server.Slots() {
 			continue
 		}
-		if best.Server == nil || isRoomier(candidate, best, zone) {
+		if best.Server == nil || isPreferred(candidate, best, zone) {
 			best = candidate
 		}
 	}
 	return best.Server
 }
 
-func isRoomier(one, other Candidate, zone string) bool {
-	if one.Server.standing != other.Server.standing {
-		return one.Server.standing < other.Server.standing
+func isPreferred(a, b Candidate, zone string) bool {
+	if a.Server.standing != b.Server.standing {
+		return a.Server.standing < b.Server.standing
 	}
-	if isSlow, otherIsSlow := IsSlow(one.Slowness), IsSlow(other.Slowness); isSlow != otherIsSlow {
-		return otherIsSlow
+	if aIsSlow, bIsSlow := IsSlow(a.Slowness), IsSlow(b.Slowness); aIsSlow != bIsSlow {
+		return bIsSlow
 	}
-	// The part of the slots in use, compared without division.
-	used, otherUsed := one.Server.own*other.Server.Slots(), other.Server.own*one.Server.Slots()
-	if used != otherUsed {
-		return used < otherUsed
+	// Shares of the slots in use, cross-multiplied to avoid division.
+	aUsed, bUsed := a.Server.own*b.Server.Slots(), b.Server.own*a.Server.Slots()
+	if aUsed != bUsed {
+		return aUsed < bUsed
 	}
-	return one.Server.zone == zone && other.Server.zone != zone
+	return a.Server.zone == zone && b.Server.zone != zone
 }
--- a/internal/route/server.go
+++ b/internal/route/server.go
@@ -1,5 +1,5 @@
-// Package route chooses the backend server for a request. It holds the pure
-// decision: what it knows is handed in, and nothing is sent from here.
+// Package route chooses the backend server for a request. It does no input or
+// output: its callers pass in all state.
 package route
 
 import (
@@ -8,29 +8,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// freshness is the age at which a report counts by half.
-const freshness = 500 * time.Millisecond
+// reportHalfWeightAge is the age at which a report has half its weight.
+const reportHalfWeightAge = 500 * time.Millisecond
 
-// assumedSlots stands for the slots of a server that has not told them yet.
+// assumedSlots is the number of slots of a server that has not reported it yet.
 const assumedSlots = 8
 
 // Standing says whether a server gets new work.
 type Standing int
 
-// Standings, the better ones first.
+// Standings, from best to worst.
 const (
 	// Open servers get new work.
 	Open Standing = iota
-	// Suspect servers get new work only where no open one is left.
+	// Suspect servers get new work only if there is no open one.
 	Suspect
-	// Closed servers are draining, have left or have failed, and get nothing.
+	// Closed servers are draining, have left or have failed, and get no new work.
 	Closed
 )
 
-// Report is a load report of a server, which lags.
+// Report is a load report of a server. It arrives with a delay.
 type Report struct {
 	Seq uint64
-	// Time is when the report was taken here; zero makes it as good as new.
+	// Time is when the report was received here; zero means that it counts as fresh.
 	Time    time.Time
 	Running int64
 	Queued  int64
@@ -39,7 +39,7 @@
 	Version uint64
 }
 
-// Server is what one entry knows of a backend server.
+// Server is one entry's view of a backend server.
 // It is not safe for concurrent use.
 type Server struct {
 	name     string
@@ -48,17 +48,18 @@
 	hash     uint64
 	standing Standing
 	report   Report
-	// own counts this entry's running requests; sent and ended count since the report.
+	// own counts this entry's running requests; sent and ended count its requests
+	// since the last report.
 	own   int64
 	sent  int64
 	ended int64
-	// estimate is the load that the chooser compares by.
+	// estimate is the load by which the chooser compares servers.
 	estimate float64
-	// hasSpare says that a connection to the server is open and unused.
-	hasSpare bool
+	// hasIdleConn is true if a connection to the server is open and idle.
+	hasIdleConn bool
 }
 
-// NewServer returns an open server of which no load is known.
+// NewServer returns an open server without a load report.
 func NewServer(name, region, zone string) *Server {
 	return &Server{name: name, region: region, zone: zone, hash: Hash([]byte(name))}
 }
@@ -75,11 +76,12 @@
 	s.ended++
 }
 
-// Load estimates the requests that run or wait at the server now: those of the
-// last report with this entry's own since then, and never fewer than its own.
+// Load estimates the requests running or queued at the server: those of the last
+// report, corrected by what this entry has sent and finished since, but at least
+// this entry's own.
 //
-// Without the own ones, all requests between two reports would go to the server
-// that was the emptiest at the first of them.
+// Without the correction, all requests between two reports would go to the server
+// with the lowest load in the first of them.
 func (s *Server) Load() int64 {
 	return max(s.own, s.report.Running+s.report.Queued+s.sent-s.ended)
 }
@@ -90,16 +92,16 @@
 // Own returns the number of this entry's running requests.
 func (s *Server) Own() int64 { return s.own }
 
-// Reported returns the requests that run or wait by the last report.
+// Reported returns the requests running or queued according to the last report.
 func (s *Server) Reported() int64 { return s.report.Running + s.report.Queued }
 
-// SetSpare sets whether a connection to the server is open and unused.
-func (s *Server) SetSpare(hasSpare bool) { s.hasSpare = hasSpare }
+// SetSpare sets whether a connection to the server is open and idle.
+func (s *Server) SetSpare(hasIdleConn bool) { s.hasIdleConn = hasIdleConn }
 
 // SetStanding sets whether the server gets new work.
 func (s *Server) SetStanding(standing Standing) { s.standing = standing }
 
-// Slots returns the requests that the server runs at the same time.
+// Slots returns the number of requests that the server runs concurrently.
 func (s *Server) Slots() int64 {
 	if s.report.Slots <= 0 {
 		return assumedSlots
@@ -110,11 +112,11 @@
 // Standing returns whether the server gets new work.
 func (s *Server) Standing() Standing { return s.standing }
 
-// TakeSlots sets the requests that the server runs at the same time, where a
-// registration tells them and no load report does.
+// TakeSlots sets the number of requests that the server runs concurrently, for
+// servers that state it in their registration rather than in load reports.
 func (s *Server) TakeSlots(slots int64) { s.report.Slots = slots }
 
-// TakeReport takes a report if it is newer than the last one.
+// TakeReport stores a report if it is newer than the last one.
 func (s *Server) TakeReport(report Report) {
 	if report.Seq <= s.report.Seq {
 		return
@@ -123,16 +125,18 @@
 	s.sent, s.ended = 0, 0
 }
 
-// weigh sets the estimate of the load. The requests of other entries are taken
-// from the report in so far as it is fresh, and else as the mean of all servers.
+// updateEstimate sets the estimate of the load. For the requests of other entries
+// it blends the report with the mean of all servers; the older the report, the less
+// it counts.
 //
-// Two choices by old reports are worse than chance: all entries see the same
-// server as the emptier one, and send there until the next report.
-func (s *Server) weigh(now time.Time, mean float64) {
+// Picking the less loaded of two servers by old reports is worse than a random
+// choice: all entries see the same server as less loaded and send there until the
+// next report.
+func (s *Server) updateEstimate(now time.Time, mean float64) {
 	others := float64(s.Load() - s.own)
 	weight := 1.0
 	if !s.report.Time.IsZero() {
-		age := now.Sub(s.report.Time).Seconds() / freshness.Seconds()
+		age := now.Sub(s.report.Time).Seconds() / reportHalfWeightAge.Seconds()
 		weight = 1 / (1 + age*age)
 	}
 	if s.report.Seq == 0 {
@@ -141,7 +145,7 @@
 	s.estimate = float64(s.own) + weight*others + (1-weight)*mean*float64(s.Slots())
 }
 
-// utilization returns the estimate as a share of the slots; above 1 requests wait.
+// utilization returns the estimate as a share of the slots; above 1 requests queue.
 func (s *Server) utilization() float64 {
 	return s.estimate / float64(s.Slots())
 }
@@ -149,8 +153,8 @@
 // Zone returns the availability zone of the server.
 func (s *Server) Zone() string { return s.zone }
 
-// Hash returns the hash by which servers and prefixes are matched; it is the
-// same in every process.
+// Hash returns the hash that matches prefixes to servers; it is the same in every
+// process.
 func Hash(text []byte) uint64 {
 	return xxhash.Sum64(text)
 }
