--- a/internal/limit/account.go
+++ b/internal/limit/account.go
@@ -8,31 +8,31 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// heard is a demand of another entry and when it came.
-type heard struct {
+// receivedDemand is a demand and the time at which it was received or published.
+type receivedDemand struct {
 	demand *peerpb.Demand
 	time   time.Time
 }
 
-// shares are this entry's shares of the limits.
+// shares are this entry's shares of an account's limits.
 type shares struct {
 	rate        float64
 	concurrency int64
 	tokens      float64
-	// isSpare is true while the others demand less than the limits.
-	isSpare bool
+	// hasHeadroom is true while the other entries demand less than the limits.
+	hasHeadroom bool
 }
 
-// start returns the level at which a bucket starts. One that started full at
-// each of many entries would let a used-up limit through once at every entry.
-func (s shares) start(burst float64) float64 {
-	if s.isSpare {
+// initialLevel returns the level at which a bucket starts. If it started full while
+// the limit is used up, every entry would admit a burst beyond the limit.
+func (s shares) initialLevel(burst float64) float64 {
+	if s.hasHeadroom {
 		return burst
 	}
 	return 0
 }
 
-// account is one account at one entry.
+// account is the state of one client account at one entry.
 type account struct {
 	running  int64
 	requests bucket
@@ -42,39 +42,39 @@
 	demandTokens  meter
 	demandRunning peak
 
-	// told is the newest own demand, and earlier those of the settle time before.
-	told    *peerpb.Demand
-	toldAt  time.Time
-	earlier []heard
-	others  map[string]heard
+	// published is this entry's newest demand, history those within the settle time.
+	published   *peerpb.Demand
+	publishedAt time.Time
+	history     []receivedDemand
+	others      map[string]receivedDemand
 
-	// draw is the lot for the fraction of a unit, drawn at drawnAt.
-	draw    float64
-	drawnAt time.Time
+	// roundingDraw decides whether a fraction of a unit is rounded up.
+	roundingDraw    float64
+	roundingDrawnAt time.Time
 
 	share    shares
 	limits   Limits
 	sharedAt time.Time
 }
 
-// check decides on one request with the shares of this entry.
+// check decides on a request by the shares of this entry.
 func (a *account) check(limits Limits, shares shares, now time.Time) Verdict {
 	if limits.Concurrency > 0 && a.running >= shares.concurrency {
-		return Verdict{Limit: Concurrency, Wait: leastWait}
+		return Verdict{Limit: Concurrency, Wait: minWait}
 	}
 	if limits.Rate > 0 {
-		burst := max(1, shares.rate*burst.Seconds())
-		a.requests.fill(now, shares.rate, burst, shares.start(burst))
+		burst := max(1, shares.rate*rateBurst.Seconds())
+		a.requests.fill(now, shares.rate, burst, shares.initialLevel(burst))
 		if a.requests.level < 1 {
 			return Verdict{Limit: Rate, Wait: clampWait(a.requests.until(1, shares.rate))}
 		}
 	}
 	if limits.Tokens > 0 {
-		rate := shares.tokens / minute
+		rate := shares.tokens / secondsPerMinute
 		burst := max(1, rate*tokenBurst.Seconds())
-		a.tokens.fill(now, rate, burst, shares.start(burst))
-		// A request is admitted on any credit and may leave a debt, so that
-		// one that needs more than the burst holds can run at all.
+		a.tokens.fill(now, rate, burst, shares.initialLevel(burst))
+		// Any positive level admits a request and may go negative, so that a
+		// request larger than the burst can run at all.
 		if a.tokens.level <= 0 {
 			return Verdict{Limit: Tokens, Wait: clampWait(a.tokens.until(1, rate))}
 		}
@@ -82,74 +82,74 @@
 	return Verdict{}
 }
 
-// isIdle reports whether the account has nothing that is worth keeping.
+// isIdle reports whether the account's state can be discarded.
 func (a *account) isIdle(now time.Time) bool {
-	if a.running > 0 || len(a.others) > 0 || a.told == nil {
+	if a.running > 0 || len(a.others) > 0 || a.published == nil {
 		return false
 	}
-	return now.Sub(a.demandRunning.last) > forget
+	return now.Sub(a.demandRunning.last) > demandTTL
 }
 
-func (a *account) learn(demand *peerpb.Demand, now time.Time) {
+func (a *account) receive(demand *peerpb.Demand, now time.Time) {
 	known, ok := a.others[demand.GetEntry()]
 	if ok && known.demand.GetSeq() >= demand.GetSeq() {
 		return
 	}
-	a.others[demand.GetEntry()] = heard{demand: demand, time: now}
+	a.others[demand.GetEntry()] = receivedDemand{demand: demand, time: now}
 }
 
-// shares returns the shares, worked out at most every shareAge.
+// shares returns the shares, recomputed at most once every shareInterval.
 func (a *account) shares(limits Limits, entries int, settle time.Duration, now time.Time) shares {
-	if now.Sub(a.sharedAt) < shareAge && a.limits == limits {
+	if now.Sub(a.sharedAt) < shareInterval && a.limits == limits {
 		return a.share
 	}
 	a.sharedAt, a.limits = now, limits
-	if now.Sub(a.drawnAt) >= drawAge {
-		a.draw, a.drawnAt = rand.Float64(), now
+	if now.Sub(a.roundingDrawnAt) >= roundingInterval {
+		a.roundingDraw, a.roundingDrawnAt = rand.Float64(), now
 	}
-	for entry, one := range a.others {
-		if now.Sub(one.time) > forget {
+	for entry, received := range a.others {
+		if now.Sub(received.time) > demandTTL {
 			delete(a.others, entry)
 		}
 	}
-	settled := a.settled(settle, now)
-	rates, running, tokens := a.demands()
-	concurrency := Share(float64(limits.Concurrency), settled.GetRunning(), a.told.GetRunning(), running, entries)
+	settled := a.settledDemand(settle, now)
+	rates, running, tokens := a.otherDemands()
+	concurrency := Share(float64(limits.Concurrency), settled.GetRunning(), a.published.GetRunning(), running, entries)
 	a.share = shares{
-		rate:   Share(limits.Rate, settled.GetRate(), a.told.GetRate(), rates, entries),
-		tokens: Share(float64(limits.Tokens), settled.GetTokens(), a.told.GetTokens(), tokens, entries),
-		isSpare: hasSpare(limits.Rate, rates) && hasSpare(float64(limits.Tokens), tokens) &&
-			hasSpare(float64(limits.Concurrency), running),
+		rate:   Share(limits.Rate, settled.GetRate(), a.published.GetRate(), rates, entries),
+		tokens: Share(float64(limits.Tokens), settled.GetTokens(), a.published.GetTokens(), tokens, entries),
+		hasHeadroom: hasHeadroom(limits.Rate, rates) && hasHeadroom(float64(limits.Tokens), tokens) &&
+			hasHeadroom(float64(limits.Concurrency), running),
 	}
-	a.share.concurrency = units(concurrency, a.draw, a.share.isSpare)
+	a.share.concurrency = roundShare(concurrency, a.roundingDraw, a.share.hasHeadroom)
 	return a.share
 }
 
-// demands returns what the other entries have told.
-func (a *account) demands() (rates, running, tokens []float64) {
-	for _, one := range a.others {
-		rates = append(rates, one.demand.GetRate())
-		running = append(running, one.demand.GetRunning())
-		tokens = append(tokens, one.demand.GetTokens())
+// otherDemands returns the demands received from other entries.
+func (a *account) otherDemands() (rates, running, tokens []float64) {
+	for _, received := range a.others {
+		rates = append(rates, received.demand.GetRate())
+		running = append(running, received.demand.GetRunning())
+		tokens = append(tokens, received.demand.GetTokens())
 	}
 	return rates, running, tokens
 }
 
-// units turns a share into whole requests. The fraction is a lot drawn anew
-// from time to time, so that the units of all entries add up to the limit on
-// average also where there are more entries than units.
-func units(share, draw float64, isSpare bool) int64 {
+// roundShare rounds a share to whole requests, up with a probability equal to its
+// fraction. As the draw is renewed periodically, the shares of all entries add up
+// to the limit on average, even with more entries than units.
+func roundShare(share, draw float64, hasHeadroom bool) int64 {
 	whole, fraction := math.Modf(share)
 	if draw < fraction {
 		whole++
 	}
-	if whole == 0 && isSpare {
+	if whole == 0 && hasHeadroom {
 		return 1
 	}
 	return int64(whole)
 }
 
-func hasSpare(limit float64, others []float64) bool {
+func hasHeadroom(limit float64, others []float64) bool {
 	total := 0.0
 	for _, demand := range others {
 		total += demand
@@ -157,40 +157,40 @@
 	return limit == 0 || total+1 <= limit
 }
 
-// settled returns the part of the own demand that counts: its average over the
-// settle time, and no more than it is now. A rise counts bit by bit, as the
-// other entries hear of it; a fall counts at once.
+// settledDemand returns the part of this entry's demand that counts: derived from its
+// average over the settle time, and at most its present value. A rise counts
+// gradually, as the other entries receive it; a fall counts at once.
 //
-// A rise that counted at once would let each of many entries take what one of
-// them may, until each has heard the others; one that waited until all have
-// heard it would leave the limit unused for that long.
-func (a *account) settled(settle time.Duration, now time.Time) *peerpb.Demand {
-	if a.told == nil {
+// If a rise counted at once, many entries could each claim the same part of the
+// limit until they have received each other's demands. If it counted only after
+// all have received it, the limit would stay unused for that long.
+func (a *account) settledDemand(settle time.Duration, now time.Time) *peerpb.Demand {
+	if a.published == nil {
 		return nil
 	}
-	for len(a.earlier) > 1 && now.Sub(a.earlier[1].time) >= settle {
-		a.earlier = a.earlier[1:]
+	for len(a.history) > 1 && now.Sub(a.history[1].time) >= settle {
+		a.history = a.history[1:]
 	}
 	var rate, running, tokens float64
-	for i, one := range a.earlier {
+	for i, received := range a.history {
 		until := now
-		if i+1 < len(a.earlier) {
-			until = a.earlier[i+1].time
+		if i+1 < len(a.history) {
+			until = a.history[i+1].time
 		}
-		part := float64(until.Sub(later(one.time, now.Add(-settle)))) / float64(settle)
-		rate += part * one.demand.GetRate()
-		running += part * one.demand.GetRunning()
-		tokens += part * one.demand.GetTokens()
+		part := float64(until.Sub(later(received.time, now.Add(-settle)))) / float64(settle)
+		rate += part * received.demand.GetRate()
+		running += part * received.demand.GetRunning()
+		tokens += part * received.demand.GetTokens()
 	}
 	return peerpb.Demand_builder{
-		Rate:    ramp(rate, a.told.GetRate()),
-		Running: ramp(running, a.told.GetRunning()),
-		Tokens:  ramp(tokens, a.told.GetTokens()),
+		Rate:    ramp(rate, a.published.GetRate()),
+		Running: ramp(running, a.published.GetRunning()),
+		Tokens:  ramp(tokens, a.published.GetTokens()),
 	}.Build()
 }
 
-// ramp returns the part of a demand that counts by its average over the settle
-// time: slowly at first, while the others have heard nothing, then faster.
+// ramp returns the part of a demand that counts, given its average over the settle
+// time. It grows slowly while few entries have received the demand, then faster.
 func ramp(average, now float64) float64 {
 	if average >= now {
 		return now
@@ -205,8 +205,8 @@
 	return b
 }
 
-// tell renews the own demand if it has changed or was told long ago.
-func (a *account) tell(self, name string, now time.Time) {
+// publish renews this entry's demand if it has changed or is due to be repeated.
+func (a *account) publish(self, name string, now time.Time) {
 	next := peerpb.Demand_builder{
 		Entry:   self,
 		Account: name,
@@ -215,20 +215,20 @@
 		Running: a.demandRunning.read(now),
 		Tokens:  a.demandTokens.read(now),
 	}.Build()
-	if !a.mustTell(next, now) {
+	if !a.mustPublish(next, now) {
 		return
 	}
-	a.told, a.toldAt = next, now
-	a.earlier = append(a.earlier, heard{demand: next, time: now})
+	a.published, a.publishedAt = next, now
+	a.history = append(a.history, receivedDemand{demand: next, time: now})
 }
 
-func (a *account) mustTell(next *peerpb.Demand, now time.Time) bool {
+func (a *account) mustPublish(next *peerpb.Demand, now time.Time) bool {
 	if a.demandRunning.last.IsZero() {
 		return false
 	}
-	if a.told == nil || now.Sub(a.toldAt) >= repeatAfter {
+	if a.published == nil || now.Sub(a.publishedAt) >= republishInterval {
 		return true
 	}
-	return isChange(a.told.GetRate(), next.GetRate()) || isChange(a.told.GetRunning(), next.GetRunning()) ||
-		isChange(a.told.GetTokens()/minute, next.GetTokens()/minute)
+	return isChange(a.published.GetRate(), next.GetRate()) || isChange(a.published.GetRunning(), next.GetRunning()) ||
+		isChange(a.published.GetTokens()/secondsPerMinute, next.GetTokens()/secondsPerMinute)
 }
--- a/internal/limit/bench_test.go
+++ b/internal/limit/bench_test.go
@@ -10,18 +10,18 @@
 )
 
 func BenchmarkAdmit400Entries(b *testing.B) {
-	one := &limit.Limiter{Self: "e0", Entries: 400}
+	limiter := &limit.Limiter{Self: "e0", Entries: 400}
 	now := time.Unix(1_000_000, 0)
 	var demands []*peerpb.Demand
 	for i := range 400 {
 		demands = append(demands, peerpb.Demand_builder{Entry: fmt.Sprint("e", i), Account: "astana", Seq: 1, Rate: 10, Running: 5}.Build())
 	}
-	one.Learn(demands, now)
+	limiter.Learn(demands, now)
 	limits := limit.Limits{Rate: 1e9, Concurrency: 1e6, Tokens: 1e9}
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		one.Admit("astana", limits, 100, now)
-		one.Finish("astana", 100, 100)
+		limiter.Admit("astana", limits, 100, now)
+		limiter.Finish("astana", 100, 100)
 	}
 }
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// bucket is a token bucket whose rate may change from call to call.
-// Its zero value starts at the level given at its first use.
+// bucket is a token bucket whose rate may change between calls.
+// The zero value starts at the level given to the first fill.
 type bucket struct {
 	level float64
 	last  time.Time
 }
 
-// fill adds what has come in since the last call, up to the burst.
+// fill adds the tokens accrued since the last call, up to the burst.
 func (b *bucket) fill(now time.Time, rate, burst, start float64) {
 	if b.last.IsZero() {
 		b.level, b.last = start, now
@@ -24,7 +24,7 @@
 		return 0
 	}
 	if rate <= 0 {
-		return longestWait
+		return maxWait
 	}
 	return time.Duration((wanted - b.level) / rate * float64(time.Second))
 }
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -1,8 +1,8 @@
-// Package limit holds the limits of plans over all entries without a call for
-// each request: every entry tells the others what its callers demand, and works
-// out from what it has heard which share of a limit is its own.
+// Package limit enforces the limits of plans across all entries without a remote
+// call for each request. Every entry publishes the demand of its callers and
+// computes its own share of a limit from the demands that it has received.
 //
-// The package does no input or output; the clock is handed in.
+// The package does no input or output; callers pass in the time.
 package limit
 
 import (
@@ -13,44 +13,45 @@
 )
 
 const (
-	// settleBase and settleStep give the settle time by the number of entries: a
-	// demand that is passed on each second reaches twice as many with each pass.
+	// settleBase and settleStep define the settle time as a function of the number
+	// of entries: demands are gossiped every second, and each round doubles the
+	// number of entries that a demand has reached.
 	settleBase = time.Second
 	settleStep = 250 * time.Millisecond
-	// forget is how long a demand counts after it was last heard.
-	forget = 45 * time.Second
-	// repeatAfter is how often an unchanged demand is told again.
-	repeatAfter = 10 * time.Second
-	// changePart is the change of a demand that is told at once.
-	changePart = 0.2
-	// shareAge is how long a share is kept before it is worked out anew.
-	shareAge = 200 * time.Millisecond
-	// drawAge is how long an entry keeps its lot for a fraction of a unit.
-	drawAge = 5 * time.Second
-	// burst is the time whose share may be used at once.
-	burst = time.Second
-	// tokenBurst is the same for tokens, of which one request takes many.
-	tokenBurst  = 10 * time.Second
-	longestWait = time.Minute
-	leastWait   = time.Second
-	minute      = 60.0
+	// demandTTL is how long a demand counts after it was last received.
+	demandTTL = 45 * time.Second
+	// republishInterval is how often an unchanged demand is published again.
+	republishInterval = 10 * time.Second
+	// changeThreshold is the relative change of a demand that is published at once.
+	changeThreshold = 0.2
+	// shareInterval is how long a share is kept before it is recomputed.
+	shareInterval = 200 * time.Millisecond
+	// roundingInterval is how long an entry keeps its random draw for rounding.
+	roundingInterval = 5 * time.Second
+	// rateBurst is the time whose share of a request rate may be used at once.
+	rateBurst = time.Second
+	// tokenBurst is the same for tokens, of which a single request needs many.
+	tokenBurst       = 10 * time.Second
+	maxWait          = time.Minute
+	minWait          = time.Second
+	secondsPerMinute = 60.0
 )
 
-// Limits are the limits of a plan over all entries; 0 sets none.
+// Limits are the limits of a plan across all entries; 0 means unlimited.
 type Limits struct {
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// Concurrency is in requests at the same time.
+	// Concurrency is in concurrent requests.
 	Concurrency int64
-	// Tokens is in tokens a minute.
+	// Tokens is in tokens per minute.
 	Tokens int64
 }
 
 // Verdict is the answer to a request for admission.
 type Verdict struct {
-	// Limit names the limit that refuses; empty if the request is admitted.
+	// Limit is the name of the exceeded limit; empty if the request is admitted.
 	Limit string
-	// Wait is when to come back.
+	// Wait is the time after which to retry.
 	Wait time.Duration
 }
 
@@ -61,13 +62,13 @@
 	Tokens      = "tokens"
 )
 
-// Limiter holds the limits of all accounts at one entry.
+// Limiter enforces the limits of all accounts at one entry.
 // Exported fields are set before the first call. It is not safe for concurrent use.
 type Limiter struct {
-	// Self names this entry.
+	// Self is the name of this entry.
 	Self string
-	// Settle is the time over which a rise of the demand comes to count; 0 takes
-	// one that fits the number of entries.
+	// Settle is the time until a rise of the demand counts in full; 0 derives it
+	// from the number of entries.
 	Settle time.Duration
 	// Entries is the number of entries; it may change between calls.
 	Entries int
@@ -75,15 +76,15 @@
 	accounts map[string]*account
 }
 
-// Admit decides on a request of an account that takes about so many tokens.
-// An admitted request is ended by Finish.
+// Admit decides on a request of an account with an estimate of its tokens.
+// Each admitted request needs a call of Finish.
 func (l *Limiter) Admit(name string, limits Limits, tokens int64, now time.Time) Verdict {
 	if limits == (Limits{}) {
 		return Verdict{}
 	}
 	a := l.account(name)
 	a.demandRate.add(now, 1)
-	a.demandTokens.add(now, float64(tokens)*minute)
+	a.demandTokens.add(now, float64(tokens)*secondsPerMinute)
 	a.demandRunning.add(now, float64(a.running+1))
 	shares := a.shares(limits, l.entries(), l.settle(), now)
 	verdict := a.check(limits, shares, now)
@@ -95,23 +96,24 @@
 	return verdict
 }
 
-// Demands returns the demands to tell the other entries: those that have
-// changed, and from time to time all.
+// Demands returns the demands to send to the other entries, renewed where they
+// have changed or are due to be repeated.
 func (l *Limiter) Demands(now time.Time) []*peerpb.Demand {
-	var told []*peerpb.Demand
+	var demands []*peerpb.Demand
 	for name, a := range l.accounts {
-		a.tell(l.Self, name, now)
-		if a.told != nil {
-			told = append(told, a.told)
+		a.publish(l.Self, name, now)
+		if a.published != nil {
+			demands = append(demands, a.published)
 		}
 		if a.isIdle(now) {
 			delete(l.accounts, name)
 		}
 	}
-	return told
+	return demands
 }
 
-// Finish ends an admitted request that was taken to need so many tokens and used others.
+// Finish ends an admitted request; tokens is the estimate given to Admit, used the
+// actual number.
 func (l *Limiter) Finish(name string, tokens, used int64) {
 	a := l.accounts[name]
 	if a == nil {
@@ -121,11 +123,11 @@
 	a.tokens.level += float64(tokens - used)
 }
 
-// Learn takes demands of other entries.
+// Learn stores demands received from other entries.
 func (l *Limiter) Learn(demands []*peerpb.Demand, now time.Time) {
 	for _, demand := range demands {
 		if demand.GetEntry() != l.Self {
-			l.account(demand.GetAccount()).learn(demand, now)
+			l.account(demand.GetAccount()).receive(demand, now)
 		}
 	}
 }
@@ -136,7 +138,7 @@
 	}
 	a := l.accounts[name]
 	if a == nil {
-		a = &account{others: map[string]heard{}}
+		a = &account{others: map[string]receivedDemand{}}
 		l.accounts[name] = a
 	}
 	return a
@@ -152,9 +154,9 @@
 }
 
 func clampWait(wait time.Duration) time.Duration {
-	return min(longestWait, max(leastWait, wait))
+	return min(maxWait, max(minWait, wait))
 }
 
 func isChange(before, after float64) bool {
-	return math.Abs(after-before) > changePart*max(before, 1)
+	return math.Abs(after-before) > changeThreshold*max(before, 1)
 }
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -14,16 +14,16 @@
 
 const step = 100 * time.Millisecond
 
-// entries is a number of entries that hear each other's demands after a lag.
+// entries simulates entries that receive each other's demands with a delay.
 type entries struct {
-	all  []*limit.Limiter
-	now  time.Time
-	told []tell
+	all       []*limit.Limiter
+	now       time.Time
+	inTransit []message
 }
 
-type tell struct {
+type message struct {
 	demands []*peerpb.Demand
-	at      time.Time
+	arrival time.Time
 }
 
 func newEntries(n int) *entries {
@@ -34,16 +34,16 @@
 	return e
 }
 
-// run lets time pass; each step every entry gets its arrivals, and admitted
-// requests end at once. It returns those admitted by entry.
+// run advances the time; in each step every entry gets its number of arrivals, and
+// admitted requests end at once. It returns the number of admitted requests by entry.
 func (e *entries) run(length time.Duration, limits limit.Limits, arrivals ...int) []int {
 	admitted := make([]int, len(e.all))
 	for end := e.now.Add(length); e.now.Before(end); e.now = e.now.Add(step) {
-		for i, one := range e.all {
+		for i, limiter := range e.all {
 			for range arrivals[i] {
-				if one.Admit("astana", limits, 100, e.now).Limit == "" {
+				if limiter.Admit("astana", limits, 100, e.now).Limit == "" {
 					admitted[i]++
-					one.Finish("astana", 100, 100)
+					limiter.Finish("astana", 100, 100)
 				}
 			}
 		}
@@ -52,40 +52,40 @@
 	return admitted
 }
 
-// gossip tells each second's demands to all entries one second later.
+// gossip collects the demands every second and delivers them one second later.
 func (e *entries) gossip() {
 	if e.now.UnixMilli()%1000 == 0 {
 		var demands []*peerpb.Demand
-		for _, one := range e.all {
-			demands = append(demands, one.Demands(e.now)...)
+		for _, limiter := range e.all {
+			demands = append(demands, limiter.Demands(e.now)...)
 		}
-		e.told = append(e.told, tell{demands: demands, at: e.now.Add(time.Second)})
+		e.inTransit = append(e.inTransit, message{demands: demands, arrival: e.now.Add(time.Second)})
 	}
-	for len(e.told) > 0 && !e.told[0].at.After(e.now) {
-		for _, one := range e.all {
-			one.Learn(e.told[0].demands, e.now)
+	for len(e.inTransit) > 0 && !e.inTransit[0].arrival.After(e.now) {
+		for _, limiter := range e.all {
+			limiter.Learn(e.inTransit[0].demands, e.now)
 		}
-		e.told = e.told[1:]
+		e.inTransit = e.inTransit[1:]
 	}
 }
 
-func sum(all []int) int {
+func sum(counts []int) int {
 	total := 0
-	for _, one := range all {
-		total += one
+	for _, count := range counts {
+		total += count
 	}
 	return total
 }
 
-func mustBeBetween(t *testing.T, least, most, value int) {
+func mustBeBetween(t *testing.T, low, high, value int) {
 	t.Helper()
-	must.GreaterEq(t, least, value)
-	must.LessEq(t, most, value)
+	must.GreaterEq(t, low, value)
+	must.LessEq(t, high, value)
 }
 
 func TestRateIsSharedByDemand(t *testing.T) {
-	// An account may send 30 requests a second. Its batch job sends 100 through
-	// one entry, a clerk 5 through another, the third gets none. A limit
+	// An account may send 30 requests per second. Its batch job sends 100 through
+	// one entry, a small caller 5 through another, and the third gets none. A limit
 	// divided evenly would give the batch job 10 and leave 15 unused.
 	e := newEntries(3)
 	limits := limit.Limits{Rate: 30}
@@ -99,8 +99,8 @@
 }
 
 func TestRateRisesOnlyOnceHeard(t *testing.T) {
-	// All three entries get an account's rush at the same moment. None has
-	// heard of the others: each that took the whole limit would triple it.
+	// All three entries get an account's burst at the same time and don't know
+	// each other's demand yet. Each admitting the whole limit would triple it.
 	e := newEntries(3)
 	admitted := e.run(4*time.Second, limit.Limits{Rate: 30}, 10, 10, 10)
 	must.LessEq(t, 4*30+30, sum(admitted))
@@ -114,37 +114,37 @@
 }
 
 func TestConcurrency(t *testing.T) {
-	one := &limit.Limiter{Self: "e0", Entries: 1}
+	limiter := &limit.Limiter{Self: "e0", Entries: 1}
 	now := time.Unix(1_000_000, 0)
 	limits := limit.Limits{Concurrency: 2}
-	must.Eq(t, "", one.Admit("astana", limits, 1, now).Limit)
-	must.Eq(t, "", one.Admit("astana", limits, 1, now).Limit)
-	refused := one.Admit("astana", limits, 1, now)
+	must.Eq(t, "", limiter.Admit("astana", limits, 1, now).Limit)
+	must.Eq(t, "", limiter.Admit("astana", limits, 1, now).Limit)
+	refused := limiter.Admit("astana", limits, 1, now)
 	must.Eq(t, limit.Concurrency, refused.Limit)
 	must.Positive(t, refused.Wait)
-	must.Eq(t, "", one.Admit("salto", limits, 1, now).Limit)
-	one.Finish("astana", 1, 1)
-	must.Eq(t, "", one.Admit("astana", limits, 1, now).Limit)
+	must.Eq(t, "", limiter.Admit("salto", limits, 1, now).Limit)
+	limiter.Finish("astana", 1, 1)
+	must.Eq(t, "", limiter.Admit("astana", limits, 1, now).Limit)
 }
 
 func TestConcurrencyFewUnits(t *testing.T) {
-	// An account may run 8 requests at a time and comes through 400 entries.
-	// One unit for each entry would let 400 run.
+	// An account may run 8 concurrent requests and uses 400 entries. Rounding each
+	// entry's share up to one would let 400 run.
 	e := newEntries(400)
 	limits := limit.Limits{Concurrency: 8}
 	running := 0
 	for range 100 {
-		for _, one := range e.all {
-			if one.Admit("astana", limits, 1, e.now).Limit == "" {
+		for _, limiter := range e.all {
+			if limiter.Admit("astana", limits, 1, e.now).Limit == "" {
 				running++
 			}
 		}
 		e.gossip()
 		e.now = e.now.Add(step)
 		if e.now.Sub(time.Unix(1_000_000, 0)) < 5*time.Second {
-			for _, one := range e.all {
+			for _, limiter := range e.all {
 				for range 400 {
-					one.Finish("astana", 1, 1)
+					limiter.Finish("astana", 1, 1)
 				}
 			}
 			running = 0
@@ -156,24 +156,24 @@
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 400).Draw(t, "entries")
-		limit0 := rapid.Float64Range(0.1, 1000).Draw(t, "limit")
+		limitValue := rapid.Float64Range(0.1, 1000).Draw(t, "limit")
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 500), entries, entries).Draw(t, "demands")
 		total, used := 0.0, 0.0
 		for i := range demands {
 			others := append(append([]float64{}, demands[:i]...), demands[i+1:]...)
-			share := limit.Share(limit0, demands[i], demands[i], others, entries)
+			share := limit.Share(limitValue, demands[i], demands[i], others, entries)
 			total += share
 			used += min(share, demands[i])
 		}
-		if total > 1.1*limit0+1e-6 {
-			t.Fatalf("shares add up to %g of %g", total, limit0)
+		if total > 1.1*limitValue+1e-6 {
+			t.Fatalf("shares add up to %g of %g", total, limitValue)
 		}
 		wanted := 0.0
 		for _, demand := range demands {
 			wanted += demand
 		}
-		if used < min(wanted, limit0)-1e-6 {
-			t.Fatalf("%g used of %g while %g are wanted", used, limit0, wanted)
+		if used < min(wanted, limitValue)-1e-6 {
+			t.Fatalf("%g used of %g while %g are wanted", used, limitValue, wanted)
 		}
 	})
 }
--- a/internal/limit/meter.go
+++ b/internal/limit/meter.go
@@ -5,27 +5,25 @@
 	"time"
 )
 
-// meterTime is the time over which a meter averages.
-const meterTime = 2 * time.Second
+// meterWindow is the time over which a meter averages.
+const meterWindow = 2 * time.Second
 
-// meter estimates a rate, each second, from events. Its zero value reads 0.
+// meter estimates a rate per second from events. The zero value reads 0.
 type meter struct {
 	rate float64
 	last time.Time
 }
 
-// add counts events.
 func (m *meter) add(now time.Time, amount float64) {
-	m.rate = m.read(now) + amount/meterTime.Seconds()
+	m.rate = m.read(now) + amount/meterWindow.Seconds()
 	m.last = now
 }
 
-// read returns the rate.
 func (m *meter) read(now time.Time) float64 {
-	return m.rate * math.Exp(-now.Sub(m.last).Seconds()/meterTime.Seconds())
+	return m.rate * math.Exp(-now.Sub(m.last).Seconds()/meterWindow.Seconds())
 }
 
-// peak follows a level up at once and down slowly. Its zero value reads 0.
+// peak follows a rising level at once and decays exponentially. The zero value reads 0.
 type peak struct {
 	level float64
 	last  time.Time
@@ -37,5 +35,5 @@
 }
 
 func (p *peak) read(now time.Time) float64 {
-	return p.level * math.Exp(-now.Sub(p.last).Seconds()/meterTime.Seconds())
+	return p.level * math.Exp(-now.Sub(p.last).Seconds()/meterWindow.Seconds())
 }
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// floorPart of a limit is kept for entries whose demand nobody has heard of yet.
-const floorPart = 0.1
+// floorRatio is the part of a limit reserved for entries whose demand is not known yet.
+const floorRatio = 0.1
 
 // Share returns this entry's share of a limit.
 //
-// The demands of all entries are served from the smallest up, so that a batch
-// job at one entry can't starve a phone at another. What none demands is
-// lent, to all entries alike.
+// The allocation is max-min fair: demands are satisfied from the smallest up, so
+// that a batch job at one entry can't starve a small caller at another. The unused
+// rest is divided evenly among all entries.
 //
-// own is the demand that this entry has told, settled the part of it that all
-// entries have had time to hear, others what this entry has heard. Where the
-// entries have heard the same, their shares add up to no more than the limit
-// and its floor: one that wants more waits until those that lend know of it.
+// own is the demand that this entry has published, settled the part of it that all
+// entries have had time to receive, others the demands that this entry has received.
+// If all entries have received the same demands, their shares add up to at most the
+// limit plus its floor: an entry whose demand rises waits until those that use less
+// know of it.
 func Share(limit, settled, own float64, others []float64, entries int) float64 {
-	floor := floorPart * limit / float64(entries)
+	floor := floorRatio * limit / float64(entries)
 	total := own
 	for _, demand := range others {
 		total += demand
@@ -27,7 +28,7 @@
 	return max(floor, min(settled, waterLevel(limit, own, others)))
 }
 
-// waterLevel returns the level at which the demands, each cut to it, use up the limit.
+// waterLevel returns the cap on each demand at which the capped demands use up the limit.
 func waterLevel(limit, own float64, others []float64) float64 {
 	demands := append(slices.Clone(others), own)
 	slices.Sort(demands)
