--- a/internal/fair/queue.go
+++ b/internal/fair/queue.go
@@ -1,9 +1,9 @@
 // Package fair orders waiting work so that each client account gets its share.
 //
-// It is start-time fair queueing: an item's start tag is the later of the
-// queue's virtual time and the finish tag of the account's item before it; its
-// finish tag lies cost/weight further on. The item with the least start tag is
-// served first. The package does no input or output and has no clock of its own.
+// It implements start-time fair queueing: an item's start tag is the maximum of the
+// queue's virtual time and the finish tag of the account's previous item; its finish
+// tag is cost/weight later. The item with the smallest start tag is served first.
+// The package does no input or output and has no clock of its own.
 package fair
 
 import (
@@ -14,85 +14,85 @@
 // Request describes one item to a Queue.
 type Request struct {
 	Account string
-	// Weight is the account's share against others; 0 and below count as 1.
+	// Weight is the account's share relative to others; 0 and below count as 1.
 	Weight float64
 	// Cost is the expected work, in tokens.
 	Cost float64
-	// Deadline is when the item is of no use any more; zero sets none.
+	// Deadline is the time after which the item is useless; zero means none.
 	Deadline time.Time
 }
 
-// Item is one piece of waiting work.
+// Item is a waiting unit of work.
 type Item[T any] struct {
-	value   T
-	request Request
-	start   float64
-	order   uint64
+	value    T
+	request  Request
+	startTag float64
+	sequence uint64
 }
 
-// Request returns what was asked for.
+// Request returns the request given to Push.
 func (i *Item[T]) Request() Request { return i.request }
 
-// Value returns the work itself.
+// Value returns the value given to Push.
 func (i *Item[T]) Value() T { return i.value }
 
 // Queue holds waiting work. It is not safe for concurrent use.
 // Exported fields are set before the first Push.
 type Queue[T any] struct {
-	// Size is the most items that wait.
+	// Size is the maximum number of waiting items.
 	Size int
 
-	accounts map[string]*account[T]
-	heads    heads[T]
-	length   int
-	virtual  float64
-	order    uint64
-	rate     rate
+	accounts    map[string]*account[T]
+	waiting     accountHeap[T]
+	length      int
+	virtualTime float64
+	sequence    uint64
+	rate        rate
 }
 
 // account holds the waiting items of one client account.
 type account[T any] struct {
-	name   string
-	weight float64
-	items  []*Item[T]
-	finish float64
-	cost   float64
-	index  int
-	// shift is added to the tags of the waiting items.
-	shift float64
+	name      string
+	weight    float64
+	items     []*Item[T]
+	finishTag float64
+	cost      float64
+	index     int
+	// tagShift is added to the start tags of the waiting items.
+	tagShift float64
 }
 
 // Len returns the number of waiting items.
 func (q *Queue[T]) Len() int { return q.length }
 
-// Clear empties the queue and returns what waited.
+// Clear empties the queue and returns its items.
 func (q *Queue[T]) Clear() []*Item[T] {
 	var items []*Item[T]
 	for q.length > 0 {
-		items = append(items, q.take())
+		items = append(items, q.removeFirst())
 	}
 	return items
 }
 
-// Pop returns the next item to serve and those whose deadline has passed
-// before it; item is nil if none is left.
+// Pop removes and returns the next item to serve, and the items before it whose
+// deadline has passed. The item is nil if none is left.
 func (q *Queue[T]) Pop(now time.Time) (item *Item[T], late []*Item[T]) {
 	for q.length > 0 {
-		if first := q.heads[0]; isLate(first.items[0], now) {
-			late = append(late, q.drop(first, 0))
+		if first := q.waiting[0]; isLate(first.items[0], now) {
+			late = append(late, q.removeAt(first, 0))
 			continue
 		}
-		q.virtual = max(q.virtual, q.heads[0].start())
-		item := q.take()
+		q.virtualTime = max(q.virtualTime, q.waiting[0].startTag())
+		item := q.removeFirst()
 		q.rate.add(now, item.request.Cost)
 		return item, late
 	}
 	return nil, late
 }
 
-// Push adds an item, or refuses it with a *FullError or a *LateError. Where the
-// queue is full and the account has less than its share of it, the newest item
-// of the account furthest above its share is evicted in its place.
+// Push adds an item, or refuses it with a *FullError or a *LateError. If the queue
+// is full and the account has less than its share of it, Push evicts the newest
+// item of the account furthest above its share.
 func (q *Queue[T]) Push(request Request, value T, now time.Time) (evicted *Item[T], err error) {
 	if request.Weight <= 0 {
 		request.Weight = 1
@@ -103,7 +103,7 @@
 	if q.length >= q.Size {
 		evicted = q.evictFor(request)
 		if evicted == nil {
-			return nil, &FullError{Retry: q.wait(request, now)}
+			return nil, &FullError{Retry: q.retryDelay(request, now)}
 		}
 	}
 	if q.length == 0 {
@@ -113,12 +113,12 @@
 	return evicted, nil
 }
 
-// Remove takes an item out before it is served and reports whether it waited.
+// Remove removes the first matching item and reports whether there was one.
 func (q *Queue[T]) Remove(matches func(T) bool) bool {
-	for _, account := range q.heads {
+	for _, account := range q.waiting {
 		for i, item := range account.items {
 			if matches(item.value) {
-				q.drop(account, i)
+				q.removeAt(account, i)
 				return true
 			}
 		}
@@ -126,8 +126,8 @@
 	return false
 }
 
-// Settle corrects the account's tags once the true cost of its item is known;
-// what waits already is served later or sooner by the difference.
+// Settle corrects the account's tags once the actual cost of an item is known. The
+// account's waiting items are served later or sooner by the difference.
 func (q *Queue[T]) Settle(request Request, cost float64) {
 	account := q.accounts[request.Account]
 	if account == nil {
@@ -137,10 +137,10 @@
 		request.Weight = 1
 	}
 	correction := (cost - request.Cost) / request.Weight
-	account.finish += correction
-	account.shift += correction
-	if account.index != absent {
-		heap.Fix(&q.heads, account.index)
+	account.finishTag += correction
+	account.tagShift += correction
+	if account.index != notInHeap {
+		heap.Fix(&q.waiting, account.index)
 	}
 }
 
@@ -150,19 +150,19 @@
 	}
 	found := q.accounts[request.Account]
 	if found == nil {
-		q.forget()
-		found = &account[T]{name: request.Account, index: absent}
+		q.pruneAccounts()
+		found = &account[T]{name: request.Account, index: notInHeap}
 		q.accounts[request.Account] = found
 	}
 	found.weight = request.Weight
 	return found
 }
 
-// forget drops accounts without waiting work whose tags lie behind the virtual
-// time, since they say nothing any more; else the map would grow with each name.
-func (q *Queue[T]) forget() {
+// pruneAccounts deletes accounts without waiting items whose tags are behind the
+// virtual time and so no longer matter; else the map would grow with every account.
+func (q *Queue[T]) pruneAccounts() {
 	for name, account := range q.accounts {
-		if len(account.items) == 0 && account.finish <= q.virtual {
+		if len(account.items) == 0 && account.finishTag <= q.virtualTime {
 			delete(q.accounts, name)
 		}
 	}
@@ -170,54 +170,54 @@
 
 func (q *Queue[T]) add(request Request, value T) {
 	account := q.account(request)
-	start := max(q.virtual, account.finish)
-	q.order++
-	item := &Item[T]{value: value, request: request, start: start - account.shift, order: q.order}
-	account.finish = start + item.work()
+	start := max(q.virtualTime, account.finishTag)
+	q.sequence++
+	item := &Item[T]{value: value, request: request, startTag: start - account.tagShift, sequence: q.sequence}
+	account.finishTag = start + item.weightedCost()
 	account.cost += request.Cost
 	account.items = append(account.items, item)
 	q.length++
 	if len(account.items) == 1 {
-		heap.Push(&q.heads, account)
+		heap.Push(&q.waiting, account)
 	}
 }
 
-func (q *Queue[T]) take() *Item[T] {
-	account := q.heads[0]
+func (q *Queue[T]) removeFirst() *Item[T] {
+	account := q.waiting[0]
 	item := account.items[0]
 	account.items[0] = nil
 	account.items = account.items[1:]
 	account.cost -= item.request.Cost
 	q.length--
-	q.reorder(account)
+	q.fixHeap(account)
 	return item
 }
 
-func (q *Queue[T]) drop(account *account[T], i int) *Item[T] {
+func (q *Queue[T]) removeAt(account *account[T], i int) *Item[T] {
 	item := account.items[i]
 	account.items = append(account.items[:i], account.items[i+1:]...)
 	account.cost -= item.request.Cost
-	account.finish -= item.work()
+	account.finishTag -= item.weightedCost()
 	for _, later := range account.items[i:] {
-		later.start -= item.work()
+		later.startTag -= item.weightedCost()
 	}
 	q.length--
-	q.reorder(account)
+	q.fixHeap(account)
 	return item
 }
 
-func (q *Queue[T]) reorder(account *account[T]) {
+func (q *Queue[T]) fixHeap(account *account[T]) {
 	if len(account.items) == 0 {
-		heap.Remove(&q.heads, account.index)
+		heap.Remove(&q.waiting, account.index)
 		return
 	}
-	heap.Fix(&q.heads, account.index)
+	heap.Fix(&q.waiting, account.index)
 }
 
-// start returns the start tag of the first waiting item.
-func (a *account[T]) start() float64 { return a.items[0].start + a.shift }
+// startTag returns the start tag of the first waiting item.
+func (a *account[T]) startTag() float64 { return a.items[0].startTag + a.tagShift }
 
-func (i *Item[T]) work() float64 { return i.request.Cost / i.request.Weight }
+func (i *Item[T]) weightedCost() float64 { return i.request.Cost / i.request.Weight }
 
 func isLate[T any](item *Item[T], now time.Time) bool {
 	deadline := item.request.Deadline
--- a/internal/fair/queue_test.go
+++ b/internal/fair/queue_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// served returns how much work of each account was taken out.
+// served pops a number of items and returns the cost served by account.
 func served(queue *fair.Queue[string], count int) map[string]float64 {
 	work := map[string]float64{}
 	for range count {
@@ -32,8 +32,8 @@
 	return work
 }
 
-// A greedy account has filled the queue when a small one sends its request. The
-// small one must be served after at most one request of the greedy account.
+// Guards against starvation: when one account has filled the queue, another's
+// request must be served after at most one of the first.
 func TestSmallAccountIsNotStarved(t *testing.T) {
 	queue := &fair.Queue[string]{Size: 200}
 	push(t, queue, "greedy", 1, 100, 150)
@@ -51,13 +51,13 @@
 	must.InDelta(t, 3, work["three"]/work["one"], 0.1)
 }
 
-// A greedy account's answers turn out twice as long as it said. It must get no
-// more than the honest one, though many of its requests wait already.
+// An account understates its cost by half. Once the actual cost is settled, it must
+// get no more than the other, though many of its requests are already queued.
 func TestSettleChargesTrueCost(t *testing.T) {
 	queue := &fair.Queue[string]{Size: 1000}
 	work := map[string]float64{}
 	for range 300 {
-		push(t, queue, "liar", 1, 10, 1)
+		push(t, queue, "understating", 1, 10, 1)
 		push(t, queue, "honest", 1, 20, 1)
 	}
 	for range 200 {
@@ -66,11 +66,11 @@
 		queue.Settle(item.Request(), 20)
 		push(t, queue, item.Value(), 1, item.Request().Cost, 1)
 	}
-	must.InDelta(t, 1, work["liar"]/work["honest"], 0.1)
+	must.InDelta(t, 1, work["understating"]/work["honest"], 0.1)
 }
 
-// The queue is full of one account's requests and another account comes. It
-// must find room, and the greedy account's newest request is refused.
+// The queue is full of one account's requests when another account sends some. They
+// must be accepted, and the first account's newest requests evicted.
 func TestFullQueueEvicts(t *testing.T) {
 	queue := &fair.Queue[string]{Size: 10}
 	push(t, queue, "greedy", 1, 1, 10)
@@ -85,8 +85,8 @@
 	must.Eq(t, 10, queue.Len())
 }
 
-// busy returns a queue from which work is taken at 10 tokens a second.
-func busy(t *testing.T) (*fair.Queue[string], time.Time) {
+// newBusyQueue returns a queue that is served at 10 tokens per second.
+func newBusyQueue(t *testing.T) (*fair.Queue[string], time.Time) {
 	t.Helper()
 	queue := &fair.Queue[string]{Size: 50}
 	push(t, queue, "a", 1, 10, 50)
@@ -98,10 +98,10 @@
 	return queue, now
 }
 
-// A request that can't be served before its deadline is refused at once with
-// the expected wait, not held until the deadline has passed.
+// A request that can't be served before its deadline must be refused at once with
+// the expected wait, not held until the deadline.
 func TestDeadlineIsCheckedAtOnce(t *testing.T) {
-	queue, now := busy(t)
+	queue, now := newBusyQueue(t)
 	_, err := queue.Push(fair.Request{Account: "a", Cost: 10, Deadline: now.Add(10 * time.Second)}, "a", now)
 	var late *fair.LateError
 	must.True(t, errors.As(err, &late))
@@ -113,7 +113,7 @@
 }
 
 func TestRetryFollowsDrainRate(t *testing.T) {
-	queue, now := busy(t)
+	queue, now := newBusyQueue(t)
 	for range 20 {
 		_, err := queue.Push(fair.Request{Account: "a", Cost: 10}, "a", now)
 		must.NoError(t, err)
--- a/internal/fair/rate.go
+++ b/internal/fair/rate.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// rateSpan is the time over which a rate is smoothed.
-const rateSpan = 5 * time.Second
+// rateWindow is the time over which a rate is smoothed.
+const rateWindow = 5 * time.Second
 
-// rate is an exponentially weighted sum of work taken out while some waited.
-// It starts anew with each time that the queue was empty: the rate of an idle
-// server says nothing of what it can do.
+// rate is the exponentially weighted rate at which work is served while some waits.
+// It restarts whenever the queue was empty, since the rate at an idle server says
+// nothing about its capacity.
 type rate struct {
 	sum   float64
 	since time.Time
@@ -22,23 +22,23 @@
 }
 
 func (r *rate) add(now time.Time, work float64) {
-	r.fade(now)
+	r.decay(now)
 	r.sum += work
 }
 
-func (r *rate) fade(now time.Time) {
-	if passed := now.Sub(r.last); passed > 0 {
-		r.sum *= math.Exp(-passed.Seconds() / rateSpan.Seconds())
+func (r *rate) decay(now time.Time) {
+	if elapsed := now.Sub(r.last); elapsed > 0 {
+		r.sum *= math.Exp(-elapsed.Seconds() / rateWindow.Seconds())
 		r.last = now
 	}
 }
 
-// perSecond returns the rate; 0 until a second's worth is known.
+// perSecond returns the rate, or 0 during the first second.
 func (r *rate) perSecond(now time.Time) float64 {
 	if r.since.IsZero() || now.Sub(r.since) < time.Second {
 		return 0
 	}
-	r.fade(now)
-	age := now.Sub(r.since).Seconds() / rateSpan.Seconds()
-	return r.sum / (rateSpan.Seconds() * (1 - math.Exp(-age)))
+	r.decay(now)
+	age := now.Sub(r.since).Seconds() / rateWindow.Seconds()
+	return r.sum / (rateWindow.Seconds() * (1 - math.Exp(-age)))
 }
