--- a/internal/fleet/capacity_test.go
+++ b/internal/fleet/capacity_test.go
@@ -18,8 +18,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// measured is the length of a capacity run without changes, after its start.
-const measured = 30 * lease
+// measuredTime is the measured period of a capacity run, after the start.
+const measuredTime = 30 * lease
 
 // deployment is the size of a capacity run.
 type deployment struct {
@@ -28,8 +28,8 @@
 	pools     int
 }
 
-// The duties' calls to the store must not grow with the processes. The table is
-// in docs/design/duties-capacity.md; -v prints it.
+// The calls of the duties to the store must not grow with the number of processes.
+// docs/design/duties-capacity.md has the table of the figures that -v prints.
 func TestStoreCallsBySize(t *testing.T) {
 	base := storeCalls(t, deployment{processes: 10, zones: 1, pools: 1})
 	tests := []deployment{
@@ -46,26 +46,26 @@
 	}
 }
 
-// storeCalls returns the calls a second to the key-value service.
+// storeCalls returns the calls per second to the key-value service.
 func storeCalls(t *testing.T, size deployment) float64 {
 	var calls float64
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld()
+		fake := newFakePlatform()
 		for zone := range size.zones {
 			for pool := range size.pools {
 				id := fmt.Sprintf("s%d-%d", zone, pool)
-				world.servers[id] = platform.Server{ID: id, Pool: fmt.Sprintf("m%d", pool), Zone: fmt.Sprintf("z%d", zone), State: "live"}
+				fake.servers[id] = platform.Server{ID: id, Pool: fmt.Sprintf("m%d", pool), Zone: fmt.Sprintf("z%d", zone), State: "live"}
 			}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var joined sync.WaitGroup
 		for i := range size.processes {
-			startDuties(ctx, &joined, world, i, size)
+			startCandidate(ctx, &joined, fake, i, size)
 		}
 		time.Sleep(3*lease + time.Millisecond)
-		before := world.count()
-		time.Sleep(measured)
-		calls = float64(world.count()-before) / measured.Seconds()
+		before := fake.callCount()
+		time.Sleep(measuredTime)
+		calls = float64(fake.callCount()-before) / measuredTime.Seconds()
 		cancel()
 		joined.Wait()
 	})
@@ -73,14 +73,14 @@
 	return calls
 }
 
-// startDuties takes part in all zones' duties for one process.
-func startDuties(ctx context.Context, joined *sync.WaitGroup, world *world, number int, size deployment) {
+// startCandidate starts one process as a candidate for the duties of all zones.
+func startCandidate(ctx context.Context, joined *sync.WaitGroup, fake *fakePlatform, number int, size deployment) {
 	name := fmt.Sprintf("e%d", number)
 	var candidates []string
 	for i := range size.processes {
 		candidates = append(candidates, fmt.Sprintf("e%d", i))
 	}
-	process := &process{world: world}
+	process := &process{fakePlatform: fake}
 	members := member.NewMembers(peerpb.Process_builder{Name: name}.Build())
 	for i := range size.zones {
 		zone := fmt.Sprintf("z%d", i)
--- a/internal/fleet/counter.go
+++ b/internal/fleet/counter.go
@@ -12,36 +12,36 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// CountPlatform is told how many servers a zone is to have of a pool.
+// CountPlatform starts and stops servers to match a number per pool and zone.
 type CountPlatform interface {
-	// Count orders a number under a term's fencing number. The guard is asked as
-	// the last thing before the order goes out. A *platform.ConflictError says that
-	// a newer holder has sent orders.
+	// Count orders a number of servers with a term's fencing number. It calls guard
+	// immediately before it sends the order, and returns a *platform.ConflictError
+	// if a newer holder has sent orders.
 	Count(ctx context.Context, count Count, fence uint64, guard func() error) error
 }
 
-// Counter keeps pools at their size while this process is in charge, where the
-// platform starts and stops servers by number. Exported fields are set before Run.
+// Counter keeps pools at their size while this process holds the duty, on platforms
+// that start and stop servers by number. Exported fields are set before Run.
 type Counter struct {
 	Platform CountPlatform
-	// Pools returns the pools as they are now.
+	// Pools returns the current pools.
 	Pools     func(ctx context.Context) []CountedPool
 	Decisions *decision.Log
 	// Target and Slack are those of a Sizer.
 	Target float64
 	Slack  float64
-	// Interval is the time between two rounds.
+	// Interval is the time between rounds.
 	Interval time.Duration
-	// Lease is the length of the duty's lease, Bound the longest time that an order
-	// may be under way.
+	// Lease is the length of the duty's lease, Bound the maximum time that an order
+	// may be in flight.
 	Lease time.Duration
 	Bound time.Duration
-	// Fenced says that the platform refuses orders with an old fencing number.
+	// Fenced is true if the platform refuses orders with an old fencing number.
 	Fenced bool
 }
 
-// Run does the duty until its term ends. Where the platform checks no fencing
-// number, the first order waits until none of an earlier term can be under way.
+// Run performs the duty until its term ends. If the platform checks no fencing
+// number, the first order waits until none of an earlier term can be in flight.
 func (c *Counter) Run(ctx context.Context, term Term) error {
 	if !c.Fenced && !pause.For(ctx, c.Lease+c.Bound) {
 		return nil
@@ -59,7 +59,7 @@
 	}
 }
 
-// order sends what is due for a pool. An error says that the term is over.
+// order sends the orders due for a pool. An error means that the term is over.
 func (c *Counter) order(ctx context.Context, term Term, numbers *Numbers, pool CountedPool) error {
 	for _, count := range numbers.Due(time.Now(), pool) {
 		err := c.send(ctx, term, count)
@@ -71,7 +71,7 @@
 			return err
 		}
 		if err != nil {
-			klog.InfoS("order: not known whether a number was taken", "pool", count.Pool, "zone", count.Zone, "servers", count.Servers, "err", err.Error())
+			klog.InfoS("order: unknown whether the platform accepted the number of servers", "pool", count.Pool, "zone", count.Zone, "servers", count.Servers, "err", err.Error())
 		}
 		numbers.Sent(time.Now(), count, err == nil)
 	}
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -10,13 +10,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// Sidecars gives orders to sidecars.
+// Sidecars sends orders to sidecars.
 type Sidecars interface {
-	// Drain makes a sidecar take no new work and returns its load afterwards.
+	// Drain makes a sidecar refuse new work and returns its load afterwards.
 	Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error)
 }
 
-// drainAll brings each draining server of the zone nearer to its stop.
+// drainAll continues the drain of each draining server of the zone.
 func (z *Zone) drainAll(ctx context.Context, fleet *statepb.Fleet) error {
 	for _, server := range fleet.GetServers() {
 		if server.GetZone() != z.Name || server.GetState() != StateDraining || z.stopping[server.GetId()] {
@@ -29,14 +29,15 @@
 	return nil
 }
 
-// drain stops a server once its sidecar shows that nothing runs or waits there.
+// drain stops a server once its sidecar reports no running or queued requests, or
+// after DrainBound.
 //
-// Requests are cut off if a server is stopped while they run: so the sidecar is
-// told first, and told again each round, as it may have restarted and forgotten
-// it. Once it takes no new work and shows none, nothing can begin there.
+// Stopping a server cuts off its running requests, so its sidecar is asked to drain
+// first. The request is repeated each round, as a restarted sidecar has lost it.
+// Once the sidecar refuses new work and reports none, no request can start there.
 func (z *Zone) drain(ctx context.Context, server *statepb.Server) error {
 	waited := time.Since(time.Unix(server.GetSince(), 0))
-	load := z.askToDrain(ctx, server)
+	load := z.requestDrain(ctx, server)
 	switch {
 	case isIdle(load):
 		return z.stop(ctx, server, "it is drained")
@@ -47,9 +48,9 @@
 	}
 }
 
-// askToDrain returns the load that the sidecar shows; nil if it can't be reached.
-func (z *Zone) askToDrain(ctx context.Context, server *statepb.Server) *peerpb.Load {
-	process := z.sidecar(server.GetId())
+// requestDrain asks the sidecar to drain and returns its load; nil if that failed.
+func (z *Zone) requestDrain(ctx context.Context, server *statepb.Server) *peerpb.Load {
+	process := z.findSidecar(server.GetId())
 	if process == nil {
 		return nil
 	}
@@ -82,7 +83,7 @@
 	return false
 }
 
-func (z *Zone) sidecar(server string) *peerpb.Process {
+func (z *Zone) findSidecar(server string) *peerpb.Process {
 	for _, process := range z.Members.Processes(peerpb.Role_ROLE_SIDECAR) {
 		if process.GetServer() == server {
 			return process
--- a/internal/fleet/world_test.go
+++ b/internal/fleet/fakeplatform_test.go
@@ -9,11 +9,11 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-var errCut = &platform.UnavailableError{Operation: "call", Cause: errors.New("connection cut")}
+var errConnectionLost = &platform.UnavailableError{Operation: "call", Cause: errors.New("connection cut")}
 
-// world is a platform in memory: its store with leases, its intake of orders
+// fakePlatform is an in-memory platform: a store with leases, a receiver of orders
 // and a record of all orders that arrived.
-type world struct {
+type fakePlatform struct {
 	mutex    sync.Mutex
 	revision uint64
 	next     uint64
@@ -23,130 +23,131 @@
 	hosts    []platform.Host
 	arrived  []platform.Order
 	fence    uint64
-	// checksFence and checksTime are what the receiver of orders checks.
+	// checksFence and checksTime say what the receiver of orders checks.
 	checksFence bool
 	checksTime  bool
-	down        bool
-	// calls are those of the key-value service.
+	isDown      bool
+	// calls counts the calls to the key-value service.
 	calls int
-	// loseOrders loses answers of orders, cutOrders the orders themselves.
-	loseOrders int
-	cutOrders  int
-	// exposed is set if a process was paused between its last check and its write.
-	exposed bool
+	// lostOrderAnswers is the number of next orders whose answers are lost, lostOrders
+	// that of next orders lost in transit.
+	lostOrderAnswers int
+	lostOrders       int
+	// pausedBeforeWrite is set if a process was paused between its last check and its write.
+	pausedBeforeWrite bool
 }
 
-func newWorld() *world {
-	return &world{values: map[string]platform.Value{}, leases: map[uint64]time.Time{}, servers: map[string]platform.Server{}}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{values: map[string]platform.Value{}, leases: map[uint64]time.Time{}, servers: map[string]platform.Server{}}
 }
 
-func (w *world) lapse() {
-	for key, value := range w.values {
-		if value.Lease != 0 && !time.Now().Before(w.leases[value.Lease]) {
-			w.revision++
-			delete(w.values, key)
+func (f *fakePlatform) expireLeases() {
+	for key, value := range f.values {
+		if value.Lease != 0 && !time.Now().Before(f.leases[value.Lease]) {
+			f.revision++
+			delete(f.values, key)
 		}
 	}
 }
 
-func (w *world) do(call func() error) error {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.calls++
-	if w.down {
-		return errCut
+func (f *fakePlatform) withLock(call func() error) error {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.calls++
+	if f.isDown {
+		return errConnectionLost
 	}
-	w.lapse()
+	f.expireLeases()
 	return call()
 }
 
-func (w *world) set(change func()) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (f *fakePlatform) change(change func()) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	change()
 }
 
-// take records an order that arrives, and runs it if the receiver accepts it.
-func (w *world) take(order platform.Order) error {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.cutOrders > 0 {
-		w.cutOrders--
-		return errCut
+// receiveOrder records and executes an arriving order if the receiver accepts it.
+func (f *fakePlatform) receiveOrder(order platform.Order) error {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if f.lostOrders > 0 {
+		f.lostOrders--
+		return errConnectionLost
 	}
-	if w.checksFence && order.Fence < w.fence {
+	if f.checksFence && order.Fence < f.fence {
 		return &platform.ConflictError{Key: order.ID}
 	}
-	if w.checksTime && time.Now().UnixMilli() >= order.NotAfter {
+	if f.checksTime && time.Now().UnixMilli() >= order.NotAfter {
 		return &platform.ConflictError{Key: order.ID}
 	}
-	w.fence = max(w.fence, order.Fence)
-	w.arrived = append(w.arrived, order)
-	w.run(order)
-	if w.loseOrders > 0 {
-		w.loseOrders--
-		return errCut
+	f.fence = max(f.fence, order.Fence)
+	f.arrived = append(f.arrived, order)
+	f.execute(order)
+	if f.lostOrderAnswers > 0 {
+		f.lostOrderAnswers--
+		return errConnectionLost
 	}
 	return nil
 }
 
-func (w *world) run(order platform.Order) {
+func (f *fakePlatform) execute(order platform.Order) {
 	if order.Action == "stop" {
-		delete(w.servers, order.Server)
+		delete(f.servers, order.Server)
 		return
 	}
-	w.servers[order.Server] = platform.Server{ID: order.Server, Pool: order.Pool, Zone: order.Zone, State: "live"}
+	f.servers[order.Server] = platform.Server{ID: order.Server, Pool: order.Pool, Zone: order.Zone, State: "live"}
 }
 
-func (w *world) count() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.calls
+func (f *fakePlatform) callCount() int {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.calls
 }
 
-// orders returns the record.
-func (w *world) orders() []platform.Order {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return append([]platform.Order{}, w.arrived...)
+// arrivedOrders returns a copy of the record.
+func (f *fakePlatform) arrivedOrders() []platform.Order {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return append([]platform.Order{}, f.arrived...)
 }
 
-// process is one process's way to the world. All its steps stand still while
-// it is frozen, whatever its timers and contexts say.
+// process is one process's connection to the platform. All its steps block while the
+// process is frozen, regardless of its timers and contexts.
 type process struct {
-	*world
+	*fakePlatform
 
 	mutex sync.Mutex
 	steps int
-	// at is the step at which the process is frozen, and length for how long.
-	at     int
-	length time.Duration
-	until  time.Time
-	// loses are the steps whose answer is lost after they took effect.
-	loses map[int]bool
+	// freezeStep is the step at which the process freezes, freezeTime for how long.
+	freezeStep  int
+	freezeTime  time.Duration
+	frozenUntil time.Time
+	// lostAnswers holds the steps whose answer is lost although they took effect.
+	lostAnswers map[int]bool
 }
 
-// step stands still while the process is frozen and returns the step's number.
-func (p *process) step() int {
+// nextStep blocks while the process is frozen and returns the number of the step.
+func (p *process) nextStep() int {
 	p.mutex.Lock()
 	p.steps++
 	step := p.steps
-	if step == p.at {
-		p.until = time.Now().Add(p.length)
+	if step == p.freezeStep {
+		p.frozenUntil = time.Now().Add(p.freezeTime)
 	}
-	until := p.until
+	until := p.frozenUntil
 	p.mutex.Unlock()
 	time.Sleep(time.Until(until))
 	return step
 }
 
-// call makes a call with a step before it takes effect and one after.
+// call makes a call, with a step before and one after it takes effect.
 func (p *process) call(effect func() error) error {
-	step := p.step()
-	err := p.do(effect)
-	p.step()
-	if p.loses[step] && err == nil {
-		return errCut
+	step := p.nextStep()
+	err := p.withLock(effect)
+	p.nextStep()
+	if p.lostAnswers[step] && err == nil {
+		return errConnectionLost
 	}
 	return err
 }
@@ -196,14 +197,14 @@
 }
 
 func (p *process) Order(_ context.Context, order platform.Order, guard func() error) error {
-	p.step()
+	p.nextStep()
 	if err := guard(); err != nil {
 		return err
 	}
-	if p.step() == p.at {
-		p.set(func() { p.exposed = true })
+	if p.nextStep() == p.freezeStep {
+		p.change(func() { p.pausedBeforeWrite = true })
 	}
-	return p.take(order)
+	return p.receiveOrder(order)
 }
 
 func (p *process) Renew(_ context.Context, lease uint64, length time.Duration) error {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet keeps the backend servers of each availability zone: it knows
-// which there are, and orders the platform to start and stop them.
+// Package fleet manages the backend servers of each availability zone: it keeps
+// track of them and orders the platform to start and stop them.
 //
-// One process a zone holds the duty "order-ZONE". What it knows of a pool is in
-// the store's key "fleet/POOL" and reaches the other processes as a fact.
+// One process per zone holds the duty "order-ZONE". It stores a pool's servers in
+// the key "fleet/POOL", whose value reaches the other processes as a fact.
 package fleet
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// DutyPrefix is followed by the zone in the name of a zone's duty.
+// DutyPrefix and the zone form the name of a zone's duty.
 const DutyPrefix = "order-"
 
 // States of a backend server in the store.
@@ -29,25 +29,25 @@
 	StateRemoved  = "removed"
 )
 
-// stateStopping is the platform's word for a server that has an order to stop.
+// stateStopping is the platform's state of a server that was ordered to stop.
 const stateStopping = "stopping"
 
-// maxRemoved bounds the removed servers that a pool remembers.
+// maxRemoved is the maximum number of removed servers kept for a pool.
 const maxRemoved = 64
 
-// Seen is what a zone's duty sees of its backend servers.
+// Seen is what a zone's duty observes of its backend servers.
 type Seen struct {
 	// Listed are the servers in the platform's list.
 	Listed []platform.Server
-	// Addresses are those of the sidecars that are known, by server.
+	// Addresses are the addresses of the known sidecars, by server.
 	Addresses map[string]string
-	// Leaving are the servers that are to drain: their hosts leave, or they are too many.
+	// Leaving are the servers to drain, as their hosts leave or they are surplus.
 	Leaving map[string]bool
 }
 
-// Update returns a pool's servers after the platform has listed those of one
-// zone, and whether anything changed; a change raises the epoch by one.
-// A server that leaves drains from then on.
+// Update applies the platform's list of one zone's servers to a pool and reports
+// whether anything changed; a change increments the epoch.
+// A leaving server drains from then on.
 func Update(known *statepb.Fleet, pool, zone string, seen Seen, now time.Time) (*statepb.Fleet, bool) {
 	next, ok := proto.Clone(known).(*statepb.Fleet)
 	if !ok {
@@ -63,14 +63,14 @@
 			continue
 		}
 		listed[server.ID] = true
-		take(servers, server, seen, now)
+		mergeServer(servers, server, seen, now)
 	}
 	for id, server := range servers {
 		if server.GetZone() == zone && !listed[id] {
 			setState(server, StateRemoved, now)
 		}
 	}
-	next.SetServers(sorted(servers))
+	next.SetServers(sortServers(servers))
 	if proto.Equal(known, next) {
 		return next, false
 	}
@@ -78,7 +78,7 @@
 	return next, true
 }
 
-func take(servers map[string]*statepb.Server, listed platform.Server, seen Seen, now time.Time) {
+func mergeServer(servers map[string]*statepb.Server, listed platform.Server, seen Seen, now time.Time) {
 	server := servers[listed.ID]
 	if server == nil {
 		server = statepb.Server_builder{Id: listed.ID, Pool: listed.Pool, Zone: listed.Zone}.Build()
@@ -99,7 +99,8 @@
 	}
 }
 
-// nextState keeps a drain until the server is gone, whatever the platform says.
+// nextState keeps a server draining until it is removed, whatever state the platform
+// lists.
 func nextState(known, listed string) string {
 	switch {
 	case known == StateDraining, listed == stateStopping:
@@ -121,8 +122,9 @@
 	}
 }
 
-// sorted returns the servers by identity, without the removed ones that are too many.
-func sorted(servers map[string]*statepb.Server) []*statepb.Server {
+// sortServers returns the servers sorted by ID, with only the newest maxRemoved of the
+// removed ones.
+func sortServers(servers map[string]*statepb.Server) []*statepb.Server {
 	var present, removed []*statepb.Server
 	for _, server := range servers {
 		if server.GetState() == StateRemoved {
--- a/internal/fleet/numbers.go
+++ b/internal/fleet/numbers.go
@@ -7,48 +7,48 @@
 )
 
 const (
-	// calmBoots is how many times the start of a server a need must have been lower
-	// before fewer servers are ordered: one that is given up too early is missing
-	// for one start, and one that is kept costs its time.
-	calmBoots = 3
-	// leastCalm bounds that from below: two steps of a trainer, between which its
-	// samplers are idle for some seconds.
-	leastCalm = 10 * time.Second
-	// lateBound is how long an order that got no answer may still be carried out,
-	// and how long the registrations may lag behind one that was.
-	lateBound = 5 * time.Second
+	// calmStarts is how long the need must have been lower before fewer servers are
+	// ordered, in start times of a server: a server stopped too early is missing for
+	// one start time, while one kept too long costs its running time.
+	calmStarts = 3
+	// minCalm is the lower bound of that time: two steps of a trainer, between which
+	// its samplers are idle for some seconds.
+	minCalm = 10 * time.Second
+	// lateOrderBound is how long after an unanswered order it may still be carried
+	// out, and how long the registrations may lag behind one that was.
+	lateOrderBound = 5 * time.Second
 )
 
-// CountedPool is a pool of which the platform itself starts and stops servers
-// when it is told how many a zone is to have.
+// CountedPool is a pool whose servers the platform starts and stops by itself, given
+// their number per zone.
 type CountedPool struct {
 	Name string
-	// Least and Most bound the servers of each zone.
+	// Least and Most are the minimum and maximum number of servers of each zone.
 	Least int
 	Most  int
 	// Boot is the time from an order to the first request served.
 	Boot time.Duration
-	// Present are the servers that may get work, by the zones that have or had one.
+	// Present is the number of servers that may get work, by zones that have or had one.
 	Present map[string]int
 	Need    Need
 }
 
-// Subject is what one order is about.
+// Subject is the pool and the zone of an order.
 type Subject struct {
 	Pool string
 	Zone string
 }
 
-// Count is the number of servers that a zone is to have of a pool.
+// Count is the target number of servers of a pool in a zone.
 type Count struct {
 	Subject
 
 	Servers int
 }
 
-// Numbers decides how many servers each zone is to have of each pool, and when
-// that has to be ordered. It has no clock and does no input or output. Exported
-// fields are set before use; it is not safe for concurrent use.
+// Numbers decides the number of servers of each pool in each zone, and when to
+// order it. It has no clock and does no input or output. Exported fields are set
+// before use; it is not safe for concurrent use.
 type Numbers struct {
 	// Target and Slack are those of a Sizer.
 	Target float64
@@ -56,22 +56,22 @@
 
 	sizers map[string]*Sizer
 	orders map[Subject]order
-	// empty is since when a zone has had no server though it was to have some.
-	empty map[Subject]time.Time
+	// emptySince is the time since which a zone has had no server though it should.
+	emptySince map[Subject]time.Time
 }
 
-// order is the last one sent for a subject.
+// order is the last order sent for a subject.
 type order struct {
-	servers int
-	at      time.Time
-	isTaken bool
+	servers    int
+	at         time.Time
+	isAccepted bool
 }
 
-// Due returns the orders that are to be sent now for a pool.
+// Due returns the orders to send now for a pool.
 func (n *Numbers) Due(now time.Time, pool CountedPool) []Count {
-	n.prepare()
+	n.initialize()
 	var due []Count
-	for zone, servers := range n.wanted(now, pool) {
+	for zone, servers := range n.targetCounts(now, pool) {
 		subject := Subject{Pool: pool.Name, Zone: zone}
 		if n.isDue(now, subject, servers, pool) {
 			due = append(due, Count{Subject: subject, Servers: servers})
@@ -81,32 +81,33 @@
 	return due
 }
 
-// Sent notes that an order was sent, and whether the platform is known to have taken it.
+// Sent records that an order was sent, and whether the platform is known to have
+// accepted it.
 func (n *Numbers) Sent(now time.Time, count Count, isTaken bool) {
-	n.prepare()
-	n.orders[count.Subject] = order{servers: count.Servers, at: now, isTaken: isTaken}
+	n.initialize()
+	n.orders[count.Subject] = order{servers: count.Servers, at: now, isAccepted: isTaken}
 }
 
 // isDue reports whether a number has to be ordered.
 //
-// An order without an answer may be carried out seconds later, after newer ones,
-// and would leave a zone with an old number for good. So the number is ordered
-// again until the platform says that it took it, and once more where the
-// registrations still differ when every earlier order must have been carried out.
+// An unanswered order may be carried out seconds later, after newer ones, and would
+// leave a zone with an outdated number for good. So the number is ordered again until
+// the platform accepts it, and again if the registrations still differ after every
+// earlier order must have been carried out.
 func (n *Numbers) isDue(now time.Time, subject Subject, servers int, pool CountedPool) bool {
 	last, isKnown := n.orders[subject]
 	switch {
 	case !isKnown:
 		return servers != pool.Present[subject.Zone]
-	case last.servers != servers, !last.isTaken:
+	case last.servers != servers, !last.isAccepted:
 		return true
 	default:
-		return servers != pool.Present[subject.Zone] && now.Sub(last.at) > pool.Boot+lateBound
+		return servers != pool.Present[subject.Zone] && now.Sub(last.at) > pool.Boot+lateOrderBound
 	}
 }
 
-// wanted returns the servers that each zone is to have.
-func (n *Numbers) wanted(now time.Time, pool CountedPool) map[string]int {
+// targetCounts returns the target number of servers of each zone.
+func (n *Numbers) targetCounts(now time.Time, pool CountedPool) map[string]int {
 	present := map[string]int{}
 	for zone, servers := range pool.Present {
 		if !n.isLost(now, zone, pool) {
@@ -116,10 +117,10 @@
 	sizer := n.sizer(now, pool)
 	sizer.Min, sizer.Max = pool.Least*len(present), pool.Most*len(present)
 	shares := Spread(sizer.Decide(now, pool.Need), present)
-	n.keep(pool, shares)
+	n.retainServers(pool, shares)
 	for zone := range pool.Present {
 		if _, isLive := shares[zone]; !isLive {
-			// One server is asked for all the same: it shows when the zone is back.
+			// Still order one server: its registration shows that the zone is back.
 			shares[zone] = 1
 		}
 		shares[zone] = min(max(shares[zone], pool.Least), pool.Most)
@@ -127,12 +128,11 @@
 	return shares
 }
 
-// keep leaves servers in zones that are to have fewer as long as others lack
-// theirs.
+// retainServers keeps surplus servers of zones as long as other zones lack theirs.
 //
-// When a lost zone is back, the others give up what they had in its place. Given
-// up at once, that is missing until the zone's own servers have started.
-func (n *Numbers) keep(pool CountedPool, shares map[string]int) {
+// When a lost zone is back, the other zones release the servers that replaced its
+// own. Released at once, they would be missing until the zone's own have started.
+func (n *Numbers) retainServers(pool CountedPool, shares map[string]int) {
 	missing := 0
 	for zone, share := range shares {
 		missing += max(0, share-pool.Present[zone])
@@ -144,18 +144,18 @@
 	}
 }
 
-// isLost reports whether a zone has had no server for longer than one takes to
-// start. The others get its share.
+// isLost reports whether a zone has had no server for longer than a server takes to
+// start. The other zones then get its share.
 func (n *Numbers) isLost(now time.Time, zone string, pool CountedPool) bool {
 	subject := Subject{Pool: pool.Name, Zone: zone}
 	if pool.Present[zone] > 0 || pool.Least == 0 && n.orders[subject].servers == 0 {
-		delete(n.empty, subject)
+		delete(n.emptySince, subject)
 		return false
 	}
-	if n.empty[subject].IsZero() {
-		n.empty[subject] = now
+	if n.emptySince[subject].IsZero() {
+		n.emptySince[subject] = now
 	}
-	return now.Sub(n.empty[subject]) > pool.Boot+lateBound
+	return now.Sub(n.emptySince[subject]) > pool.Boot+lateOrderBound
 }
 
 func (n *Numbers) sizer(now time.Time, pool CountedPool) *Sizer {
@@ -169,15 +169,15 @@
 		sizer.Begin(now, total)
 		n.sizers[pool.Name] = sizer
 	}
-	sizer.Calm = max(calmBoots*pool.Boot, leastCalm)
+	sizer.Calm = max(calmStarts*pool.Boot, minCalm)
 	return sizer
 }
 
-func (n *Numbers) prepare() {
+func (n *Numbers) initialize() {
 	if n.sizers != nil {
 		return
 	}
 	n.sizers = map[string]*Sizer{}
 	n.orders = map[Subject]order{}
-	n.empty = map[Subject]time.Time{}
+	n.emptySince = map[Subject]time.Time{}
 }
--- a/internal/fleet/numbers_test.go
+++ b/internal/fleet/numbers_test.go
@@ -10,38 +10,38 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/fleet"
 )
 
-// counted is a pool in two zones whose platform carries out what is ordered.
-type counted struct {
+// simulatedPool is a pool in two zones whose platform carries out what is ordered.
+type simulatedPool struct {
 	numbers *fleet.Numbers
 	pool    fleet.CountedPool
 	now     time.Time
-	// taken says whether the platform answers orders.
-	taken bool
-	sent  []fleet.Count
+	// accepts is true if the platform accepts and answers orders.
+	accepts bool
+	sent    []fleet.Count
 }
 
-func newCounted() *counted {
-	return &counted{
+func newSimulatedPool() *simulatedPool {
+	return &simulatedPool{
 		numbers: &fleet.Numbers{Target: 0.75, Slack: 0.1},
 		pool: fleet.CountedPool{
 			Name: "lm", Least: 1, Most: 4, Boot: 2 * time.Second,
 			Present: map[string]int{"a": 1, "b": 1}, Need: fleet.Need{Slots: 8},
 		},
-		now:   time.Unix(0, 0),
-		taken: true,
+		now:     time.Unix(0, 0),
+		accepts: true,
 	}
 }
 
-// pass lets time pass, with a round each second. Orders that are taken are in
-// force at the next round, in the zones given.
-func (c *counted) pass(seconds int, zones ...string) {
+// advance advances the time, with a round each second. Accepted orders take effect
+// by the next round, in the given zones.
+func (c *simulatedPool) advance(seconds int, zones ...string) {
 	for range seconds {
 		due := c.numbers.Due(c.now, c.pool)
 		for _, count := range due {
-			c.numbers.Sent(c.now, count, c.taken)
+			c.numbers.Sent(c.now, count, c.accepts)
 			c.sent = append(c.sent, count)
 			for _, zone := range zones {
-				if c.taken && zone == count.Zone {
+				if c.accepts && zone == count.Zone {
 					c.pool.Present[zone] = count.Servers
 				}
 			}
@@ -50,114 +50,114 @@
 	}
 }
 
-func mustHave(t *testing.T, c *counted, a, b int) {
+func mustHave(t *testing.T, c *simulatedPool, a, b int) {
 	t.Helper()
 	must.Eq(t, map[string]int{"a": a, "b": b}, c.pool.Present)
 }
 
 func TestNumbers(t *testing.T) {
 	t.Run("a rise is followed at once, a fall once it is calm", func(t *testing.T) {
-		c := newCounted()
-		c.pass(5, "a", "b")
+		c := newSimulatedPool()
+		c.advance(5, "a", "b")
 		must.SliceEmpty(t, c.sent)
 		c.pool.Need.Running = 20
-		c.pass(1, "a", "b")
+		c.advance(1, "a", "b")
 		mustHave(t, c, 2, 2)
 		c.pool.Need.Running = 0
-		c.pass(5, "a", "b")
+		c.advance(5, "a", "b")
 		mustHave(t, c, 2, 2)
-		c.pass(10, "a", "b")
+		c.advance(10, "a", "b")
 		mustHave(t, c, 1, 1)
 		must.SliceLen(t, 4, c.sent)
 	})
 	t.Run("nothing passes the bounds of a zone", func(t *testing.T) {
-		c := newCounted()
+		c := newSimulatedPool()
 		c.pool.Need.Queued = 1000
-		c.pass(2, "a", "b")
+		c.advance(2, "a", "b")
 		mustHave(t, c, 4, 4)
 	})
 	t.Run("requests that found no room count like those that run", func(t *testing.T) {
-		c := newCounted()
+		c := newSimulatedPool()
 		c.pool.Need = fleet.Need{Running: 12, Queued: 8, Slots: 8}
-		c.pass(1, "a", "b")
+		c.advance(1, "a", "b")
 		mustHave(t, c, 2, 2)
 	})
 }
 
-// The holder orders three servers, and no answer comes. The platform may or may
-// not have taken it; if the order were taken for done, the pool would stay small.
+// An order gets no answer, so the platform may not have accepted it. If the order
+// counted as done, the pool would stay too small.
 func TestNumbersWithoutAnswer(t *testing.T) {
-	c := newCounted()
-	c.taken = false
+	c := newSimulatedPool()
+	c.accepts = false
 	c.pool.Need.Running = 20
-	c.pass(3, "a", "b")
+	c.advance(3, "a", "b")
 	must.SliceLen(t, 6, c.sent)
-	c.taken = true
-	c.pass(1, "a", "b")
+	c.accepts = true
+	c.advance(1, "a", "b")
 	mustHave(t, c, 2, 2)
 }
 
-// An order of four servers gets no answer and is repeated; then the need falls and
-// one server is ordered, and taken. Seconds later the first order is carried out.
-// Nobody would ever take its servers away again.
+// An unanswered order of four servers is repeated; then the need falls, and an order
+// of one server is accepted. Seconds later the first order is carried out. Without a
+// new order, its servers would stay for good.
 func TestNumbersLateOrder(t *testing.T) {
-	c := newCounted()
-	c.pass(1, "a", "b")
+	c := newSimulatedPool()
+	c.advance(1, "a", "b")
 	c.numbers.Sent(c.now, fleet.Count{Subject: fleet.Subject{Pool: "lm", Zone: "a"}, Servers: 1}, true)
 	c.pool.Present["a"] = 4
-	c.pass(30, "a", "b")
+	c.advance(30, "a", "b")
 	mustHave(t, c, 1, 1)
 }
 
-// A zone loses all its servers and none comes up there. Half of what callers need
-// would be missing for as long as the zone is away.
+// A zone loses all its servers and none starts there. Without replacement in the other
+// zone, half of the needed capacity would be missing during the outage.
 func TestNumbersZoneLost(t *testing.T) {
-	c := newCounted()
+	c := newSimulatedPool()
 	c.pool.Need.Running = 20
-	c.pass(20, "a", "b")
+	c.advance(20, "a", "b")
 	mustHave(t, c, 2, 2)
 	c.pool.Present["b"] = 0
-	c.pass(12, "a")
+	c.advance(12, "a")
 	mustHave(t, c, 4, 0)
 	t.Run("and is back: nothing is given up before its servers are there", func(t *testing.T) {
 		c.pool.Present["b"] = 1
-		c.pass(3, "a")
+		c.advance(3, "a")
 		mustHave(t, c, 3, 1)
-		c.pass(20, "a", "b")
+		c.advance(20, "a", "b")
 		mustHave(t, c, 2, 2)
 	})
 }
 
-// A zone that is lost is not ordered below what the operators allow.
+// The orders of a lost zone must not be below the configured minimum.
 func TestNumbersZoneLostKeepsLeast(t *testing.T) {
-	c := newCounted()
+	c := newSimulatedPool()
 	c.pool.Least = 2
-	c.pass(20, "a", "b")
+	c.advance(20, "a", "b")
 	c.pool.Present["b"] = 0
-	c.pass(20, "a")
+	c.advance(20, "a")
 	for _, count := range c.sent {
 		must.Between(t, 2, count.Servers, 4)
 	}
 }
 
-// Whatever the need does, each zone's order stays within its bounds, and once the
-// need is steady the orders end.
+// However the need changes, each zone's orders must stay within its bounds, and once
+// the need is constant there must be no more orders.
 func TestNumbersSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newCounted()
+		c := newSimulatedPool()
 		c.pool.Least = rapid.IntRange(0, 2).Draw(t, "least")
 		for range rapid.IntRange(1, 10).Draw(t, "changes") {
 			c.pool.Need.Running = rapid.Float64Range(0, 100).Draw(t, "running")
-			c.taken = rapid.Bool().Draw(t, "taken")
-			c.pass(rapid.IntRange(1, 8).Draw(t, "seconds"), "a", "b")
+			c.accepts = rapid.Bool().Draw(t, "taken")
+			c.advance(rapid.IntRange(1, 8).Draw(t, "seconds"), "a", "b")
 		}
-		c.taken = true
-		c.pass(60, "a", "b")
+		c.accepts = true
+		c.advance(60, "a", "b")
 		for _, count := range c.sent {
 			must.Between(t, c.pool.Least, count.Servers, c.pool.Most)
 		}
 		before := len(c.sent)
-		c.pass(60, "a", "b")
+		c.advance(60, "a", "b")
 		must.Eq(t, before, len(c.sent))
 	})
 }
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -31,43 +31,44 @@
 
 const (
 	orderPrefix = "order/"
-	// maxOrders bounds the orders that a zone's key remembers.
+	// maxOrders is the maximum number of orders stored in a zone's key; orders without
+	// an outcome may exceed it.
 	maxOrders = 32
-	// readBackPause is the wait before the store is asked again.
+	// readBackPause is the delay before the store is read again.
 	readBackPause = 200 * time.Millisecond
 )
 
-// SupersededError says that a newer holder has written a zone's orders.
+// SupersededError reports that a newer holder has written a zone's orders.
 type SupersededError struct {
 	Zone  string
 	Fence uint64
 	Newer uint64
 }
 
-// Error names the zone and both fencing numbers.
+// Error includes the zone and both fencing numbers.
 func (e *SupersededError) Error() string {
 	return fmt.Sprintf("order: zone %s: term %d is superseded by %d", e.Zone, e.Fence, e.Newer)
 }
 
-// EndedError says that a term ended before an order was sent.
+// EndedError reports that a term ended before an order was sent.
 type EndedError struct {
 	Zone  string
 	Fence uint64
 }
 
-// Error names the zone and the term.
+// Error includes the zone and the term.
 func (e *EndedError) Error() string {
 	return "order: zone " + e.Zone + ": term " + strconv.FormatUint(e.Fence, 10) + " has ended"
 }
 
-// OrderPlatform is what an Orderer needs of the platform.
+// OrderPlatform is the part of the platform that an Orderer needs.
 type OrderPlatform interface {
 	Get(ctx context.Context, key string) (platform.Value, error)
 	Order(ctx context.Context, order platform.Order, guard func() error) error
 	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
-// Term is the time during which a process holds a zone's duty.
+// Term is the period during which a process holds a zone's duty.
 type Term interface {
 	Fence() uint64
 	Until() time.Time
@@ -77,10 +78,10 @@
 // Orderer sends a zone's orders during one term.
 // Exported fields are set before Begin. It is not safe for concurrent use.
 //
-// An order passes four guards: its intent is written by compare-and-swap, which
-// fails once a newer holder has written; the term is checked just before it
-// goes out; the order carries the fencing number and a time after which it must
-// not be taken; and a successor waits until every earlier order has ended.
+// Four guards protect an order: its intent is written by compare-and-swap, which
+// fails once a newer holder has written; the term is checked immediately before
+// the order is sent; the order carries the fencing number and an expiry time; and
+// a successor waits until no earlier order can be in flight.
 type Orderer struct {
 	Zone      string
 	Process   string
@@ -89,7 +90,7 @@
 	Decisions *decision.Log
 	// Lease is the length of the duty's lease.
 	Lease time.Duration
-	// Bound is the longest time that an order may be under way.
+	// Bound is the maximum time that an order may be in flight.
 	Bound time.Duration
 
 	orders   *statepb.Orders
@@ -97,11 +98,11 @@
 	ready    time.Time
 }
 
-// Begin makes this term the newest of the zone. Its first order waits until no
-// order of an earlier term can be under way; that of the first term does not.
+// Begin makes this term the newest of the zone. Unless it is the zone's first term,
+// its first order waits until no order of an earlier term can be in flight.
 //
-// The wait guards against receivers that check nothing: an earlier holder may
-// have been paused between its last check and its write to the connection.
+// The wait is needed for receivers that check neither fence nor expiry: an earlier
+// holder may have been paused between its last check and its write to the connection.
 func (o *Orderer) Begin(ctx context.Context) error {
 	if err := o.read(ctx); err != nil {
 		return err
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// Pending returns the orders whose outcome is not known.
+// Pending returns the orders whose outcome is unknown.
 func (o *Orderer) Pending() []*statepb.Order {
 	var pending []*statepb.Order
 	for _, order := range o.orders.GetOrders() {
@@ -128,7 +129,8 @@
 	return pending
 }
 
-// New returns an order for a server; an order to start gives the server its identity.
+// New returns an order for a server. If server is empty, as for a start, New generates
+// its ID.
 func (o *Orderer) New(action, pool, server, reason string) *statepb.Order {
 	id := fmt.Sprintf("%s-%d", o.Zone, o.orders.GetNumber()+1)
 	if server == "" {
@@ -137,12 +139,12 @@
 	return statepb.Order_builder{Id: id, Zone: o.Zone, Pool: pool, Action: action, Server: server, Reason: reason}.Build()
 }
 
-// Ready reports whether Send would not wait.
+// Ready reports whether Send sends without waiting.
 func (o *Orderer) Ready() bool { return !time.Now().Before(o.ready) }
 
-// Send sends an order, or one of the pending ones again. The platform runs an
-// order's identity once, so an order whose answer was lost is sent again under
-// the same identity, by this term or a later one.
+// Send sends an order, or resends a pending one. The platform carries out an order
+// ID only once, so an order whose answer was lost is resent with the same ID, by
+// this term or a later one.
 func (o *Orderer) Send(ctx context.Context, order *statepb.Order) error {
 	if !pause.For(ctx, time.Until(o.ready)) {
 		return ctx.Err()
@@ -150,21 +152,21 @@
 	order.SetState(orderIntended)
 	order.SetFence(o.Term.Fence())
 	order.SetTime(time.Now().Unix())
-	if err := o.write(ctx, func(orders *statepb.Orders) { put(orders, order) }); err != nil {
+	if err := o.write(ctx, func(orders *statepb.Orders) { putOrder(orders, order) }); err != nil {
 		return err
 	}
 	err := o.send(ctx, order)
-	state := outcome(err)
+	state := orderState(err)
 	o.Decisions.Record(order.GetId(), "order", "%s %s of pool %s by term %d: %s, now %s (%v)",
 		order.GetAction(), order.GetServer(), order.GetPool(), order.GetFence(), order.GetReason(), state, err)
 	if state == orderIntended {
 		return err
 	}
 	order.SetState(state)
-	return errors.Join(err, o.write(ctx, func(orders *statepb.Orders) { put(orders, order) }))
+	return errors.Join(err, o.write(ctx, func(orders *statepb.Orders) { putOrder(orders, order) }))
 }
 
-// send checks the term and sends; the same check is the last thing before the write.
+// send checks the term, before and once more immediately before the write.
 func (o *Orderer) send(ctx context.Context, order *statepb.Order) error {
 	until := time.Now().Add(o.Bound)
 	if end := o.Term.Until(); end.Before(until) {
@@ -194,8 +196,8 @@
 	}, guard)
 }
 
-// outcome returns the state of an order after an attempt to send it.
-func outcome(err error) string {
+// orderState returns the state of an order after an attempt to send it.
+func orderState(err error) string {
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
@@ -207,8 +209,9 @@
 	}
 }
 
-// put replaces the order of the same identity or adds it; the oldest that have an outcome go first.
-func put(orders *statepb.Orders, order *statepb.Order) {
+// putOrder replaces the order with the same ID or adds it. Beyond maxOrders, it drops
+// the oldest orders that have an outcome.
+func putOrder(orders *statepb.Orders, order *statepb.Order) {
 	kept := []*statepb.Order{}
 	for _, known := range orders.GetOrders() {
 		if known.GetId() == order.GetId() {
@@ -250,9 +253,9 @@
 
 // write changes the zone's orders under this term's fence.
 //
-// Only holders of the zone's duty write the key, so another revision than the
-// one known is either a write of one's own whose answer was lost, or that of
-// another term. A newer term ends this one; its own lost write is the last.
+// Only holders of the zone's duty write the key. So an unexpected revision stems
+// either from this term's own last write, whose answer was lost, or from another
+// term. A newer term ends this one.
 func (o *Orderer) write(ctx context.Context, change func(*statepb.Orders)) error {
 	for {
 		if o.orders.GetFence() > o.Term.Fence() {
--- a/internal/fleet/orders_test.go
+++ b/internal/fleet/orders_test.go
@@ -20,23 +20,24 @@
 	lease  = 10 * time.Second
 	margin = 3 * time.Second
 	bound  = 2 * time.Second
-	// blind is how long an order may be held up after its last check if the
+	// maxUncheckedDelay is how long an order may be delayed after its last check if the
 	// receiver checks nothing; see docs/design/one-in-charge.md.
-	blind = lease + margin + bound
+	maxUncheckedDelay = lease + margin + bound
 )
 
-func newOrderer(world *process, name string, term fleet.Term) *fleet.Orderer {
-	return &fleet.Orderer{Zone: "a", Process: name, Platform: world, Term: term, Lease: lease, Bound: bound}
+func newOrderer(fake *process, name string, term fleet.Term) *fleet.Orderer {
+	return &fleet.Orderer{Zone: "a", Process: name, Platform: fake, Term: term, Lease: lease, Bound: bound}
 }
 
-// run takes part in the zone's duty and sends an order every two seconds of a term.
-func run(ctx context.Context, world *process, name string, rank int) {
+// runProcess is a candidate for the zone's duty and sends an order every two seconds of
+// a term.
+func runProcess(ctx context.Context, fake *process, name string, rank int) {
 	keeper := &duty.Keeper{
-		Store: world, Name: "order-a", Process: name, Lease: lease, Margin: margin,
+		Store: fake, Name: "order-a", Process: name, Lease: lease, Margin: margin,
 		Rank: func() int { return rank },
 	}
 	_ = keeper.Run(ctx, func(ctx context.Context, term *duty.Term) error {
-		orderer := newOrderer(world, name, term)
+		orderer := newOrderer(fake, name, term)
 		if err := orderer.Begin(ctx); err != nil {
 			return err
 		}
@@ -53,69 +54,69 @@
 	})
 }
 
-// interleaving is what goes wrong in one run.
+// interleaving describes the faults of one run.
 type interleaving struct {
-	at     [3]int
-	length [3]time.Duration
-	loses  map[int]bool
-	outage time.Duration
-	fence  bool
-	time   bool
+	freezeSteps [3]int
+	freezeTimes [3]time.Duration
+	lostAnswers map[int]bool
+	outage      time.Duration
+	checksFence bool
+	checksTime  bool
 }
 
-// drawInterleaving draws a freeze of each process at any of its steps. Where the receiver
-// checks nothing, no freeze is longer than what the successor waits for.
+// drawInterleaving draws a freeze of each process at any of its steps. If the receiver
+// checks nothing, no freeze exceeds the wait of the successor.
 func drawInterleaving(t *rapid.T) interleaving {
-	drawn := interleaving{
-		loses:  map[int]bool{rapid.IntRange(1, 40).Draw(t, "lost"): true},
-		outage: time.Duration(rapid.IntRange(0, 30).Draw(t, "outage")) * time.Second,
-		fence:  rapid.Bool().Draw(t, "checks fences"),
-		time:   rapid.Bool().Draw(t, "checks times"),
+	schedule := interleaving{
+		lostAnswers: map[int]bool{rapid.IntRange(1, 40).Draw(t, "lost"): true},
+		outage:      time.Duration(rapid.IntRange(0, 30).Draw(t, "outage")) * time.Second,
+		checksFence: rapid.Bool().Draw(t, "checks fences"),
+		checksTime:  rapid.Bool().Draw(t, "checks times"),
 	}
 	longest := 60 * time.Second
-	if !drawn.fence && !drawn.time {
-		longest = blind - 100*time.Millisecond
+	if !schedule.checksFence && !schedule.checksTime {
+		longest = maxUncheckedDelay - 100*time.Millisecond
 	}
-	for i := range drawn.at {
-		drawn.at[i] = rapid.IntRange(1, 80).Draw(t, fmt.Sprintf("step of %d", i))
-		drawn.length[i] = time.Duration(rapid.Int64Range(0, longest.Milliseconds()).Draw(t, fmt.Sprintf("freeze of %d", i))) * time.Millisecond
+	for i := range schedule.freezeSteps {
+		schedule.freezeSteps[i] = rapid.IntRange(1, 80).Draw(t, fmt.Sprintf("step of %d", i))
+		schedule.freezeTimes[i] = time.Duration(rapid.Int64Range(0, longest.Milliseconds()).Draw(t, fmt.Sprintf("freeze of %d", i))) * time.Millisecond
 	}
-	return drawn
+	return schedule
 }
 
-// play runs three processes and returns the orders that arrived.
-func play(t *testing.T, drawn interleaving) []platform.Order {
-	return playIn(t, newWorld(), drawn)
+// runInterleaving runs three processes and returns the orders that arrived.
+func runInterleaving(t *testing.T, schedule interleaving) []platform.Order {
+	return runInterleavingOn(t, newFakePlatform(), schedule)
 }
 
-func playIn(t *testing.T, world *world, drawn interleaving) (arrived []platform.Order) {
+func runInterleavingOn(t *testing.T, fake *fakePlatform, schedule interleaving) (arrived []platform.Order) {
 	synctest.Test(t, func(t *testing.T) {
-		world.checksFence, world.checksTime = drawn.fence, drawn.time
+		fake.checksFence, fake.checksTime = schedule.checksFence, schedule.checksTime
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
-		for i := range drawn.at {
-			process := &process{world: world, at: drawn.at[i], length: drawn.length[i], loses: drawn.loses}
+		for i := range schedule.freezeSteps {
+			process := &process{fakePlatform: fake, freezeStep: schedule.freezeSteps[i], freezeTime: schedule.freezeTimes[i], lostAnswers: schedule.lostAnswers}
 			go func() {
-				run(ctx, process, fmt.Sprintf("e%d", i), i)
+				runProcess(ctx, process, fmt.Sprintf("e%d", i), i)
 				ended <- struct{}{}
 			}()
 		}
 		time.Sleep(20 * time.Second)
-		world.set(func() { world.down = drawn.outage > 0 })
-		time.Sleep(drawn.outage)
-		world.set(func() { world.down = false })
+		fake.change(func() { fake.isDown = schedule.outage > 0 })
+		time.Sleep(schedule.outage)
+		fake.change(func() { fake.isDown = false })
 		time.Sleep(70 * time.Second)
 		cancel()
-		for range drawn.at {
+		for range schedule.freezeSteps {
 			<-ended
 		}
-		arrived = world.orders()
+		arrived = fake.arrivedOrders()
 	})
 	return arrived
 }
 
-// superseded returns an order that arrived after one of a newer holder.
-func superseded(orders []platform.Order) *platform.Order {
+// staleOrder returns an order that arrived after one of a newer holder.
+func staleOrder(orders []platform.Order) *platform.Order {
 	var newest uint64
 	for i, order := range orders {
 		if order.Fence < newest {
@@ -126,15 +127,15 @@
 	return nil
 }
 
-// Backend servers start and stop in turns: two processes order them, since one
-// was paused between any two of its steps, its lease lapsed meanwhile, and it
-// went on when it was thawed. Whatever step that is, whatever answer was lost
-// and whether the store was away, no order may arrive after a newer holder's.
+// Guards against two processes ordering servers at the same time: one is paused
+// between any two steps, its lease expires, and it then continues. No order may
+// arrive after one of a newer holder, whatever the step, the lost answer or the
+// outage of the store.
 func TestNoOrderAfterNewerHolder(t *testing.T) {
 	terms := map[uint64]bool{}
 	rapid.Check(t, func(rt *rapid.T) {
-		orders := play(t, drawInterleaving(rt))
-		if late := superseded(orders); late != nil {
+		orders := runInterleaving(t, drawInterleaving(rt))
+		if late := staleOrder(orders); late != nil {
 			rt.Fatalf("%s of %s, fence %d, arrived after a newer holder's", late.ID, late.From, late.Fence)
 		}
 		for _, order := range orders {
@@ -144,21 +145,20 @@
 	must.Greater(t, 3, len(terms))
 }
 
-// The same with the holder paused at each of its steps in turn, and a receiver
-// of orders that checks nothing: the pause ends just within what the successor
-// waits for.
+// The same with the holder paused at each of its steps in turn, and a receiver of
+// orders that checks nothing. The pause ends just before the successor's wait does.
 func TestNoOrderAfterNewerHolderAtEachStep(t *testing.T) {
 	for step := 1; step <= 40; step++ {
-		for _, length := range []time.Duration{lease, blind - 100*time.Millisecond} {
-			drawn := interleaving{at: [3]int{step}, length: [3]time.Duration{length}}
-			must.Nil(t, superseded(play(t, drawn)), must.Sprintf("paused at step %d for %s", step, length))
+		for _, length := range []time.Duration{lease, maxUncheckedDelay - 100*time.Millisecond} {
+			schedule := interleaving{freezeSteps: [3]int{step}, freezeTimes: [3]time.Duration{length}}
+			must.Nil(t, staleOrder(runInterleaving(t, schedule)), must.Sprintf("paused at step %d for %s", step, length))
 		}
 	}
 }
 
-// What remains: the holder is paused between its last check and its write for
-// longer than the successor waits, and the receiver checks nothing. At every
-// other step, or if the receiver checks fences or times, the order is stopped.
+// The remaining case: the holder is paused between its last check and its write for
+// longer than the successor waits, and the receiver checks nothing. At every other
+// step, or if the receiver checks fences or times, the order must not arrive late.
 func TestPauseLongerThanWait(t *testing.T) {
 	tests := map[string]struct {
 		fence, time bool
@@ -172,10 +172,10 @@
 		t.Run(name, func(t *testing.T) {
 			arrives := false
 			for step := 1; step <= 40; step++ {
-				world := newWorld()
-				drawn := interleaving{at: [3]int{step}, length: [3]time.Duration{2 * blind}, fence: test.fence, time: test.time}
-				late := superseded(playIn(t, world, drawn))
-				must.True(t, late == nil || world.exposed, must.Sprintf("paused at step %d", step))
+				fake := newFakePlatform()
+				schedule := interleaving{freezeSteps: [3]int{step}, freezeTimes: [3]time.Duration{2 * maxUncheckedDelay}, checksFence: test.fence, checksTime: test.time}
+				late := staleOrder(runInterleavingOn(t, fake, schedule))
+				must.True(t, late == nil || fake.pausedBeforeWrite, must.Sprintf("paused at step %d", step))
 				arrives = arrives || late != nil
 			}
 			must.Eq(t, test.arrives, arrives)
@@ -183,41 +183,41 @@
 	}
 }
 
-// An order runs twice under two identities: the platform ran it and its answer
-// was lost. The next holder sends it again under the same identity.
+// Guards against an order carried out twice under two IDs: the platform carried it out
+// and its answer was lost. The next holder must resend it with the same ID.
 func TestPendingOrderKeepsIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld()
-		world.loseOrders = 1
-		first := newOrderer(&process{world: world}, "e1", duty.NewTerm(1, time.Now().Add(lease)))
+		fake := newFakePlatform()
+		fake.lostOrderAnswers = 1
+		first := newOrderer(&process{fakePlatform: fake}, "e1", duty.NewTerm(1, time.Now().Add(lease)))
 		must.NoError(t, first.Begin(t.Context()))
 		must.Error(t, first.Send(t.Context(), first.New(fleet.ActionStart, "m", "", "test")))
 
-		second := newOrderer(&process{world: world}, "e2", duty.NewTerm(2, time.Now().Add(time.Hour)))
+		second := newOrderer(&process{fakePlatform: fake}, "e2", duty.NewTerm(2, time.Now().Add(time.Hour)))
 		must.NoError(t, second.Begin(t.Context()))
 		must.Len(t, 1, second.Pending())
 		must.NoError(t, second.Send(t.Context(), second.Pending()[0]))
 		must.Len(t, 0, second.Pending())
-		orders := world.orders()
+		orders := fake.arrivedOrders()
 		must.Len(t, 2, orders)
 		must.Eq(t, orders[0].ID, orders[1].ID)
 		must.Eq(t, uint64(2), orders[1].Fence)
 	})
 }
 
-// A holder whose term ended elsewhere writes its next order's intent: the
-// compare-and-swap must fail although its own clock says that it holds the duty.
+// A holder whose term was superseded writes its next order's intent. The
+// compare-and-swap must fail even though the term is still valid by its own clock.
 func TestSupersededTermFailsInSwap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld()
-		first := newOrderer(&process{world: world}, "e1", duty.NewTerm(1, time.Now().Add(time.Hour)))
+		fake := newFakePlatform()
+		first := newOrderer(&process{fakePlatform: fake}, "e1", duty.NewTerm(1, time.Now().Add(time.Hour)))
 		must.NoError(t, first.Begin(t.Context()))
-		second := newOrderer(&process{world: world}, "e2", duty.NewTerm(2, time.Now().Add(time.Hour)))
+		second := newOrderer(&process{fakePlatform: fake}, "e2", duty.NewTerm(2, time.Now().Add(time.Hour)))
 		must.NoError(t, second.Begin(t.Context()))
 		err := first.Send(t.Context(), first.New(fleet.ActionStart, "m", "", "test"))
 		var superseded *fleet.SupersededError
 		must.True(t, errors.As(err, &superseded))
 		must.Eq(t, uint64(2), superseded.Newer)
-		must.Len(t, 0, world.orders())
+		must.Len(t, 0, fake.arrivedOrders())
 	})
 }
--- a/internal/fleet/resize.go
+++ b/internal/fleet/resize.go
@@ -10,13 +10,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// resize brings a pool nearer to its size in the zone: it marks the servers that
-// are too many for draining, and orders those that are missing.
+// resize moves a pool towards its target size in the zone: it marks surplus servers
+// for draining or orders missing ones.
 func (z *Zone) resize(ctx context.Context, name string, fleet *statepb.Fleet, seen Seen) (*statepb.Fleet, error) {
-	pool := z.pool(name)
-	observed := Observation{Fleet: fleet, Heard: z.heard(), Load: z.Members.Load}
-	share, kept := z.Scale.Share(time.Now(), pool, observed)
-	if !kept {
+	pool := z.findPool(name)
+	observed := Observation{Fleet: fleet, Heard: z.reachableZones(), Load: z.Members.Load}
+	share, isSized := z.Scale.Share(time.Now(), pool, observed)
+	if !isSized {
 		return fleet, nil
 	}
 	surplus := z.Scale.Surplus(share, observed)
@@ -26,10 +26,10 @@
 	for _, server := range surplus {
 		z.Decisions.Record(server, "order", "to drain, pool %s is to have %d servers in zone %s", name, share, z.Name)
 	}
-	return z.update(ctx, name, seen.with(surplus))
+	return z.updateFleet(ctx, name, seen.withLeaving(surplus))
 }
 
-// startMissing orders the servers that a pool lacks in the zone.
+// startMissing orders the start of the servers that a pool lacks in the zone.
 func (z *Zone) startMissing(ctx context.Context, pool string, share int, fleet *statepb.Fleet) error {
 	if !z.orderer.Ready() || z.isStartPending(pool) {
 		return nil
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// isStartPending reports whether an order to start has an unknown outcome. Its
-// server may or may not come, so no other is ordered in its place until then.
+// isStartPending reports whether a start order of the pool has an unknown outcome.
+// Its server may still start, so no other is ordered until the outcome is known.
 func (z *Zone) isStartPending(pool string) bool {
 	for _, order := range z.orderer.Pending() {
 		if order.GetAction() == ActionStart && order.GetPool() == pool {
@@ -55,8 +55,8 @@
 	return false
 }
 
-// pool returns what the lists say of a pool, or nil.
-func (z *Zone) pool(name string) *listpb.Pool {
+// findPool returns a pool of the lists, or nil.
+func (z *Zone) findPool(name string) *listpb.Pool {
 	for _, pool := range z.Pools() {
 		if pool.GetName() == name {
 			return pool
@@ -65,19 +65,19 @@
 	return nil
 }
 
-// heard returns the zones of which a process is present.
-func (z *Zone) heard() map[string]bool {
-	heard := map[string]bool{}
+// reachableZones returns the zones with a known process.
+func (z *Zone) reachableZones() map[string]bool {
+	zones := map[string]bool{}
 	for _, role := range []peerpb.Role{peerpb.Role_ROLE_ENTRY, peerpb.Role_ROLE_SIDECAR} {
 		for _, process := range z.Members.Processes(role) {
-			heard[process.GetZone()] = true
+			zones[process.GetZone()] = true
 		}
 	}
-	return heard
+	return zones
 }
 
-// with returns what is seen with more servers that are to drain.
-func (s Seen) with(servers []string) Seen {
+// withLeaving returns a copy with more leaving servers.
+func (s Seen) withLeaving(servers []string) Seen {
 	leaving := maps.Clone(s.Leaving)
 	if leaving == nil {
 		leaving = map[string]bool{}
--- a/internal/fleet/scale.go
+++ b/internal/fleet/scale.go
@@ -11,61 +11,61 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// startBound is how long a server that was ordered may be missing from the
-// platform's list before it counts as missing again.
-const startBound = time.Minute
+// startTimeout is how long an ordered server may be absent from the platform's list
+// before it counts as missing again.
+const startTimeout = time.Minute
 
-// Scale decides how many servers of each pool a zone is to have. It has no
-// clock and does no input or output. Exported fields are set before use.
+// Scale decides the number of servers of each pool in a zone. It has no clock and
+// does no input or output. Exported fields are set before use.
 //
-// The holders of all zones decide alike, each for its own zone: they see the same
-// servers in the store and nearly the same loads.
+// The holders of all zones' duties reach consistent decisions, each for its own zone,
+// as they see the same servers in the store and nearly the same loads.
 type Scale struct {
 	// Target, Calm and Slack are those of a Sizer.
 	Target float64
 	Calm   time.Duration
 	Slack  float64
-	// Loss is how long none of a zone's processes is heard before it is lost.
+	// Loss is how long no process of a zone may be known before the zone counts as lost.
 	Loss time.Duration
 
-	zone    string
-	sizers  map[string]*Sizer
-	silent  map[string]time.Time
-	ordered map[string]map[string]time.Time
+	zone        string
+	sizers      map[string]*Sizer
+	silentSince map[string]time.Time
+	orderedAt   map[string]map[string]time.Time
 }
 
-// Observation is what is known of a pool and of the zones at one moment.
+// Observation is the known state of a pool and of the zones at one time.
 type Observation struct {
 	Fleet *statepb.Fleet
-	// Heard are the zones of which a process is present.
+	// Heard are the zones with a known process.
 	Heard map[string]bool
-	// Load returns the newest load known of a server, or nil.
+	// Load returns the newest known load of a server, or nil.
 	Load func(server string) *peerpb.Load
 }
 
-// Share returns the servers that the zone is to have of a pool, and whether the
-// pool is to be kept at a size at all.
+// Share returns the target number of servers of a pool in the zone, and whether the
+// pool is sized in this zone at all.
 func (s *Scale) Share(now time.Time, pool *listpb.Pool, observed Observation) (int, bool) {
 	if pool.GetMax() <= 0 || !slices.Contains(pool.GetZones(), s.zone) {
 		return 0, false
 	}
-	present := s.present(now, pool, observed)
-	wanted := s.sizer(now, pool, present).Decide(now, need(observed))
+	present := s.presentServers(now, pool, observed)
+	wanted := s.sizer(now, pool, present).Decide(now, estimateNeed(observed))
 	return Spread(wanted, present)[s.zone], true
 }
 
-// Missing returns how many servers to start so that the zone has its share.
+// Missing returns the number of servers to start so that the zone has its share.
 func (s *Scale) Missing(now time.Time, pool string, share int, fleet *statepb.Fleet) int {
 	known := map[string]bool{}
 	for _, server := range fleet.GetServers() {
 		known[server.GetId()] = true
-		if server.GetZone() == s.zone && isWanted(server) {
+		if server.GetZone() == s.zone && isActive(server) {
 			share--
 		}
 	}
-	for server, at := range s.ordered[pool] {
-		if known[server] || now.Sub(at) > startBound {
-			delete(s.ordered[pool], server)
+	for server, at := range s.orderedAt[pool] {
+		if known[server] || now.Sub(at) > startTimeout {
+			delete(s.orderedAt[pool], server)
 			continue
 		}
 		share--
@@ -73,20 +73,20 @@
 	return share
 }
 
-// Ordered notes that a server was ordered; the platform's list may lag.
+// Ordered records that a server was ordered, as the platform's list may lag.
 func (s *Scale) Ordered(now time.Time, pool, server string) {
-	if s.ordered[pool] == nil {
-		s.ordered[pool] = map[string]time.Time{}
+	if s.orderedAt[pool] == nil {
+		s.orderedAt[pool] = map[string]time.Time{}
 	}
-	s.ordered[pool][server] = now
+	s.orderedAt[pool][server] = now
 }
 
-// Surplus returns the servers of the zone that are too many: first those that
+// Surplus returns the servers of the zone in excess of its share: first those that
 // don't serve yet, then the least loaded.
 func (s *Scale) Surplus(share int, observed Observation) []string {
 	var live []*statepb.Server
 	for _, server := range observed.Fleet.GetServers() {
-		if server.GetZone() == s.zone && isWanted(server) {
+		if server.GetZone() == s.zone && isActive(server) {
 			live = append(live, server)
 		}
 	}
@@ -94,7 +94,7 @@
 		return nil
 	}
 	slices.SortFunc(live, func(a, b *statepb.Server) int {
-		return cmp.Or(cmp.Compare(serves(observed, a), serves(observed, b)), cmp.Compare(busy(observed, a), busy(observed, b)), strings.Compare(b.GetId(), a.GetId()))
+		return cmp.Or(cmp.Compare(servingOrder(observed, a), servingOrder(observed, b)), cmp.Compare(activeRequests(observed, a), activeRequests(observed, b)), strings.Compare(b.GetId(), a.GetId()))
 	})
 	var surplus []string
 	for _, server := range live[:len(live)-share] {
@@ -103,19 +103,19 @@
 	return surplus
 }
 
-// Begin makes it decide for a zone and forgets what an earlier term knew.
+// Begin sets the zone and discards the state of an earlier term.
 func (s *Scale) Begin(zone string) {
 	s.zone = zone
 	s.sizers = map[string]*Sizer{}
-	s.silent = map[string]time.Time{}
-	s.ordered = map[string]map[string]time.Time{}
+	s.silentSince = map[string]time.Time{}
+	s.orderedAt = map[string]map[string]time.Time{}
 }
 
-// present counts a pool's servers in each zone that is not lost.
-func (s *Scale) present(now time.Time, pool *listpb.Pool, observed Observation) map[string]int {
+// presentServers counts a pool's servers in each zone that is not lost.
+func (s *Scale) presentServers(now time.Time, pool *listpb.Pool, observed Observation) map[string]int {
 	counts := map[string]int{}
 	for _, server := range observed.Fleet.GetServers() {
-		if isWanted(server) {
+		if isActive(server) {
 			counts[server.GetZone()]++
 		}
 	}
@@ -128,17 +128,17 @@
 	return present
 }
 
-// isLost reports whether a zone that has servers was not heard for Loss. A new
-// holder hears nobody at first, so the time counts from its own first look.
+// isLost reports whether a zone with servers has had no known process for Loss. A new
+// holder knows no processes at first, so the time counts from its first observation.
 func (s *Scale) isLost(now time.Time, zone string, servers int, observed Observation) bool {
 	if zone == s.zone || servers == 0 || observed.Heard[zone] {
-		delete(s.silent, zone)
+		delete(s.silentSince, zone)
 		return false
 	}
-	if s.silent[zone].IsZero() {
-		s.silent[zone] = now
+	if s.silentSince[zone].IsZero() {
+		s.silentSince[zone] = now
 	}
-	return now.Sub(s.silent[zone]) >= s.Loss
+	return now.Sub(s.silentSince[zone]) >= s.Loss
 }
 
 func (s *Scale) sizer(now time.Time, pool *listpb.Pool, present map[string]int) *Sizer {
@@ -156,13 +156,13 @@
 	return sizer
 }
 
-// need estimates the need of the whole pool from the loads that are known here:
-// a process holds the loads of a part of a large pool only.
-func need(observed Observation) Need {
+// estimateNeed extrapolates the need of the whole pool from the known loads, as a
+// process holds only part of the loads of a large pool.
+func estimateNeed(observed Observation) Need {
 	var total Need
 	live, known := 0.0, 0.0
 	for _, server := range observed.Fleet.GetServers() {
-		if !isWanted(server) {
+		if !isActive(server) {
 			continue
 		}
 		live++
@@ -182,19 +182,19 @@
 	return Need{Running: total.Running * share, Queued: total.Queued * share, Slots: total.Slots / known}
 }
 
-// serves returns 1 for a server that has shown a load, else 0.
-func serves(observed Observation, server *statepb.Server) int {
+// servingOrder returns 1 for a live server with a known load, else 0.
+func servingOrder(observed Observation, server *statepb.Server) int {
 	if server.GetState() == StateLive && observed.Load(server.GetId()) != nil {
 		return 1
 	}
 	return 0
 }
 
-func busy(observed Observation, server *statepb.Server) uint32 {
+func activeRequests(observed Observation, server *statepb.Server) uint32 {
 	load := observed.Load(server.GetId())
 	return load.GetRunning() + load.GetQueued()
 }
 
-func isWanted(server *statepb.Server) bool {
+func isActive(server *statepb.Server) bool {
 	return server.GetState() == StateLive || server.GetState() == StateStarting
 }
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -21,8 +21,8 @@
 	return scale
 }
 
-// observe has servers in zones a and b, each with a number of running requests.
-func observe(a, b int, running uint32) fleet.Observation {
+// newObservation returns servers in zones a and b, each with a number of running requests.
+func newObservation(a, b int, running uint32) fleet.Observation {
 	state := &statepb.Fleet{}
 	for i := range a + b {
 		zone := "a"
@@ -38,23 +38,23 @@
 
 func mustShare(t *testing.T, scale *fleet.Scale, now time.Time, observed fleet.Observation, want int) {
 	t.Helper()
-	share, kept := scale.Share(now, scalePool, observed)
-	must.True(t, kept)
+	share, isSized := scale.Share(now, scalePool, observed)
+	must.True(t, isSized)
 	must.Eq(t, want, share)
 }
 
 func TestScaleFollowsLoad(t *testing.T) {
 	scale, now := newScale(t), time.Unix(1000, 0)
-	mustShare(t, scale, now, observe(1, 1, 7), 1)
-	mustShare(t, scale, now, observe(1, 1, 15), 2)
-	must.Eq(t, 1, scale.Missing(now, "p", 2, observe(1, 1, 15).Fleet))
+	mustShare(t, scale, now, newObservation(1, 1, 7), 1)
+	mustShare(t, scale, now, newObservation(1, 1, 15), 2)
+	must.Eq(t, 1, scale.Missing(now, "p", 2, newObservation(1, 1, 15).Fleet))
 }
 
-// A new holder that hears no load would take the pool for idle, drain half of
-// it and cut what callers get. It keeps what is there until Calm has passed.
+// A new holder that knows no loads would consider the pool idle and drain half of it,
+// cutting off requests. It must keep the servers until Calm has passed.
 func TestScaleOfNewHolderKeepsServers(t *testing.T) {
 	scale, now := newScale(t), time.Unix(1000, 0)
-	observed := observe(3, 3, 0)
+	observed := newObservation(3, 3, 0)
 	observed.Load = func(string) *peerpb.Load { return nil }
 	mustShare(t, scale, now, observed, 3)
 	mustShare(t, scale, now.Add(59*time.Second), observed, 3)
@@ -62,11 +62,11 @@
 	must.Len(t, 2, scale.Surplus(1, observed))
 }
 
-// A zone goes down at the peak. Its servers stay in the platform's list, but
-// none of its processes is heard: after Loss its share is started elsewhere.
+// A zone goes down. Its servers stay in the platform's list, but none of its processes
+// is known any more. After Loss its share must move to the other zone.
 func TestScaleReplacesLostZone(t *testing.T) {
 	scale, now := newScale(t), time.Unix(1000, 0)
-	observed := observe(2, 2, 7)
+	observed := newObservation(2, 2, 7)
 	mustShare(t, scale, now, observed, 2)
 	observed.Heard = map[string]bool{"a": true}
 	mustShare(t, scale, now, observed, 2)
@@ -75,11 +75,11 @@
 	mustShare(t, scale, now.Add(62*time.Second), observed, 2)
 }
 
-// The platform's list lags: a server that was ordered isn't in it yet. Ordered
-// again each round, a pool that lacks one server would get ten.
+// The platform's list lags and doesn't yet contain an ordered server. If each round
+// ordered it again, a pool that lacks one server would get many.
 func TestScaleOrdersOnce(t *testing.T) {
 	scale, now := newScale(t), time.Unix(1000, 0)
-	observed := observe(1, 1, 7)
+	observed := newObservation(1, 1, 7)
 	must.Eq(t, 1, scale.Missing(now, "p", 2, observed.Fleet))
 	scale.Ordered(now, "p", "new")
 	must.Eq(t, 0, scale.Missing(now, "p", 2, observed.Fleet))
--- a/internal/fleet/sidecars.go
+++ b/internal/fleet/sidecars.go
@@ -12,9 +12,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-const askTimeout = time.Second
+const orderTimeout = time.Second
 
-// Peers gives orders to sidecars over gRPC. A connection is closed after each
+// Peers sends orders to sidecars over gRPC. It closes the connection after each
 // order, since few servers drain at a time.
 type Peers struct {
 	Credentials credentials.TransportCredentials
@@ -22,14 +22,14 @@
 
 var _ Sidecars = &Peers{}
 
-// Drain makes a sidecar take no new work and returns its load afterwards.
+// Drain makes a sidecar refuse new work and returns its load afterwards.
 func (p *Peers) Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error) {
 	connection, err := listen.Dial(process.GetAddress(), p.Credentials)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = connection.Close() }()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	reply, err := peerpb.NewSidecarClient(connection).Order(ctx, order)
 	if err != nil {
--- a/internal/fleet/sizer.go
+++ b/internal/fleet/sizer.go
@@ -6,84 +6,84 @@
 	"time"
 )
 
-// tolerance is the part of a server for which none is started.
-const tolerance = 0.01
+// roundingTolerance is the fraction of a server that doesn't justify another one.
+const roundingTolerance = 0.01
 
-// Need is what a pool needs at one moment, as far as it is known.
+// Need is the known need of a pool at one time.
 type Need struct {
-	// Running and Queued are requests at all servers.
+	// Running and Queued are the numbers of requests at all servers.
 	Running float64
 	Queued  float64
-	// Slots are the requests that one server runs at the same time.
+	// Slots is the number of requests that one server runs concurrently.
 	Slots float64
 }
 
 // Sizer decides how many backend servers a pool needs. It has no clock and does
 // no input or output. Exported fields are set before the first Decide.
 //
-// It follows a rise at once and a fall late: a need that comes and goes within
-// Calm keeps its servers, and a few servers too many are kept as well, so that
-// none is stopped and started in turns.
+// It follows a rise at once and a fall with a delay: a need that varies within Calm
+// keeps its servers, and so does a small surplus, so that servers aren't repeatedly
+// stopped and started.
 type Sizer struct {
-	// Min and Max bound the servers over all zones.
+	// Min and Max are the limits of the number of servers across all zones.
 	Min int
 	Max int
-	// Target is the share of slots in use that is aimed at.
+	// Target is the target share of slots in use.
 	Target float64
-	// Calm is how long fewer servers must have been enough before one is stopped.
+	// Calm is how long fewer servers must have sufficed before any is stopped.
 	Calm time.Duration
-	// Slack is the share of servers that must be too many before any is stopped.
+	// Slack is the share of servers that must be surplus before any is stopped.
 	Slack float64
 
-	decided int
-	wanted  []count
+	lastDecision int
+	recent       []timedCount
 }
 
-// count is the number of servers that was enough at a time.
-type count struct {
+// timedCount is the number of servers that sufficed at a time.
+type timedCount struct {
 	at      time.Time
 	servers int
 }
 
-// Decide returns the servers wanted over all zones.
+// Decide returns the target number of servers across all zones.
 func (s *Sizer) Decide(now time.Time, need Need) int {
 	slots := max(need.Slots, 1) * s.Target
-	enough := int(math.Ceil((need.Running+need.Queued)/slots - tolerance))
-	s.decided = s.hold(s.calm(now, min(max(enough, s.Min), s.Max)))
-	return s.decided
+	enough := int(math.Ceil((need.Running+need.Queued)/slots - roundingTolerance))
+	s.lastDecision = s.applySlack(s.maxRecent(now, min(max(enough, s.Min), s.Max)))
+	return s.lastDecision
 }
 
-// Begin starts from the servers that are there. Without it a new holder, which
-// knows no loads yet, would stop all servers but the fewest allowed.
+// Begin starts from the present number of servers. Without it a new holder, which
+// knows no loads yet, would stop all servers down to the minimum.
 func (s *Sizer) Begin(now time.Time, present int) {
-	s.decided = present
-	s.calm(now, present)
+	s.lastDecision = present
+	s.maxRecent(now, present)
 }
 
-// hold keeps the last decision if few servers would be stopped.
-func (s *Sizer) hold(servers int) int {
-	if servers < s.decided && float64(servers) > float64(s.decided)*(1-s.Slack) {
-		return s.decided
+// applySlack keeps the last decision if only a few servers would be stopped.
+func (s *Sizer) applySlack(servers int) int {
+	if servers < s.lastDecision && float64(servers) > float64(s.lastDecision)*(1-s.Slack) {
+		return s.lastDecision
 	}
 	return servers
 }
 
-// calm returns the most servers that were wanted within Calm. The list holds
-// only counts that are larger than all later ones, so it stays short.
-func (s *Sizer) calm(now time.Time, servers int) int {
-	for len(s.wanted) > 0 && s.wanted[len(s.wanted)-1].servers <= servers {
-		s.wanted = s.wanted[:len(s.wanted)-1]
+// maxRecent returns the maximum number of servers needed within Calm. The list holds
+// only counts larger than all later ones, so it stays short.
+func (s *Sizer) maxRecent(now time.Time, servers int) int {
+	for len(s.recent) > 0 && s.recent[len(s.recent)-1].servers <= servers {
+		s.recent = s.recent[:len(s.recent)-1]
 	}
-	s.wanted = append(s.wanted, count{at: now, servers: servers})
-	for now.Sub(s.wanted[0].at) > s.Calm {
-		s.wanted = s.wanted[1:]
+	s.recent = append(s.recent, timedCount{at: now, servers: servers})
+	for now.Sub(s.recent[0].at) > s.Calm {
+		s.recent = s.recent[1:]
 	}
-	return s.wanted[0].servers
+	return s.recent[0].servers
 }
 
-// Spread shares servers out over zones as evenly as can be. The zones that have
-// most now get one more where it doesn't come out even, so that few servers move.
-// A zone that is lost is left out by the caller, and its share goes to the others.
+// Spread distributes servers as evenly as possible over zones. Any remainder goes to
+// the zones that have the most now, one each, so that few servers move. The caller
+// leaves out a lost zone, whose share goes to the others.
 func Spread(servers int, present map[string]int) map[string]int {
 	var zones []string
 	for zone := range present {
--- a/internal/fleet/sizer_test.go
+++ b/internal/fleet/sizer_test.go
@@ -14,8 +14,8 @@
 	return &fleet.Sizer{Min: 2, Max: 20, Target: 0.7, Calm: 10 * time.Minute, Slack: 0.3}
 }
 
-// feed decides every ten seconds for a while and returns the last decision.
-func feed(sizer *fleet.Sizer, now *time.Time, length time.Duration, running float64) int {
+// decideFor decides every ten seconds for a time and returns the last decision.
+func decideFor(sizer *fleet.Sizer, now *time.Time, length time.Duration, running float64) int {
 	wanted := 0
 	for end := now.Add(length); now.Before(end); *now = now.Add(10 * time.Second) {
 		wanted = sizer.Decide(*now, fleet.Need{Running: running, Slots: 10})
@@ -25,20 +25,20 @@
 
 func TestSizer(t *testing.T) {
 	sizer, now := newSizer(), time.Unix(0, 0)
-	must.Eq(t, 2, feed(sizer, &now, time.Minute, 0))
-	must.Eq(t, 10, feed(sizer, &now, 30*time.Minute, 70))
+	must.Eq(t, 2, decideFor(sizer, &now, time.Minute, 0))
+	must.Eq(t, 10, decideFor(sizer, &now, 30*time.Minute, 70))
 	t.Run("keeps servers while the need comes and goes", func(t *testing.T) {
-		must.Eq(t, 10, feed(sizer, &now, 5*time.Minute, 10))
+		must.Eq(t, 10, decideFor(sizer, &now, 5*time.Minute, 10))
 	})
 	t.Run("gives them up once it is calm", func(t *testing.T) {
-		must.Eq(t, 2, feed(sizer, &now, 30*time.Minute, 10))
+		must.Eq(t, 2, decideFor(sizer, &now, 30*time.Minute, 10))
 	})
 	t.Run("keeps a few too many", func(t *testing.T) {
-		must.Eq(t, 10, feed(sizer, &now, time.Minute, 70))
-		must.Eq(t, 10, feed(sizer, &now, 30*time.Minute, 56))
+		must.Eq(t, 10, decideFor(sizer, &now, time.Minute, 70))
+		must.Eq(t, 10, decideFor(sizer, &now, 30*time.Minute, 56))
 	})
 	t.Run("never passes its bounds", func(t *testing.T) {
-		must.Eq(t, 20, feed(sizer, &now, 30*time.Minute, 10000))
+		must.Eq(t, 20, decideFor(sizer, &now, 30*time.Minute, 10000))
 	})
 }
 
@@ -52,13 +52,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(0, 1000).Draw(t, "servers")
 		present := rapid.MapOfN(rapid.StringMatching("[a-g]"), rapid.IntRange(0, 200), 1, 7).Draw(t, "present")
-		sum, least, most := 0, servers, 0
+		sum, low, high := 0, servers, 0
 		for _, share := range fleet.Spread(servers, present) {
 			sum += share
-			least, most = min(least, share), max(most, share)
+			low, high = min(low, share), max(high, share)
 		}
-		if sum != servers || most-least > 1 {
-			t.Fatalf("%d servers in %d zones: sum %d, from %d to %d", servers, len(present), sum, least, most)
+		if sum != servers || high-low > 1 {
+			t.Fatalf("%d servers in %d zones: sum %d, from %d to %d", servers, len(present), sum, low, high)
 		}
 	})
 }
--- a/internal/fleet/zone.go
+++ b/internal/fleet/zone.go
@@ -18,17 +18,17 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// stateLeaving is the platform's word for a host that is about to go.
+// stateLeaving is the platform's state of a host that is about to leave.
 const stateLeaving = "leaving"
 
-// Platform is what a zone's duty needs of the platform.
+// Platform is the part of the platform that a zone's duty needs.
 type Platform interface {
 	OrderPlatform
 	Hosts(ctx context.Context) ([]platform.Host, error)
 	Servers(ctx context.Context, zone string) ([]platform.Server, error)
 }
 
-// Members is what a zone's duty needs to know of other processes.
+// Members gives a zone's duty access to the state of other processes.
 type Members interface {
 	Fact(name string) *peerpb.Fact
 	Load(server string) *peerpb.Load
@@ -36,7 +36,7 @@
 	Processes(role peerpb.Role) []*peerpb.Process
 }
 
-// Zone does the duty of one zone. Exported fields are set before Run.
+// Zone performs the duty of one zone. Exported fields are set before Run.
 type Zone struct {
 	Name      string
 	Process   string
@@ -46,27 +46,27 @@
 	Decisions *decision.Log
 	// Pools returns the pools of the lists.
 	Pools func() []*listpb.Pool
-	// Scale decides how many servers each pool has here.
+	// Scale decides the number of servers of each pool in the zone.
 	Scale Scale
-	// Interval is the time between two rounds.
+	// Interval is the time between rounds.
 	Interval time.Duration
 	// Lease is the length of the duty's lease.
 	Lease time.Duration
-	// OrderBound is the longest time that an order may be under way.
+	// OrderBound is the maximum time that an order may be in flight.
 	OrderBound time.Duration
-	// DrainBound is the longest wait for a server to drain.
+	// DrainBound is the maximum wait for a server to drain.
 	DrainBound time.Duration
 
 	orderer *Orderer
-	// seen are the pools that had a server in the zone.
-	seen map[string]bool
-	// stopping are the servers whose order to stop was taken.
+	// knownPools are the pools of the lists and those that had a server in the zone.
+	knownPools map[string]bool
+	// stopping are the servers that were ordered to stop, as far as the platform accepted it.
 	stopping map[string]bool
 }
 
-// Run does the duty until its term ends.
+// Run performs the duty until its term ends.
 func (z *Zone) Run(ctx context.Context, term *duty.Term) error {
-	z.seen, z.stopping = map[string]bool{}, map[string]bool{}
+	z.knownPools, z.stopping = map[string]bool{}, map[string]bool{}
 	z.Scale.Begin(z.Name)
 	z.orderer = &Orderer{
 		Zone:      z.Name,
@@ -83,8 +83,8 @@
 	ticker := time.NewTicker(z.Interval)
 	defer ticker.Stop()
 	for {
-		err := z.round(ctx)
-		if isOver(err) {
+		err := z.reconcile(ctx)
+		if isTermOver(err) {
 			return err
 		}
 		if err != nil && ctx.Err() == nil {
@@ -98,34 +98,34 @@
 	}
 }
 
-// isOver reports whether an error says that the term is over.
-func isOver(err error) bool {
+// isTermOver reports whether an error means that the term is over.
+func isTermOver(err error) bool {
 	var superseded *SupersededError
 	var ended *EndedError
 	return errors.As(err, &superseded) || errors.As(err, &ended)
 }
 
-func (z *Zone) round(ctx context.Context) error {
+func (z *Zone) reconcile(ctx context.Context) error {
 	listed, err := z.Platform.Servers(ctx, z.Name)
 	if err != nil {
 		return err
 	}
-	seen := Seen{Listed: listed, Addresses: z.addresses(), Leaving: z.leaving(ctx)}
-	faults := []error{z.sendPending(ctx)}
-	for _, pool := range z.pools(listed) {
-		fleet, err := z.update(ctx, pool, seen)
+	seen := Seen{Listed: listed, Addresses: z.sidecarAddresses(), Leaving: z.leavingServers(ctx)}
+	errs := []error{z.sendPending(ctx)}
+	for _, pool := range z.poolNames(listed) {
+		fleet, err := z.updateFleet(ctx, pool, seen)
 		if err == nil {
 			fleet, err = z.resize(ctx, pool, fleet, seen)
 		}
 		if err == nil {
 			err = z.drainAll(ctx, fleet)
 		}
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// sendPending sends orders again whose outcome is not known.
+// sendPending resends orders whose outcome is unknown.
 func (z *Zone) sendPending(ctx context.Context) error {
 	if !z.orderer.Ready() {
 		return nil
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// send sends an order and remembers stops: the list read before the order
-// still shows the server, which would be stopped a second time.
+// send sends an order and records accepted stops: the list read before still contains
+// the server, which would otherwise be stopped a second time.
 func (z *Zone) send(ctx context.Context, order *statepb.Order) error {
 	err := z.orderer.Send(ctx, order)
 	if err == nil && order.GetAction() == ActionStop {
@@ -148,8 +148,8 @@
 	return err
 }
 
-// leaving returns the servers whose hosts are about to go.
-func (z *Zone) leaving(ctx context.Context) map[string]bool {
+// leavingServers returns the servers whose hosts are about to leave.
+func (z *Zone) leavingServers(ctx context.Context) map[string]bool {
 	hosts, err := z.Platform.Hosts(ctx)
 	if err != nil {
 		return nil
@@ -167,28 +167,29 @@
 	return leaving
 }
 
-// pools returns the pools of the lists and those that have or had a server in the zone.
-func (z *Zone) pools(listed []platform.Server) []string {
+// poolNames returns the names of the pools of the lists and of those that have or had a
+// server in the zone.
+func (z *Zone) poolNames(listed []platform.Server) []string {
 	for _, server := range listed {
-		z.seen[server.Pool] = true
+		z.knownPools[server.Pool] = true
 		if server.State == stateStopping {
 			z.stopping[server.ID] = true
 		}
 	}
 	for _, pool := range z.Pools() {
-		z.seen[pool.GetName()] = true
+		z.knownPools[pool.GetName()] = true
 	}
 	var pools []string
-	for pool := range z.seen {
+	for pool := range z.knownPools {
 		pools = append(pools, pool)
 	}
 	return pools
 }
 
-// update brings the pool's key in line with what is seen and returns its value.
-func (z *Zone) update(ctx context.Context, pool string, seen Seen) (*statepb.Fleet, error) {
+// updateFleet updates the pool's key to what is observed and returns its value.
+func (z *Zone) updateFleet(ctx context.Context, pool string, seen Seen) (*statepb.Fleet, error) {
 	key := member.FactFleet + pool
-	known, revision, err := z.read(ctx, key)
+	known, revision, err := z.readFleet(ctx, key)
 	if err != nil {
 		return nil, err
 	}
@@ -209,8 +210,9 @@
 	return next, nil
 }
 
-// read takes the fact, which saves a call each round; if it is old the swap fails.
-func (z *Zone) read(ctx context.Context, key string) (*statepb.Fleet, uint64, error) {
+// readFleet reads the fact, which saves a call to the store each round; if the fact is
+// stale, the swap fails.
+func (z *Zone) readFleet(ctx context.Context, key string) (*statepb.Fleet, uint64, error) {
 	fact := z.Members.Fact(key)
 	if fact == nil {
 		if err := z.refresh(ctx, key); err != nil {
@@ -222,7 +224,7 @@
 	return known, fact.GetRevision(), eris.Wrap(proto.Unmarshal(fact.GetValue(), known), "read "+key)
 }
 
-// refresh makes the key's present value the fact.
+// refresh updates the fact to the stored value of the key.
 func (z *Zone) refresh(ctx context.Context, key string) error {
 	value, err := z.Platform.Get(ctx, key)
 	var missing *platform.NotFoundError
@@ -236,8 +238,8 @@
 	return nil
 }
 
-// addresses returns the sidecars' addresses by backend server.
-func (z *Zone) addresses() map[string]string {
+// sidecarAddresses returns the sidecars' addresses by backend server.
+func (z *Zone) sidecarAddresses() map[string]string {
 	addresses := map[string]string{}
 	for _, process := range z.Members.Processes(peerpb.Role_ROLE_SIDECAR) {
 		addresses[process.GetServer()] = process.GetAddress()
--- a/internal/fleet/zone_test.go
+++ b/internal/fleet/zone_test.go
@@ -21,7 +21,7 @@
 
 const drainBound = time.Minute
 
-// sidecars are the sidecars of all servers.
+// sidecars is a fake of the sidecars of all servers.
 type sidecars struct {
 	mutex    sync.Mutex
 	running  map[string]uint32
@@ -47,25 +47,25 @@
 	return s.draining[server]
 }
 
-// zone is a zone with two live servers and its duty.
-type zone struct {
-	*world
+// zoneFixture is the duty of a zone with two live servers, on a fake platform.
+type zoneFixture struct {
+	*fakePlatform
 	members  *member.Members
 	sidecars *sidecars
 	duty     *fleet.Zone
 }
 
-func newZone() *zone {
-	world := newWorld()
+func newZoneFixture() *zoneFixture {
+	fake := newFakePlatform()
 	members := member.NewMembers(peerpb.Process_builder{Name: "e1", Role: peerpb.Role_ROLE_ENTRY}.Build())
 	sidecars := &sidecars{running: map[string]uint32{}, draining: map[string]bool{}}
 	for _, server := range []string{"s1", "s2"} {
-		world.servers[server] = platform.Server{ID: server, Pool: "m", Zone: "a", State: "live"}
+		fake.servers[server] = platform.Server{ID: server, Pool: "m", Zone: "a", State: "live"}
 	}
-	return &zone{world: world, members: members, sidecars: sidecars, duty: &fleet.Zone{
+	return &zoneFixture{fakePlatform: fake, members: members, sidecars: sidecars, duty: &fleet.Zone{
 		Name:       "a",
 		Process:    "e1",
-		Platform:   &process{world: world},
+		Platform:   &process{fakePlatform: fake},
 		Members:    &processes{Members: members},
 		Sidecars:   sidecars,
 		Pools:      func() []*listpb.Pool { return nil },
@@ -76,7 +76,7 @@
 	}}
 }
 
-// processes adds a sidecar for each server to what is known of other processes.
+// processes adds a sidecar for each server to the known processes.
 type processes struct {
 	*member.Members
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-func (z *zone) start(t *testing.T) {
+func (z *zoneFixture) start(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- z.duty.Run(ctx, duty.NewTerm(1, time.Now().Add(time.Hour))) }()
@@ -98,12 +98,12 @@
 	})
 }
 
-func (z *zone) leave() {
-	z.set(func() { z.hosts = []platform.Host{{Name: "h1", Address: "10.0.0.1:1", State: "leaving"}} })
+func (z *zoneFixture) markHostLeaving() {
+	z.change(func() { z.hosts = []platform.Host{{Name: "h1", Address: "10.0.0.1:1", State: "leaving"}} })
 }
 
 // states returns the servers' states in the fact that other processes see.
-func (z *zone) states(t *testing.T) map[string]string {
+func (z *zoneFixture) states(t *testing.T) map[string]string {
 	t.Helper()
 	known := &statepb.Fleet{}
 	must.NoError(t, proto.Unmarshal(z.members.Fact(member.FactFleet+"m").GetValue(), known))
@@ -114,72 +114,72 @@
 	return states
 }
 
-// rounds lets the duty go through some rounds.
-func rounds(number int) {
+// waitRounds waits for a number of rounds of the duty.
+func waitRounds(number int) {
 	time.Sleep(time.Duration(number)*time.Second + time.Millisecond)
 }
 
 func TestFleetFollowsPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		zone := newZone()
+		zone := newZoneFixture()
 		zone.start(t)
-		rounds(1)
+		waitRounds(1)
 		must.Eq(t, map[string]string{"s1": "live", "s2": "live"}, zone.states(t))
-		zone.set(func() { delete(zone.servers, "s2") })
-		rounds(1)
+		zone.change(func() { delete(zone.servers, "s2") })
+		waitRounds(1)
 		must.Eq(t, map[string]string{"s1": "live", "s2": "removed"}, zone.states(t))
-		must.Len(t, 0, zone.orders())
+		must.Len(t, 0, zone.arrivedOrders())
 	})
 }
 
-// A member's posting is cut off: the host of its backend server is about to go,
-// and the server is stopped while the posting runs. The server must get no new
-// work within a few rounds and be stopped only once nothing runs.
+// Guards against cutting off a request because its server is stopped while the host
+// is about to leave. The server must start to drain within a few rounds and be stopped
+// only once no request runs.
 func TestLeavingHostDrainsBeforeStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		zone := newZone()
+		zone := newZoneFixture()
 		zone.sidecars.run("s1", 1)
 		zone.start(t)
-		rounds(1)
-		zone.leave()
-		rounds(2)
+		waitRounds(1)
+		zone.markHostLeaving()
+		waitRounds(2)
 		must.Eq(t, map[string]string{"s1": "draining", "s2": "live"}, zone.states(t))
 		must.True(t, zone.sidecars.isDraining("s1"))
 		must.False(t, zone.sidecars.isDraining("s2"))
-		rounds(10)
-		must.Len(t, 0, zone.orders())
+		waitRounds(10)
+		must.Len(t, 0, zone.arrivedOrders())
 		zone.sidecars.run("s1", 0)
-		rounds(2)
-		must.Len(t, 1, zone.orders())
-		must.Eq(t, fleet.ActionStop, zone.orders()[0].Action)
-		must.Eq(t, "s1", zone.orders()[0].Server)
+		waitRounds(2)
+		must.Len(t, 1, zone.arrivedOrders())
+		must.Eq(t, fleet.ActionStop, zone.arrivedOrders()[0].Action)
+		must.Eq(t, "s1", zone.arrivedOrders()[0].Server)
 	})
 }
 
-// A server costs money for ever: one of its requests never ends, so it is
-// never drained. The wait has a bound.
+// Guards against a server that runs for ever because one of its requests never ends:
+// the wait for a drain is bounded.
 func TestDrainHasBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		zone := newZone()
+		zone := newZoneFixture()
 		zone.sidecars.run("s1", 1)
 		zone.start(t)
-		zone.leave()
-		rounds(int(drainBound/time.Second) - 2)
-		must.Len(t, 0, zone.orders())
-		rounds(4)
-		must.Len(t, 1, zone.orders())
+		zone.markHostLeaving()
+		waitRounds(int(drainBound/time.Second) - 2)
+		must.Len(t, 0, zone.arrivedOrders())
+		waitRounds(4)
+		must.Len(t, 1, zone.arrivedOrders())
 	})
 }
 
-// The answer to the order to stop is lost twice. The server must be stopped under one order's identity.
+// The answer to a stop order is lost twice. All attempts must have the same order ID.
 func TestStopWithLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		zone := newZone()
+		zone := newZoneFixture()
 		zone.start(t)
-		zone.set(func() { zone.loseOrders = 2 })
-		zone.leave()
-		rounds(5)
-		orders := zone.orders()
+		zone.change(func() { zone.lostOrderAnswers = 2 })
+		zone.markHostLeaving()
+		waitRounds(5)
+		orders := zone.arrivedOrders()
 		must.Len(t, 3, orders)
 		must.Eq(t, orders[0].ID, orders[1].ID)
 		must.Eq(t, orders[0].ID, orders[2].ID)
@@ -187,16 +187,16 @@
 	})
 }
 
-// The order to stop is lost on its way, twice. It must be sent under one
-// identity until it arrives, since none of the earlier ones is known to be lost.
+// A stop order is lost in transit twice. It must be resent with the same ID until it
+// arrives, since an earlier attempt might still have arrived.
 func TestStopLostOnTheWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		zone := newZone()
+		zone := newZoneFixture()
 		zone.start(t)
-		zone.set(func() { zone.cutOrders = 2 })
-		zone.leave()
-		rounds(5)
-		orders := zone.orders()
+		zone.change(func() { zone.lostOrders = 2 })
+		zone.markHostLeaving()
+		waitRounds(5)
+		orders := zone.arrivedOrders()
 		must.Len(t, 1, orders)
 		must.Eq(t, "a-1", orders[0].ID)
 	})
