--- a/internal/limit/account.go
+++ b/internal/limit/account.go
@@ -8,8 +8,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// receivedDemand is a demand and the time at which it was received or published.
-type receivedDemand struct {
+// timedDemand is a demand and the time at which it was received or published.
+type timedDemand struct {
 	demand *peerpb.Demand
 	time   time.Time
 }
@@ -45,8 +45,8 @@
 	// published is this entry's newest demand, history those within the settle time.
 	published   *peerpb.Demand
 	publishedAt time.Time
-	history     []receivedDemand
-	others      map[string]receivedDemand
+	history     []timedDemand
+	others      map[string]timedDemand
 
 	// roundingDraw decides whether a fraction of a unit is rounded up.
 	roundingDraw    float64
@@ -95,7 +95,7 @@
 	if ok && known.demand.GetSeq() >= demand.GetSeq() {
 		return
 	}
-	a.others[demand.GetEntry()] = receivedDemand{demand: demand, time: now}
+	a.others[demand.GetEntry()] = timedDemand{demand: demand, time: now}
 }
 
 // shares returns the shares, recomputed at most once every shareInterval.
@@ -172,15 +172,15 @@
 		a.history = a.history[1:]
 	}
 	var rate, running, tokens float64
-	for i, received := range a.history {
+	for i, past := range a.history {
 		until := now
 		if i+1 < len(a.history) {
 			until = a.history[i+1].time
 		}
-		part := float64(until.Sub(later(received.time, now.Add(-settle)))) / float64(settle)
-		rate += part * received.demand.GetRate()
-		running += part * received.demand.GetRunning()
-		tokens += part * received.demand.GetTokens()
+		part := float64(until.Sub(later(past.time, now.Add(-settle)))) / float64(settle)
+		rate += part * past.demand.GetRate()
+		running += part * past.demand.GetRunning()
+		tokens += part * past.demand.GetTokens()
 	}
 	return peerpb.Demand_builder{
 		Rate:    ramp(rate, a.published.GetRate()),
@@ -219,7 +219,7 @@
 		return
 	}
 	a.published, a.publishedAt = next, now
-	a.history = append(a.history, receivedDemand{demand: next, time: now})
+	a.history = append(a.history, timedDemand{demand: next, time: now})
 }
 
 func (a *account) mustPublish(next *peerpb.Demand, now time.Time) bool {
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -138,7 +138,7 @@
 	}
 	a := l.accounts[name]
 	if a == nil {
-		a = &account{others: map[string]receivedDemand{}}
+		a = &account{others: map[string]timedDemand{}}
 		l.accounts[name] = a
 	}
 	return a
