--- a/internal/claim/claim_property_test.go
+++ b/internal/claim/claim_property_test.go
@@ -14,7 +14,7 @@
 
 const remember = 10 * time.Minute
 
-// node is a sidecar of the model.
+// node models a sidecar.
 type node struct {
 	journal *claim.Journal
 	started time.Time
@@ -22,13 +22,13 @@
 	isDown  bool
 }
 
-// world is a model of a pool: sidecars with memory, fleets seen late, and
-// requests under one claim that count their runs.
+// world models a pool: sidecars with their journals, fleets that processes see
+// with a lag, and the runs of the requests under one claim.
 type world struct {
 	*rapid.T
 
 	now    time.Time
-	fleets []seen
+	fleets []fleetVersion
 	nodes  map[string]*node
 	next   int
 	claim  string
@@ -37,15 +37,15 @@
 	sent   int
 }
 
-// seen is a fleet and when it came into force.
-type seen struct {
+// fleetVersion is a fleet and when it took effect.
+type fleetVersion struct {
 	fleet *statepb.Fleet
 	time  time.Time
 }
 
 func newWorld(t *rapid.T) *world {
 	w := &world{T: t, now: time.Unix(1_000_000, 0), nodes: map[string]*node{}}
-	w.fleets = []seen{{fleet: &statepb.Fleet{}, time: w.now}}
+	w.fleets = []fleetVersion{{fleet: &statepb.Fleet{}, time: w.now}}
 	for range rapid.IntRange(1, 4).Draw(t, "servers") {
 		w.Add(t)
 	}
@@ -61,23 +61,23 @@
 	w.runs = 0
 }
 
-// change puts a changed fleet into force. The fleet's times are whole seconds,
-// so two changes are at least one second apart.
+// change adds a fleet version. A fleet's times are whole seconds, so two changes
+// are at least one second apart.
 func (w *world) change(change func(*statepb.Fleet)) {
 	w.now = w.now.Add(time.Second)
 	fleet := proto.CloneOf(w.fleets[len(w.fleets)-1].fleet)
 	change(fleet)
 	fleet.SetEpoch(fleet.GetEpoch() + 1)
-	w.fleets = append(w.fleets, seen{fleet: fleet, time: w.now})
+	w.fleets = append(w.fleets, fleetVersion{fleet: fleet, time: w.now})
 }
 
-// view is the fleet as a process sees it, up to some seconds late.
+// view returns the fleet as a process sees it, up to 8 s late.
 func (w *world) view(label string) *statepb.Fleet {
 	at := w.now.Add(-time.Duration(rapid.IntRange(0, 8).Draw(w.T, label)) * time.Second)
 	found := w.fleets[0].fleet
-	for _, fleet := range w.fleets {
-		if !fleet.time.After(at) {
-			found = fleet.fleet
+	for _, version := range w.fleets {
+		if !version.time.After(at) {
+			found = version.fleet
 		}
 	}
 	return found
@@ -95,7 +95,7 @@
 	})
 }
 
-// Advance lets time pass.
+// Advance moves the clock forward.
 func (w *world) Advance(t *rapid.T) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 200).Draw(t, "seconds")) * time.Second)
 	if w.now.Sub(w.since) > remember {
@@ -103,7 +103,7 @@
 	}
 }
 
-// Crash kills a sidecar, or starts it again without its memory.
+// Crash kills a sidecar, or restarts a killed one with an empty journal.
 func (w *world) Crash(t *rapid.T) {
 	id := w.draw(t)
 	if id == "" {
@@ -116,28 +116,28 @@
 	w.nodes[id].isDown = true
 }
 
-// Restart starts a sidecar again without its memory.
+// Restart restarts a sidecar with an empty journal.
 func (w *world) Restart(t *rapid.T) {
 	if id := w.draw(t); id != "" {
 		w.nodes[id] = newNode(w.now, false)
 	}
 }
 
-// Learn makes a sidecar that was started again ask the others what they keep.
+// Learn makes a restarted sidecar copy the claims that its partners keep.
 func (w *world) Learn(t *rapid.T) {
 	id := w.draw(t)
 	if id == "" || !w.nodes[id].isReady(w.now) {
 		return
 	}
-	partners, whole := claim.Partners(id, w.view("view"), w.now, remember)
+	partners, isComplete := claim.Partners(id, w.view("view"), w.now, remember)
 	for _, partner := range partners {
-		whole = whole && w.learnFrom(w.nodes[id], w.nodes[partner])
+		isComplete = isComplete && w.learnFrom(w.nodes[id], w.nodes[partner])
 	}
-	w.nodes[id].isFirst = w.nodes[id].isFirst || whole
+	w.nodes[id].isFirst = w.nodes[id].isFirst || isComplete
 }
 
 func (w *world) learnFrom(node, partner *node) bool {
-	if partner.isDown || !partner.isFirm(w.now) {
+	if partner.isDown || !partner.hasFullJournal(w.now) {
 		return false
 	}
 	for key, record := range partner.journal.All(w.now) {
@@ -146,7 +146,7 @@
 	return true
 }
 
-// Remove drains a server or removes it with its sidecar's memory.
+// Remove drains a server, or removes it and stops its sidecar.
 func (w *world) Remove(t *rapid.T) {
 	id := w.draw(t)
 	if id == "" {
@@ -166,7 +166,8 @@
 	})
 }
 
-// Send sends the request, with another between its first and second half.
+// Send sends the request twice, interleaved: both reserve the claim before either
+// asks the other sidecars.
 func (w *world) Send(t *rapid.T) {
 	first, second := w.begin(), w.begin()
 	if rapid.Bool().Draw(t, "crossed") {
@@ -196,7 +197,7 @@
 	return &node{journal: &claim.Journal{Keep: claim.Window(remember)}, started: now, isFirst: isFirst}
 }
 
-func (n *node) isFirm(now time.Time) bool {
+func (n *node) hasFullJournal(now time.Time) bool {
 	return n.isFirst || now.Sub(n.started) >= claim.Window(remember)
 }
 
@@ -205,7 +206,7 @@
 	return !n.isDown && (n.isFirst || now.Sub(n.started) > claim.Slack)
 }
 
-// attempt is one send of the request to the home that an entry sees.
+// attempt is one send of the request to its home as an entry sees it.
 type attempt struct {
 	*world
 
@@ -251,16 +252,16 @@
 			return claim.Silent
 		}
 	}
-	if !node.isFirm(a.now) {
+	if !node.hasFullJournal(a.now) {
 		return claim.KeptUnsure
 	}
 	return claim.Kept
 }
 
-// A volunteer's hours are posted twice: the retry of a posting reaches another
-// sidecar than the first send, since servers joined, left or lost their memory
-// in between, and that sidecar does not find the claim. Whatever the order of
-// such changes, a claim runs at most once within the time that retries may come.
+// Guards against a request that runs twice: its retry reaches another sidecar than
+// the first send because servers joined, left or lost their journals in between,
+// and that sidecar doesn't know the claim. In any order of such changes a claim
+// runs at most once within the retry window.
 func TestClaimRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
--- a/internal/claim/home.go
+++ b/internal/claim/home.go
@@ -1,11 +1,11 @@
-// Package claim decides where the claim of an idempotency key is kept, and
+// Package claim decides where the claim of an idempotency key is stored, and
 // whether a request under it may still be passed to a backend server.
 //
-// A claim is kept by two sidecars, its home and its witness in another zone,
-// both chosen by rendezvous hashing. When one server joins or leaves a pool, a
-// sidecar that kept the claim is still the home or the witness: if the home
-// leaves, the next in rank is the witness or has the same witness. The package
-// does no input or output and has no clock of its own.
+// Two sidecars store a claim, its home and its witness in another zone, both
+// chosen by rendezvous hashing. When one server joins or leaves a pool, a sidecar
+// that stores the claim is still the home or the witness: if the home leaves, the
+// next in rank is the witness or has the same witness. The package does no I/O
+// and reads no clock.
 package claim
 
 import (
@@ -25,8 +25,8 @@
 	stateRemoved  = "removed"
 )
 
-// Home returns the server that a request under the claim goes to; "" if no
-// server of the pool is live.
+// Home returns the server that requests under the claim go to; "" if no server
+// of the pool is live.
 func Home(claim string, fleet *statepb.Fleet) string {
 	live := liveRank(claim, fleet)
 	if len(live) == 0 {
@@ -35,9 +35,9 @@
 	return live[0].GetId()
 }
 
-// Witness returns the server that keeps the claim beside the home: the first in
-// rank in another zone, or the second in rank if all are in one zone; "" if
-// the home is the only live server.
+// Witness returns the server that stores the claim besides the home: the first in
+// rank in another zone, or the second in rank if all are in one zone; "" if the
+// home is the only live server.
 func Witness(claim string, fleet *statepb.Fleet) string {
 	live := liveRank(claim, fleet)
 	if len(live) < 2 {
@@ -55,7 +55,7 @@
 	return rank(claim, fleet, func(server *statepb.Server) bool { return server.GetState() == stateLive })
 }
 
-// rank returns the servers that match, the claim's first choice first.
+// rank returns the servers that match, by descending rendezvous score.
 func rank(claim string, fleet *statepb.Fleet, matches func(*statepb.Server) bool) []*statepb.Server {
 	var found []*statepb.Server
 	scores := map[string]uint64{}
--- a/internal/claim/journal.go
+++ b/internal/claim/journal.go
@@ -6,64 +6,65 @@
 	"time"
 )
 
-// DefaultSize is the number of claims that a Journal keeps if nothing else is
-// set. A claim takes 370 bytes (BenchmarkKeptClaim in internal/entry).
+// DefaultSize is the capacity of a Journal whose Size is 0. A claim takes 370
+// bytes (BenchmarkKeptClaim in internal/entry).
 const DefaultSize = 8192
 
-// FullError says that a journal keeps as many claims as it may.
+// FullError reports that a journal is at capacity.
 type FullError struct {
 	Size int
 }
 
-// Error names the bound.
+// Error names the capacity.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("%d claims are kept, no more fit", e.Size)
 }
 
-// Record is a claim that is kept.
+// Record is a stored claim.
 type Record struct {
-	id     string
-	server string
-	digest string
-	void   []string
-	until  time.Time
+	id      string
+	server  string
+	digest  string
+	voidIDs []string
+	expires time.Time
 }
 
-// Digest returns the digest of the request, so that another request under the
-// same idempotency key is told apart.
+// Digest returns the digest of the request, which distinguishes it from another
+// request under the same idempotency key.
 func (r Record) Digest() string { return r.digest }
 
-// ID returns the identity of the request that has the claim.
+// ID returns the ID of the request that owns the claim.
 func (r Record) ID() string { return r.id }
 
-// IsVoid reports whether the claim was held under an identity that was proved
-// not to have run.
-func (r Record) IsVoid(id string) bool { return slices.Contains(r.void, id) }
+// IsVoid reports whether the claim was owned by the request with this ID, which
+// was proved not to have run.
+func (r Record) IsVoid(id string) bool { return slices.Contains(r.voidIDs, id) }
 
-// Server returns the home that has the claim.
+// Server returns the home whose request owns the claim.
 func (r Record) Server() string { return r.server }
 
-// Journal keeps claims, each for a bounded time. It is not safe for concurrent use.
-// Exported fields are set before the first Hold.
+// Journal stores claims in memory until they expire. It is not safe for concurrent
+// use. Exported fields are set before the first Hold.
 type Journal struct {
-	// Keep is how long a claim is kept.
+	// Keep is how long a claim is stored.
 	Keep time.Duration
-	// Size is the most claims kept; 0 keeps DefaultSize.
+	// Size is the maximum number of claims; 0 means DefaultSize.
 	Size int
 
-	records map[string]*Record
-	order   []kept
+	records  map[string]*Record
+	expiries []expiry
 }
 
-// kept is a claim in the order in which claims end.
-type kept struct {
+// expiry is an entry of the queue of expiry times. A claim that was extended has
+// several; the last one counts.
+type expiry struct {
 	claim string
-	until time.Time
+	time  time.Time
 }
 
-// All returns every claim that is kept.
+// All returns every claim that has not expired.
 func (j *Journal) All(now time.Time) map[string]Record {
-	j.sweep(now)
+	j.dropExpired(now)
 	all := make(map[string]Record, len(j.records))
 	for claim, record := range j.records {
 		all[claim] = *record
@@ -71,7 +72,7 @@
 	return all
 }
 
-// Find returns a claim.
+// Find returns a claim and whether it is stored.
 func (j *Journal) Find(claim string) (Record, bool) {
 	record := j.records[claim]
 	if record == nil {
@@ -80,15 +81,15 @@
 	return *record, true
 }
 
-// Hold keeps a claim for a server's request unless it is known. It returns the
-// claim as it is kept and whether it is new, or a *FullError.
+// Hold stores a claim for a server's request unless the claim is stored already.
+// It returns the stored record and whether it is new, or a *FullError.
 func (j *Journal) Hold(claim string, record Record, now time.Time) (Record, bool, error) {
-	j.sweep(now)
+	j.dropExpired(now)
 	if known := j.records[claim]; known != nil {
 		return *known, false, nil
 	}
-	if len(j.records) >= j.size() {
-		return Record{}, false, &FullError{Size: j.size()}
+	if len(j.records) >= j.maxClaims() {
+		return Record{}, false, &FullError{Size: j.maxClaims()}
 	}
 	if j.records == nil {
 		j.records = map[string]*Record{}
@@ -98,52 +99,51 @@
 	return record, true, nil
 }
 
-// Renew gives a claim to a new request of the same server, once the one that
-// had it was proved not to have run.
+// Renew moves a claim to a new request of the same server, after its owner was
+// proved not to have run.
 func (j *Journal) Renew(claim, id, digest string, now time.Time) {
 	record := j.records[claim]
 	if record == nil {
 		return
 	}
-	record.void = append(record.void, record.id)
+	record.voidIDs = append(record.voidIDs, record.id)
 	record.id = id
 	record.digest = digest
 	j.extend(claim, now)
 }
 
-// Replace gives a claim to another server's request, once the one that had it
-// was proved not to have run.
+// Replace moves a claim to another server's request, after its owner was proved
+// not to have run.
 func (j *Journal) Replace(claim string, record Record, now time.Time) Record {
 	j.records[claim] = &record
 	j.extend(claim, now)
 	return record
 }
 
-// NewRecord returns the claim of a server's request.
+// NewRecord returns the record of a server's request.
 func NewRecord(id, server, digest string) Record {
 	return Record{id: id, server: server, digest: digest}
 }
 
 func (j *Journal) extend(claim string, now time.Time) {
 	until := now.Add(j.Keep)
-	j.records[claim].until = until
-	j.order = append(j.order, kept{claim: claim, until: until})
+	j.records[claim].expires = until
+	j.expiries = append(j.expiries, expiry{claim: claim, time: until})
 }
 
-func (j *Journal) size() int {
+func (j *Journal) maxClaims() int {
 	if j.Size > 0 {
 		return j.Size
 	}
 	return DefaultSize
 }
 
-// sweep forgets claims whose time is over.
-func (j *Journal) sweep(now time.Time) {
-	for len(j.order) > 0 && now.After(j.order[0].until) {
-		oldest := j.order[0]
-		j.order = j.order[1:]
+func (j *Journal) dropExpired(now time.Time) {
+	for len(j.expiries) > 0 && now.After(j.expiries[0].time) {
+		oldest := j.expiries[0]
+		j.expiries = j.expiries[1:]
 		record := j.records[oldest.claim]
-		if record != nil && !record.until.After(oldest.until) {
+		if record != nil && !record.expires.After(oldest.time) {
 			delete(j.records, oldest.claim)
 		}
 	}
--- a/internal/claim/main_test.go
+++ b/internal/claim/main_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Settings of the property tests. With one seed the suite has the same verdict
-// every time; other histories are tried with -rapid.seed=0 -rapid.checks=300000.
-var settings = map[string]string{
+// Defaults of rapid's flags. The fixed seed makes the suite deterministic; run with
+// -rapid.seed=0 -rapid.checks=300000 to explore other histories.
+var defaults = map[string]string{
 	"rapid.checks":     "2000",
 	"rapid.seed":       "1",
 	"rapid.nofailfile": "true",
@@ -18,7 +18,7 @@
 	flag.Parse()
 	given := map[string]bool{}
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	for name, value := range settings {
+	for name, value := range defaults {
 		if !given[name] {
 			_ = flag.Set(name, value)
 		}
--- a/internal/claim/partners.go
+++ b/internal/claim/partners.go
@@ -7,16 +7,15 @@
 )
 
 // Partners returns the servers that together know every claim that a server's
-// sidecar kept before it was started again: each claim was kept by one of them
-// too. It reports false where one of them is gone with what it knew, and where
-// the server was the only one for a time, since a claim then had no witness.
+// sidecar stored before its restart: each claim was stored by one of them too. It
+// reports false if one of them was removed and its claims are lost, or if the
+// server was the only one for a time, since a claim then had no witness.
 //
-// Without this the sidecars of a pool that are replaced one after another
-// would forget together, and every claim would be refused until the time of
-// the forgotten ones is over.
+// Without this a rolling restart of a pool's sidecars would lose all claims, and
+// every claim would be refused until the lost ones have expired.
 func Partners(server string, fleet *statepb.Fleet, now time.Time, remember time.Duration) ([]string, bool) {
 	begin := now.Add(-Window(remember)).Unix()
-	if wasAlone(server, fleet, begin, now.Unix()) {
+	if mayHaveBeenOnlyServer(server, fleet, begin, now.Unix()) {
 		return nil, false
 	}
 	var partners []string
@@ -24,7 +23,7 @@
 		if other.GetId() == server || !wasLiveSince(other, begin) {
 			continue
 		}
-		if isDead(other) {
+		if isRemoved(other) {
 			return nil, false
 		}
 		partners = append(partners, other.GetId())
@@ -32,15 +31,16 @@
 	return partners, len(partners) > 0
 }
 
-// wasAlone reports whether a server may have been the pool's only one since begin.
-func wasAlone(server string, fleet *statepb.Fleet, begin, now int64) bool {
+// mayHaveBeenOnlyServer reports whether a server may have been the pool's only
+// one at some time since begin.
+func mayHaveBeenOnlyServer(server string, fleet *statepb.Fleet, begin, now int64) bool {
 	h := &history{ranked: rank("", fleet, func(other *statepb.Server) bool { return wasLiveSince(other, begin) })}
 	for _, self := range h.ranked {
 		if self.GetId() != server {
 			continue
 		}
-		for _, moment := range moments(h.ranked, begin, now) {
-			if mayBeLive(self, moment) && h.isAlone(self, moment) {
+		for _, moment := range changeTimes(h.ranked, begin, now) {
+			if mayBeLive(self, moment) && h.isOnlyServer(self, moment) {
 				return true
 			}
 		}
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -6,82 +6,82 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// Verdict is what a home decides about a request under a claim.
+// Verdict is a home's decision on a request under a claim.
 type Verdict int
 
 // Verdicts of a Plan.
 const (
-	// Pass: the claim is kept and was not passed on before.
+	// Pass: the claim is stored and no request under it was passed on before.
 	Pass Verdict = iota
 	// Known: another sidecar knows the claim already.
 	Known
-	// Lost: sidecars that may have kept the claim are gone, or don't answer.
+	// Lost: sidecars that may have stored the claim are gone, or don't answer.
 	Lost
-	// NoWitness: the claim was not passed on before, and its witness doesn't answer.
+	// NoWitness: no request was passed on before, and the witness doesn't answer.
 	NoWitness
-	// Alone: the claim was not passed on before, and the pool has no other server.
+	// Alone: no request was passed on before, and the pool has no other server.
 	Alone
 )
 
-// Answer is what a sidecar says when it is asked to keep a claim.
+// Answer is a sidecar's answer to a request to store a claim.
 type Answer int
 
 // Answers of a sidecar.
 const (
-	// Kept: the claim is kept there now and was not known. The sidecar has all
-	// its memory.
+	// Kept: the sidecar has stored the claim, which it did not know. Its journal
+	// is complete.
 	Kept Answer = iota
-	// KeptUnsure: as Kept, but the sidecar was started again lately and has lost
-	// what it kept before.
+	// KeptUnsure: as Kept, but the sidecar restarted within the window and has lost
+	// the claims that it stored before.
 	KeptUnsure
-	// KnownThere: the claim was known there.
+	// KnownThere: the sidecar knew the claim already.
 	KnownThere
 	// Silent: the sidecar didn't answer, or refused.
 	Silent
 )
 
-// Asker asks a server's sidecar to keep the claim; the home itself is asked too.
+// Asker asks a server's sidecar to store the claim; the home itself is asked too.
 type Asker func(server string) Answer
 
-// Plan is whom a home has to ask before it passes a request on.
+// Plan lists the servers that a home has to ask before it passes a request on.
 type Plan struct {
-	home    string
-	witness string
-	past    []past
+	home      string
+	witness   string
+	pastHomes []candidate
 }
 
-// NewPlan returns the plan for a claim. Remember is how long after a request its
-// retries may come; sidecars keep claims for Window(remember).
+// NewPlan returns the plan for a claim. Retries of a request may come for the time
+// remember after it; sidecars store claims for Window(remember).
 func NewPlan(claim string, fleet *statepb.Fleet, now time.Time, remember time.Duration) *Plan {
 	return &Plan{
-		home:    Home(claim, fleet),
-		witness: Witness(claim, fleet),
-		past:    newHistory(claim, fleet, now, Window(remember)).found,
+		home:      Home(claim, fleet),
+		witness:   Witness(claim, fleet),
+		pastHomes: newHistory(claim, fleet, now, Window(remember)).homes,
 	}
 }
 
-// Window returns how long sidecars have to keep a claim so that a retry within
+// Window returns how long sidecars have to store a claim so that a retry within
 // remember finds it.
 func Window(remember time.Duration) time.Duration { return remember + 2*Slack }
 
 // Home returns the claim's home.
 func (p *Plan) Home() string { return p.home }
 
-// Check asks the sidecars and decides. Each server is asked at most once.
+// Check asks the sidecars, each at most once, and returns the verdict.
 //
 // A claim may run if each server that may have been its home within the window
-// says that it has not passed the request on or, where a home can't say so,
-// each of its possible witnesses does. Both lost together leave nobody who
-// knows, so the claim is then never passed on.
+// confirms that it has not passed a request on or, where a home can't confirm it,
+// each of its possible witnesses does. If a home and a witness are both lost, no
+// process knows, and the claim is not passed on.
 func (p *Plan) Check(ask Asker) Verdict {
 	c := checker{ask: ask, answers: map[string]Answer{}}
-	for _, past := range p.past {
-		if verdict := c.checkPast(past); verdict != Pass {
+	for _, home := range p.pastHomes {
+		if verdict := c.checkHome(home); verdict != Pass {
 			return verdict
 		}
 	}
 	if p.witness == "" {
-		return p.checkAlone(&c)
+		return p.checkOnlyServer(&c)
 	}
 	switch c.answer(p.witness) {
 	case KnownThere:
@@ -93,14 +93,14 @@
 	}
 }
 
-func (p *Plan) checkAlone(c *checker) Verdict {
+func (p *Plan) checkOnlyServer(c *checker) Verdict {
 	if c.answer(p.home) != Kept {
 		return Lost
 	}
 	return Alone
 }
 
-// checker asks each server once.
+// checker asks each server at most once and caches the answers.
 type checker struct {
 	ask     Asker
 	answers map[string]Answer
@@ -115,10 +115,10 @@
 	return answer
 }
 
-// checkPast returns Pass if the past home has not passed the claim on.
-func (c *checker) checkPast(past past) Verdict {
-	if !past.dead {
-		switch c.answer(past.home) {
+// checkHome returns Pass if the past home has not passed a request on.
+func (c *checker) checkHome(home candidate) Verdict {
+	if !home.isRemoved {
+		switch c.answer(home.server) {
 		case Kept:
 			return Pass
 		case KnownThere:
@@ -126,10 +126,10 @@
 		default:
 		}
 	}
-	if past.alone || len(past.witnesses) == 0 {
+	if home.mayLackWitness || len(home.witnesses) == 0 {
 		return Lost
 	}
-	for _, witness := range past.witnesses {
+	for _, witness := range home.witnesses {
 		if verdict := c.checkWitness(witness); verdict != Pass {
 			return verdict
 		}
@@ -137,11 +137,11 @@
 	return Pass
 }
 
-func (c *checker) checkWitness(witness past) Verdict {
-	if witness.dead {
+func (c *checker) checkWitness(witness candidate) Verdict {
+	if witness.isRemoved {
 		return Lost
 	}
-	switch c.answer(witness.home) {
+	switch c.answer(witness.server) {
 	case Kept:
 		return Pass
 	case KnownThere:
