--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps one value of the platform's store of which one process
-// is the writer, by compare-and-swap.
+// Package record reads and writes a value of the platform's store that has a single
+// writer process, by compare-and-swap.
 package record
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Store is what a record needs of the platform's key-value service.
+// Store is the part of the platform's key-value service that a Record uses.
 type Store interface {
 	Get(ctx context.Context, key string) (platform.Value, error)
 	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
-// LostError says that another process has changed the value: this one is no
+// LostError reports that another process has changed the value: this process is no
 // longer its writer, whatever its lease says.
 type LostError struct {
 	Key string
@@ -32,14 +32,15 @@
 	Key   string
 
 	revision uint64
-	// unsure is the data of a write whose answer was lost; nil if there is none.
-	unsure []byte
-	// kept is the data of the newest write that is known to have taken effect.
-	kept []byte
+	// unacknowledged is the data of a write whose outcome is unknown because its
+	// reply was lost; nil if there is none.
+	unacknowledged []byte
+	// committed is the data of the newest write known to have taken effect.
+	committed []byte
 }
 
-// IsSure reports whether it is known what became of every write.
-func (r *Record) IsSure() bool { return r.unsure == nil }
+// IsSure reports whether the outcome of every write is known.
+func (r *Record) IsSure() bool { return r.unacknowledged == nil }
 
 // Load reads the value; nil if there is none.
 func (r *Record) Load(ctx context.Context) ([]byte, error) {
@@ -47,38 +48,38 @@
 	if err != nil {
 		return nil, err
 	}
-	r.revision, r.unsure, r.kept = value.Revision, nil, nil
+	r.revision, r.unacknowledged, r.committed = value.Revision, nil, nil
 	return value.Data, nil
 }
 
-// Revision returns the revision that the value has as far as this process knows.
+// Revision returns the last revision of the value that this process knows.
 func (r *Record) Revision() uint64 { return r.revision }
 
-// Write replaces the value if nobody else has changed it; a LostError says that
-// somebody has. After another error the same data is to be written again.
+// Write replaces the value if no other process has changed it; otherwise it returns
+// a LostError. After any other error the caller writes the same data again.
 //
-// The answer of a write can be lost after it took effect: the next write would
-// then conflict with this process's own. So after a lost answer the value is
-// read back first, and an equal one is this process's own.
+// The reply to a write can be lost after the write took effect. The next write
+// would then conflict with this process's own. So after a lost reply Write first
+// reads the value back and takes an equal one for its own.
 func (r *Record) Write(ctx context.Context, data []byte) error {
-	unsure := r.unsure
-	if err := r.settle(ctx); err != nil {
+	unacknowledged := r.unacknowledged
+	if err := r.resolveUnacknowledged(ctx); err != nil {
 		return err
 	}
-	if unsure != nil && bytes.Equal(unsure, data) && bytes.Equal(r.kept, data) {
+	if unacknowledged != nil && bytes.Equal(unacknowledged, data) && bytes.Equal(r.committed, data) {
 		return nil
 	}
 	revision, err := r.Store.Swap(ctx, r.Key, r.revision, data, 0)
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
-		r.revision, r.kept = revision, data
+		r.revision, r.committed = revision, data
 		return nil
 	case errors.As(err, &conflict):
-		r.unsure = data
-		return r.recognise(ctx, false)
+		r.unacknowledged = data
+		return r.recogniseOwnWrite(ctx, false)
 	default:
-		r.unsure = data
+		r.unacknowledged = data
 		return err
 	}
 }
@@ -92,26 +93,28 @@
 	return value, err
 }
 
-// settle finds out what became of a write whose answer was lost.
-func (r *Record) settle(ctx context.Context) error {
-	if r.unsure == nil {
+// resolveUnacknowledged finds out whether a write whose reply was lost took effect.
+func (r *Record) resolveUnacknowledged(ctx context.Context) error {
+	if r.unacknowledged == nil {
 		return nil
 	}
-	return r.recognise(ctx, true)
+	return r.recogniseOwnWrite(ctx, true)
 }
 
-// recognise tells this process's own write from another's.
-func (r *Record) recognise(ctx context.Context, mayBeOld bool) error {
+// recogniseOwnWrite accepts the stored value if it is this process's unacknowledged
+// write and returns a LostError if it is another's. mayBeUnapplied says that an
+// unchanged revision means that the write has not taken effect.
+func (r *Record) recogniseOwnWrite(ctx context.Context, mayBeUnapplied bool) error {
 	value, err := r.get(ctx)
 	switch {
 	case err != nil:
 		return err
-	case value.Revision == r.revision && mayBeOld:
-		// It hasn't taken effect. Should it land later, the next write conflicts.
-		r.unsure = nil
+	case value.Revision == r.revision && mayBeUnapplied:
+		// The write has not taken effect. If it does later, the next write conflicts.
+		r.unacknowledged = nil
 		return nil
-	case bytes.Equal(value.Data, r.unsure) && value.Revision > r.revision:
-		r.revision, r.kept, r.unsure = value.Revision, r.unsure, nil
+	case bytes.Equal(value.Data, r.unacknowledged) && value.Revision > r.revision:
+		r.revision, r.committed, r.unacknowledged = value.Revision, r.unacknowledged, nil
 		return nil
 	default:
 		return &LostError{Key: r.Key}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -10,13 +10,14 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-var errAway = &platform.UnavailableError{Operation: "test", Cause: errors.New("away")}
+var errUnavailable = &platform.UnavailableError{Operation: "test", Cause: errors.New("away")}
 
-// fakeStore holds one value. Each write can be held back, refused or left without an answer.
+// fakeStore holds one value. Writes can fail, or take effect without a reply.
 type fakeStore struct {
 	value platform.Value
-	// fate of the next write: "lost" takes effect without an answer, "away" doesn't.
-	fate string
+	// nextOutcome is that of the next write: "lost" takes effect but its reply is
+	// lost, "away" fails without effect; "" succeeds.
+	nextOutcome string
 }
 
 var _ Store = &fakeStore{}
@@ -29,17 +30,17 @@
 }
 
 func (s *fakeStore) Swap(_ context.Context, _ string, expect uint64, data []byte, _ uint64) (uint64, error) {
-	fate := s.fate
-	s.fate = ""
-	if fate == "away" {
-		return 0, errAway
+	outcome := s.nextOutcome
+	s.nextOutcome = ""
+	if outcome == "away" {
+		return 0, errUnavailable
 	}
 	if expect != s.value.Revision {
 		return 0, &platform.ConflictError{Key: "k", Revision: s.value.Revision}
 	}
 	s.value = platform.Value{Data: data, Revision: s.value.Revision + 1}
-	if fate == "lost" {
-		return 0, errAway
+	if outcome == "lost" {
+		return 0, errUnavailable
 	}
 	return s.value.Revision, nil
 }
@@ -64,7 +65,7 @@
 		must.Eq(t, "b", string(store.value.Data))
 	})
 	t.Run("an answer lost after the write took effect", func(t *testing.T) {
-		store := &fakeStore{fate: "lost"}
+		store := &fakeStore{nextOutcome: "lost"}
 		record := &Record{Store: store, Key: "k"}
 		must.Error(t, record.Write(t.Context(), []byte("a")))
 		must.False(t, record.IsSure())
@@ -73,17 +74,17 @@
 		mustWrite(t, record, "b")
 	})
 	t.Run("a write that took no effect", func(t *testing.T) {
-		store := &fakeStore{fate: "away"}
+		store := &fakeStore{nextOutcome: "away"}
 		record := &Record{Store: store, Key: "k"}
 		must.Error(t, record.Write(t.Context(), []byte("a")))
 		mustWrite(t, record, "a")
 		must.Eq(t, 1, store.value.Revision)
 	})
 	t.Run("a write that lands after it was given up", func(t *testing.T) {
-		store := &fakeStore{fate: "away"}
+		store := &fakeStore{nextOutcome: "away"}
 		record := &Record{Store: store, Key: "k"}
 		must.Error(t, record.Write(t.Context(), []byte("a")))
-		must.NoError(t, record.settle(t.Context()))
+		must.NoError(t, record.resolveUnacknowledged(t.Context()))
 		store.value = platform.Value{Data: []byte("a"), Revision: 1}
 		mustWrite(t, record, "a")
 		must.Eq(t, 1, record.Revision())
@@ -96,7 +97,7 @@
 		mustBeLost(t, record.Write(t.Context(), []byte("b")))
 	})
 	t.Run("another process has written while the answer was lost", func(t *testing.T) {
-		store := &fakeStore{fate: "lost"}
+		store := &fakeStore{nextOutcome: "lost"}
 		record := &Record{Store: store, Key: "k"}
 		must.Error(t, record.Write(t.Context(), []byte("a")))
 		store.value = platform.Value{Data: []byte("other"), Revision: 2}
