--- a/internal/mirror/history.go
+++ b/internal/mirror/history.go
@@ -9,59 +9,61 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// historySize is the number of changes kept for followers. A follower is rarely
-// more than a second behind, which is some dozens of changes.
-const historySize = 512
+// maxHistory is the number of changes kept for followers. A follower is rarely more
+// than a second behind, which is some dozens of changes.
+const maxHistory = 512
 
-// history holds the newest changes for processes that follow this one.
+// history buffers the newest changes for processes that follow this one.
 type history struct {
 	mutex   sync.Mutex
 	changes []platform.Value
-	// from is the revision after which all changes are here, upto the newest one.
-	from    uint64
-	upto    uint64
-	direct  clock.Boot
-	changed chan struct{}
+	// All changes after startRevision up to endRevision are in changes.
+	startRevision uint64
+	endRevision   uint64
+	// lastDirect is when this process's own watch of the store last answered.
+	lastDirect clock.Boot
+	changed    chan struct{}
 }
 
-// restart forgets all changes: those up to a revision were not seen one by one.
-func (h *history) restart(revision uint64) {
+// reset drops all changes: those up to a revision were not received one by one.
+func (h *history) reset(revision uint64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.changes = nil
-	h.from, h.upto = revision, revision
-	h.direct = 0
-	h.wake()
+	h.startRevision, h.endRevision = revision, revision
+	h.lastDirect = 0
+	h.notify()
 }
 
-// add takes changes up to a revision. Direct says that they come from a watch of
-// the store and not from another process.
-func (h *history) add(values []platform.Value, revision uint64, direct bool) {
+// add appends changes up to a revision. isDirect says that they come from a watch
+// of the store and not from another process.
+func (h *history) add(values []platform.Value, revision uint64, isDirect bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.changes = append(h.changes, values...)
-	if extra := len(h.changes) - historySize; extra > 0 {
-		h.from = h.changes[extra-1].Revision
+	if extra := len(h.changes) - maxHistory; extra > 0 {
+		h.startRevision = h.changes[extra-1].Revision
 		h.changes = append([]platform.Value(nil), h.changes[extra:]...)
 	}
-	h.upto = max(h.upto, revision)
-	if direct {
-		h.direct = clock.Now()
+	h.endRevision = max(h.endRevision, revision)
+	if isDirect {
+		h.lastDirect = clock.Now()
 	}
 	if len(values) > 0 {
-		h.wake()
+		h.notify()
 	}
 }
 
-// wait waits for changes after a revision.
+// wait waits for changes after a revision. It reports false if the last direct
+// watch is older than maxAge or changes since the revision are missing.
 //
-// Only what was seen directly and of late is told. Two processes that followed
-// each other would else hear nothing new for good, and both take it for calm.
-func (h *history) wait(ctx context.Context, after uint64, wait, fresh time.Duration) (platform.ListReply, bool) {
+// Without the check of the age, two processes that follow each other would never
+// receive a change and would both assume that there is none.
+func (h *history) wait(ctx context.Context, after uint64, wait, maxAge time.Duration) (platform.ListReply, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		reply, changed, ok := h.after(after, fresh)
+		reply, changed, ok := h.since(after, maxAge)
 		if !ok || len(reply.Values) > 0 {
 			return reply, ok
 		}
@@ -75,16 +77,16 @@
 	}
 }
 
-func (h *history) after(revision uint64, fresh time.Duration) (platform.ListReply, <-chan struct{}, bool) {
+func (h *history) since(revision uint64, maxAge time.Duration) (platform.ListReply, <-chan struct{}, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.changed == nil {
 		h.changed = make(chan struct{})
 	}
-	if h.direct == 0 || clock.Now().Sub(h.direct) > fresh || revision < h.from {
+	if h.lastDirect == 0 || clock.Now().Sub(h.lastDirect) > maxAge || revision < h.startRevision {
 		return platform.ListReply{}, nil, false
 	}
-	reply := platform.ListReply{Revision: max(revision, h.upto)}
+	reply := platform.ListReply{Revision: max(revision, h.endRevision)}
 	for _, change := range h.changes {
 		if change.Revision > revision {
 			reply.Values = append(reply.Values, change)
@@ -93,7 +95,7 @@
 	return reply, h.changed, true
 }
 
-func (h *history) wake() {
+func (h *history) notify() {
 	if h.changed != nil {
 		close(h.changed)
 	}
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,4 +1,4 @@
-// Package mirror keeps a copy of the store's values under one prefix.
+// Package mirror keeps a local copy of the store's values under one prefix.
 package mirror
 
 import (
@@ -13,18 +13,18 @@
 )
 
 const (
-	// retryPause is the wait after a call that failed. The store's outages last
-	// seconds; a tenth of a second finds their end without flooding it.
-	retryPause = 100 * time.Millisecond
-	// followerPause is that wait for a process that follows another one: well inside
-	// the two seconds in which a change must be in force.
-	followerPause = 500 * time.Millisecond
-	// freshExtra is how much longer than one watch this process's own view of the
-	// store may be without an answer before others must not follow it.
-	freshExtra = 900 * time.Millisecond
+	// watcherRetryDelay is the delay after a failed call. The store's outages last
+	// seconds; a tenth of a second finds their end without flooding the store.
+	watcherRetryDelay = 100 * time.Millisecond
+	// followerRetryDelay is the same for a process that follows another one: well
+	// within the two seconds in which a change must take effect.
+	followerRetryDelay = 500 * time.Millisecond
+	// freshnessMargin is how much longer than one watch this process may be without
+	// a reply of the store before other processes must stop following it.
+	freshnessMargin = 900 * time.Millisecond
 )
 
-// Store is what a Mirror needs of the platform's store.
+// Store is the part of the platform's store that a Mirror uses.
 type Store interface {
 	List(ctx context.Context, prefix string) (platform.ListReply, error)
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (platform.ListReply, error)
@@ -34,27 +34,27 @@
 type Mirror struct {
 	Store  Store
 	Prefix string
-	// Wait is the longest wait of one watch.
+	// Wait bounds the duration of one watch.
 	Wait time.Duration
-	// Take is called with what has changed, in the order of the store's revisions.
+	// Take is called with the changes, in the order of the store's revisions.
 	Take func(changes []platform.Value)
-	// Listed is called after a whole list was taken; nil is allowed. After a
-	// history that was lost, values that are missing from the list were reported
-	// to Take as deleted before.
+	// Listed is called after Take has received a complete list; nil is allowed.
+	// If the store has dropped its history, Take has received the values missing
+	// from the list as deleted before.
 	Listed func()
-	// Follow waits for changes that another process has seen; it reports false
-	// where this process is to watch the store itself. nil always does.
+	// Follow waits for changes that another process has received; it reports false
+	// if this process has to watch the store itself. nil means that it always has to.
 	Follow func(ctx context.Context, prefix string, after uint64) (platform.ListReply, bool)
-	// IsWatcher reports whether others follow this process's watches; nil says so.
+	// IsWatcher reports whether others follow this process's watches; nil means yes.
 	IsWatcher func() bool
-	// Pause is the wait between two watches of the store: changes that come close
-	// to each other cost one call.
+	// Pause is the delay after a watch of the store that returned changes: changes in
+	// quick succession then cost one call.
 	Pause time.Duration
-	// Lost is called when the store stops answering, and Regained once it does
-	// again, before what has changed meanwhile is taken; nil is allowed.
+	// Lost is called when the store stops answering, and Regained once it answers
+	// again, before Take receives what has changed meanwhile; nil is allowed.
 	Lost     func()
 	Regained func()
-	// Heard is called once all changes up to now are taken; nil is allowed.
+	// Heard is called once Take has received all changes so far; nil is allowed.
 	Heard func()
 
 	known    map[string]uint64
@@ -63,11 +63,11 @@
 	history  history
 }
 
-// Run keeps the copy until the context ends.
+// Run keeps the copy up to date until the context ends.
 //
-// A watch can go silent without an error. So each has an end, and the next one
-// goes on from the last revision seen; where the store has dropped its history
-// since, everything is listed anew and what is missing counts as deleted.
+// A watch can go silent without an error. So each watch has a timeout, and the next
+// one resumes from the last revision received. If the store has dropped its history
+// since, Run lists all values again and treats missing ones as deleted.
 func (m *Mirror) Run(ctx context.Context) error {
 	isListed := false
 	for ctx.Err() == nil {
@@ -82,26 +82,26 @@
 		switch {
 		case err == nil, ctx.Err() != nil:
 		case errors.As(err, &compacted):
-			klog.InfoS("mirror: the store has dropped its history, listing anew", "prefix", m.Prefix, "after", m.revision)
+			klog.InfoS("mirror: the store has dropped its history; listing all values again", "prefix", m.Prefix, "after", m.revision)
 			isListed = false
 		default:
-			m.lost(err)
-			pause.For(ctx, m.retry())
+			m.reportLost(err)
+			pause.For(ctx, m.retryDelay())
 		}
 	}
 	return nil
 }
 
-// retry returns the wait after a call that failed.
+// retryDelay returns the delay after a failed call.
 //
-// While the store is away for all, a process that follows another one hears of its
-// return from that one; only where the store turns the watcher away it must ask
-// itself, and not as often: all processes do.
-func (m *Mirror) retry() time.Duration {
+// While the store is down for all processes, a follower learns of its recovery from
+// the watcher. It has to ask the store itself only if the store refuses the watcher,
+// and less often, since all followers do.
+func (m *Mirror) retryDelay() time.Duration {
 	if m.IsWatcher == nil || m.IsWatcher() {
-		return retryPause
+		return watcherRetryDelay
 	}
-	return followerPause
+	return followerRetryDelay
 }
 
 func (m *Mirror) list(ctx context.Context) error {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	m.regained()
+	m.reportRegained()
 	present := map[string]bool{}
 	for _, value := range reply.Values {
 		present[value.Key] = true
@@ -120,20 +120,20 @@
 			changes = append(changes, platform.Value{Key: key, Revision: reply.Revision, Deleted: true})
 		}
 	}
-	m.take(append(changes, reply.Values...))
+	m.apply(append(changes, reply.Values...))
 	m.revision = max(m.revision, reply.Revision)
-	m.history.restart(m.revision)
+	m.history.reset(m.revision)
 	if m.Listed != nil {
 		m.Listed()
 	}
-	m.heard()
+	m.reportHeard()
 	return nil
 }
 
 func (m *Mirror) watch(ctx context.Context) error {
 	if m.Follow != nil {
 		if reply, ok := m.Follow(ctx, m.Prefix, m.revision); ok {
-			m.takeReply(reply, false)
+			m.applyReply(reply, false)
 			return nil
 		}
 	}
@@ -141,37 +141,37 @@
 	if err != nil {
 		return err
 	}
-	m.takeReply(reply, true)
+	m.applyReply(reply, true)
 	if m.Pause > 0 && len(reply.Values) > 0 {
 		pause.For(ctx, m.Pause)
 	}
 	return nil
 }
 
-func (m *Mirror) takeReply(reply platform.ListReply, direct bool) {
-	m.regained()
-	m.take(reply.Values)
+func (m *Mirror) applyReply(reply platform.ListReply, isDirect bool) {
+	m.reportRegained()
+	m.apply(reply.Values)
 	m.revision = max(m.revision, reply.Revision)
-	m.history.add(reply.Values, m.revision, direct)
-	m.heard()
+	m.history.add(reply.Values, m.revision, isDirect)
+	m.reportHeard()
 }
 
-func (m *Mirror) heard() {
+func (m *Mirror) reportHeard() {
 	if m.Heard != nil {
 		m.Heard()
 	}
 }
 
 // Changes waits up to wait for changes after a revision that this process has
-// seen by a watch of its own. It reports false if it has none of late, or
-// doesn't know all changes since: the caller asks the store then.
+// received by its own watch. It reports false if that watch is stale or changes
+// since the revision are missing: the caller then asks the store.
 func (m *Mirror) Changes(ctx context.Context, after uint64, wait time.Duration) (platform.ListReply, bool) {
-	return m.history.wait(ctx, after, wait, m.Wait+freshExtra)
+	return m.history.wait(ctx, after, wait, m.Wait+freshnessMargin)
 }
 
-// take hands on the values that are newer than those known. An answer that was
-// under way for long may show values that a later one has replaced.
-func (m *Mirror) take(values []platform.Value) {
+// apply passes the values that are newer than the known ones to Take. A delayed
+// reply may hold values that a later one has replaced.
+func (m *Mirror) apply(values []platform.Value) {
 	if m.known == nil {
 		m.known = map[string]uint64{}
 	}
@@ -192,18 +192,18 @@
 	}
 }
 
-func (m *Mirror) lost(err error) {
+func (m *Mirror) reportLost(err error) {
 	if m.isLost {
 		return
 	}
 	m.isLost = true
-	klog.InfoS("mirror: the store does not answer", "prefix", m.Prefix, "revision", m.revision, "err", err)
+	klog.InfoS("mirror: the store does not answer; retrying", "prefix", m.Prefix, "revision", m.revision, "err", err)
 	if m.Lost != nil {
 		m.Lost()
 	}
 }
 
-func (m *Mirror) regained() {
+func (m *Mirror) reportRegained() {
 	if !m.isLost {
 		return
 	}
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -14,35 +14,35 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform/platformtest"
 )
 
-// copied is what a mirror has taken.
-type copied struct {
+// replica holds the values that a mirror has passed to Take.
+type replica struct {
 	mutex  sync.Mutex
 	values map[string]string
 }
 
-func (c *copied) take(changes []platform.Value) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+func (r *replica) apply(changes []platform.Value) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	for _, change := range changes {
 		if change.Deleted {
-			delete(c.values, change.Key)
+			delete(r.values, change.Key)
 		} else {
-			c.values[change.Key] = string(change.Data)
+			r.values[change.Key] = string(change.Data)
 		}
 	}
 }
 
-func (c *copied) get(key string) string {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.values[key]
+func (r *replica) get(key string) string {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.values[key]
 }
 
-// run runs a mirror of "p/" on a store.
-func run(t *testing.T, store *platformtest.Store, change func(*mirror.Mirror)) (*mirror.Mirror, *copied) {
+// run runs a mirror of the prefix "p/" until the test ends.
+func run(t *testing.T, store *platformtest.Store, change func(*mirror.Mirror)) (*mirror.Mirror, *replica) {
 	t.Helper()
-	taken := &copied{values: map[string]string{}}
-	m := &mirror.Mirror{Store: store, Prefix: "p/", Wait: 50 * time.Millisecond, Take: taken.take}
+	values := &replica{values: map[string]string{}}
+	m := &mirror.Mirror{Store: store, Prefix: "p/", Wait: 50 * time.Millisecond, Take: values.apply}
 	if change != nil {
 		change(m)
 	}
@@ -53,7 +53,7 @@
 		_ = m.Run(ctx)
 	}()
 	t.Cleanup(func() { cancel(); <-ended })
-	return m, taken
+	return m, values
 }
 
 func put(t *testing.T, store *platformtest.Store, key, value string) {
@@ -62,72 +62,72 @@
 	must.NoError(t, err)
 }
 
-func awaitValue(t *testing.T, taken *copied, key, value string) {
+func awaitValue(t *testing.T, values *replica, key, value string) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return taken.get(key) == value }), wait.Timeout(5*time.Second), wait.Gap(5*time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return values.get(key) == value }), wait.Timeout(5*time.Second), wait.Gap(5*time.Millisecond)))
 }
 
 func TestMirror(t *testing.T) {
 	store := &platformtest.Store{}
 	put(t, store, "p/a", "1")
-	_, taken := run(t, store, nil)
-	awaitValue(t, taken, "p/a", "1")
+	_, values := run(t, store, nil)
+	awaitValue(t, values, "p/a", "1")
 	put(t, store, "p/a", "2")
-	awaitValue(t, taken, "p/a", "2")
+	awaitValue(t, values, "p/a", "2")
 	_, err := store.Commit(t.Context(), platform.Commit{Remove: []string{"p/a"}})
 	must.NoError(t, err)
-	awaitValue(t, taken, "p/a", "")
+	awaitValue(t, values, "p/a", "")
 }
 
-// The store drops its history while a watch hears nothing. A key that was
-// withdrawn meanwhile is in no change any more: what is missing from the new
-// list has to be taken as removed.
+// The store compacts its history while a watch is silent, so no change reports a
+// key that was removed meanwhile. The mirror must treat keys missing from the next
+// list as removed.
 func TestHistoryDropped(t *testing.T) {
 	store := &platformtest.Store{}
 	put(t, store, "p/a", "1")
-	_, taken := run(t, store, nil)
-	awaitValue(t, taken, "p/a", "1")
+	_, values := run(t, store, nil)
+	awaitValue(t, values, "p/a", "1")
 	store.SetSilent(true)
 	_, err := store.Commit(t.Context(), platform.Commit{Remove: []string{"p/a"}})
 	must.NoError(t, err)
 	put(t, store, "p/b", "1")
 	store.Compact()
 	store.SetSilent(false)
-	awaitValue(t, taken, "p/b", "1")
-	awaitValue(t, taken, "p/a", "")
+	awaitValue(t, values, "p/b", "1")
+	awaitValue(t, values, "p/a", "")
 }
 
 func TestOutage(t *testing.T) {
 	store := &platformtest.Store{}
 	var mutex sync.Mutex
-	var told []string
-	tell := func(text string) func() {
+	var events []string
+	record := func(event string) func() {
 		return func() {
 			mutex.Lock()
 			defer mutex.Unlock()
-			told = append(told, text)
+			events = append(events, event)
 		}
 	}
-	_, taken := run(t, store, func(m *mirror.Mirror) { m.Lost, m.Regained = tell("lost"), tell("regained") })
+	_, values := run(t, store, func(m *mirror.Mirror) { m.Lost, m.Regained = record("lost"), record("regained") })
 	put(t, store, "p/a", "1")
-	awaitValue(t, taken, "p/a", "1")
+	awaitValue(t, values, "p/a", "1")
 	store.SetAway(true)
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
-		return len(told) == 1
+		return len(events) == 1
 	}), wait.Timeout(5*time.Second), wait.Gap(5*time.Millisecond)))
 	store.SetAway(false)
 	put(t, store, "p/a", "2")
-	awaitValue(t, taken, "p/a", "2")
+	awaitValue(t, values, "p/a", "2")
 	mutex.Lock()
 	defer mutex.Unlock()
-	must.Eq(t, []string{"lost", "regained"}, told)
+	must.Eq(t, []string{"lost", "regained"}, events)
 }
 
-// Two gateways each take the other for the one that watches the store. Served
-// from what they heard of each other, both would hear nothing new for good. One
-// that has not watched of late helps nobody.
+// Two gateways each assume that the other one watches the store. If each served
+// the other from what it got by following, neither would ever receive a change.
+// A process whose own watch is stale must refuse followers.
 func TestFollowEachOther(t *testing.T) {
 	store := &platformtest.Store{}
 	put(t, store, "p/a", "1")
@@ -139,53 +139,53 @@
 	}
 	var ready sync.WaitGroup
 	ready.Add(1)
-	first, firstTaken := run(t, store, func(m *mirror.Mirror) {
+	first, firstValues := run(t, store, func(m *mirror.Mirror) {
 		m.Follow = func(ctx context.Context, prefix string, after uint64) (platform.ListReply, bool) {
 			ready.Wait()
 			return follow(&second)(ctx, prefix, after)
 		}
 	})
-	second, secondTaken := run(t, store, func(m *mirror.Mirror) { m.Follow = follow(&first) })
+	second, secondValues := run(t, store, func(m *mirror.Mirror) { m.Follow = follow(&first) })
 	ready.Done()
-	awaitValue(t, firstTaken, "p/a", "1")
-	awaitValue(t, secondTaken, "p/a", "1")
+	awaitValue(t, firstValues, "p/a", "1")
+	awaitValue(t, secondValues, "p/a", "1")
 	put(t, store, "p/a", "2")
-	awaitValue(t, firstTaken, "p/a", "2")
-	awaitValue(t, secondTaken, "p/a", "2")
+	awaitValue(t, firstValues, "p/a", "2")
+	awaitValue(t, secondValues, "p/a", "2")
 }
 
-// A follower gets changes from the one that watches, without a call of its own.
+// A follower gets changes from the watcher without calling the store.
 func TestFollow(t *testing.T) {
 	store := &platformtest.Store{}
-	watcher, watched := run(t, store, nil)
+	watcher, watcherValues := run(t, store, nil)
 	put(t, store, "p/a", "1")
-	awaitValue(t, watched, "p/a", "1")
-	_, taken := run(t, store, func(m *mirror.Mirror) {
+	awaitValue(t, watcherValues, "p/a", "1")
+	_, values := run(t, store, func(m *mirror.Mirror) {
 		m.Follow = func(ctx context.Context, _ string, after uint64) (platform.ListReply, bool) {
 			return watcher.Changes(ctx, after, 20*time.Millisecond)
 		}
 	})
-	awaitValue(t, taken, "p/a", "1")
+	awaitValue(t, values, "p/a", "1")
 	put(t, store, "p/a", "2")
-	awaitValue(t, taken, "p/a", "2")
+	awaitValue(t, values, "p/a", "2")
 }
 
-// The store is away, and with it all gateways that follow one watcher. Each asked
-// as often as the watcher: 18 of them made as many calls in seven seconds as in
-// the 50 before. A follower asks seldom, and still finds the store's return.
+// During a store outage, gateways that follow one watcher retried as often as the
+// watcher: 18 of them made as many calls in seven seconds as in the 50 before. A
+// follower must retry less often and still notice the recovery.
 func TestFollowersAskSeldom(t *testing.T) {
 	calls := func(isWatcher bool) int {
 		store := &platformtest.Store{}
 		put(t, store, "p/a", "1")
-		_, taken := run(t, store, func(m *mirror.Mirror) { m.IsWatcher = func() bool { return isWatcher } })
-		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return taken.get("p/a") == "1" }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
+		_, values := run(t, store, func(m *mirror.Mirror) { m.IsWatcher = func() bool { return isWatcher } })
+		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return values.get("p/a") == "1" }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
 		store.SetAway(true)
 		before := store.Calls()
 		time.Sleep(1200 * time.Millisecond)
 		made := store.Calls() - before
 		store.SetAway(false)
 		put(t, store, "p/a", "2")
-		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return taken.get("p/a") == "2" }), wait.Timeout(2*time.Second), wait.Gap(time.Millisecond)))
+		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return values.get("p/a") == "2" }), wait.Timeout(2*time.Second), wait.Gap(time.Millisecond)))
 		return made
 	}
 	must.LessEq(t, 4, calls(false))
