--- a/internal/keeper/journal.go
+++ b/internal/keeper/journal.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// headBytes of a record are its length and its checksum.
-	headBytes = 8
-	// greatestRecord bounds a record; a larger length means that the file is torn there.
-	greatestRecord = 16 << 20
-	journalName    = "texts"
+	// headerBytes is the size of a record's header: its length and its checksum.
+	headerBytes = 8
+	// maxRecordBytes bounds a record; a larger length means that the file is corrupt
+	// there.
+	maxRecordBytes = 16 << 20
+	journalFile    = "texts"
 )
 
-var checksums = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// journal is a file of records that are appended. It is not safe for concurrent
-// use; writing and syncing is.
+// journal is an append-only file of records. Only its methods are safe for concurrent
+// use.
 type journal struct {
 	folder string
 
@@ -36,85 +37,86 @@
 	size  int64
 }
 
-// openJournal opens the file of a folder and gives its whole records to take.
+// openJournal opens a folder's journal and calls apply with each complete record.
 //
-// After a power loss the tail may be torn, or hold bytes that were never
-// written: the first record whose checksum is wrong ends the file, which is cut
-// there, so that what is appended next can be read.
-func openJournal(folder string, take func(*statepb.Record)) (*journal, error) {
+// After a power loss the tail may be torn, or hold bytes that were never written.
+// The file is truncated at the first record with a wrong checksum, so that records
+// appended later can be read.
+func openJournal(folder string, apply func(*statepb.Record)) (*journal, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, eris.Wrap(err, "make "+folder)
+		return nil, eris.Wrap(err, "create "+folder)
 	}
-	file, err := os.OpenFile(filepath.Join(folder, journalName), os.O_RDWR|os.O_CREATE, 0o600)
+	file, err := os.OpenFile(filepath.Join(folder, journalFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, eris.Wrap(err, "open texts")
 	}
-	size, err := replay(file, take)
+	size, err := replay(file, apply)
 	if err != nil {
 		return nil, errors.Join(err, file.Close())
 	}
 	j := &journal{folder: folder, file: file, size: size}
 	if err := file.Truncate(size); err != nil {
-		return nil, errors.Join(eris.Wrap(err, "cut texts"), file.Close())
+		return nil, errors.Join(eris.Wrap(err, "truncate texts"), file.Close())
 	}
 	return j, j.syncFolder()
 }
 
-func replay(file *os.File, take func(*statepb.Record)) (int64, error) {
+func replay(file *os.File, apply func(*statepb.Record)) (int64, error) {
 	var size int64
-	head := make([]byte, headBytes)
+	head := make([]byte, headerBytes)
 	for {
 		if _, err := io.ReadFull(file, head); err != nil {
-			return size, atEnd(err, size)
+			return size, endOfJournal(err, size)
 		}
 		length, sum := binary.BigEndian.Uint32(head), binary.BigEndian.Uint32(head[4:])
-		if length > greatestRecord {
+		if length > maxRecordBytes {
 			return size, nil
 		}
 		body := make([]byte, length)
 		if _, err := io.ReadFull(file, body); err != nil {
-			return size, atEnd(err, size)
+			return size, endOfJournal(err, size)
 		}
 		record := readRecord(body, sum)
 		if record == nil {
-			klog.InfoS("keeper: the file is torn, the rest is cut", "at", size)
+			klog.InfoS("keeper: corrupt record; truncating the journal before it", "at", size)
 			return size, nil
 		}
-		take(record)
-		size += int64(headBytes) + int64(length)
+		apply(record)
+		size += int64(headerBytes) + int64(length)
 	}
 }
 
-// readRecord returns the record in bytes with a checksum; nil if they are torn.
+// readRecord decodes a record; nil if its checksum doesn't match or it is malformed.
 func readRecord(body []byte, sum uint32) *statepb.Record {
 	record := &statepb.Record{}
-	if crc32.Checksum(body, checksums) != sum || proto.Unmarshal(body, record) != nil {
+	if crc32.Checksum(body, castagnoli) != sum || proto.Unmarshal(body, record) != nil {
 		return nil
 	}
 	return record
 }
 
-// atEnd tells the end of the file from a fault of the disk.
-func atEnd(err error, size int64) error {
+// endOfJournal returns nil at the end of the file, torn or not, and an error for a
+// disk fault.
+func endOfJournal(err error, size int64) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	if errors.Is(err, io.ErrUnexpectedEOF) {
-		klog.InfoS("keeper: the last record is torn and cut", "at", size)
+		klog.InfoS("keeper: incomplete last record; truncating the journal before it", "at", size)
 		return nil
 	}
 	return eris.Wrap(err, "read texts")
 }
 
-// append writes a record and returns once it is on disk.
+// append writes a record and returns once it is synced to disk.
 func (j *journal) append(record *statepb.Record) error {
 	body, err := proto.Marshal(record)
 	if err != nil {
 		return eris.Wrap(err, "encode record")
 	}
-	data := make([]byte, headBytes, headBytes+len(body))
+	data := make([]byte, headerBytes, headerBytes+len(body))
 	binary.BigEndian.PutUint32(data, uint32(len(body)))
-	binary.BigEndian.PutUint32(data[4:], crc32.Checksum(body, checksums))
+	binary.BigEndian.PutUint32(data[4:], crc32.Checksum(body, castagnoli))
 	data = append(data, body...)
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -128,19 +130,18 @@
 	return nil
 }
 
-// length returns the size of the file.
-func (j *journal) length() int64 {
+func (j *journal) fileBytes() int64 {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.size
 }
 
-// rewrite replaces the file by one that holds just these records.
+// rewrite replaces the file by one that holds only these records.
 func (j *journal) rewrite(records []*statepb.Record) error {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	next := &journal{folder: j.folder}
-	name := filepath.Join(j.folder, journalName)
+	name := filepath.Join(j.folder, journalFile)
 	file, err := os.OpenFile(name+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return eris.Wrap(err, "make new texts")
@@ -159,8 +160,8 @@
 	return errors.Join(eris.Wrap(old.Close(), "close old texts"), j.syncFolder())
 }
 
-// syncFolder makes names last: without it a power loss may take a new file, or
-// bring the old one back under its name.
+// syncFolder syncs the directory entry: without it a power loss may lose a new file,
+// or bring back the old one under its name.
 func (j *journal) syncFolder() error {
 	folder, err := os.Open(j.folder)
 	if err != nil {
--- a/internal/keeper/server.go
+++ b/internal/keeper/server.go
@@ -1,9 +1,9 @@
-// Package keeper keeps, on hosts with disks, the texts that gateways receive
-// until they are whole, so that the next owner of a batch goes on behind them.
+// Package keeper stores, on hosts with disks, the partial texts that gateways receive
+// until the texts are complete, so that the next owner of a batch resumes after them.
 //
-// What is kept here saves work and is no one's only proof of anything: batches
-// and their outcomes are in the platform's store. A keeper that is lost, or
-// comes back empty, costs the seconds that its texts took.
+// The texts save work and are the only proof of nothing: batches and their outcomes
+// are in the platform's store. A keeper that is lost, or restarts empty, costs the
+// seconds that it took to generate its texts.
 package keeper
 
 import (
@@ -21,83 +21,83 @@
 )
 
 const (
-	// rewriteBytes is the size of the file above which it is written anew without
-	// the batches that were dropped: far below the smallest disk, and minutes of texts.
-	rewriteBytes = 64 << 20
-	// mostBytes is the most that is kept in memory; the batch that was longest
-	// without a new event goes first.
-	mostBytes = 48 << 20
-	// idle is how long a batch without a new event is kept. Trainers wait seconds.
-	idle = 2 * time.Minute
+	// minCompactBytes is the journal size at which dropped batches are removed from
+	// it: far below the smallest disk, and minutes of texts.
+	minCompactBytes = 64 << 20
+	// maxMemoryBytes bounds the texts in memory; the batch that has been idle longest
+	// is evicted first.
+	maxMemoryBytes = 48 << 20
+	// maxIdle is how long a batch without a new event is stored. Trainers wait seconds.
+	maxIdle = 2 * time.Minute
 )
 
-// Server keeps texts. Exported fields are set before Open.
+// Server stores partial texts. Exported fields are set before Open.
 type Server struct {
 	peerpb.UnimplementedKeeperServer
 
-	// Folder of the file; "" keeps texts in memory only.
+	// Folder of the journal; "" stores texts in memory only.
 	Folder string
 
 	mutex   sync.Mutex
 	journal *journal
-	batches map[string]*texts
+	batches map[string]*batchTexts
 	bytes   int
 }
 
-// texts are those of one batch.
-type texts struct {
-	items map[string]*statepb.Partial
-	bytes int
-	at    clock.Boot
+// batchTexts are the texts of one batch, by item.
+type batchTexts struct {
+	items      map[string]*statepb.Partial
+	bytes      int
+	lastAppend clock.Boot
 }
 
 var _ peerpb.KeeperServer = &Server{}
 
-// Open reads what the disk holds.
+// Open loads the texts from disk.
 func (s *Server) Open() error {
-	s.batches = map[string]*texts{}
+	s.batches = map[string]*batchTexts{}
 	if s.Folder == "" {
 		return nil
 	}
-	journal, err := openJournal(s.Folder, func(record *statepb.Record) { s.take(record.GetBatch(), record.GetParts()) })
+	journal, err := openJournal(s.Folder, func(record *statepb.Record) { s.apply(record.GetBatch(), record.GetParts()) })
 	if err != nil {
 		return err
 	}
-	klog.InfoS("keeper: texts read", "batches", len(s.batches), "bytes", s.bytes)
+	klog.InfoS("keeper: loaded texts from disk", "batches", len(s.batches), "bytes", s.bytes)
 	s.journal = journal
 	return nil
 }
 
-// Append adds events to the texts of a batch; it returns once they are on disk.
+// Append adds events to the texts of a batch and returns once they are on disk.
 func (s *Server) Append(_ context.Context, request *peerpb.AppendRequest) (*peerpb.AppendReply, error) {
 	if s.journal != nil {
 		record := statepb.Record_builder{Batch: request.GetBatch(), Parts: request.GetParts()}.Build()
 		if err := s.journal.append(record); err != nil {
-			klog.ErrorS(err, "keeper: texts not kept", "batch", request.GetBatch())
+			klog.ErrorS(err, "keeper: failed to write texts to the journal", "batch", request.GetBatch())
 			return nil, err
 		}
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.take(request.GetBatch(), request.GetParts())
-	s.bound()
-	return &peerpb.AppendReply{}, s.shrink()
+	s.apply(request.GetBatch(), request.GetParts())
+	s.evict()
+	return &peerpb.AppendReply{}, s.compact()
 }
 
-// Texts returns the texts kept of a batch.
+// Texts returns the texts of a batch.
 func (s *Server) Texts(_ context.Context, request *peerpb.TextsRequest) (*peerpb.TextsReply, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	reply := peerpb.TextsReply_builder{}
-	if kept := s.batches[request.GetBatch()]; kept != nil {
-		for _, partial := range kept.items {
-			reply.Partials = append(reply.Partials, copyOf(partial))
+	if texts := s.batches[request.GetBatch()]; texts != nil {
+		for _, partial := range texts.items {
+			reply.Partials = append(reply.Partials, clonePartial(partial))
 		}
 	}
 	return reply.Build(), nil
 }
 
-// Drop forgets batches.
+// Drop removes batches from memory; the journal loses them when it is compacted.
 func (s *Server) Drop(_ context.Context, request *peerpb.DropRequest) (*peerpb.DropReply, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,9 +107,9 @@
 	return &peerpb.DropReply{}, nil
 }
 
-// Run forgets batches that nobody has written to for long, until the context ends.
+// Run drops batches that have been idle for maxIdle, until the context ends.
 func (s *Server) Run(ctx context.Context) error {
-	ticker := time.NewTicker(idle / 4)
+	ticker := time.NewTicker(maxIdle / 4)
 	defer ticker.Stop()
 	for {
 		select {
@@ -119,90 +119,90 @@
 			}
 			return s.journal.close()
 		case <-ticker.C:
-			s.forget(clock.Now())
+			s.dropIdle(clock.Now())
 		}
 	}
 }
 
-func (s *Server) forget(now clock.Boot) {
+func (s *Server) dropIdle(now clock.Boot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for batch, kept := range s.batches {
-		if now.Sub(kept.at) > idle {
+	for batch, texts := range s.batches {
+		if now.Sub(texts.lastAppend) > maxIdle {
 			s.drop(batch)
 		}
 	}
 }
 
-// take adds parts to texts. A part that begins behind the text's end leaves a
-// gap and is passed over; one that begins before it replaces the rest, since the
-// text was begun anew there.
-func (s *Server) take(batch string, parts []*statepb.Part) {
-	kept := s.batches[batch]
-	if kept == nil {
-		kept = &texts{items: map[string]*statepb.Partial{}}
-		s.batches[batch] = kept
+// apply adds parts to texts. A part that begins after the text's end would leave a
+// gap and is skipped; one that begins before the end replaces the rest, since the
+// text was generated again from there.
+func (s *Server) apply(batch string, parts []*statepb.Part) {
+	texts := s.batches[batch]
+	if texts == nil {
+		texts = &batchTexts{items: map[string]*statepb.Partial{}}
+		s.batches[batch] = texts
 	}
-	kept.at = clock.Now()
+	texts.lastAppend = clock.Now()
 	for _, part := range parts {
-		partial := kept.items[part.GetItem()]
+		partial := texts.items[part.GetItem()]
 		if partial == nil {
 			partial = statepb.Partial_builder{Item: part.GetItem()}.Build()
-			kept.items[part.GetItem()] = partial
+			texts.items[part.GetItem()] = partial
 		}
 		after := int(part.GetAfter())
 		if after > len(partial.GetEvents()) || len(part.GetEvents()) != len(part.GetVersions()) {
 			continue
 		}
-		before := size(partial)
+		before := partialBytes(partial)
 		partial.SetEvents(append(partial.GetEvents()[:after:after], part.GetEvents()...))
 		partial.SetVersions(append(partial.GetVersions()[:after:after], part.GetVersions()...))
-		kept.bytes += size(partial) - before
-		s.bytes += size(partial) - before
+		texts.bytes += partialBytes(partial) - before
+		s.bytes += partialBytes(partial) - before
 	}
 }
 
-// bound drops the batches that were longest without a new event.
-func (s *Server) bound() {
-	for s.bytes > mostBytes && len(s.batches) > 1 {
+// evict drops the batches that have been idle longest until memory is within bounds.
+func (s *Server) evict() {
+	for s.bytes > maxMemoryBytes && len(s.batches) > 1 {
 		oldest := ""
-		for batch, kept := range s.batches {
-			if oldest == "" || kept.at < s.batches[oldest].at {
+		for batch, texts := range s.batches {
+			if oldest == "" || texts.lastAppend < s.batches[oldest].lastAppend {
 				oldest = batch
 			}
 		}
-		klog.InfoS("keeper: no room, a batch is dropped", "batch", oldest, "bytes", s.bytes)
+		klog.InfoS("keeper: memory limit reached; dropping the batch that has been idle longest", "batch", oldest, "bytes", s.bytes)
 		s.drop(oldest)
 	}
 }
 
 func (s *Server) drop(batch string) {
-	if kept := s.batches[batch]; kept != nil {
-		s.bytes -= kept.bytes
+	if texts := s.batches[batch]; texts != nil {
+		s.bytes -= texts.bytes
 		delete(s.batches, batch)
 	}
 }
 
-// shrink writes the file anew once it is large.
-func (s *Server) shrink() error {
-	if s.journal == nil || s.journal.length() < rewriteBytes {
+// compact rewrites the journal without dropped batches once it is large.
+func (s *Server) compact() error {
+	if s.journal == nil || s.journal.fileBytes() < minCompactBytes {
 		return nil
 	}
 	var records []*statepb.Record
-	for batch, kept := range s.batches {
+	for batch, texts := range s.batches {
 		record := statepb.Record_builder{Batch: batch}
-		for _, partial := range kept.items {
+		for _, partial := range texts.items {
 			record.Parts = append(record.Parts, statepb.Part_builder{
 				Item: partial.GetItem(), Events: partial.GetEvents(), Versions: partial.GetVersions(),
 			}.Build())
 		}
 		records = append(records, record.Build())
 	}
-	klog.InfoS("keeper: the file is written anew", "bytes", s.journal.length(), "batches", len(records))
+	klog.InfoS("keeper: compacting the journal", "bytes", s.journal.fileBytes(), "batches", len(records))
 	return eris.Wrap(s.journal.rewrite(records), "rewrite texts")
 }
 
-func copyOf(partial *statepb.Partial) *statepb.Partial {
+func clonePartial(partial *statepb.Partial) *statepb.Partial {
 	return statepb.Partial_builder{
 		Item:     partial.GetItem(),
 		Events:   slices.Clone(partial.GetEvents()),
@@ -210,7 +210,7 @@
 	}.Build()
 }
 
-func size(partial *statepb.Partial) int {
+func partialBytes(partial *statepb.Partial) int {
 	bytes := 0
 	for _, event := range partial.GetEvents() {
 		bytes += len(event) + 8
--- a/internal/keeper/server_test.go
+++ b/internal/keeper/server_test.go
@@ -27,7 +27,7 @@
 	must.NoError(t, err)
 }
 
-// mustHave checks the text kept of a batch's only item.
+// mustHave checks the text of a batch's only item; no events means no text.
 func mustHave(t *testing.T, server *Server, batch string, events ...string) {
 	t.Helper()
 	reply, err := server.Texts(t.Context(), peerpb.TextsRequest_builder{Batch: batch}.Build())
@@ -48,9 +48,9 @@
 	mustAppend(t, server, "b2", 0, "x")
 	mustHave(t, server, "b1", "a", "b", "c")
 	t.Run("read again", func(t *testing.T) {
-		again := open(t, folder)
-		mustHave(t, again, "b1", "a", "b", "c")
-		mustHave(t, again, "b2", "x")
+		reopened := open(t, folder)
+		mustHave(t, reopened, "b1", "a", "b", "c")
+		mustHave(t, reopened, "b2", "x")
 	})
 	t.Run("a gap is passed over", func(t *testing.T) {
 		mustAppend(t, server, "b1", 7, "z")
@@ -67,10 +67,9 @@
 	})
 }
 
-// The host loses power in the middle of a write: the file ends in a record that
-// is there in part, or whose bytes were never written. A text from it would be
-// given to a trainer as a sampler's. The tail goes, and what is appended after
-// it can be read.
+// A power loss during a write leaves an incomplete record, or one whose bytes were
+// never written, at the end of the file. A trainer would receive its text as a
+// sampler's. The tail must be truncated so that records appended later can be read.
 func TestTornTail(t *testing.T) {
 	for name, tear := range map[string]func([]byte) []byte{
 		"short":        func(data []byte) []byte { return data[:len(data)-3] },
@@ -83,22 +82,23 @@
 			server := open(t, folder)
 			mustAppend(t, server, "b1", 0, "a")
 			mustAppend(t, server, "b2", 0, "a second record that is long enough to be torn")
-			file := filepath.Join(folder, journalName)
+			file := filepath.Join(folder, journalFile)
 			data, err := os.ReadFile(file)
 			must.NoError(t, err)
 			must.NoError(t, os.WriteFile(file, tear(data), 0o600))
-			again := open(t, folder)
-			mustHave(t, again, "b1", "a")
+			reopened := open(t, folder)
+			mustHave(t, reopened, "b1", "a")
 			if name != "huge length" {
-				mustHave(t, again, "b2")
+				mustHave(t, reopened, "b2")
 			}
-			mustAppend(t, again, "b3", 0, "new")
+			mustAppend(t, reopened, "b3", 0, "new")
 			mustHave(t, open(t, folder), "b3", "new")
 		})
 	}
 }
 
-// A disk comes back empty. The keeper serves on; what it had is made again.
+// After a disk comes back empty the keeper must still serve; its texts are generated
+// again.
 func TestEmptyDisk(t *testing.T) {
 	server := open(t, filepath.Join(t.TempDir(), "new"))
 	mustHave(t, server, "b1")
@@ -114,13 +114,13 @@
 	}
 	mustAppend(t, server, "b1", 0, "a")
 	server.drop("old")
-	before := server.journal.length()
+	before := server.journal.fileBytes()
 	must.NoError(t, server.journal.rewrite([]*statepb.Record{
 		statepb.Record_builder{Batch: "b1", Parts: []*statepb.Part{statepb.Part_builder{Item: "i1", Events: []string{"a"}, Versions: []uint64{1}}.Build()}}.Build(),
 	}))
-	must.Less(t, before, server.journal.length())
+	must.Less(t, before, server.journal.fileBytes())
 	mustAppend(t, server, "b1", 1, "b")
-	again := open(t, folder)
-	mustHave(t, again, "b1", "a", "b")
-	mustHave(t, again, "old")
+	reopened := open(t, folder)
+	mustHave(t, reopened, "b1", "a", "b")
+	mustHave(t, reopened, "old")
 }
