--- a/internal/lists/diff.go
+++ b/internal/lists/diff.go
@@ -11,17 +11,17 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/listpb"
 )
 
-// Difference is one item or setting that two lists do not share.
+// Difference is an item or a setting that differs between two lists.
 type Difference struct {
 	// Item is the item's section, such as "plan gold".
 	Item string `json:"item"`
-	// Setting is empty where the whole item was added or removed.
+	// Setting is empty if the whole item was added or removed.
 	Setting string `json:"setting,omitempty"`
 	Old     string `json:"old,omitempty"`
 	New     string `json:"new,omitempty"`
 }
 
-// String writes the difference on one line: + added, - removed, ~ changed.
+// String formats the difference on one line: + added, - removed, ~ changed.
 func (d Difference) String() string {
 	switch {
 	case d.Setting != "":
@@ -33,8 +33,8 @@
 	}
 }
 
-// Diff returns what changes from old to next, in the order of the items.
-// Keys are no part of the lists.
+// Diff returns the differences from old to next, sorted by item. It ignores keys,
+// which are not part of the lists.
 func Diff(old, next *listpb.Config) []Difference {
 	before, after := items(old), items(next)
 	var names []string
@@ -54,15 +54,15 @@
 	return found
 }
 
-// Summary writes differences on one short line for the history.
+// Summary formats differences on one short line for the change history.
 func Summary(differences []Difference) string {
-	const most = 4
+	const maxShown = 4
 	var parts []string
-	for _, difference := range differences[:min(most, len(differences))] {
+	for _, difference := range differences[:min(maxShown, len(differences))] {
 		parts = append(parts, difference.String())
 	}
-	if len(differences) > most {
-		parts = append(parts, fmt.Sprintf("and %d more", len(differences)-most))
+	if len(differences) > maxShown {
+		parts = append(parts, fmt.Sprintf("and %d more", len(differences)-maxShown))
 	}
 	return strings.Join(parts, "; ")
 }
--- a/internal/lists/distribution_test.go
+++ b/internal/lists/distribution_test.go
@@ -27,11 +27,11 @@
 	return member.NewMembers(peerpb.Process_builder{Name: "e1", Role: peerpb.Role_ROLE_ENTRY, State: peerpb.State_STATE_LIVE}.Build())
 }
 
-func run(t *testing.T, duty func(context.Context) error) {
+func run(t *testing.T, loop func(context.Context) error) {
 	t.Helper()
-	working, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- duty(working) }()
+	go func() { done <- loop(runCtx) }()
 	t.Cleanup(func() {
 		stop()
 		<-done
@@ -48,7 +48,7 @@
 	return members, view
 }
 
-func numberOf(view *lists.View) uint64 {
+func listsNumber(view *lists.View) uint64 {
 	config, _ := view.Config()
 	return config.GetLists()
 }
@@ -58,42 +58,42 @@
 	editor := &lists.Editor{Store: store}
 	_, view := startView(t, store)
 	mustPut(t, editor, 0, 1)
-	mustBecome(t, func() bool { return numberOf(view) == 1 })
+	mustBecome(t, func() bool { return listsNumber(view) == 1 })
 	mustPut(t, editor, 1, 2)
-	mustBecome(t, func() bool { return numberOf(view) == 2 })
+	mustBecome(t, func() bool { return listsNumber(view) == 2 })
 }
 
-// The watch of the store shows nothing any more, and no error either. An edit
-// is accepted and would never be in force.
+// The watch of the store goes silent without an error. Without a timeout of the
+// watch, an accepted edit would never take effect.
 func TestSilentWatchIsNoticed(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
 	_, view := startView(t, store)
 	mustPut(t, editor, 0, 1)
-	mustBecome(t, func() bool { return numberOf(view) == 1 })
+	mustBecome(t, func() bool { return listsNumber(view) == 1 })
 	store.SetSilent(true)
 	mustPut(t, editor, 1, 2)
-	mustBecome(t, func() bool { return numberOf(view) == 2 })
+	mustBecome(t, func() bool { return listsNumber(view) == 2 })
 }
 
-// The store goes away and comes back; the lists changed just before it came
-// back for the watcher. A watcher that had given up would keep the old ones.
+// The store fails and recovers, and the lists change before the watcher's next call.
+// A watcher that had given up would keep the old lists.
 func TestWatcherSurvivesOutage(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
 	_, view := startView(t, store)
 	mustPut(t, editor, 0, 1)
-	mustBecome(t, func() bool { return numberOf(view) == 1 })
+	mustBecome(t, func() bool { return listsNumber(view) == 1 })
 	store.SetAway(true)
 	calls := store.Calls()
 	mustBecome(t, func() bool { return store.Calls() > calls+1 })
-	must.Eq(t, 1, numberOf(view))
+	must.Eq(t, 1, listsNumber(view))
 	store.SetAway(false)
 	mustPut(t, editor, 1, 2)
-	mustBecome(t, func() bool { return numberOf(view) == 2 })
+	mustBecome(t, func() bool { return listsNumber(view) == 2 })
 }
 
-// A watch answers late, with a configuration older than the one in force.
+// A watch replies late, with a configuration older than the current one.
 func TestViewNeverGoesBack(t *testing.T) {
 	view := &lists.View{}
 	old, err := proto.Marshal(listsWith(1))
@@ -123,9 +123,9 @@
 	must.Eq(t, 0, store.Calls())
 }
 
-// A key is withdrawn while the store is away. It works nowhere from then on,
-// but the store does not know. Once the store is back, it must be told, or the
-// key would work again after all processes have restarted.
+// A key is withdrawn during a store outage. No process accepts it from then on, but
+// the store doesn't hold the withdrawal. It must be written once the store recovers,
+// or the key would work again after all processes have restarted.
 func TestWithdrawalReachesStoreAfterOutage(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
--- a/internal/lists/editor.go
+++ b/internal/lists/editor.go
@@ -17,24 +17,24 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// KeyConfig is the store's key that holds the lists and keys.
+// KeyConfig is the key in the store that holds the lists and API keys.
 const KeyConfig = "config"
 
 const (
-	mostTries   = 16
-	mostSilent  = 3
-	mostChanges = 50
-	// maxConfigBytes stays below the megabyte that the store takes.
+	maxAttempts   = 16
+	maxUnanswered = 3
+	maxChanges    = 50
+	// maxConfigBytes stays below the store's limit of a megabyte a value.
 	maxConfigBytes = 900 << 10
-	retryPause     = 50 * time.Millisecond
+	retryDelay     = 50 * time.Millisecond
 	hashLength     = 64
 )
 
-// StaleError says that the lists were changed since an edit began.
+// StaleError reports that the lists have changed since an edit began.
 type StaleError struct {
 	// Base is the number of the lists that the edit began from.
 	Base uint64
-	// Present is the configuration as it is now, Revision that of the store.
+	// Present is the current configuration, Revision its revision in the store.
 	Present  *listpb.Config
 	Revision uint64
 }
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("the edit began from lists %d, but lists %d are accepted now", e.Base, e.Present.GetLists())
 }
 
-// InvalidError says that a change can't be accepted as it is.
+// InvalidError reports a change that can't be accepted as it is.
 type InvalidError struct {
 	Problem string
 }
@@ -52,13 +52,13 @@
 // Error names the problem.
 func (e *InvalidError) Error() string { return e.Problem }
 
-// UncertainError says that the store gave no answer within the bound, so that
-// the change may or may not have been accepted.
+// UncertainError reports that no attempt to write a change is known to have
+// succeeded: the change may or may not have been accepted.
 type UncertainError struct {
 	Cause error
 }
 
-// Error says what to do.
+// Error also says what to do.
 func (e *UncertainError) Error() string {
 	return "the store gave no answer: the change may have been accepted or not; look at it, then try again: " + e.Cause.Error()
 }
@@ -66,7 +66,7 @@
 // Unwrap returns the cause.
 func (e *UncertainError) Unwrap() error { return e.Cause }
 
-// Swapper is what an Editor needs of the platform's store.
+// Swapper is the part of the platform's store that an Editor uses.
 type Swapper interface {
 	Get(ctx context.Context, key string) (platform.Value, error)
 	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
@@ -76,17 +76,17 @@
 // Exported fields are set before the first call.
 type Editor struct {
 	Store Swapper
-	// Accepted is called with each configuration that the store has accepted
-	// or shown, so that it is in force here at once; nil is allowed.
+	// Accepted is called with each configuration that the store has accepted or
+	// returned, so that it takes effect in this process at once; nil is allowed.
 	Accepted func(*peerpb.Fact) bool
-	// InForce returns the revision in force here; nil is none.
+	// InForce returns the revision that is in force in this process; nil means none.
 	InForce func() uint64
-	// Now is the clock; nil is the system's.
+	// Now returns the time; nil means time.Now.
 	Now func() time.Time
 }
 
-// BehindError says that the store shows an older configuration than the one in
-// force, as after it was restored from a copy.
+// BehindError reports that the store holds an older configuration than the one in
+// force, as after a restore from a backup.
 type BehindError struct {
 	Revision uint64
 	InForce  uint64
@@ -97,19 +97,19 @@
 	return fmt.Sprintf("the store shows revision %d, older than revision %d in force: a change would never be in force", e.Revision, e.InForce)
 }
 
-// Edit is a change of both lists.
+// Edit replaces both lists.
 type Edit struct {
 	// Base is the number of the lists that the edit began from.
 	Base uint64
 	// Lists holds the accounts, plans and pools wanted.
 	Lists    *listpb.Config
 	Operator string
-	// ID is unique to the edit: a repeated edit is applied once.
+	// ID identifies the edit, so that a retry is applied once.
 	ID string
 }
 
 // Config returns the configuration in the store and its revision.
-// A store without one returns an empty configuration at revision 0.
+// If the store has none, it returns an empty configuration at revision 0.
 func (e *Editor) Config(ctx context.Context) (*listpb.Config, uint64, error) {
 	value, err := e.Store.Get(ctx, KeyConfig)
 	var missing *platform.NotFoundError
@@ -127,29 +127,29 @@
 	return config, value.Revision, nil
 }
 
-// Grant grants a key, known by its hash, to an account. A withdrawn hash is
-// never granted again.
+// Grant grants the key with this hash to an account. A withdrawn hash is never
+// granted again.
 func (e *Editor) Grant(ctx context.Context, hash, account, operator string) (uint64, error) {
 	if !isHash(hash) {
 		return 0, &InvalidError{Problem: "the hash of a key has 64 hexadecimal digits"}
 	}
 	_, revision, err := e.update(ctx, func(config *listpb.Config) (bool, error) {
 		if known := findKey(config, hash); known != nil {
-			return false, checkGranted(known, account)
+			return false, checkGrant(known, account)
 		}
 		if !hasAccount(config, account) {
 			return false, &InvalidError{Problem: "account " + account + " is not in the list"}
 		}
 		key := listpb.Key_builder{Hash: hash, Account: account, Time: e.now().Unix()}.Build()
 		config.SetKeys(append(config.GetKeys(), key))
-		e.note(config, operator, "key "+short(hash)+" granted to "+account, hash)
+		e.appendChange(config, operator, "key "+shortHash(hash)+" granted to "+account, hash)
 		return true, nil
 	})
 	return revision, err
 }
 
-// Put replaces both lists if none was changed since the edit began, else it
-// returns a StaleError. It returns the accepted configuration.
+// Put replaces both lists and returns the accepted configuration, or a StaleError if
+// the lists have changed since the edit began.
 func (e *Editor) Put(ctx context.Context, edit Edit) (*listpb.Config, uint64, error) {
 	if err := Check(edit.Lists); err != nil {
 		return nil, 0, &InvalidError{Problem: err.Error()}
@@ -169,13 +169,13 @@
 		config.SetAccounts(edit.Lists.GetAccounts())
 		config.SetPlans(edit.Lists.GetPlans())
 		config.SetPools(edit.Lists.GetPools())
-		e.note(config, edit.Operator, Summary(differences), edit.ID)
+		e.appendChange(config, edit.Operator, Summary(differences), edit.ID)
 		return true, nil
 	})
 }
 
-// Withdraw marks keys as withdrawn, also those that the store has never seen,
-// so that none of them can be granted later.
+// Withdraw marks keys as withdrawn, including keys that the store doesn't hold, so
+// that none of them can be granted later.
 func (e *Editor) Withdraw(ctx context.Context, withdrawals []*peerpb.Withdrawal) (uint64, error) {
 	_, revision, err := e.update(ctx, func(config *listpb.Config) (bool, error) {
 		changed := false
@@ -197,31 +197,31 @@
 		return false
 	}
 	key.SetWithdrawn(true)
-	summary := "key " + short(withdrawal.GetKey()) + " withdrawn"
+	summary := "key " + shortHash(withdrawal.GetKey()) + " withdrawn"
 	if key.GetAccount() != "" {
 		summary += " from " + key.GetAccount()
 	}
-	e.note(config, withdrawal.GetOperator(), summary, "withdrawal "+withdrawal.GetKey())
+	e.appendChange(config, withdrawal.GetOperator(), summary, "withdrawal "+withdrawal.GetKey())
 	return true
 }
 
-// update reads, changes and swaps until the store accepts, within a bound.
+// update reads, changes and swaps the configuration until the store accepts it, at
+// most maxAttempts times.
 //
-// An answer of the store can be lost after the change took effect: the swap
-// fails without an answer, yet the change is there. Trying again blindly would
-// tell the operator that someone else was first, or change twice. So each try
-// begins by reading back, and change recognises its own earlier write and asks
-// for nothing more.
+// The store's reply can be lost after the change took effect: the swap fails, yet
+// the change is stored. A blind retry would report a conflict with another operator,
+// or apply the change twice. So each attempt begins by reading the value back, and
+// change reports false if it finds its own earlier write.
 func (e *Editor) update(ctx context.Context, change func(*listpb.Config) (bool, error)) (*listpb.Config, uint64, error) {
-	var unsure error
-	silent := 0
-	for try := range mostTries {
-		if try > 0 && !pause.For(ctx, jitter(retryPause<<min(try-1, 3))) {
+	var lastErr error
+	unanswered := 0
+	for attempt := range maxAttempts {
+		if attempt > 0 && !pause.For(ctx, jitter(retryDelay<<min(attempt-1, 3))) {
 			break
 		}
 		config, revision, err := e.Config(ctx)
 		if err == nil {
-			revision, err = e.try(ctx, config, revision, change)
+			revision, err = e.attemptUpdate(ctx, config, revision, change)
 		}
 		var conflict *platform.ConflictError
 		var away *platform.UnavailableError
@@ -231,26 +231,26 @@
 			return config, revision, nil
 		case errors.As(err, &conflict):
 		case errors.As(err, &away), errors.As(err, &behind):
-			unsure = err
-			silent++
-			klog.Warningf("lists: try %d: %v", try+1, err)
+			lastErr = err
+			unanswered++
+			klog.Warningf("lists: attempt %d to update the configuration failed: %v", attempt+1, err)
 		default:
 			return nil, 0, err
 		}
-		if silent == mostSilent {
-			return nil, 0, giveUp(err)
+		if unanswered == maxUnanswered {
+			return nil, 0, finalError(err)
 		}
 	}
-	if unsure == nil {
-		unsure = errors.New("others kept changing it")
+	if lastErr == nil {
+		lastErr = errors.New("others kept changing it")
 	}
-	return nil, 0, &UncertainError{Cause: unsure}
+	return nil, 0, &UncertainError{Cause: lastErr}
 }
 
-func (e *Editor) try(ctx context.Context, config *listpb.Config, revision uint64, change func(*listpb.Config) (bool, error)) (uint64, error) {
-	// Revisions only ever rise, so a change of an older store would be accepted
-	// there and taken by nobody. Another's change may have come in between, so
-	// this is tried again too.
+func (e *Editor) attemptUpdate(ctx context.Context, config *listpb.Config, revision uint64, change func(*listpb.Config) (bool, error)) (uint64, error) {
+	// Processes only apply higher revisions, so a change of an older store would be
+	// accepted there and applied by no process. Another change may have been accepted
+	// between the read and this check, so the caller retries this error too.
 	if inForce := e.inForce(); revision < inForce {
 		return 0, &BehindError{Revision: revision, InForce: inForce}
 	}
@@ -290,7 +290,7 @@
 	return e.InForce()
 }
 
-func (e *Editor) note(config *listpb.Config, operator, summary, id string) {
+func (e *Editor) appendChange(config *listpb.Config, operator, summary, id string) {
 	change := listpb.Change_builder{
 		Lists:    config.GetLists(),
 		Operator: operator,
@@ -299,7 +299,7 @@
 		Id:       id,
 	}.Build()
 	changes := append(config.GetChanges(), change)
-	config.SetChanges(changes[max(0, len(changes)-mostChanges):])
+	config.SetChanges(changes[max(0, len(changes)-maxChanges):])
 }
 
 func (e *Editor) now() time.Time {
@@ -309,7 +309,7 @@
 	return time.Now()
 }
 
-func checkGranted(key *listpb.Key, account string) error {
+func checkGrant(key *listpb.Key, account string) error {
 	switch {
 	case key.GetWithdrawn():
 		return &InvalidError{Problem: "this key was withdrawn; grant a new one"}
@@ -328,8 +328,8 @@
 	return nil
 }
 
-// giveUp returns what an operator is told after the last try.
-func giveUp(err error) error {
+// finalError returns the error for the operator after the last attempt.
+func finalError(err error) error {
 	var behind *BehindError
 	if errors.As(err, &behind) {
 		return behind
@@ -363,7 +363,7 @@
 	return length/2 + rand.N(length)
 }
 
-// short returns the start of a hash, enough to tell keys apart in a log.
-func short(hash string) string {
+// shortHash returns a prefix of a hash that is long enough to identify a key in a log.
+func shortHash(hash string) string {
 	return hash[:min(len(hash), 12)]
 }
--- a/internal/lists/editor_test.go
+++ b/internal/lists/editor_test.go
@@ -41,9 +41,8 @@
 	must.Len(t, keys, config.GetKeys())
 }
 
-// Two operators edit the same lists at the same time. The first is accepted.
-// The second would wipe out the first's edit without anyone noticing.
-// It must be told, with the present lists, and nothing of it may be applied.
+// Two operators edit the same lists, and the first edit is accepted. The second would
+// silently overwrite it. It must be rejected as a whole, with the current lists.
 func TestSecondOperatorIsTold(t *testing.T) {
 	editor := &lists.Editor{Store: &platformtest.Store{}}
 	mustPut(t, editor, 0, 1)
@@ -57,8 +56,8 @@
 	mustHave(t, editor, 2, 2, 0)
 }
 
-// Two operators apply at the same moment through two entries: both have read
-// lists 1 before either writes. One is accepted, the other is told.
+// Two operators apply edits concurrently through two entries: both read lists 1
+// before either writes. One edit must be accepted, the other rejected as stale.
 func TestRacingOperators(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
@@ -70,8 +69,8 @@
 	mustHave(t, editor, 2, 2, 0)
 }
 
-// The store was restored from a copy and shows an older configuration. An edit
-// would be accepted there, and be in force nowhere.
+// After the store was restored from a backup it holds an older configuration. It
+// would accept an edit that takes effect in no process.
 func TestStoreThatWentBackIsNoticed(t *testing.T) {
 	editor := &lists.Editor{Store: &platformtest.Store{}, InForce: func() uint64 { return 7 }}
 	_, _, err := editor.Put(ctx, lists.Edit{Lists: listsWith(1), Operator: "ann", ID: "x"})
@@ -79,9 +78,9 @@
 	must.True(t, errors.As(err, &behind))
 }
 
-// The store takes an edit, but its answer is lost on the way. Without reading
-// back, the retry finds its own edit in its way and the operator is told that
-// someone else was first, though the edit is in force.
+// The store accepts an edit, but its reply is lost. Without reading back, the retry
+// conflicts with its own edit, and the operator gets a StaleError for an edit that
+// is in force.
 func TestLostAnswerIsRecognised(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
@@ -95,8 +94,8 @@
 	must.Eq(t, 2, store.Swaps())
 }
 
-// While one operator edits the lists, another grants a key: both change the
-// same value of the store. Neither is lost and neither is told of a conflict.
+// One operator edits the lists while another grants a key: both change the same value
+// of the store. Neither change may be lost or rejected as a conflict.
 func TestGrantDoesNotConflictWithEdit(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
@@ -109,7 +108,7 @@
 	mustHave(t, editor, 2, 2, 1)
 }
 
-// Twenty operators grant at once: every key is there afterwards.
+// Five operators grant keys concurrently: no grant may be lost.
 func TestManyGrantsAtOnce(t *testing.T) {
 	editor := &lists.Editor{Store: &platformtest.Store{}}
 	mustPut(t, editor, 0, 1)
@@ -124,8 +123,8 @@
 	mustHave(t, editor, 1, 1, 5)
 }
 
-// The store goes away in the middle of an edit. The operator must not read
-// "refused" or "done", since neither is known.
+// The store becomes unavailable during an edit. The operator must get neither
+// "refused" nor "done", since the outcome is unknown.
 func TestOutageIsUncertain(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
@@ -135,9 +134,9 @@
 	must.True(t, errors.As(err, &uncertain))
 }
 
-// A grant's answer is lost and the operator tries it again. Meanwhile the key
-// has leaked and was withdrawn, before or after the first try reached the
-// store: the late grant must not bring it back.
+// The reply to a grant is lost and the operator retries. Meanwhile the key has leaked
+// and was withdrawn, before or after the first attempt reached the store: the late
+// grant must not restore it.
 func TestWithdrawnKeyIsNeverGranted(t *testing.T) {
 	for name, grantedBefore := range map[string]bool{"granted before": true, "never granted": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lists/file.go
+++ b/internal/lists/file.go
@@ -23,16 +23,16 @@
 	kindPlain  = "plain"
 )
 
-// File reads one or both lists from INI files and checks them together.
+// File reads the lists from INI files and checks them together.
 type File struct {
 	config *listpb.Config
 	faults []error
-	// files tells in which file a section stands, for faults found later.
+	// files maps a section to its file, for faults found after reading.
 	files map[string]string
 }
 
-// ReadFiles reads accounts.ini and plans.ini. The error joins one
-// *settings.Error for each fault.
+// ReadFiles reads accounts.ini and plans.ini. The error joins a *settings.Error for
+// each fault.
 func ReadFiles(accounts, plans string) (*listpb.Config, error) {
 	file := &File{config: &listpb.Config{}, files: map[string]string{}}
 	file.read(accounts, "account")
@@ -41,18 +41,18 @@
 	return file.config, errors.Join(file.faults...)
 }
 
-// Check returns the faults of lists that did not come from files on this host.
+// Check returns the faults of lists that were not read from files.
 func Check(config *listpb.Config) error {
 	file := &File{config: config, files: map[string]string{}}
 	faults := append(file.checkNames(), file.checkReferences()...)
 	return errors.Join(faults...)
 }
 
-func (f *File) add(file, section, key, problem string) {
+func (f *File) addFault(file, section, key, problem string) {
 	f.faults = append(f.faults, &settings.Error{File: file, Section: section, Key: key, Problem: problem})
 }
 
-// checkNames finds items without a name and items with the same name.
+// checkNames returns a fault for each item without a name or with a duplicate name.
 func (f *File) checkNames() []error {
 	var faults []error
 	seen := map[string]bool{}
@@ -127,7 +127,7 @@
 	}
 	document, err := ini.LoadSources(options, file)
 	if err != nil {
-		f.add(file, ini.DefaultSection, "", err.Error())
+		f.addFault(file, ini.DefaultSection, "", err.Error())
 		return
 	}
 	for _, section := range document.Sections() {
@@ -138,22 +138,22 @@
 func (f *File) readSection(file string, section *ini.Section, kinds []string) {
 	if section.Name() == ini.DefaultSection {
 		for _, key := range section.KeyStrings() {
-			f.add(file, section.Name(), key, "setting outside of a section")
+			f.addFault(file, section.Name(), key, "setting outside of a section")
 		}
 		return
 	}
 	kind, name, _ := strings.Cut(section.Name(), " ")
 	name = strings.TrimSpace(name)
 	if !slices.Contains(kinds, kind) {
-		f.add(file, section.Name(), "", "unknown section; expected ["+strings.Join(kinds, " NAME] or [")+" NAME]")
+		f.addFault(file, section.Name(), "", "unknown section; expected ["+strings.Join(kinds, " NAME] or [")+" NAME]")
 		return
 	}
 	if name == "" {
-		f.add(file, section.Name(), "", "has no name")
+		f.addFault(file, section.Name(), "", "has no name")
 		return
 	}
 	if f.files[kind+" "+name] != "" {
-		f.add(file, section.Name(), "", "given twice")
+		f.addFault(file, section.Name(), "", "given twice")
 		return
 	}
 	f.files[kind+" "+name] = file
@@ -163,10 +163,10 @@
 func (f *File) readItem(file string, section *ini.Section, kind, name string) {
 	for _, key := range section.Keys() {
 		if len(key.ValueWithShadows()) > 1 {
-			f.add(file, section.Name(), key.Name(), "given twice")
+			f.addFault(file, section.Name(), key.Name(), "given twice")
 		}
 		if key.Name() == "name" {
-			f.add(file, section.Name(), key.Name(), "unknown setting")
+			f.addFault(file, section.Name(), key.Name(), "unknown setting")
 			section.DeleteKey(key.Name())
 		}
 	}
--- a/internal/lists/format.go
+++ b/internal/lists/format.go
@@ -14,7 +14,7 @@
 
 const fileMode = 0o600
 
-// FormatAccounts writes the first list as accounts.ini.
+// FormatAccounts formats the accounts as accounts.ini.
 func FormatAccounts(config *listpb.Config) string {
 	var text strings.Builder
 	for _, account := range config.GetAccounts() {
@@ -23,7 +23,7 @@
 	return text.String()
 }
 
-// FormatPlans writes the second list as plans.ini.
+// FormatPlans formats the plans and pools as plans.ini.
 func FormatPlans(config *listpb.Config) string {
 	var text strings.Builder
 	for _, plan := range config.GetPlans() {
--- a/internal/lists/reference_test.go
+++ b/internal/lists/reference_test.go
@@ -12,7 +12,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/settings"
 )
 
-// The reference page must name every setting of the lists with its meaning.
+// The reference page must list every setting of the lists with its documentation.
 func TestReferenceIsComplete(t *testing.T) {
 	text, err := os.ReadFile("../../docs/reference/lists.md")
 	must.NoError(t, err)
--- a/internal/lists/settler.go
+++ b/internal/lists/settler.go
@@ -14,12 +14,11 @@
 )
 
 const (
-	settlePause = time.Second
-	// settleAtOnce bounds the withdrawals of one write.
-	settleAtOnce = 256
+	settleInterval         = time.Second
+	maxWithdrawalsPerWrite = 256
 )
 
-// Withdrawals are the withdrawals that processes tell each other.
+// Withdrawals holds the withdrawals that processes exchange.
 type Withdrawals interface {
 	DropWithdrawal(key string)
 	Fact(name string) *peerpb.Fact
@@ -33,33 +32,33 @@
 
 var _ Withdrawer = &Editor{}
 
-// Settler brings withdrawals from the processes to the store and forgets those
-// that the configuration in force holds.
+// Settler writes the processes' withdrawals to the store and drops those that the
+// configuration in force holds.
 //
-// An operator's word must end a key while the store is away, so it goes from
-// process to process first. It is forgotten only once a configuration with it
-// is in force here: were it dropped earlier, a process that restarts from
-// older facts would let the key in again.
+// An operator can withdraw a key during a store outage, so withdrawals spread from
+// process to process first. A withdrawal is dropped only once a configuration that
+// holds it is in force here: if it was dropped earlier, a process that restarts with
+// older facts would accept the key again.
 type Settler struct {
 	Members Withdrawals
-	// Editor writes to the store; nil only forgets, as sidecars do.
+	// Editor writes to the store; nil only drops withdrawals, as sidecars do.
 	Editor Withdrawer
-	// InCharge reports whether this process should write now.
+	// InCharge reports whether this process has to write to the store now.
 	InCharge func() bool
-	// Interval is the time between two rounds; 0 is 1 s.
+	// Interval is the time between two rounds; 0 means 1 s.
 	Interval time.Duration
 }
 
-// Run settles until the context ends.
+// Run writes and drops withdrawals until the context ends.
 func (s *Settler) Run(ctx context.Context) error {
-	for pause.For(ctx, jitter(cmp.Or(s.Interval, settlePause))) {
-		open := s.forget()
-		if len(open) == 0 || s.Editor == nil || !s.InCharge() {
+	for pause.For(ctx, jitter(cmp.Or(s.Interval, settleInterval))) {
+		pending := s.dropStored()
+		if len(pending) == 0 || s.Editor == nil || !s.InCharge() {
 			continue
 		}
-		revision, err := s.Editor.Withdraw(ctx, open[:min(settleAtOnce, len(open))])
+		revision, err := s.Editor.Withdraw(ctx, pending[:min(maxWithdrawalsPerWrite, len(pending))])
 		if err != nil {
-			klog.Warningf("key: %d withdrawals are in force but not stored yet: %v", len(open), err)
+			klog.Warningf("key: %d withdrawals are in force but not stored yet: %v", len(pending), err)
 			continue
 		}
 		klog.Infof("key: withdrawals are stored at revision %d", revision)
@@ -67,27 +66,27 @@
 	return nil
 }
 
-// forget drops the withdrawals that the configuration holds and returns the others.
-func (s *Settler) forget() []*peerpb.Withdrawal {
-	waiting := s.Members.Withdrawals()
-	if len(waiting) == 0 {
+// dropStored drops the withdrawals that the configuration holds and returns the rest.
+func (s *Settler) dropStored() []*peerpb.Withdrawal {
+	known := s.Members.Withdrawals()
+	if len(known) == 0 {
 		return nil
 	}
 	config := &listpb.Config{}
 	if err := proto.Unmarshal(s.Members.Fact(KeyConfig).GetValue(), config); err != nil {
-		return waiting
+		return known
 	}
 	stored := map[string]bool{}
 	for _, key := range config.GetKeys() {
 		stored[key.GetHash()] = key.GetWithdrawn()
 	}
-	var open []*peerpb.Withdrawal
-	for _, withdrawal := range waiting {
+	var pending []*peerpb.Withdrawal
+	for _, withdrawal := range known {
 		if stored[withdrawal.GetKey()] {
 			s.Members.DropWithdrawal(withdrawal.GetKey())
 			continue
 		}
-		open = append(open, withdrawal)
+		pending = append(pending, withdrawal)
 	}
-	return open
+	return pending
 }
--- a/internal/lists/view.go
+++ b/internal/lists/view.go
@@ -1,5 +1,5 @@
-// Package lists holds the operators' two lists, the client accounts' plans and
-// what each plan may use, and the keys.
+// Package lists manages the operators' two lists, the plans of client accounts and
+// what each plan may use, and the accounts' API keys.
 package lists
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Grant is what a key allows: the account, its plan and the revision that said so.
+// Grant is what a key allows: its account and plan, as of a revision.
 type Grant struct {
 	account  *listpb.Account
 	plan     *listpb.Plan
@@ -32,23 +32,23 @@
 // Plan returns what the account may use.
 func (g Grant) Plan() *listpb.Plan { return g.plan }
 
-// Revision returns the revision of the lists and keys that said so.
+// Revision returns the revision of the lists and keys that the grant is from.
 func (g Grant) Revision() uint64 { return g.revision }
 
-// View is the newest accepted configuration known to a process.
-// Its zero value knows none. It is safe for concurrent use.
+// View holds the newest accepted configuration known to a process. The zero value
+// holds none. It is safe for concurrent use.
 type View struct {
 	current atomic.Pointer[snapshot]
 
 	mutex     sync.Mutex
 	withdrawn map[string]bool
-	watchers  map[uint64]watcher
-	next      uint64
+	watchers  map[uint64]withdrawalWatcher
+	nextID    uint64
 }
 
-type watcher struct {
-	hash string
-	end  func()
+type withdrawalWatcher struct {
+	hash        string
+	onWithdrawn func()
 }
 
 type snapshot struct {
@@ -59,64 +59,64 @@
 	plans    map[string]*listpb.Plan
 }
 
-// HashKey returns the form in which keys are kept and compared.
+// HashKey returns the hash under which a key is stored and compared.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Account returns what an account may use, for work that runs without a key.
+// Account returns the grant of an account, for work that runs without a key.
 func (v *View) Account(name string) (Grant, bool) {
-	now := v.current.Load()
-	if now == nil || now.accounts[name] == nil {
+	current := v.current.Load()
+	if current == nil || current.accounts[name] == nil {
 		return Grant{}, false
 	}
-	return now.grant(now.accounts[name], "")
+	return current.grant(current.accounts[name], "")
 }
 
 // Config returns the configuration and its revision; nil if none is known.
 func (v *View) Config() (*listpb.Config, uint64) {
-	now := v.current.Load()
-	if now == nil {
+	current := v.current.Load()
+	if current == nil {
 		return nil, 0
 	}
-	return now.config, now.revision
+	return current.config, current.revision
 }
 
-// Grant returns what the key with this hash allows. A withdrawn key allows nothing.
+// Grant returns the grant of the key with this hash; a withdrawn key has none.
 func (v *View) Grant(hash string) (Grant, bool) {
-	now := v.current.Load()
-	if now == nil || v.isWithdrawn(hash) {
+	current := v.current.Load()
+	if current == nil || v.isWithdrawn(hash) {
 		return Grant{}, false
 	}
-	key := now.keys[hash]
-	if key == nil || key.GetWithdrawn() || now.accounts[key.GetAccount()] == nil {
+	key := current.keys[hash]
+	if key == nil || key.GetWithdrawn() || current.accounts[key.GetAccount()] == nil {
 		return Grant{}, false
 	}
-	return now.grant(now.accounts[key.GetAccount()], hash)
+	return current.grant(current.accounts[key.GetAccount()], hash)
 }
 
-// Take reads a fact and makes it the current configuration if its revision is higher.
+// Take decodes a fact and makes it the current configuration if its revision is higher.
 func (v *View) Take(fact *peerpb.Fact) {
 	config := &listpb.Config{}
 	if err := proto.Unmarshal(fact.GetValue(), config); err != nil {
 		klog.Errorf("lists: revision %d can't be read: %v", fact.GetRevision(), err)
 		return
 	}
-	v.take(newSnapshot(config, fact.GetRevision()))
+	v.activate(newSnapshot(config, fact.GetRevision()))
 }
 
-// UntilWithdrawn calls end once the key with this hash stops allowing anything,
-// so that running streams end too. The returned function stops that.
+// UntilWithdrawn calls end once the key with this hash has no grant any more, so that
+// running streams end too. The returned function unregisters end.
 func (v *View) UntilWithdrawn(hash string, end func()) (stop func()) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if v.watchers == nil {
-		v.watchers = map[uint64]watcher{}
+		v.watchers = map[uint64]withdrawalWatcher{}
 	}
-	v.next++
-	id := v.next
-	v.watchers[id] = watcher{hash: hash, end: end}
+	v.nextID++
+	id := v.nextID
+	v.watchers[id] = withdrawalWatcher{hash: hash, onWithdrawn: end}
 	return func() {
 		v.mutex.Lock()
 		defer v.mutex.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// Withdraw ends a key on an operator's word, before the store knows of it.
+// Withdraw revokes a key before the store holds the withdrawal.
 func (v *View) Withdraw(hash string) {
 	v.mutex.Lock()
 	if v.withdrawn == nil {
@@ -132,7 +132,7 @@
 	}
 	v.withdrawn[hash] = true
 	v.mutex.Unlock()
-	v.endWithdrawn()
+	v.notifyWithdrawn()
 }
 
 func (v *View) isWithdrawn(hash string) bool {
@@ -141,8 +141,8 @@
 	return v.withdrawn[hash]
 }
 
-// settle forgets withdrawals that the configuration holds by now.
-func (v *View) settle(next *snapshot) {
+// dropStoredWithdrawals drops the withdrawals that the configuration holds.
+func (v *View) dropStoredWithdrawals(next *snapshot) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	for hash := range v.withdrawn {
@@ -152,31 +152,31 @@
 	}
 }
 
-func (v *View) take(next *snapshot) {
+func (v *View) activate(next *snapshot) {
 	for {
-		now := v.current.Load()
-		if now != nil && now.revision >= next.revision {
+		current := v.current.Load()
+		if current != nil && current.revision >= next.revision {
 			return
 		}
-		if v.current.CompareAndSwap(now, next) {
+		if v.current.CompareAndSwap(current, next) {
 			break
 		}
 	}
 	klog.Infof("lists: revision %d is in force", next.revision)
-	v.settle(next)
-	v.endWithdrawn()
+	v.dropStoredWithdrawals(next)
+	v.notifyWithdrawn()
 }
 
-func (v *View) endWithdrawn() {
+func (v *View) notifyWithdrawn() {
 	v.mutex.Lock()
-	watchers := make([]watcher, 0, len(v.watchers))
+	watchers := make([]withdrawalWatcher, 0, len(v.watchers))
 	for _, watcher := range v.watchers {
 		watchers = append(watchers, watcher)
 	}
 	v.mutex.Unlock()
 	for _, watcher := range watchers {
 		if _, ok := v.Grant(watcher.hash); !ok {
-			watcher.end()
+			watcher.onWithdrawn()
 		}
 	}
 }
