--- a/internal/member/answer.go
+++ b/internal/member/answer.go
@@ -8,18 +8,18 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Drain makes this entry drain, or take work again, on an operator's word.
+// Drain sets this entry to draining, or back to live if the request resumes it.
 func (e *Exchanger) Drain(_ context.Context, request *peerpb.DrainRequest) (*peerpb.DrainReply, error) {
 	state := peerpb.State_STATE_DRAINING
 	if request.GetResume() {
 		state = peerpb.State_STATE_LIVE
 	}
-	klog.Infof("member: %s sets the state to %s", request.GetOperator(), state)
+	klog.Infof("member: operator %s sets the state to %s", request.GetOperator(), state)
 	e.Members.SetState(state)
 	return &peerpb.DrainReply{}, nil
 }
 
-// Explain returns the decisions that this process took for an identity.
+// Explain returns the decisions that this process recorded for an identity.
 func (e *Exchanger) Explain(_ context.Context, request *peerpb.ExplainRequest) (*peerpb.ExplainReply, error) {
 	reply := &peerpb.ExplainReply{}
 	if e.Decisions == nil {
--- a/internal/member/charge.go
+++ b/internal/member/charge.go
@@ -4,31 +4,31 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Differs reports whether the last message came from a table unlike this one.
+// Differs reports whether the sender of the last message had a different table.
 func (m *Members) Differs() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.differs
+	return m.tableDiffers
 }
 
-// InCharge reports whether this process is one of the first number entries of
-// its zone for a task, ranked by rendezvous hashing among the live ones. Two
-// processes can both believe so for a while: it saves work, it decides nothing.
+// InCharge reports whether this process is one of the first number live entries
+// of its zone in the rendezvous hash order of a task. Several processes can hold
+// this true at the same time, so it only saves work and gives no exclusivity.
 func (m *Members) InCharge(task string, number int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.self.GetRole() != peerpb.Role_ROLE_ENTRY {
 		return false
 	}
-	own := rank(task, m.self)
-	before := 0
-	for _, process := range m.present(peerpb.Role_ROLE_ENTRY) {
-		isOther := process.GetName() != m.self.GetName() && process.GetZone() == m.self.GetZone()
-		if isOther && process.GetState() == peerpb.State_STATE_LIVE && rank(task, process) < own {
-			before++
+	ownRank := rank(task, m.self)
+	preceding := 0
+	for _, process := range m.active(peerpb.Role_ROLE_ENTRY) {
+		isZonePeer := process.GetName() != m.self.GetName() && process.GetZone() == m.self.GetZone()
+		if isZonePeer && process.GetState() == peerpb.State_STATE_LIVE && rank(task, process) < ownRank {
+			preceding++
 		}
 	}
-	return before < number
+	return preceding < number
 }
 
 func rank(task string, process *peerpb.Process) uint64 {
--- a/internal/member/connections.go
+++ b/internal/member/connectionpool.go
@@ -10,32 +10,31 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/listen"
 )
 
-// mostConnections bounds the connections kept open: successors and
-// predecessors, and some that have just ceased to be.
-const mostConnections = 2*ringCount + 8
+// maxConnections bounds the open connections: those to successors and
+// predecessors, and some to former ones.
+const maxConnections = 2*ringCount + 8
 
-// connections keeps a few connections to other processes.
-type connections struct {
+// connectionPool keeps a few connections to other processes open.
+type connectionPool struct {
 	credentials credentials.TransportCredentials
 
 	mutex sync.Mutex
 	open  map[string]*grpc.ClientConn
 }
 
-// call runs do with a connection to the address. If do fails on a connection
-// that was open before, it runs once more on a new one.
+// call runs do with a connection to the address. If do fails on a connection that
+// was already open, call retries once on a new one.
 //
-// A connection can go silent for good because something between the two ends
-// has lost track of it, while a new one works. Without the second try a live
-// process would be taken as failed.
-func (c *connections) call(ctx context.Context, address string, do func(context.Context, *grpc.ClientConn) error) error {
+// A middlebox that loses its state for a connection leaves it silent for good,
+// while a new connection works. Without the retry a live process would be marked as failed.
+func (c *connectionPool) call(ctx context.Context, address string, do func(context.Context, *grpc.ClientConn) error) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*exchangeTimeout)
 	defer cancel()
 	connection, fresh, err := c.get(address)
 	if err != nil {
 		return err
 	}
-	err = try(ctx, connection, do)
+	err = callOnce(ctx, connection, do)
 	if err == nil {
 		return nil
 	}
@@ -47,13 +46,13 @@
 	if err != nil {
 		return err
 	}
-	if err = try(ctx, connection, do); err != nil {
+	if err = callOnce(ctx, connection, do); err != nil {
 		c.drop(address, connection)
 	}
 	return err
 }
 
-func (c *connections) close() {
+func (c *connectionPool) close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for address, connection := range c.open {
@@ -62,9 +61,9 @@
 	}
 }
 
-// drop closes a connection that failed: gRPC would wait longer and longer
-// before it tries again by itself.
-func (c *connections) drop(address string, connection *grpc.ClientConn) {
+// drop closes a failed connection, because gRPC would reconnect it only after an
+// increasing backoff.
+func (c *connectionPool) drop(address string, connection *grpc.ClientConn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.open[address] == connection {
@@ -73,7 +72,7 @@
 	_ = connection.Close()
 }
 
-func (c *connections) get(address string) (connection *grpc.ClientConn, fresh bool, err error) {
+func (c *connectionPool) get(address string) (connection *grpc.ClientConn, fresh bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if known := c.open[address]; known != nil {
@@ -86,16 +85,16 @@
 	if c.open == nil {
 		c.open = map[string]*grpc.ClientConn{}
 	}
-	c.makeRoom()
+	c.evict()
 	c.open[address] = connection
 	return connection, true, nil
 }
 
-// makeRoom closes any one connection where there are too many; the order of a
-// map is as good as another, since a neighbour's connection opens again.
-func (c *connections) makeRoom() {
+// evict closes arbitrary connections to get below maxConnections. Any order will
+// do, since a neighbour's connection is opened again when needed.
+func (c *connectionPool) evict() {
 	for address, connection := range c.open {
-		if len(c.open) < mostConnections {
+		if len(c.open) < maxConnections {
 			return
 		}
 		_ = connection.Close()
@@ -103,7 +102,7 @@
 	}
 }
 
-func try(ctx context.Context, connection *grpc.ClientConn, do func(context.Context, *grpc.ClientConn) error) error {
+func callOnce(ctx context.Context, connection *grpc.ClientConn, do func(context.Context, *grpc.ClientConn) error) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	return do(ctx, connection)
--- a/internal/member/demands.go
+++ b/internal/member/demands.go
@@ -9,61 +9,61 @@
 )
 
 const (
-	// sentDemands is the most that one exchange carries, the newest first.
-	sentDemands = 64
-	// keptDemand is how long a demand is passed on after it was told.
-	keptDemand = 45 * time.Second
+	// maxSentDemands is the number of demands in one message, newest first.
+	maxSentDemands = 64
+	// demandTTL is how long a demand is passed on after it was received.
+	demandTTL = 45 * time.Second
 )
 
-// demandKey names the demand of an account at an entry.
+// demandKey identifies the demand of an account at an entry.
 type demandKey struct {
 	entry, account string
 }
 
-// keptDemands are the demands known, and when each came. The mutex of Members guards it.
-type keptDemands map[demandKey]keptDemandAt
+// demandTable holds the known demands. It is guarded by the mutex of Members.
+type demandTable map[demandKey]demandRecord
 
-type keptDemandAt struct {
-	demand *peerpb.Demand
-	time   time.Time
+type demandRecord struct {
+	demand     *peerpb.Demand
+	receivedAt time.Time
 }
 
-// Demands returns the demands of accounts at all entries that are known.
+// Demands returns the known demands of accounts at all entries.
 func (m *Members) Demands(now time.Time) []*peerpb.Demand {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.demands.newest(now, len(m.demands))
 }
 
-// OfferDemands takes demands that are newer than those known.
+// OfferDemands stores the demands that are newer than the known ones.
 func (m *Members) OfferDemands(demands []*peerpb.Demand, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.demands == nil {
-		m.demands = keptDemands{}
+		m.demands = demandTable{}
 	}
 	for _, demand := range demands {
 		key := demandKey{entry: demand.GetEntry(), account: demand.GetAccount()}
 		if known, ok := m.demands[key]; !ok || known.demand.GetSeq() < demand.GetSeq() {
-			m.demands[key] = keptDemandAt{demand: demand, time: now}
+			m.demands[key] = demandRecord{demand: demand, receivedAt: now}
 		}
 	}
 }
 
-// newest returns up to most demands, those that came last first, and drops old ones.
-func (k keptDemands) newest(now time.Time, most int) []*peerpb.Demand {
-	kept := make([]keptDemandAt, 0, len(k))
-	for key, one := range k {
-		if now.Sub(one.time) > keptDemand {
+// newest returns up to limit demands, most recently received first, and deletes expired ones.
+func (k demandTable) newest(now time.Time, limit int) []*peerpb.Demand {
+	kept := make([]demandRecord, 0, len(k))
+	for key, record := range k {
+		if now.Sub(record.receivedAt) > demandTTL {
 			delete(k, key)
 			continue
 		}
-		kept = append(kept, one)
+		kept = append(kept, record)
 	}
-	slices.SortFunc(kept, func(a, b keptDemandAt) int { return cmp.Compare(b.time.UnixNano(), a.time.UnixNano()) })
-	demands := make([]*peerpb.Demand, 0, min(most, len(kept)))
-	for _, one := range kept[:min(most, len(kept))] {
-		demands = append(demands, one.demand)
+	slices.SortFunc(kept, func(a, b demandRecord) int { return cmp.Compare(b.receivedAt.UnixNano(), a.receivedAt.UnixNano()) })
+	demands := make([]*peerpb.Demand, 0, min(limit, len(kept)))
+	for _, record := range kept[:min(limit, len(kept))] {
+		demands = append(demands, record.demand)
 	}
 	return demands
 }
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -18,18 +18,18 @@
 
 const (
 	exchangeTimeout = time.Second
-	// probesAtOnce bounds the probes that wait for an answer.
-	probesAtOnce = 4
-	// pushDelay gathers news that comes at the same time into one message.
+	// maxConcurrentProbes bounds the probes in flight.
+	maxConcurrentProbes = 4
+	// pushDelay batches simultaneous changes into one message.
 	pushDelay = 20 * time.Millisecond
-	// pushPause is the least time between two rounds of messages with news.
-	pushPause = 200 * time.Millisecond
-	// leaveTimeout bounds the last messages of a process that stops.
+	// minPushInterval is the minimum time between two rounds of push messages.
+	minPushInterval = 200 * time.Millisecond
+	// leaveTimeout bounds the final messages of a process that stops.
 	leaveTimeout = time.Second
 )
 
-// Exchanger exchanges with other processes what each knows.
-// Exported fields are set before Run.
+// Exchanger exchanges membership and facts with other processes. Exported fields
+// are set before Run.
 type Exchanger struct {
 	peerpb.UnimplementedMemberServer
 
@@ -38,15 +38,15 @@
 	Interval    time.Duration
 	Suspect     time.Duration
 	Credentials credentials.TransportCredentials
-	// Hosts returns the platform's lagging host list; nil uses the seeds alone.
+	// Hosts returns the platform's host list, which may be outdated; nil uses the seeds alone.
 	Hosts func(ctx context.Context) ([]platform.Host, error)
-	// Decisions are shown to operators who ask; nil shows none.
+	// Decisions are returned by Explain; nil returns none.
 	Decisions *decision.Log
 
-	once        sync.Once
+	poolOnce    sync.Once
 	mutex       sync.Mutex
 	prober      *Prober
-	connections connections
+	connections connectionPool
 	targets     chan *peerpb.Process
 }
 
@@ -57,13 +57,13 @@
 	return e.Members.Answer(time.Now(), gossip), nil
 }
 
-// Probe asks a third process on behalf of one that got no answer from it.
+// Probe contacts the target on behalf of a process that got no answer from it.
 func (e *Exchanger) Probe(ctx context.Context, request *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
 	err := e.exchange(ctx, request.GetTarget().GetAddress())
 	return peerpb.ProbeReply_builder{Reached: err == nil}.Build(), nil
 }
 
-// Run probes one process each interval and sends news on at once until the
+// Run probes one process each interval and pushes changes at once until the
 // context ends; then it tells the neighbours that this process has left.
 func (e *Exchanger) Run(ctx context.Context) error {
 	e.prober = &Prober{
@@ -72,21 +72,21 @@
 		Suspect:  e.Suspect,
 		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
-	e.targets = make(chan *peerpb.Process, probesAtOnce)
+	e.targets = make(chan *peerpb.Process, maxConcurrentProbes)
 	var group sync.WaitGroup
-	for range probesAtOnce {
+	for range maxConcurrentProbes {
 		group.Go(func() { e.probeTargets(ctx) })
 	}
 	group.Go(func() { e.push(ctx) })
 	group.Go(func() { e.join(ctx) })
-	e.tick(ctx)
+	e.scheduleProbes(ctx)
 	group.Wait()
 	e.leave()
 	e.pool().close()
 	return nil
 }
 
-func (e *Exchanger) tick(ctx context.Context) {
+func (e *Exchanger) scheduleProbes(ctx context.Context) {
 	ticker := time.NewTicker(e.Interval)
 	defer ticker.Stop()
 	for {
@@ -97,7 +97,7 @@
 			select {
 			case e.targets <- target:
 			default:
-				klog.V(1).Info("member: all probes wait for answers, one is left out")
+				klog.V(1).Info("member: probe skipped, too many probes in flight")
 			}
 		}
 		select {
@@ -128,8 +128,8 @@
 	e.mutex.Lock()
 	helpers := e.prober.Helpers(target)
 	e.mutex.Unlock()
-	if target.GetState() != peerpb.State_STATE_FAILED && e.askHelpers(ctx, helpers, target) {
-		klog.V(1).Infof("member: others reach %s", target.GetName())
+	if target.GetState() != peerpb.State_STATE_FAILED && e.probeIndirectly(ctx, helpers, target) {
+		klog.V(1).Infof("member: indirect probe reached %s", target.GetName())
 		return
 	}
 	if ctx.Err() == nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-func (e *Exchanger) askHelpers(ctx context.Context, helpers []*peerpb.Process, target *peerpb.Process) bool {
+func (e *Exchanger) probeIndirectly(ctx context.Context, helpers []*peerpb.Process, target *peerpb.Process) bool {
 	reached := make(chan bool, len(helpers))
 	request := peerpb.ProbeRequest_builder{Target: target}.Build()
 	for _, helper := range helpers {
@@ -162,8 +162,8 @@
 	return false
 }
 
-// exchange sends a request, and once more if the answer shows that either side
-// lacks something.
+// exchange sends a request, and a second message if the answer shows that either
+// side lacks data.
 func (e *Exchanger) exchange(ctx context.Context, address string) error {
 	answer, err := e.send(ctx, address, e.Members.Request(time.Now()))
 	if err != nil {
@@ -190,7 +190,7 @@
 	return answer, err
 }
 
-// push sends news to the neighbours at once, who do the same.
+// push sends changes to the neighbours at once; they pass them on in the same way.
 func (e *Exchanger) push(ctx context.Context) {
 	for {
 		select {
@@ -201,14 +201,14 @@
 		if !pause.For(ctx, pushDelay) {
 			return
 		}
-		e.sendAll(ctx, e.pushTargets())
-		if !pause.For(ctx, pushPause) {
+		e.exchangeAll(ctx, e.pushTargets())
+		if !pause.For(ctx, minPushInterval) {
 			return
 		}
 	}
 }
 
-func (e *Exchanger) sendAll(ctx context.Context, targets []*peerpb.Process) {
+func (e *Exchanger) exchangeAll(ctx context.Context, targets []*peerpb.Process) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var group sync.WaitGroup
@@ -234,11 +234,11 @@
 	e.Members.SetState(peerpb.State_STATE_LEFT)
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	e.sendAll(ctx, e.neighbours())
+	e.exchangeAll(ctx, e.neighbours())
 }
 
-// pool returns the connections; another process may ask before Run.
-func (e *Exchanger) pool() *connections {
-	e.once.Do(func() { e.connections.credentials = e.Credentials })
+// pool returns the connections, which Probe may need before Run is called.
+func (e *Exchanger) pool() *connectionPool {
+	e.poolOnce.Do(func() { e.connections.credentials = e.Credentials })
 	return &e.connections
 }
--- a/internal/member/exchange_bench_test.go
+++ b/internal/member/exchange_bench_test.go
@@ -16,28 +16,28 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// countedConn counts the bytes of a connection, both ways.
+// countedConn counts the bytes read and written on a connection.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-// Read counts what comes in.
+// Read counts received bytes.
 func (c countedConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what goes out.
+// Write counts sent bytes.
 func (c countedConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// BenchmarkExchange shows what one exchange on an open connection costs, and
-// what gRPC and HTTP/2 add to its two messages (TCP and IP are not counted).
+// BenchmarkExchange measures an exchange on an open connection, and the bytes
+// that gRPC and HTTP/2 add to its two messages (excluding TCP and IP).
 func BenchmarkExchange(b *testing.B) {
 	other := startBench(b)
 	var bytes atomic.Int64
@@ -50,7 +50,7 @@
 	must.NoError(b, err)
 	defer func() { _ = connection.Close() }()
 	client, members, messages := peerpb.NewMemberClient(connection), newMembers("bench"), 0
-	one := func() {
+	exchangeOnce := func() {
 		request := members.Request(time.Now())
 		answer, err := client.Exchange(context.Background(), request)
 		must.NoError(b, err)
@@ -58,19 +58,19 @@
 		messages += proto.Size(request) + proto.Size(answer)
 	}
 	for range 10 {
-		one()
+		exchangeOnce()
 	}
 	bytes.Store(0)
 	messages = 0
 	b.ReportAllocs()
 	for b.Loop() {
-		one()
+		exchangeOnce()
 	}
 	b.ReportMetric(float64(messages)/float64(2*b.N), "B/message")
 	b.ReportMetric(float64(bytes.Load()-int64(messages))/float64(2*b.N), "added-B/message")
 }
 
-// BenchmarkAnswer takes and answers a message with 1,330 processes known.
+// BenchmarkAnswer measures merging and answering a message with 1,330 known processes.
 func BenchmarkAnswer(b *testing.B) {
 	members := newMembers("a")
 	gossip := &peerpb.Gossip{}
--- a/internal/member/facts.go
+++ b/internal/member/facts.go
@@ -7,33 +7,33 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// facts holds the facts and the withdrawals, with a hash over all of them.
+// facts holds the facts and withdrawals, with a hash over all of them.
 type facts struct {
-	held        map[string]*peerpb.Fact
+	byName      map[string]*peerpb.Fact
 	withdrawals map[string]*peerpb.Withdrawal
 	hash        uint64
 }
 
 func newFacts() facts {
 	return facts{
-		held:        map[string]*peerpb.Fact{},
+		byName:      map[string]*peerpb.Fact{},
 		withdrawals: map[string]*peerpb.Withdrawal{},
 	}
 }
 
-// digest returns names and revisions without values, by name. It is never
-// empty, since a message without a digest asks for nothing.
+// digest returns names and revisions without values, sorted by name. It is never
+// empty, since a message without a digest requests nothing.
 func (f *facts) digest() []*peerpb.Fact {
 	digest := []*peerpb.Fact{{}}
-	for name, fact := range f.held {
+	for name, fact := range f.byName {
 		digest = append(digest, peerpb.Fact_builder{Name: name, Revision: fact.GetRevision()}.Build())
 	}
 	slices.SortFunc(digest, func(a, b *peerpb.Fact) int { return strings.Compare(a.GetName(), b.GetName()) })
 	return digest
 }
 
-// drop forgets a withdrawal that the configuration holds by now.
-func (f *facts) drop(key string) {
+// dropWithdrawal deletes a withdrawal that the configuration now contains.
+func (f *facts) dropWithdrawal(key string) {
 	if f.withdrawals[key] == nil {
 		return
 	}
@@ -48,7 +48,7 @@
 		known[fact.GetName()] = fact.GetRevision()
 	}
 	var found []*peerpb.Fact
-	for name, fact := range f.held {
+	for name, fact := range f.byName {
 		if known[name] < fact.GetRevision() {
 			found = append(found, fact)
 		}
@@ -56,23 +56,23 @@
 	return found
 }
 
-// offer takes a fact if its revision is higher than the one held.
+// offer stores a fact if its revision is higher than the known one.
 //
-// A watch of the store, or a process that was away, can bring an older revision
-// after a newer one: the lists would go back to what they were. Revisions only
-// ever rise, so a lower one is never taken, whoever brings it.
+// A store watch or a process that was disconnected can deliver an older revision
+// after a newer one, which would revert the lists. Revisions only increase, so a
+// lower one is rejected from any source.
 func (f *facts) offer(fact *peerpb.Fact) bool {
-	known := f.held[fact.GetName()]
+	known := f.byName[fact.GetName()]
 	if known != nil && known.GetRevision() >= fact.GetRevision() {
 		return false
 	}
 	f.hash ^= hashFact(known) ^ hashFact(fact)
-	f.held[fact.GetName()] = fact
+	f.byName[fact.GetName()] = fact
 	return true
 }
 
-// withdraw takes a withdrawal; withdrawals only ever add up.
-func (f *facts) withdraw(withdrawal *peerpb.Withdrawal) bool {
+// addWithdrawal stores a withdrawal unless it is known; withdrawals are never revoked.
+func (f *facts) addWithdrawal(withdrawal *peerpb.Withdrawal) bool {
 	if f.withdrawals[withdrawal.GetKey()] != nil {
 		return false
 	}
--- a/internal/member/fixture_test.go
+++ b/internal/member/fixture_test.go
@@ -16,14 +16,14 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-const bound = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// node is a process's membership over real connections on loopback.
+// node is a process's membership with real connections on loopback.
 type node struct {
 	*member.Members
 	exchanger *member.Exchanger
 	address   string
-	// stop ends it in good order, kill without a word.
+	// stop lets the process leave in an orderly way, kill ends it without a message.
 	stop func()
 	kill func()
 }
@@ -69,20 +69,20 @@
 		<-ran
 		stopServing()
 		<-served
-		ran, served = closed(), closed()
+		ran, served = closedChannel(), closedChannel()
 	}
 	n.kill = func() {
 		stopServing()
 		<-served
 		stopRunning()
 		<-ran
-		ran, served = closed(), closed()
+		ran, served = closedChannel(), closedChannel()
 	}
 	t.Cleanup(func() { n.kill() })
 	return n
 }
 
-func closed() chan error {
+func closedChannel() chan error {
 	done := make(chan error)
 	close(done)
 	return done
@@ -99,20 +99,20 @@
 		nodes = append(nodes, startNode(t, name, 1, seeds...))
 	}
 	for _, n := range nodes {
-		mustBecome(t, func() bool { return len(n.Processes(peerpb.Role_ROLE_ENTRY)) == len(names) })
+		waitUntil(t, func() bool { return len(n.Processes(peerpb.Role_ROLE_ENTRY)) == len(names) })
 	}
 	return nodes
 }
 
-func mustBecome(t *testing.T, state func() bool) {
+func waitUntil(t *testing.T, state func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(state), wait.Timeout(bound), wait.Gap(5*time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(state), wait.Timeout(waitTimeout), wait.Gap(5*time.Millisecond)))
 }
 
-func mustKnow(t *testing.T, n *node, name string, state peerpb.State) {
+func waitForState(t *testing.T, n *node, name string, state peerpb.State) {
 	t.Helper()
-	mustBecome(t, func() bool {
-		found := find(n.Members, name)
+	waitUntil(t, func() bool {
+		found := findEntry(n.Members, name)
 		if state == peerpb.State_STATE_FAILED || state == peerpb.State_STATE_LEFT {
 			return found == nil
 		}
@@ -120,7 +120,7 @@
 	})
 }
 
-func find(members *member.Members, name string) *peerpb.Process {
+func findEntry(members *member.Members, name string) *peerpb.Process {
 	for _, process := range members.Processes(peerpb.Role_ROLE_ENTRY) {
 		if process.GetName() == name {
 			return process
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func fact(revision uint64) *peerpb.Fact {
+func newFact(revision uint64) *peerpb.Fact {
 	return peerpb.Fact_builder{Name: member.FactConfig, Revision: revision, Value: []byte{byte(revision)}}.Build()
 }
 
--- a/internal/member/isolation.go
+++ b/internal/member/isolation.go
@@ -6,42 +6,42 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Isolated reports whether this process can't know of changes by others: the
-// store has answered neither this process nor, as far as is known, any other,
-// and most processes of its region can't be heard either.
+// Isolated reports whether this process can't learn of changes by others: the
+// store has answered neither this process nor, as far as is known, any other, and
+// most processes of its region are unreachable too.
 //
-// A key may be withdrawn, or a non-idempotent request run, where a process
-// that is alone can't see it; its own silence looks to it like an outage of
-// the store. The difference is the other processes: in an outage they answer.
+// An isolated process doesn't see that a key was withdrawn or that a
+// non-idempotent request ran elsewhere. To it, its own partition looks like a
+// store outage. The other processes tell the two apart: during an outage they still answer.
 func (m *Members) Isolated(now time.Time) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.Isolation <= 0 || now.Sub(m.stamps.heard()) < m.Isolation {
+	if m.Isolation <= 0 || now.Sub(m.stamps.lastHeard()) < m.Isolation {
 		return false
 	}
-	if now.Sub(m.exchanged) >= m.Isolation {
+	if now.Sub(m.lastExchange) >= m.Isolation {
 		return true
 	}
-	heard, lost := m.heardInRegion()
-	return heard < lost
+	reachable, unreachable := m.countInRegion()
+	return reachable < unreachable
 }
 
-// StoreAge returns the time since the store answered anybody, as far as is
-// known here; it is negative if no answer is known.
+// StoreAge returns the time since the store last answered any process, as far as
+// is known here, or a negative value if no answer is known.
 func (m *Members) StoreAge(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	heard := m.stamps.heard()
-	if heard.IsZero() {
+	lastHeard := m.stamps.lastHeard()
+	if lastHeard.IsZero() {
 		return -1
 	}
-	return now.Sub(heard)
+	return now.Sub(lastHeard)
 }
 
-// heardInRegion counts the other processes of the region that are live and
-// those that have failed lately. Another region that is lost altogether counts
-// for nothing: each region goes on with what it has.
-func (m *Members) heardInRegion() (heard, lost int) {
+// countInRegion counts the reachable other processes of the region and those that
+// are suspected or have failed. Other regions are ignored, so that the loss of a
+// whole region isolates no other one.
+func (m *Members) countInRegion() (reachable, unreachable int) {
 	for name, known := range m.table.records {
 		process := known.process
 		if name == m.self.GetName() || process.GetRegion() != m.self.GetRegion() {
@@ -49,11 +49,11 @@
 		}
 		switch process.GetState() {
 		case peerpb.State_STATE_FAILED, peerpb.State_STATE_SUSPECT:
-			lost++
+			unreachable++
 		case peerpb.State_STATE_LEFT:
 		default:
-			heard++
+			reachable++
 		}
 	}
-	return heard, lost
+	return reachable, unreachable
 }
--- a/internal/member/isolation_test.go
+++ b/internal/member/isolation_test.go
@@ -12,9 +12,9 @@
 
 const minute = time.Minute
 
-// region returns a process that knows ten others of its region and ten of
-// another, each in a state.
-func region(own, other func(i int) peerpb.State) *member.Members {
+// newRegions returns a process that knows ten others in its region and ten in
+// another, with the given states.
+func newRegions(own, other func(i int) peerpb.State) *member.Members {
 	members := newMembers("a")
 	gossip := &peerpb.Gossip{}
 	add := func(name string, i int, state peerpb.State) {
@@ -38,18 +38,18 @@
 	return members
 }
 
-func firstFail(number int) func(int) peerpb.State {
+func failFirst(count int) func(int) peerpb.State {
 	return func(i int) peerpb.State {
-		if i < number {
+		if i < count {
 			return peerpb.State_STATE_FAILED
 		}
 		return peerpb.State_STATE_LIVE
 	}
 }
 
-// An outage of the store looks to each process as if it were cut off. If all
-// refused, an outage would stop the service; if none did, one that is cut off
-// would go on with keys that were withdrawn.
+// To each process a store outage looks like its own isolation. If all processes
+// refused requests, an outage would stop the service; if none did, an isolated
+// one would go on accepting withdrawn keys.
 func TestIsolated(t *testing.T) {
 	tests := map[string]struct {
 		own, other   int
@@ -68,7 +68,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			members := region(firstFail(test.own), firstFail(test.other))
+			members := newRegions(failFirst(test.own), failFirst(test.other))
 			now := start.Add(2 * minute)
 			members.StoreHeard(now.Add(-test.store))
 			members.Take(now.Add(-test.peers), &peerpb.Gossip{})
@@ -77,9 +77,9 @@
 	}
 }
 
-// The store is away, and processes tell each other how long ago it answered.
-// Each message takes a moment, by which the age told is too low. Told round
-// and round, it would never grow, and nobody would notice being cut off.
+// Guards against isolation that is never detected: processes relay the age of the
+// last store answer, and each message understates it by its own delay. Relayed
+// back and forth, the age would never grow.
 func TestStoreAgeGrowsWhileToldAround(t *testing.T) {
 	a, b := newMembers("a"), newMembers("b")
 	a.StoreHeard(start)
@@ -95,7 +95,7 @@
 	must.GreaterEq(t, 40*time.Second, a.StoreAge(now))
 }
 
-// Only one process of three still reaches the store: its word counts for all.
+// One process of three still reaches the store, which counts for all of them.
 func TestStoreHeardByAnother(t *testing.T) {
 	a, b, c := newMembers("a"), newMembers("b"), newMembers("c")
 	c.StoreHeard(start)
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// alonePause is the first pause of a process that knows no other.
-	alonePause = 200 * time.Millisecond
-	// hostPause is the pause between two readings of the host list, and the
-	// longest one of a process that knows no other.
-	hostPause = 10 * time.Second
-	// hostReaders is the number of entries of a zone that read the host list
-	// regularly; the list's calls must not grow with the processes.
-	hostReaders = 1
-	// joinRounds bounds the exchanges in which a new process fetches its table.
-	joinRounds = 64
-	// seedsAtOnce bounds the addresses tried in one round.
-	seedsAtOnce = 3
+	// minJoinBackoff is the first delay of a process that knows no other.
+	minJoinBackoff = 200 * time.Millisecond
+	// hostListInterval is the delay between two reads of the host list, and the
+	// maximum backoff of a process that knows no other.
+	hostListInterval = 10 * time.Second
+	// hostListReaders is the number of entries per zone that read the host list
+	// regularly. It is fixed so that the calls for the list don't grow with the
+	// number of processes.
+	hostListReaders = 1
+	// maxJoinRounds bounds the exchanges in which a new process fetches its table.
+	maxJoinRounds = 64
+	// maxContacts bounds the addresses contacted in one round.
+	maxContacts = 3
 )
 
-// join makes contact with the seeds and the hosts of the platform's list: at
-// once at the start and, more and more rarely, while no other process is
-// known. Afterwards one entry of each zone goes on to look for hosts that
-// nobody knows. The list lags and decides nothing: it only gives addresses.
+// join contacts the seeds and the platform's listed hosts, at start and with
+// backoff while no other process is known. Afterwards one entry per zone keeps
+// looking for unknown hosts. The host list may be outdated, so it only supplies
+// addresses and never determines a process's state.
 func (e *Exchanger) join(ctx context.Context) {
-	gap := alonePause
+	delay := minJoinBackoff
 	for {
-		if e.isAlone() || e.Members.InCharge("hosts", hostReaders) {
-			e.contact(ctx)
+		if e.isAlone() || e.Members.InCharge("hosts", hostListReaders) {
+			e.contactUnknown(ctx)
 		}
 		if e.isAlone() {
-			gap = min(2*gap, hostPause)
+			delay = min(2*delay, hostListInterval)
 		} else {
-			gap = hostPause
+			delay = hostListInterval
 		}
-		if !pause.For(ctx, gap/2+rand.N(gap)) {
+		if !pause.For(ctx, delay/2+rand.N(delay)) {
 			return
 		}
 	}
@@ -51,20 +52,20 @@
 	return len(e.neighbours()) == 0
 }
 
-// contact exchanges with a few addresses of processes that are not known.
-func (e *Exchanger) contact(ctx context.Context) {
-	unknown := e.unknown(append(e.hosts(ctx), e.Seeds...))
+// contactUnknown exchanges with a few addresses of unknown processes.
+func (e *Exchanger) contactUnknown(ctx context.Context) {
+	unknown := e.unknownAddresses(append(e.hostAddresses(ctx), e.Seeds...))
 	rand.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
-	for _, address := range unknown[:min(seedsAtOnce, len(unknown))] {
-		e.fetchTable(ctx, address)
+	for _, address := range unknown[:min(maxContacts, len(unknown))] {
+		e.syncTable(ctx, address)
 	}
 }
 
-// fetchTable exchanges until both tables are equal or the rounds are over.
-func (e *Exchanger) fetchTable(ctx context.Context, address string) {
-	for range joinRounds {
+// syncTable exchanges until both tables are equal or maxJoinRounds is reached.
+func (e *Exchanger) syncTable(ctx context.Context, address string) {
+	for range maxJoinRounds {
 		if err := e.exchange(ctx, address); err != nil {
-			klog.Warningf("member: no answer from %s, which is a seed or in the host list: %v", address, err)
+			klog.Warningf("member: no answer from %s, a seed or listed host: %v", address, err)
 			return
 		}
 		if !e.Members.Differs() {
@@ -73,13 +74,13 @@
 	}
 }
 
-func (e *Exchanger) hosts(ctx context.Context) []string {
+func (e *Exchanger) hostAddresses(ctx context.Context) []string {
 	if e.Hosts == nil {
 		return nil
 	}
 	listed, err := e.Hosts(ctx)
 	if err != nil {
-		klog.V(1).Infof("member: host list: %v", err)
+		klog.V(1).Infof("member: read the host list: %v", err)
 		return nil
 	}
 	var addresses []string
@@ -89,7 +90,7 @@
 	return addresses
 }
 
-func (e *Exchanger) unknown(addresses []string) []string {
+func (e *Exchanger) unknownAddresses(addresses []string) []string {
 	known := map[string]bool{e.Members.Self().GetAddress(): true, "": true}
 	for _, role := range []peerpb.Role{peerpb.Role_ROLE_ENTRY, peerpb.Role_ROLE_SIDECAR} {
 		for _, process := range e.Members.Processes(role) {
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -1,8 +1,8 @@
-// Package member keeps each process informed of the other processes and of the
-// facts of the platform's store, by exchanges between processes.
+// Package member replicates the membership list and the facts of the platform's
+// store to all processes by gossip.
 //
-// The decisions are apart from input and output: Members and Prober take the
-// time as an argument and send nothing; Exchanger carries their messages.
+// Protocol logic is separate from I/O: Members and Prober take the time as an
+// argument and send nothing; Exchanger carries their messages.
 package member
 
 import (
@@ -17,72 +17,72 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// FactConfig is the name of the fact that holds the lists and keys; its value
-// is a listpb.Config, its revision that of the store's key "config".
+// FactConfig is the name of the fact that holds the lists and keys. Its value is
+// a listpb.Config, its revision that of the store's key "config".
 const FactConfig = "config"
 
-// FactFleet is the prefix of the facts that hold a pool's backend servers; the
+// FactFleet is the prefix of the facts that hold a pool's backend servers. The
 // value is a statepb.Fleet, the revision that of the store's key "fleet/POOL".
 const FactFleet = "fleet/"
 
-// newcomerTime is how long after its start a process takes a higher incarnation
-// of its own name for an earlier run on a host whose clock went ahead.
-const newcomerTime = 30 * time.Second
+// startupPeriod is how long after its start a process attributes a higher
+// incarnation of its own name to an earlier run on a host whose clock was ahead.
+const startupPeriod = 30 * time.Second
 
-// Members is what a process knows of the others. It is safe for concurrent use.
+// Members holds what a process knows of the others. It is safe for concurrent use.
 type Members struct {
-	// Isolation is the time for Isolated; set it before use. 0 turns it off.
+	// Isolation is the time without contact after which Isolated may return true; it
+	// is set before use. 0 disables the check.
 	Isolation time.Duration
 
-	mutex        sync.Mutex
-	self         *peerpb.Process
-	table        table
-	rings        rings
-	updates      updates
-	facts        facts
-	loads        map[string]*peerpb.Load
-	stamps       stamps
-	demands      keptDemands
-	watchers     map[string][]func(*peerpb.Fact)
-	withdrawn    []func(*peerpb.Withdrawal)
-	roles        map[peerpb.Role][]*peerpb.Process
-	rolesAt      uint64
-	urgent       chan struct{}
-	important    bool
-	exchanged    time.Time
-	started      time.Time
-	synced       time.Time
-	differs      bool
-	replaced     bool
-	predecessors predecessors
-	// replacedBy holds, by name, the records that a later process has replaced.
-	replacedBy map[string]*peerpb.Process
-
-	expected   uint64
-	expectedAt time.Time
-}
-
-// NewMembers returns what a process knows at its start: itself.
+	mutex              sync.Mutex
+	self               *peerpb.Process
+	table              table
+	rings              rings
+	updates            updates
+	facts              facts
+	loads              map[string]*peerpb.Load
+	stamps             stamps
+	demands            demandTable
+	factWatchers       map[string][]func(*peerpb.Fact)
+	withdrawalWatchers []func(*peerpb.Withdrawal)
+	activeByRole       map[peerpb.Role][]*peerpb.Process
+	activeVersion      uint64
+	urgent             chan struct{}
+	pushToAll          bool
+	lastExchange       time.Time
+	startedAt          time.Time
+	lastSync           time.Time
+	tableDiffers       bool
+	replaced           bool
+	startHistory       startHistory
+	// replacedRecords holds, by name, the records replaced by a higher incarnation.
+	replacedRecords map[string]*peerpb.Process
+
+	requestedHash uint64
+	requestedAt   time.Time
+}
+
+// NewMembers returns Members that know only the process itself.
 func NewMembers(self *peerpb.Process) *Members {
 	m := &Members{
-		self:     self,
-		table:    newTable(),
-		updates:  updates{},
-		facts:    newFacts(),
-		loads:    map[string]*peerpb.Load{},
-		stamps:   stamps{},
-		watchers: map[string][]func(*peerpb.Fact){},
-		urgent:   make(chan struct{}, 1),
-
-		replacedBy: map[string]*peerpb.Process{},
+		self:         self,
+		table:        newTable(),
+		updates:      updates{},
+		facts:        newFacts(),
+		loads:        map[string]*peerpb.Load{},
+		stamps:       stamps{},
+		factWatchers: map[string][]func(*peerpb.Fact){},
+		urgent:       make(chan struct{}, 1),
+
+		replacedRecords: map[string]*peerpb.Process{},
 	}
 	m.table.put(self, time.Time{})
 	m.updates.add(self.GetName())
 	return m
 }
 
-// NewMembersFrom returns what a process knows that has just taken over the
-// table of another.
+// NewMembersFrom returns Members for self with a copy of the table of other.
 func NewMembersFrom(self *peerpb.Process, other *Members) *Members {
 	m := NewMembers(self)
 	other.mutex.Lock()
@@ -90,12 +90,12 @@
 	m.table = other.table.clone()
 	m.table.put(self, time.Time{})
 	m.updates = updates{}
-	m.started = other.started
+	m.startedAt = other.startedAt
 	return m
 }
 
-// All returns the records of all processes by name, those that failed or left
-// lately among them.
+// All returns the records of all processes by name, including those that failed
+// or left recently.
 func (m *Members) All() []*peerpb.Process {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -107,25 +107,25 @@
 	return found
 }
 
-// Digest returns the names and revisions of the facts known here, without values.
+// Digest returns the names and revisions of the known facts without values.
 func (m *Members) Digest() []*peerpb.Fact {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.facts.digest()
 }
 
-// DropWithdrawal forgets a withdrawal that the configuration in force holds.
+// DropWithdrawal deletes a withdrawal that the configuration in force contains.
 func (m *Members) DropWithdrawal(key string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.facts.drop(key)
+	m.facts.dropWithdrawal(key)
 }
 
-// Fact returns the newest value known of a fact, or nil.
+// Fact returns the newest known value of a fact, or nil.
 func (m *Members) Fact(name string) *peerpb.Fact {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.facts.held[name]
+	return m.facts.byName[name]
 }
 
 // Facts returns the facts whose name has the prefix, by name.
@@ -133,7 +133,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var found []*peerpb.Fact
-	for name, fact := range m.facts.held {
+	for name, fact := range m.facts.byName {
 		if strings.HasPrefix(name, prefix) {
 			found = append(found, fact)
 		}
@@ -142,24 +142,24 @@
 	return found
 }
 
-// Load returns the newest load known of a backend server, or nil.
+// Load returns the newest known load of a backend server, or nil.
 func (m *Members) Load(server string) *peerpb.Load {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.loads[server]
 }
 
-// Offer takes a fact if its revision is higher than the one known; a lower one
-// is never taken. It reports whether it was taken.
+// Offer stores a fact if its revision is higher than the known one, and reports
+// whether it did. A lower revision is always rejected.
 func (m *Members) Offer(fact *peerpb.Fact) bool {
 	m.mutex.Lock()
 	if !m.facts.offer(fact) {
 		m.mutex.Unlock()
 		return false
 	}
-	watchers := m.matching(fact.GetName())
-	m.important = true
-	m.hurry()
+	watchers := m.watchersOf(fact.GetName())
+	m.pushToAll = true
+	m.signalUrgent()
 	m.mutex.Unlock()
 	for _, watcher := range watchers {
 		watcher(fact)
@@ -167,7 +167,7 @@
 	return true
 }
 
-// OfferLoad takes a load if it is newer than the one known.
+// OfferLoad stores a load if it is newer than the known one.
 func (m *Members) OfferLoad(load *peerpb.Load) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -178,12 +178,12 @@
 }
 
 // OnFact calls watcher with each newer value of the facts whose name has the
-// prefix, beginning with those known already.
+// prefix, starting with the known values.
 func (m *Members) OnFact(prefix string, watcher func(*peerpb.Fact)) {
 	m.mutex.Lock()
-	m.watchers[prefix] = append(m.watchers[prefix], watcher)
+	m.factWatchers[prefix] = append(m.factWatchers[prefix], watcher)
 	var known []*peerpb.Fact
-	for name, fact := range m.facts.held {
+	for name, fact := range m.facts.byName {
 		if strings.HasPrefix(name, prefix) {
 			known = append(known, fact)
 		}
@@ -194,30 +194,31 @@
 	}
 }
 
-// OnWithdrawal calls watcher with each withdrawal that becomes known.
+// OnWithdrawal calls watcher with each new withdrawal.
 func (m *Members) OnWithdrawal(watcher func(*peerpb.Withdrawal)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.withdrawn = append(m.withdrawn, watcher)
+	m.withdrawalWatchers = append(m.withdrawalWatchers, watcher)
 }
 
-// Process returns the record of a process in whatever state, or nil.
+// Process returns the record of a process in any state, or nil.
 func (m *Members) Process(name string) *peerpb.Process {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.table.get(name)
 }
 
-// Processes returns the processes of a role that are not known to have failed
-// or left, by name; draining and suspected ones are among them. The slice is
-// shared and must not be changed.
+// Processes returns the processes of a role that are not known to have failed or
+// left, by name; this includes draining and suspected ones. The slice is shared
+// and must not be changed.
 func (m *Members) Processes(role peerpb.Role) []*peerpb.Process {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.present(role)
+	return m.active(role)
 }
 
-// Replaced reports whether a later process with this process's name is known.
+// Replaced reports whether a process with this process's name and a higher
+// incarnation is known.
 func (m *Members) Replaced() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -233,38 +234,38 @@
 
 // SetAddress sets the peer address in this process's own record.
 func (m *Members) SetAddress(address string) {
-	m.change(func(self *peerpb.Process) { self.SetAddress(address) })
+	m.updateSelf(func(self *peerpb.Process) { self.SetAddress(address) })
 }
 
 // SetState sets the state in this process's own record.
 func (m *Members) SetState(state peerpb.State) {
-	m.change(func(self *peerpb.Process) {
+	m.updateSelf(func(self *peerpb.Process) {
 		self.SetState(state)
 		self.SetEnded(endedAt(state, time.Now()))
 	})
 }
 
-// StoreHeard notes that the platform's store has answered just now.
+// StoreHeard records that the platform's store answered at the given time.
 func (m *Members) StoreHeard(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.stamps.add(m.self.GetName(), now)
 }
 
-// Urgent gives a value once there is news that should not wait for the next
-// exchange.
+// Urgent returns a channel that receives a value once there are changes that
+// should not wait for the next exchange.
 func (m *Members) Urgent() <-chan struct{} { return m.urgent }
 
-// Withdraw takes a withdrawal; withdrawals only ever add up.
+// Withdraw stores a withdrawal and reports whether it is new; withdrawals are never revoked.
 func (m *Members) Withdraw(withdrawal *peerpb.Withdrawal) bool {
 	m.mutex.Lock()
-	if !m.facts.withdraw(withdrawal) {
+	if !m.facts.addWithdrawal(withdrawal) {
 		m.mutex.Unlock()
 		return false
 	}
-	watchers := slices.Clone(m.withdrawn)
-	m.important = true
-	m.hurry()
+	watchers := slices.Clone(m.withdrawalWatchers)
+	m.pushToAll = true
+	m.signalUrgent()
 	m.mutex.Unlock()
 	for _, watcher := range watchers {
 		watcher(withdrawal)
@@ -272,32 +273,32 @@
 	return true
 }
 
-// Withdrawals returns the withdrawals that the configuration may not hold yet.
+// Withdrawals returns the withdrawals that the configuration may not contain yet.
 func (m *Members) Withdrawals() []*peerpb.Withdrawal {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.facts.listWithdrawals()
 }
 
-func (m *Members) change(change func(*peerpb.Process)) {
+func (m *Members) updateSelf(modify func(*peerpb.Process)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	next := proto.CloneOf(m.self)
-	change(next)
+	modify(next)
 	next.SetVersion(next.GetVersion() + 1)
 	m.setSelf(next)
 }
 
-func (m *Members) hurry() {
+func (m *Members) signalUrgent() {
 	select {
 	case m.urgent <- struct{}{}:
 	default:
 	}
 }
 
-func (m *Members) matching(name string) []func(*peerpb.Fact) {
+func (m *Members) watchersOf(name string) []func(*peerpb.Fact) {
 	var found []func(*peerpb.Fact)
-	for prefix, watchers := range m.watchers {
+	for prefix, watchers := range m.factWatchers {
 		if strings.HasPrefix(name, prefix) {
 			found = append(found, watchers...)
 		}
@@ -305,10 +306,10 @@
 	return found
 }
 
-// mergeProcess takes what is said of a process if it is newer. It reports
-// whether the known record is newer, so that the other side should be told.
+// mergeProcess stores a received record if it is newer. It reports whether the
+// known record is newer, so that the sender should get it.
 func (m *Members) mergeProcess(process *peerpb.Process, now time.Time) (outdated bool) {
-	m.predecessors.note(m.self, process)
+	m.startHistory.observe(m.self, process)
 	if process.GetName() == m.self.GetName() {
 		return m.mergeSelf(process, now)
 	}
@@ -316,7 +317,7 @@
 	if known != nil && !isNewer(process, known) {
 		return isNewer(known, process)
 	}
-	process = complete(process, known)
+	process = expand(process, known)
 	if process == nil || (known == nil && hasExpired(process, now)) {
 		return false
 	}
@@ -324,19 +325,19 @@
 	return false
 }
 
-// mergeSelf answers what others say of this process.
+// mergeSelf refutes outdated records of this process.
 //
-// A process that is slow or briefly cut off is suspected by the others, or
-// taken as failed: it would get no more work although it runs. It learns so
-// from the others' messages and raises its version, which goes before theirs.
+// A process that is slow or briefly disconnected is suspected or marked as failed
+// by the others, and would get no more work although it runs. It learns of this
+// from their messages and raises its version, which takes precedence over their records.
 func (m *Members) mergeSelf(process *peerpb.Process, now time.Time) (outdated bool) {
 	own := m.self
 	if !isNewer(process, own) {
 		return false
 	}
-	if process.GetIncarnation() > own.GetIncarnation() && !m.isNewcomer(now) {
+	if process.GetIncarnation() > own.GetIncarnation() && !m.isStarting(now) {
 		if !m.replaced {
-			klog.Errorf("member: a later process has this process's name %s", own.GetName())
+			klog.Errorf("member: another process has this process's name %s and a higher incarnation", own.GetName())
 		}
 		m.replaced = true
 		return false
@@ -344,27 +345,27 @@
 	next := proto.CloneOf(own)
 	next.SetIncarnation(max(own.GetIncarnation(), process.GetIncarnation()))
 	next.SetVersion(process.GetVersion() + 1)
-	klog.Infof("member: others took this process as %s, it says it is %s", process.GetState(), own.GetState())
+	klog.Infof("member: others reported this process as %s, refuting with state %s", process.GetState(), own.GetState())
 	m.setSelf(next)
 	return true
 }
 
-func (m *Members) isNewcomer(now time.Time) bool {
-	return !m.started.IsZero() && now.Sub(m.started) < newcomerTime
+func (m *Members) isStarting(now time.Time) bool {
+	return !m.startedAt.IsZero() && now.Sub(m.startedAt) < startupPeriod
 }
 
-func (m *Members) present(role peerpb.Role) []*peerpb.Process {
-	if m.roles == nil || m.rolesAt != m.table.version {
-		m.roles, m.rolesAt = byRole(&m.table), m.table.version
+func (m *Members) active(role peerpb.Role) []*peerpb.Process {
+	if m.activeByRole == nil || m.activeVersion != m.table.version {
+		m.activeByRole, m.activeVersion = groupByRole(&m.table), m.table.version
 	}
-	return m.roles[role]
+	return m.activeByRole[role]
 }
 
 func (m *Members) setProcess(process, known *peerpb.Process, now time.Time) {
 	if known == nil || known.GetState() != process.GetState() {
 		klog.V(1).Infof("member: %s at %s is %s", process.GetName(), process.GetAddress(), process.GetState())
 	}
-	if !isPresent(process.GetState()) {
+	if !isActive(process.GetState()) {
 		delete(m.loads, process.GetServer())
 	}
 	if known.GetIncarnation() < process.GetIncarnation() {
@@ -372,21 +373,21 @@
 	}
 	m.table.put(process, now)
 	m.updates.add(process.GetName())
-	m.hurry()
+	m.signalUrgent()
 }
 
 func (m *Members) setSelf(next *peerpb.Process) {
 	m.self = next
 	m.table.put(next, time.Time{})
 	m.updates.add(next.GetName())
-	m.important = true
-	m.hurry()
+	m.pushToAll = true
+	m.signalUrgent()
 }
 
-func byRole(t *table) map[peerpb.Role][]*peerpb.Process {
+func groupByRole(t *table) map[peerpb.Role][]*peerpb.Process {
 	found := map[peerpb.Role][]*peerpb.Process{}
 	for _, known := range t.records {
-		if isPresent(known.process.GetState()) {
+		if isActive(known.process.GetState()) {
 			role := known.process.GetRole()
 			found[role] = append(found[role], known.process)
 		}
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -8,54 +8,54 @@
 )
 
 const (
-	// syncInterval is the least time between two comparisons of whole tables.
-	syncInterval = 5 * time.Second
-	// joinTime is how long after its start a process compares tables without pause.
-	joinTime = 15 * time.Second
-	// syncBuckets bounds the parts of the table sent at once.
-	syncBuckets = 4
-	// corrections bounds the records with which an outdated one is answered.
-	corrections = 16
-	// fewProcesses is the number up to which loads of others are passed on.
-	fewProcesses = 64
-	sentLoads    = 8
-	// someDemands is the number of demands in a message among many processes.
-	someDemands = 12
-	// expectTime is how long an answer with facts is waited for before another
-	// process is asked.
-	expectTime = 300 * time.Millisecond
-	// sentWithdrawals bounds the withdrawals in one message.
-	sentWithdrawals = 512
+	// minSyncInterval is the minimum time between two comparisons of whole tables.
+	minSyncInterval = 5 * time.Second
+	// joinPeriod is how long after its start a process compares tables in every
+	// exchange while they differ.
+	joinPeriod = 15 * time.Second
+	// maxSyncBuckets bounds the table buckets sent in one message.
+	maxSyncBuckets = 4
+	// maxCorrections bounds the newer records sent in reply to outdated ones.
+	maxCorrections = 16
+	// smallClusterSize is the number of processes up to which the loads of others
+	// are passed on.
+	smallClusterSize = 64
+	maxSentLoads     = 8
+	// maxSentDemandsLarge is the number of demands per message above smallClusterSize.
+	maxSentDemandsLarge = 12
+	// factRequestTimeout is how long to wait for requested facts before asking another process.
+	factRequestTimeout = 300 * time.Millisecond
+	// maxSentWithdrawals bounds the withdrawals in one message.
+	maxSentWithdrawals = 512
 )
 
-// Answer takes another process's message and returns the answer.
+// Answer merges another process's message and returns the answer.
 func (m *Members) Answer(now time.Time, request *peerpb.Gossip) *peerpb.Gossip {
-	olderRecords := m.olderRecordsOf(request.GetSender())
-	outdated := m.take(now, request)
+	olderRecords := m.findOlderRecords(request.GetSender())
+	outdated := m.merge(now, request)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	answer := m.message(now)
+	answer := m.newMessage(now)
 	answer.SetProcesses(append(append(answer.GetProcesses(), outdated...), olderRecords...))
-	if request.GetHeld() != m.facts.hash && m.expect(now, request.GetHeld()) {
+	if request.GetHeld() != m.facts.hash && m.shouldRequestFacts(now, request.GetHeld()) {
 		answer.SetDigest(m.facts.digest())
-		answer.SetWithdrawals(m.someWithdrawals())
+		answer.SetWithdrawals(m.withdrawalsToSend())
 	}
 	if len(request.GetDigest()) > 0 {
 		answer.SetFacts(m.facts.newerThan(request.GetDigest()))
 	}
 	if len(request.GetBuckets()) == bucketCount {
 		answer.SetBuckets(slices.Clone(m.table.buckets[:]))
-		differing := append(m.differing(request.GetBuckets()), m.table.ended()...)
+		differing := append(m.differingRecords(request.GetBuckets()), m.table.ended()...)
 		answer.SetProcesses(append(answer.GetProcesses(), differing...))
 	}
 	return answer
 }
 
-// FollowUp takes the answer to a message. If the answer shows that either side
-// lacks something, FollowUp returns the message that brings it or asks for it,
-// else nil.
+// FollowUp merges the answer to a message. If the answer shows that either side
+// lacks data, FollowUp returns the message that sends or requests it, else nil.
 func (m *Members) FollowUp(now time.Time, answer *peerpb.Gossip) *peerpb.Gossip {
-	outdated := m.take(now, answer)
+	outdated := m.merge(now, answer)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	next := &peerpb.Gossip{}
@@ -65,11 +65,11 @@
 		needed = true
 		next.SetDigest(m.facts.digest())
 		next.SetFacts(m.facts.newerThan(answer.GetDigest()))
-		next.SetWithdrawals(m.someWithdrawals())
+		next.SetWithdrawals(m.withdrawalsToSend())
 	}
 	if len(answer.GetBuckets()) == bucketCount && answer.GetTable() != m.table.hash {
 		needed = true
-		next.SetProcesses(append(next.GetProcesses(), m.differing(answer.GetBuckets())...))
+		next.SetProcesses(append(next.GetProcesses(), m.differingRecords(answer.GetBuckets())...))
 	}
 	if !needed {
 		return nil
@@ -84,56 +84,56 @@
 func (m *Members) Request(now time.Time) *peerpb.Gossip {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.started.IsZero() {
-		m.started = now
+	if m.startedAt.IsZero() {
+		m.startedAt = now
 	}
-	request := m.message(now)
-	if m.wantsSync(now) {
-		m.synced = now
+	request := m.newMessage(now)
+	if m.needsSync(now) {
+		m.lastSync = now
 		request.SetBuckets(slices.Clone(m.table.buckets[:]))
 	}
 	return request
 }
 
-// Take takes an answer that needs no message after it.
+// Take merges an answer that needs no further message.
 func (m *Members) Take(now time.Time, gossip *peerpb.Gossip) {
-	m.take(now, gossip)
+	m.merge(now, gossip)
 }
 
-func (m *Members) message(now time.Time) *peerpb.Gossip {
+func (m *Members) newMessage(now time.Time) *peerpb.Gossip {
 	return peerpb.Gossip_builder{
 		Sender:    m.self,
-		Processes: m.updates.take(&m.table),
-		Loads:     m.someLoads(),
-		Demands:   m.someDemands(now),
+		Processes: m.updates.nextBatch(&m.table),
+		Loads:     m.loadsToSend(),
+		Demands:   m.demandsToSend(now),
 		Stamps:    m.stamps.newest(now),
 		Table:     m.table.hash,
 		Held:      m.facts.hash,
 	}.Build()
 }
 
-// expect reports whether facts with this hash should be asked for: not if they
-// were asked for just now. All neighbours tell a change at the same time, and
-// each would send the same value.
-func (m *Members) expect(now time.Time, held uint64) bool {
-	if m.expected == held && now.Sub(m.expectedAt) < expectTime {
+// shouldRequestFacts reports whether to request the facts with this hash, which
+// is false shortly after a request. All neighbours announce a change at the same
+// time, and each would send the same value.
+func (m *Members) shouldRequestFacts(now time.Time, held uint64) bool {
+	if m.requestedHash == held && now.Sub(m.requestedAt) < factRequestTimeout {
 		return false
 	}
-	m.expected, m.expectedAt = held, now
+	m.requestedHash, m.requestedAt = held, now
 	return true
 }
 
-func (m *Members) olderRecordsOf(process *peerpb.Process) []*peerpb.Process {
+func (m *Members) findOlderRecords(process *peerpb.Process) []*peerpb.Process {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.olderRecords(process)
 }
 
-func (m *Members) differing(buckets []uint64) []*peerpb.Process {
+func (m *Members) differingRecords(buckets []uint64) []*peerpb.Process {
 	var found []*peerpb.Process
 	sent := 0
 	for i, sum := range buckets {
-		if sum == m.table.buckets[i] || sent == syncBuckets {
+		if sum == m.table.buckets[i] || sent == maxSyncBuckets {
 			continue
 		}
 		sent++
@@ -142,26 +142,25 @@
 	return found
 }
 
-// someDemands returns fewer demands where there are many processes, to stay
-// within the bytes of a message.
-func (m *Members) someDemands(now time.Time) []*peerpb.Demand {
-	most := sentDemands
-	if len(m.table.records) > fewProcesses {
-		most = someDemands
+// demandsToSend returns fewer demands if there are many processes, to limit the message size.
+func (m *Members) demandsToSend(now time.Time) []*peerpb.Demand {
+	limit := maxSentDemands
+	if len(m.table.records) > smallClusterSize {
+		limit = maxSentDemandsLarge
 	}
-	return m.demands.newest(now, most)
+	return m.demands.newest(now, limit)
 }
 
-func (m *Members) someLoads() []*peerpb.Load {
+func (m *Members) loadsToSend() []*peerpb.Load {
 	var sent []*peerpb.Load
 	if own := m.loads[m.self.GetServer()]; own != nil {
 		sent = append(sent, own)
 	}
-	if len(m.table.records) > fewProcesses {
+	if len(m.table.records) > smallClusterSize {
 		return sent
 	}
 	for server, load := range m.loads {
-		if len(sent) == sentLoads {
+		if len(sent) == maxSentLoads {
 			break
 		}
 		if server != m.self.GetServer() {
@@ -171,14 +170,14 @@
 	return sent
 }
 
-func (m *Members) someWithdrawals() []*peerpb.Withdrawal {
+func (m *Members) withdrawalsToSend() []*peerpb.Withdrawal {
 	all := m.facts.listWithdrawals()
-	return all[:min(sentWithdrawals, len(all))]
+	return all[:min(maxSentWithdrawals, len(all))]
 }
 
-// take merges a message and returns the records that it has outdated.
-func (m *Members) take(now time.Time, gossip *peerpb.Gossip) []*peerpb.Process {
-	outdated := m.takeProcesses(now, gossip)
+// merge merges a message and returns the newer records for its outdated ones.
+func (m *Members) merge(now time.Time, gossip *peerpb.Gossip) []*peerpb.Process {
+	outdated := m.mergeProcesses(now, gossip)
 	for _, fact := range gossip.GetFacts() {
 		m.Offer(fact)
 	}
@@ -192,33 +191,34 @@
 	return outdated
 }
 
-func (m *Members) takeProcesses(now time.Time, gossip *peerpb.Gossip) []*peerpb.Process {
+func (m *Members) mergeProcesses(now time.Time, gossip *peerpb.Gossip) []*peerpb.Process {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.exchanged = now
+	m.lastExchange = now
 	m.stamps.merge(gossip.GetStamps(), now)
 	var outdated []*peerpb.Process
 	for _, process := range append(gossip.GetProcesses(), gossip.GetSender()) {
 		if process == nil || process.GetName() == "" {
 			continue
 		}
-		if m.mergeProcess(process, now) && len(outdated) < corrections {
+		if m.mergeProcess(process, now) && len(outdated) < maxCorrections {
 			outdated = append(outdated, m.table.get(process.GetName()))
 		}
 	}
-	m.differs = gossip.GetTable() != m.table.hash
+	m.tableDiffers = gossip.GetTable() != m.table.hash
 	return outdated
 }
 
-// wantsSync reports whether the next exchange should compare whole tables: the
-// first always, which also brings what failed before; then without pause while
-// the process joins and the tables differ, else at a low rate.
-func (m *Members) wantsSync(now time.Time) bool {
-	if m.synced.IsZero() {
+// needsSync reports whether the next exchange should compare whole tables. The
+// first one always does, which also fetches the processes that failed earlier.
+// While the tables differ, every exchange does so during joinPeriod, and later
+// one per minSyncInterval.
+func (m *Members) needsSync(now time.Time) bool {
+	if m.lastSync.IsZero() {
 		return true
 	}
-	if !m.differs {
+	if !m.tableDiffers {
 		return false
 	}
-	return now.Sub(m.started) < joinTime || now.Sub(m.synced) >= syncInterval
+	return now.Sub(m.startedAt) < joinPeriod || now.Sub(m.lastSync) >= minSyncInterval
 }
--- a/internal/member/prober.go
+++ b/internal/member/prober.go
@@ -12,47 +12,46 @@
 
 const (
 	helperCount = 2
-	// retryEvery is the number of probes between two of a failed process, so
-	// that the two sides of a healed cut find each other.
+	// retryEvery is the number of probes per probe of a failed process, so that the
+	// two sides of a healed network partition find each other.
 	retryEvery = 5
-	// pushRate and pushBurst bound the messages with changes of others: messages
-	// a second, and messages at once.
+	// pushRate (per second) and pushBurst limit the messages that push changes of other processes.
 	pushRate  = 4
 	pushBurst = 24
-	// pauseFactor intervals without a call mean that this process was paused.
+	// pauseFactor is the number of intervals without a call after which this process
+	// is considered to have been paused.
 	pauseFactor = 4
 )
 
-// Prober decides whom a process asks and what a missing answer means.
-// Exported fields are set before use. It is for one goroutine at a time.
+// Prober selects the processes to probe and handles missing answers. Exported
+// fields are set before use. It is not safe for concurrent use.
 type Prober struct {
 	Members *Members
 	// Interval is the time between two calls of Next.
 	Interval time.Duration
-	// Suspect is the time after which a suspected process has failed.
+	// Suspect is the time after which a suspected process is marked as failed.
 	Suspect time.Duration
 	Rand    *rand.Rand
 
-	turn     int
-	last     time.Time
-	tokens   float64
-	refilled time.Time
+	probeCount int
+	lastExpiry time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
-// Expire takes suspected processes as failed once their time is over and
-// forgets those that are long gone.
+// Expire marks suspected processes as failed after Suspect and deletes records
+// past their retention.
 //
-// After a pause of this process (a frozen host, a long stop of the machine)
-// all suspicions look old, though nobody was asked meanwhile. Their time then
-// begins anew.
+// After a pause of this process (a frozen or stopped host) all suspicions look
+// old although no process was probed meanwhile, so their time restarts.
 func (p *Prober) Expire(now time.Time) {
 	m := p.Members
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	paused := !p.last.IsZero() && now.Sub(p.last) > max(pauseFactor*p.Interval, p.Suspect/2)
-	p.last = now
+	paused := !p.lastExpiry.IsZero() && now.Sub(p.lastExpiry) > max(pauseFactor*p.Interval, p.Suspect/2)
+	p.lastExpiry = now
 	m.forgetReplaced(now)
-	for name := range m.table.unsettled {
+	for name := range m.table.suspectOrEnded {
 		known := m.table.records[name]
 		age := now.Sub(known.since)
 		switch state := known.process.GetState(); {
@@ -61,30 +60,30 @@
 			known.since = now
 			m.table.records[name] = known
 		case state == peerpb.State_STATE_SUSPECT && age >= p.Suspect:
-			p.mark(known.process, peerpb.State_STATE_FAILED, now)
+			p.setState(known.process, peerpb.State_STATE_FAILED, now)
 		case hasExpired(known.process, now):
 			m.table.remove(name)
 		}
 	}
 }
 
-// Helpers returns processes that should ask the target once more.
+// Helpers returns random neighbours that should probe the target indirectly.
 func (p *Prober) Helpers(target *peerpb.Process) []*peerpb.Process {
 	m := p.Members
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.rings.update(&m.table, m.self.GetName())
-	around := m.rings.all()
+	neighbours := m.rings.all()
 	var found []*peerpb.Process
-	for _, i := range p.Rand.Perm(len(around)) {
-		if around[i].GetName() != target.GetName() && len(found) < helperCount {
-			found = append(found, around[i])
+	for _, i := range p.Rand.Perm(len(neighbours)) {
+		if neighbours[i].GetName() != target.GetName() && len(found) < helperCount {
+			found = append(found, neighbours[i])
 		}
 	}
 	return found
 }
 
-// Missed takes note that neither this process nor its helpers got an answer.
+// Missed records that neither this process nor its helpers got an answer from the target.
 func (p *Prober) Missed(now time.Time, target *peerpb.Process) {
 	m := p.Members
 	m.mutex.Lock()
@@ -95,10 +94,10 @@
 	}
 	switch known.GetState() {
 	case peerpb.State_STATE_LIVE:
-		p.mark(known, peerpb.State_STATE_SUSPECT, now)
+		p.setState(known, peerpb.State_STATE_SUSPECT, now)
 	case peerpb.State_STATE_DRAINING:
-		// A suspicion would hide that it drains, and it would get work again.
-		p.mark(known, peerpb.State_STATE_FAILED, now)
+		// SUSPECT would hide that the process drains, and it would get work again.
+		p.setState(known, peerpb.State_STATE_FAILED, now)
 	default:
 	}
 }
@@ -112,23 +111,23 @@
 	return m.rings.all()
 }
 
-// Push returns the processes to which news is sent at once: all neighbours for
-// facts, withdrawals and this process's own state, for changes of others as
-// many as the rate allows.
+// Push returns the processes to which changes are sent at once: all neighbours
+// for facts, withdrawals and this process's own state; for changes of other
+// processes as many as the rate limit allows.
 //
-// Where a zone fails, hundreds of processes change within seconds. Sent at once
-// by everybody to all neighbours, that would take many times the bytes that a
-// process may spend; so what goes beyond the rate waits for the next exchange.
+// When a zone fails, hundreds of processes change within seconds. Pushing each
+// change to all neighbours would exceed a process's bandwidth limit many times
+// over, so changes beyond the rate wait for the next exchange.
 func (p *Prober) Push(now time.Time) []*peerpb.Process {
 	targets := p.Neighbours()
 	m := p.Members
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	passed := now.Sub(p.refilled).Seconds()
-	p.tokens = min(pushBurst, p.tokens+pushRate*passed)
-	p.refilled = now
-	if m.important {
-		m.important = false
+	elapsed := now.Sub(p.refilledAt).Seconds()
+	p.tokens = min(pushBurst, p.tokens+pushRate*elapsed)
+	p.refilledAt = now
+	if m.pushToAll {
+		m.pushToAll = false
 		return targets
 	}
 	allowed := min(len(targets), int(p.tokens))
@@ -137,30 +136,31 @@
 	return targets[:allowed]
 }
 
-// Next returns the process to ask now: each of the successors in turn, now and
-// then one that has failed. It returns nil if no other is known.
+// Next returns the process to probe now: the successors in turn, and at every
+// retryEvery-th call a failed process if there is one. It returns nil if there is
+// none to probe.
 func (p *Prober) Next(now time.Time) *peerpb.Process {
 	p.Expire(now)
 	m := p.Members
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.rings.update(&m.table, m.self.GetName())
-	p.turn++
-	if p.turn%retryEvery == 0 {
-		if lost := p.lost(); lost != nil {
-			return lost
+	p.probeCount++
+	if p.probeCount%retryEvery == 0 {
+		if failed := p.randomFailed(); failed != nil {
+			return failed
 		}
 	}
 	if len(m.rings.successors) == 0 {
-		return p.lost()
+		return p.randomFailed()
 	}
-	return m.rings.successors[p.turn%len(m.rings.successors)]
+	return m.rings.successors[p.probeCount%len(m.rings.successors)]
 }
 
-func (p *Prober) lost() *peerpb.Process {
+func (p *Prober) randomFailed() *peerpb.Process {
 	var chosen *peerpb.Process
 	seen := 0
-	for name := range p.Members.table.unsettled {
+	for name := range p.Members.table.suspectOrEnded {
 		process := p.Members.table.get(name)
 		if process.GetState() != peerpb.State_STATE_FAILED {
 			continue
@@ -173,10 +173,10 @@
 	return chosen
 }
 
-func (p *Prober) mark(known *peerpb.Process, state peerpb.State, now time.Time) {
+func (p *Prober) setState(known *peerpb.Process, state peerpb.State, now time.Time) {
 	next := proto.CloneOf(known)
 	next.SetState(state)
 	next.SetEnded(endedAt(state, now))
-	klog.Infof("member: %s at %s gives no answer, it is taken as %s", known.GetName(), known.GetAddress(), state)
+	klog.Infof("member: %s at %s doesn't respond, marking it as %s", known.GetName(), known.GetAddress(), state)
 	p.Members.setProcess(next, known, now)
 }
--- a/internal/member/prober_test.go
+++ b/internal/member/prober_test.go
@@ -41,7 +41,7 @@
 	return members
 }
 
-// exchange lets a ask b, with the message that follows if one is needed.
+// exchange runs an exchange from a to b, with the follow-up message if one is needed.
 func (p *pair) exchange() {
 	exchange(p.a, p.b, p.now)
 }
@@ -53,16 +53,16 @@
 	}
 }
 
-func (p *pair) pass(length time.Duration) {
-	for range length / time.Second {
+func (p *pair) advance(duration time.Duration) {
+	for range duration / time.Second {
 		p.now = p.now.Add(time.Second)
 		p.prober.Next(p.now)
 	}
 }
 
-func (p *pair) mustSee(t *testing.T, state peerpb.State) {
+func (p *pair) mustHaveState(t *testing.T, state peerpb.State) {
 	t.Helper()
-	found := find(p.a, "b")
+	found := findEntry(p.a, "b")
 	if state == peerpb.State_STATE_FAILED {
 		must.Nil(t, found)
 		return
@@ -72,86 +72,85 @@
 
 func TestSuspectThenFailed(t *testing.T) {
 	p := newPair()
-	p.prober.Missed(p.now, find(p.a, "b"))
-	p.mustSee(t, peerpb.State_STATE_SUSPECT)
-	p.pass(3 * time.Second)
-	p.mustSee(t, peerpb.State_STATE_SUSPECT)
-	p.pass(2 * time.Second)
-	p.mustSee(t, peerpb.State_STATE_FAILED)
+	p.prober.Missed(p.now, findEntry(p.a, "b"))
+	p.mustHaveState(t, peerpb.State_STATE_SUSPECT)
+	p.advance(3 * time.Second)
+	p.mustHaveState(t, peerpb.State_STATE_SUSPECT)
+	p.advance(2 * time.Second)
+	p.mustHaveState(t, peerpb.State_STATE_FAILED)
 }
 
-// A process was slow for a moment and is suspected, or even taken as failed.
-// It runs on, but would get no more work. It hears of it and objects.
+// Guards against a running process that gets no more work after a short delay
+// made others suspect it or mark it as failed. It learns of the report and refutes it.
 func TestSuspicionIsRefuted(t *testing.T) {
-	for name, length := range map[string]time.Duration{"suspect": time.Second, "failed": 6 * time.Second} {
+	for name, duration := range map[string]time.Duration{"suspect": time.Second, "failed": 6 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			p := newPair()
-			p.prober.Missed(p.now, find(p.a, "b"))
-			p.pass(length)
+			p.prober.Missed(p.now, findEntry(p.a, "b"))
+			p.advance(duration)
 			p.exchange()
-			p.mustSee(t, peerpb.State_STATE_LIVE)
+			p.mustHaveState(t, peerpb.State_STATE_LIVE)
 		})
 	}
 }
 
-// A process is frozen while it suspects another; the machine thaws it a minute
-// later. Nobody was asked in that minute, so the other must not be taken as
-// failed at once, or a thawed process would fail all that it suspected.
+// Guards against a process that resumes after a pause and marks all that it
+// suspects as failed. It probed nobody during the pause, so the suspicion timeout must restart.
 func TestPauseFailsNobody(t *testing.T) {
 	p := newPair()
-	p.pass(2 * time.Second)
-	p.prober.Missed(p.now, find(p.a, "b"))
+	p.advance(2 * time.Second)
+	p.prober.Missed(p.now, findEntry(p.a, "b"))
 	p.now = p.now.Add(time.Minute)
 	p.prober.Next(p.now)
-	p.mustSee(t, peerpb.State_STATE_SUSPECT)
+	p.mustHaveState(t, peerpb.State_STATE_SUSPECT)
 }
 
-// A draining process gives no answer for a moment. Were it shown as suspected,
-// the mark that it drains would be lost, and it would get work again.
+// Guards against work for a draining process that misses a probe: the state
+// SUSPECT would replace DRAINING.
 func TestDrainingIsNotHidden(t *testing.T) {
 	p := newPair()
 	p.b.SetState(peerpb.State_STATE_DRAINING)
 	p.exchange()
-	p.mustSee(t, peerpb.State_STATE_DRAINING)
-	p.prober.Missed(p.now, find(p.a, "b"))
-	p.mustSee(t, peerpb.State_STATE_FAILED)
+	p.mustHaveState(t, peerpb.State_STATE_DRAINING)
+	p.prober.Missed(p.now, findEntry(p.a, "b"))
+	p.mustHaveState(t, peerpb.State_STATE_FAILED)
 	p.exchange()
-	p.mustSee(t, peerpb.State_STATE_DRAINING)
+	p.mustHaveState(t, peerpb.State_STATE_DRAINING)
 }
 
-// A process is replaced on another host; the old one was only frozen and thaws.
-// It must learn that it is not the one any more, and not push the new one out.
+// A process is replaced on another host while the old one is only frozen. When
+// the old one resumes, it must learn that it was replaced and must not displace
+// the new one.
 func TestLaterProcessReplaces(t *testing.T) {
 	p := newPair()
-	later := entryRecord("b", 2)
-	later.SetAddress("b2")
-	next := member.NewMembers(later)
-	exchange(next, p.a, p.now)
-	must.Eq(t, "b2", find(p.a, "b").GetAddress())
+	newer := entryRecord("b", 2)
+	newer.SetAddress("b2")
+	replacement := member.NewMembers(newer)
+	exchange(replacement, p.a, p.now)
+	must.Eq(t, "b2", findEntry(p.a, "b").GetAddress())
 	p.now = p.now.Add(time.Hour)
 	exchange(p.b, p.a, p.now)
 	must.True(t, p.b.Replaced())
-	must.Eq(t, "b2", find(p.a, "b").GetAddress())
-	must.False(t, next.Replaced())
+	must.Eq(t, "b2", findEntry(p.a, "b").GetAddress())
+	must.False(t, replacement.Replaced())
 }
 
-// A host's clock was an hour ahead and is set right; its process restarts with
-// a lower incarnation than before. Without a way out it would take itself as
-// replaced and never serve again.
+// Guards against a process that considers itself replaced and never serves again:
+// after a clock that was ahead is corrected, it restarts with a lower incarnation than before.
 func TestRestartAfterClockWentBack(t *testing.T) {
 	p := newPair()
 	ahead := entryRecord("c", 9)
 	ahead.SetAddress("c")
 	exchange(member.NewMembers(ahead), p.a, p.now)
-	right := entryRecord("c", 3)
-	right.SetAddress("c2")
-	again := member.NewMembers(right)
-	exchange(again, p.a, p.now)
-	must.False(t, again.Replaced())
-	must.Eq(t, "c2", find(p.a, "c").GetAddress())
+	corrected := entryRecord("c", 3)
+	corrected.SetAddress("c2")
+	restarted := member.NewMembers(corrected)
+	exchange(restarted, p.a, p.now)
+	must.False(t, restarted.Replaced())
+	must.Eq(t, "c2", findEntry(p.a, "c").GetAddress())
 }
 
-// Every process must be watched by another one, whatever the names are.
+// Every process must be probed by another one, for any set of names.
 func TestEveryoneIsProbed(t *testing.T) {
 	all := map[string]*member.Members{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g"} {
@@ -162,20 +161,19 @@
 			exchange(members, all["a"], start)
 		}
 	}
-	asked := map[string]bool{}
+	probed := map[string]bool{}
 	for _, members := range all {
 		prober := &member.Prober{Members: members, Interval: time.Second, Rand: rand.New(rand.NewPCG(1, 1))}
 		for range 8 {
-			asked[prober.Next(start).GetName()] = true
+			probed[prober.Next(start).GetName()] = true
 		}
 	}
-	must.MapLen(t, len(all), asked)
+	must.MapLen(t, len(all), probed)
 }
 
-// A sidecar is started again and has lost what it kept in memory. The processes
-// that knew the earlier one replace its record at the first message. If none
-// told the new one, it would take its empty memory for whole and run a posting
-// a second time.
+// Guards against a non-idempotent request that runs twice: a restarted sidecar
+// has lost its in-memory state, and its first message replaces the earlier record
+// at the others. Unless they report that record, it takes its empty memory for complete.
 func TestRestartedProcessLearnsOfEarlier(t *testing.T) {
 	tests := map[string]func(p *pair) string{
 		"same name":               func(*pair) string { return "s1" },
@@ -186,7 +184,7 @@
 		},
 		"told by one that came later": func(p *pair) string {
 			p.failEarlier(t)
-			p.a = joined(p)
+			p.a = newLateJoiner(p)
 			return "s2"
 		},
 	}
@@ -194,9 +192,9 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPair()
 			exchange(member.NewMembers(sidecarRecord("s1", 1)), p.a, p.now)
-			again := member.NewMembers(sidecarRecord(restart(p), 2))
-			exchange(again, p.a, p.now)
-			must.False(t, again.IsFirst())
+			restarted := member.NewMembers(sidecarRecord(restart(p), 2))
+			exchange(restarted, p.a, p.now)
+			must.False(t, restarted.IsFirst())
 		})
 	}
 	t.Run("first one", func(t *testing.T) {
@@ -209,13 +207,13 @@
 
 func (p *pair) failEarlier(t *testing.T) {
 	t.Helper()
-	p.prober.Missed(p.now, find(p.a, "s1"))
-	p.pass(5 * time.Second)
-	must.Nil(t, find(p.a, "s1"))
+	p.prober.Missed(p.now, findEntry(p.a, "s1"))
+	p.advance(5 * time.Second)
+	must.Nil(t, findEntry(p.a, "s1"))
 }
 
-// joined returns a process that came after another had failed.
-func joined(p *pair) *member.Members {
+// newLateJoiner returns a process that joins after another has failed.
+func newLateJoiner(p *pair) *member.Members {
 	late := newMembers("late")
 	for range 3 {
 		exchange(late, p.a, p.now)
--- a/internal/member/rings.go
+++ b/internal/member/rings.go
@@ -4,13 +4,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// ringCount is the number of rings. Each process asks its successor in each
-// ring and is asked by its predecessors: four in, four out.
+// ringCount is the number of rings. On each ring a process probes its successor
+// and is probed by its predecessor: four probe targets and four probers.
 const ringCount = 4
 
-// rings places the present processes on rings, each in another order. The
-// neighbours over all rings form a random regular graph: few connections a
-// process, a few hops between any two, and several that watch each.
+// rings places the active processes on rings, each in a different order. The
+// neighbours on all rings form a random regular graph: few connections per
+// process, a few hops between any two, and several probers for each.
 type rings struct {
 	version      uint64
 	built        bool
@@ -18,7 +18,7 @@
 	predecessors []*peerpb.Process
 }
 
-// update finds the neighbours of self anew if the table has changed.
+// update recomputes the neighbours of self if the table has changed.
 func (r *rings) update(t *table, self string) {
 	if r.built && r.version == t.version {
 		return
@@ -29,56 +29,56 @@
 	if !found {
 		return
 	}
-	for _, ring := range place(t, own) {
-		r.successors = appendOnce(r.successors, ring.next)
-		r.predecessors = appendOnce(r.predecessors, ring.before)
+	for _, ring := range findNeighbours(t, own) {
+		r.successors = appendUnique(r.successors, ring.successor)
+		r.predecessors = appendUnique(r.predecessors, ring.predecessor)
 	}
 }
 
-// all returns successors and predecessors, each process once.
+// all returns successors and predecessors without duplicates.
 func (r *rings) all() []*peerpb.Process {
 	var found []*peerpb.Process
 	for _, process := range r.successors {
-		found = appendOnce(found, process)
+		found = appendUnique(found, process)
 	}
 	for _, process := range r.predecessors {
-		found = appendOnce(found, process)
+		found = appendUnique(found, process)
 	}
 	return found
 }
 
-// neighbour holds the two neighbours found so far on one ring.
-type neighbour struct {
-	next, before    *peerpb.Process
-	least, greatest uint64
+// ringNeighbours holds the neighbours found so far on one ring.
+type ringNeighbours struct {
+	successor, predecessor   *peerpb.Process
+	minDistance, maxDistance uint64
 }
 
-// place finds the neighbours on all rings in one pass.
-func place(t *table, own record) [ringCount]neighbour {
-	var found [ringCount]neighbour
+// findNeighbours finds the neighbours on all rings in one pass.
+func findNeighbours(t *table, own record) [ringCount]ringNeighbours {
+	var found [ringCount]ringNeighbours
 	for _, known := range t.records {
-		if known.hash == own.hash || !isPresent(known.process.GetState()) {
+		if known.hash == own.hash || !isActive(known.process.GetState()) {
 			continue
 		}
 		for ring := range found {
 			salt := mix(uint64(ring))
-			// Distances go round the ring, so they wrap.
-			found[ring].try(known.process, mix(known.hash^salt)-mix(own.hash^salt))
+			// Unsigned subtraction wraps, which gives the distance around the ring.
+			found[ring].consider(known.process, mix(known.hash^salt)-mix(own.hash^salt))
 		}
 	}
 	return found
 }
 
-func (n *neighbour) try(process *peerpb.Process, distance uint64) {
-	if n.next == nil || distance < n.least {
-		n.next, n.least = process, distance
+func (n *ringNeighbours) consider(process *peerpb.Process, distance uint64) {
+	if n.successor == nil || distance < n.minDistance {
+		n.successor, n.minDistance = process, distance
 	}
-	if n.before == nil || distance > n.greatest {
-		n.before, n.greatest = process, distance
+	if n.predecessor == nil || distance > n.maxDistance {
+		n.predecessor, n.maxDistance = process, distance
 	}
 }
 
-func appendOnce(processes []*peerpb.Process, process *peerpb.Process) []*peerpb.Process {
+func appendUnique(processes []*peerpb.Process, process *peerpb.Process) []*peerpb.Process {
 	if process == nil {
 		return processes
 	}
--- a/internal/member/stamps.go
+++ b/internal/member/stamps.go
@@ -9,69 +9,68 @@
 )
 
 const (
-	// sentStamps and heldStamps bound the stamps in a message and in memory.
-	sentStamps = 2
-	heldStamps = 64
-	// stampInterval is the least time between two stamps of one process.
-	stampInterval = 500 * time.Millisecond
+	// maxSentStamps and maxStamps bound the stamps in a message and in memory.
+	maxSentStamps = 2
+	maxStamps     = 64
+	// minStampInterval is the minimum time between two stamps of one process.
+	minStampInterval = 500 * time.Millisecond
 )
 
-// stamp is the newest answer of the store to one process.
+// stamp is the latest answer of the store to one process.
 type stamp struct {
-	seq   uint64
-	heard time.Time
+	seq     uint64
+	heardAt time.Time
 }
 
-// stamps tell how long ago the store answered anybody.
+// stamps record how long ago the store answered any process, by process.
 //
-// An age that is passed on alone gets younger on its way round between
-// processes, by the time that each message takes, and could stay young for
-// ever. So each stamp has an origin and a number, and only a number not seen
-// before counts.
+// An age that is relayed between processes is too low by the delay of each
+// message, so it could stay low for ever. Each stamp therefore has an origin and
+// a sequence number, and only a higher number counts.
 type stamps map[string]stamp
 
-// add notes an answer of the store to this process.
+// add records an answer of the store to this process.
 func (s stamps) add(origin string, now time.Time) {
 	last := s[origin]
-	if now.Sub(last.heard) < stampInterval {
+	if now.Sub(last.heardAt) < minStampInterval {
 		return
 	}
-	s[origin] = stamp{seq: max(last.seq+1, uint64(now.UnixMilli())), heard: now}
+	s[origin] = stamp{seq: max(last.seq+1, uint64(now.UnixMilli())), heardAt: now}
 	s.trim()
 }
 
-// heard returns the time of the newest answer to anybody; zero if none is known.
-func (s stamps) heard() time.Time {
+// lastHeard returns the time of the latest answer to any process; zero if none is known.
+func (s stamps) lastHeard() time.Time {
 	var newest time.Time
 	for _, known := range s {
-		if known.heard.After(newest) {
-			newest = known.heard
+		if known.heardAt.After(newest) {
+			newest = known.heardAt
 		}
 	}
 	return newest
 }
 
-// merge takes stamps that another process sent.
+// merge stores newer stamps from another process.
 func (s stamps) merge(sent []*peerpb.Stamp, now time.Time) {
-	for _, one := range sent {
-		if one.GetSeq() <= s[one.GetOrigin()].seq {
+	for _, received := range sent {
+		if received.GetSeq() <= s[received.GetOrigin()].seq {
 			continue
 		}
-		age := time.Duration(max(0, one.GetAge())) * time.Millisecond
-		s[one.GetOrigin()] = stamp{seq: one.GetSeq(), heard: now.Add(-age)}
+		age := time.Duration(max(0, received.GetAge())) * time.Millisecond
+		s[received.GetOrigin()] = stamp{seq: received.GetSeq(), heardAt: now.Add(-age)}
 	}
 	s.trim()
 }
 
-// newest returns the stamps to send on.
+// newest returns the latest stamps for a message.
 func (s stamps) newest(now time.Time) []*peerpb.Stamp {
 	var sent []*peerpb.Stamp
-	for _, origin := range s.byAge()[:min(sentStamps, len(s))] {
+	for _, origin := range s.byAge()[:min(maxSentStamps, len(s))] {
 		known := s[origin]
 		sent = append(sent, peerpb.Stamp_builder{
 			Origin: origin,
 			Seq:    known.seq,
-			Age:    now.Sub(known.heard).Milliseconds(),
+			Age:    now.Sub(known.heardAt).Milliseconds(),
 		}.Build())
 	}
 	return sent
@@ -83,16 +82,16 @@
 		origins = append(origins, origin)
 	}
 	slices.SortFunc(origins, func(a, b string) int {
-		return cmp.Or(s[b].heard.Compare(s[a].heard), cmp.Compare(a, b))
+		return cmp.Or(s[b].heardAt.Compare(s[a].heardAt), cmp.Compare(a, b))
 	})
 	return origins
 }
 
 func (s stamps) trim() {
-	if len(s) <= heldStamps {
+	if len(s) <= maxStamps {
 		return
 	}
-	for _, origin := range s.byAge()[heldStamps:] {
+	for _, origin := range s.byAge()[maxStamps:] {
 		delete(s, origin)
 	}
 }
--- /dev/null
+++ b/internal/member/starthistory.go
@@ -0,0 +1,91 @@
+package member
+
+import (
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
+)
+
+// startHistory tracks what other processes know of processes started before this one.
+type startHistory struct {
+	// hasEarlier is true once an earlier process with this name or backend server is known.
+	hasEarlier bool
+	// heardOther is true once any other process is known, heardOlder once one that
+	// started before this one is.
+	heardOther bool
+	heardOlder bool
+}
+
+// observe evaluates another process's record.
+func (h *startHistory) observe(self, other *peerpb.Process) {
+	isOlder := other.GetIncarnation() < self.GetIncarnation()
+	isSame := other.GetName() == self.GetName() || self.GetServer() != "" && other.GetServer() == self.GetServer()
+	if isSame {
+		h.hasEarlier = h.hasEarlier || isOlder
+		return
+	}
+	h.heardOther = h.heardOther || other.GetName() != ""
+	h.heardOlder = h.heardOlder || isOlder && other.GetName() != ""
+}
+
+// IsFirst reports whether this is known to be the first process with its name and
+// backend server: other processes are known, and none has reported an earlier
+// one. A restarted process has lost its in-memory state.
+func (m *Members) IsFirst() bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.startHistory.heardOther && !m.startHistory.hasEarlier && (m.startHistory.heardOlder || m.isOldest())
+}
+
+// isOldest reports whether no other known process started before this one.
+func (m *Members) isOldest() bool {
+	for name, known := range m.table.records {
+		if name != m.self.GetName() && known.process.GetIncarnation() < m.self.GetIncarnation() {
+			return false
+		}
+	}
+	return true
+}
+
+// olderRecords returns the records from which a restarted process learns of its
+// earlier run: those of its name with a lower incarnation, and those of other
+// names with the same backend server, in any state.
+//
+// The request of a restarted process replaces the earlier record here. Without
+// this answer no process would report the earlier run, and the restarted one
+// would take its empty memory for complete.
+func (m *Members) olderRecords(process *peerpb.Process) []*peerpb.Process {
+	var found []*peerpb.Process
+	for _, name := range append([]string{process.GetName()}, m.table.namesByServer[process.GetServer()]...) {
+		known := m.table.get(name)
+		if known != nil && known.GetIncarnation() < process.GetIncarnation() {
+			found = appendUnique(found, known)
+		}
+	}
+	if older := m.replacedRecords[process.GetName()]; older != nil {
+		found = append(found, older)
+	}
+	return found
+}
+
+// keepReplaced keeps a record that is replaced by a higher incarnation.
+func (m *Members) keepReplaced(known *peerpb.Process, now time.Time) {
+	if known == nil {
+		return
+	}
+	older := proto.CloneOf(known)
+	older.SetState(peerpb.State_STATE_FAILED)
+	older.SetEnded(now.Unix())
+	m.replacedRecords[known.GetName()] = older
+}
+
+// forgetReplaced deletes expired replaced records.
+func (m *Members) forgetReplaced(now time.Time) {
+	for name, older := range m.replacedRecords {
+		if hasExpired(older, now) {
+			delete(m.replacedRecords, name)
+		}
+	}
+}
--- a/internal/member/predecessors_test.go
+++ b/internal/member/starthistory_test.go
@@ -9,9 +9,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// A sidecar is killed and started again on its host, or another host takes its
-// backend server over. It has lost what it kept in memory and must learn from
-// the others that there was a process before it, in whatever order they speak.
+// A sidecar restarts, or another host takes over its backend server, and its
+// in-memory state is lost. It must learn from the others that there was an
+// earlier process, in any order of their messages.
 func TestIsFirst(t *testing.T) {
 	process := func(name, server string, incarnation uint64) *peerpb.Process {
 		return peerpb.Process_builder{Name: name, Server: server, Incarnation: incarnation}.Build()
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -12,58 +12,58 @@
 )
 
 const (
-	// bucketCount is the number of parts in which two tables are compared.
+	// bucketCount is the number of buckets in which two tables are compared.
 	bucketCount = 64
-	// forgetTime is how long a failed or left process is remembered; longer
-	// than sidecars remember requests, so that one that was started again
-	// learns that it was.
-	forgetTime = 20 * time.Minute
-	// sentEnded bounds the failed and left processes told to one that joins.
-	sentEnded = 256
+	// endedRetention is how long a failed or left process is remembered. It is
+	// longer than sidecars remember requests, so that a restarted sidecar learns
+	// that it was restarted.
+	endedRetention = 20 * time.Minute
+	// maxSentEnded bounds the failed and left processes sent to a joining process.
+	maxSentEnded = 256
 )
 
-// record is what is known of one process.
+// record is the entry of one process.
 type record struct {
 	process *peerpb.Process
-	// hash is that of the name.
+	// hash is the hash of the name.
 	hash uint64
-	// since is when the state was learnt.
+	// since is when this process learnt of the state.
 	since time.Time
 }
 
-// table holds the records of all processes, with hashes by which two tables
-// are compared without sending them. Only present processes count in the
-// hashes, so that forgetting those that left makes no difference.
+// table holds the records of all processes, with hashes by which two tables are
+// compared without sending them. The hashes cover only active processes, so that
+// deleting ended ones doesn't change them.
 type table struct {
 	records map[string]record
 	buckets [bucketCount]uint64
 	hash    uint64
-	// version rises with each change.
+	// version increases with each change.
 	version uint64
-	// unsettled names the processes that are suspected, have failed or left.
-	unsettled map[string]bool
-	// servers names the processes by their backend server.
-	servers map[string][]string
+	// suspectOrEnded names the processes that are suspected, have failed or left.
+	suspectOrEnded map[string]bool
+	// namesByServer names the processes by their backend server.
+	namesByServer map[string][]string
 }
 
 func newTable() table {
-	return table{records: map[string]record{}, unsettled: map[string]bool{}, servers: map[string][]string{}}
+	return table{records: map[string]record{}, suspectOrEnded: map[string]bool{}, namesByServer: map[string][]string{}}
 }
 
-// clone returns a table that shares the records.
+// clone returns a copy that shares the records.
 func (t *table) clone() table {
 	next := *t
 	next.records = maps.Clone(t.records)
-	next.unsettled = maps.Clone(t.unsettled)
-	next.servers = maps.Clone(t.servers)
+	next.suspectOrEnded = maps.Clone(t.suspectOrEnded)
+	next.namesByServer = maps.Clone(t.namesByServer)
 	return next
 }
 
-// ended returns records of processes that failed or left, a bounded number.
+// ended returns up to maxSentEnded records of processes that failed or left.
 func (t *table) ended() []*peerpb.Process {
 	var found []*peerpb.Process
-	for name := range t.unsettled {
-		if process := t.get(name); !isPresent(process.GetState()) && len(found) < sentEnded {
+	for name := range t.suspectOrEnded {
+		if process := t.get(name); !isActive(process.GetState()) && len(found) < maxSentEnded {
 			found = append(found, process)
 		}
 	}
@@ -91,55 +91,55 @@
 	if !found {
 		known.hash = hashName(name)
 	}
-	t.toggle(known)
-	t.index(known.process, process)
+	t.toggleHashes(known)
+	t.updateIndexes(known.process, process)
 	known.process, known.since = process, now
 	t.records[name] = known
-	t.toggle(known)
+	t.toggleHashes(known)
 	t.version++
 }
 
 func (t *table) remove(name string) {
-	t.toggle(t.records[name])
-	t.index(t.records[name].process, nil)
+	t.toggleHashes(t.records[name])
+	t.updateIndexes(t.records[name].process, nil)
 	delete(t.records, name)
 	t.version++
 }
 
-// index keeps the names of unsettled processes and those by server.
-func (t *table) index(old, next *peerpb.Process) {
-	delete(t.unsettled, old.GetName())
-	if next != nil && severity(next.GetState()) > 0 {
-		t.unsettled[next.GetName()] = true
+// updateIndexes updates suspectOrEnded and namesByServer.
+func (t *table) updateIndexes(old, next *peerpb.Process) {
+	delete(t.suspectOrEnded, old.GetName())
+	if next != nil && statePrecedence(next.GetState()) > 0 {
+		t.suspectOrEnded[next.GetName()] = true
 	}
 	if old.GetServer() == next.GetServer() {
 		return
 	}
 	if server := old.GetServer(); server != "" {
 		// The slices may be shared with a clone, so they are never changed in place.
-		t.servers[server] = without(t.servers[server], old.GetName())
-		if len(t.servers[server]) == 0 {
-			delete(t.servers, server)
+		t.namesByServer[server] = removeName(t.namesByServer[server], old.GetName())
+		if len(t.namesByServer[server]) == 0 {
+			delete(t.namesByServer, server)
 		}
 	}
 	if server := next.GetServer(); server != "" {
-		t.servers[server] = append(slices.Clip(t.servers[server]), next.GetName())
+		t.namesByServer[server] = append(slices.Clip(t.namesByServer[server]), next.GetName())
 	}
 }
 
-func without(names []string, gone string) []string {
-	var left []string
+func removeName(names []string, removed string) []string {
+	var remaining []string
 	for _, name := range names {
-		if name != gone {
-			left = append(left, name)
+		if name != removed {
+			remaining = append(remaining, name)
 		}
 	}
-	return left
+	return remaining
 }
 
-// toggle takes a record into the hashes, or out of them.
-func (t *table) toggle(known record) {
-	if known.process == nil || !isPresent(known.process.GetState()) {
+// toggleHashes adds a record to the hashes or removes it from them.
+func (t *table) toggleHashes(known record) {
+	if known.process == nil || !isActive(known.process.GetState()) {
 		return
 	}
 	sum := hashRecord(known)
@@ -162,7 +162,7 @@
 	return mix(sum + uint64(process.GetState()))
 }
 
-// mix spreads the bits of a number (the finalizer of splitmix64).
+// mix scrambles the bits of a number (the finalizer of splitmix64).
 func mix(value uint64) uint64 {
 	value += 0x9e3779b97f4a7c15
 	value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9
@@ -170,10 +170,10 @@
 	return value ^ (value >> 31)
 }
 
-// complete returns process with what a short form leaves out, taken from the
-// known record; nil if that can't be done.
-func complete(process, known *peerpb.Process) *peerpb.Process {
-	if process.GetAddress() != "" || isLocal(process) {
+// expand fills in the fields that a short record omits from the known record; it
+// returns nil if there is no match.
+func expand(process, known *peerpb.Process) *peerpb.Process {
+	if process.GetAddress() != "" || isFullRecord(process) {
 		return process
 	}
 	if known == nil || known.GetIncarnation() != process.GetIncarnation() {
@@ -186,8 +186,8 @@
 	return next
 }
 
-// shorten returns the form of a record that tells the state only: the other
-// side knows the rest.
+// shorten returns a record with the state only if the process is suspected,
+// failed or left; the receiver knows the rest.
 func shorten(process *peerpb.Process) *peerpb.Process {
 	switch process.GetState() {
 	case peerpb.State_STATE_SUSPECT, peerpb.State_STATE_FAILED, peerpb.State_STATE_LEFT:
@@ -203,9 +203,9 @@
 	}
 }
 
-// isLocal tells a record without an address whose process has not begun to
-// listen, as in its own table, from a short form.
-func isLocal(process *peerpb.Process) bool {
+// isFullRecord distinguishes a record without an address, of a process in its own
+// table that doesn't listen yet, from a short record.
+func isFullRecord(process *peerpb.Process) bool {
 	return process.GetRole() != peerpb.Role_ROLE_UNSPECIFIED
 }
 
@@ -216,13 +216,13 @@
 	if process.GetVersion() != known.GetVersion() {
 		return process.GetVersion() > known.GetVersion()
 	}
-	return severity(process.GetState()) > severity(known.GetState())
+	return statePrecedence(process.GetState()) > statePrecedence(known.GetState())
 }
 
-// severity orders what others say of one version of a record: a suspicion goes
-// before the process's own word, a failure before a suspicion. The process
-// answers by raising its version.
-func severity(state peerpb.State) int {
+// statePrecedence orders reports on the same version of a record: SUSPECT
+// overrides what the process says of itself, and FAILED overrides SUSPECT. The
+// process refutes them by raising its version.
+func statePrecedence(state peerpb.State) int {
 	switch state {
 	case peerpb.State_STATE_SUSPECT:
 		return 1
@@ -235,20 +235,20 @@
 	}
 }
 
-// hasExpired reports whether a process failed or left so long ago that it is
-// forgotten. The time comes with the record: were it counted from when each
-// process learnt of it, they would remind each other for ever.
+// hasExpired reports whether a process failed or left at least endedRetention
+// ago. The time is part of the record: counted from when each process learnt of
+// it, processes would keep passing the record to each other for ever.
 func hasExpired(process *peerpb.Process, now time.Time) bool {
-	return !isPresent(process.GetState()) && now.Sub(time.Unix(process.GetEnded(), 0)) >= forgetTime
+	return !isActive(process.GetState()) && now.Sub(time.Unix(process.GetEnded(), 0)) >= endedRetention
 }
 
 func endedAt(state peerpb.State, now time.Time) int64 {
-	if isPresent(state) {
+	if isActive(state) {
 		return 0
 	}
 	return now.Unix()
 }
 
-func isPresent(state peerpb.State) bool {
+func isActive(state peerpb.State) bool {
 	return state != peerpb.State_STATE_LEFT && state != peerpb.State_STATE_FAILED
 }
--- a/internal/member/updates.go
+++ b/internal/member/updates.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// updateBytes bounds the changes of processes in one message.
-	updateBytes = 700
+	// maxUpdateBytes bounds the process records in one message.
+	maxUpdateBytes = 700
 )
 
-// updates are the changes of processes that are still to be sent on, with the
+// updates holds the processes whose changes are still to be passed on, with the
 // number of times that each was sent.
 type updates map[string]int
 
-// add begins to send a change.
+// add schedules a change for sending, or restarts its count.
 func (u updates) add(name string) { u[name] = 0 }
 
-// take returns the changes sent least often, up to a number of bytes.
-func (u updates) take(t *table) []*peerpb.Process {
+// nextBatch returns the changes sent least often, up to maxUpdateBytes.
+func (u updates) nextBatch(t *table) []*peerpb.Process {
 	if len(u) == 0 {
 		return nil
 	}
@@ -34,7 +34,7 @@
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(u[a], u[b]), cmp.Compare(a, b))
 	})
-	var taken []*peerpb.Process
+	var batch []*peerpb.Process
 	size := 0
 	for _, name := range names {
 		process := t.get(name)
@@ -44,25 +44,25 @@
 		}
 		process = shorten(process)
 		size += proto.Size(process)
-		if size > updateBytes && len(taken) > 0 {
+		if size > maxUpdateBytes && len(batch) > 0 {
 			break
 		}
-		taken = append(taken, process)
-		u.count(name, len(t.records))
+		batch = append(batch, process)
+		u.countSend(name, len(t.records))
 	}
-	return taken
+	return batch
 }
 
-func (u updates) count(name string, size int) {
+func (u updates) countSend(name string, size int) {
 	u[name]++
-	if u[name] >= limit(size) {
+	if u[name] >= maxSends(size) {
 		delete(u, name)
 	}
 }
 
-// limit is how often a process sends one change on: to each neighbour, or as
-// often as the number of processes can be halved if that is more. What still
-// misses someone is found by comparing tables.
-func limit(size int) int {
+// maxSends is how often a process sends a change: once per neighbour, or about
+// log2 of the number of processes if that is more. Processes that miss the change
+// get it by table comparison.
+func maxSends(size int) int {
 	return max(2*ringCount, bits.Len(uint(size)))
 }
