--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -19,25 +19,25 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/operatorpb"
 )
 
-const maxAnswerBytes = 64 << 20
+const maxResponseBytes = 64 << 20
 
-// Error says that an entry refused a command.
+// Error is returned when an entry refuses a command.
 type Error struct {
 	Status  int
 	Problem *operatorpb.Problem
 }
 
-// Error gives the entry's reason.
+// Error returns the entry's message.
 func (e *Error) Error() string { return e.Problem.GetMessage() }
 
-// UnreachableError says that an entry gave no answer; a change may have been
-// accepted all the same.
+// UnreachableError is returned when an entry gives no answer. A change may still
+// have been accepted.
 type UnreachableError struct {
 	Address string
 	Cause   error
 }
 
-// Error names the entry.
+// Error returns a message with the address of the entry.
 func (e *UnreachableError) Error() string {
 	return "no answer from the entry at " + e.Address + ": " + e.Cause.Error()
 }
@@ -45,7 +45,7 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// Client speaks to an entry as an operator.
+// Client is an operator's client for the HTTP interface of an entry.
 type Client struct {
 	address string
 	token   string
@@ -54,7 +54,8 @@
 }
 
 // NewClient returns a client for the entry at an address (host and port, or a
-// base URL) that shows the token. config is for https; nil takes the system's.
+// base URL) that authenticates with the token. config is used for HTTPS; nil uses
+// the system defaults.
 func NewClient(address, token string, timeout time.Duration, config *tls.Config) *Client {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
@@ -69,19 +70,19 @@
 	return reply, c.call(ctx, http.MethodGet, PathConfig, nil, nil, reply)
 }
 
-// Drain makes a backend server or an entry drain, or take work again.
+// Drain sets a backend server or an entry to draining, or resumes it.
 func (c *Client) Drain(ctx context.Context, request *operatorpb.DrainRequest) (*operatorpb.DrainReply, error) {
 	reply := &operatorpb.DrainReply{}
 	return reply, c.call(ctx, http.MethodPost, PathDrain, nil, request, reply)
 }
 
-// Explain returns the decisions taken for an identity.
+// Explain returns the decisions recorded for an identity.
 func (c *Client) Explain(ctx context.Context, id string) (*operatorpb.ExplainReply, error) {
 	reply := &operatorpb.ExplainReply{}
 	return reply, c.call(ctx, http.MethodGet, PathExplain, url.Values{"id": {id}}, nil, reply)
 }
 
-// Force returns the revision in force at each entry.
+// Force returns the configuration revision in force at each entry.
 func (c *Client) Force(ctx context.Context) (*operatorpb.ForceReply, error) {
 	reply := &operatorpb.ForceReply{}
 	return reply, c.call(ctx, http.MethodGet, PathForce, nil, nil, reply)
@@ -93,13 +94,13 @@
 	return reply, c.call(ctx, http.MethodPost, PathGrant, nil, request, reply)
 }
 
-// Put replaces both lists. The request's identity makes it safe to repeat.
+// Put replaces both lists. The request's ID makes it safe to retry.
 func (c *Client) Put(ctx context.Context, request *operatorpb.PutRequest) (*operatorpb.ChangeReply, error) {
 	reply := &operatorpb.ChangeReply{}
 	return reply, c.call(ctx, http.MethodPut, PathConfig, nil, request, reply)
 }
 
-// Status returns what the entry knows of the system.
+// Status returns the state of the system as the entry knows it.
 func (c *Client) Status(ctx context.Context) (*operatorpb.StatusReply, error) {
 	reply := &operatorpb.StatusReply{}
 	return reply, c.call(ctx, http.MethodGet, PathStatus, nil, nil, reply)
@@ -123,14 +124,14 @@
 		return &UnreachableError{Address: c.address, Cause: err}
 	}
 	defer func() { _ = response.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return &UnreachableError{Address: c.address, Cause: err}
 	}
 	if response.StatusCode != http.StatusOK {
 		return readProblem(response.StatusCode, text)
 	}
-	return eris.Wrap(protojson.Unmarshal(text, reply), "read answer")
+	return eris.Wrap(protojson.Unmarshal(text, reply), "decode response")
 }
 
 func readProblem(status int, text []byte) error {
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -22,21 +22,21 @@
 )
 
 const (
-	// leastPrefix keeps a short start of a hash from naming a key by accident.
-	leastPrefix = 8
-	dutyPrefix  = "duty/"
+	// minHashPrefix prevents a short hash prefix from matching an unintended key.
+	minHashPrefix = 8
+	dutyPrefix    = "duty/"
 )
 
-// NotFoundError says that nothing has the name that an operator gave.
+// NotFoundError is returned when no object has the name that an operator gave.
 type NotFoundError struct {
 	Name string
 }
 
-// Error names it.
+// Error returns a message with the name.
 func (e *NotFoundError) Error() string { return "nothing is known as " + strconv.Quote(e.Name) }
 
-// config answers with the store's configuration; while the store is away,
-// with the one in force here.
+// config returns the configuration in the store, or the one in force here while
+// the store is unavailable.
 func (s *Server) config(ctx context.Context, _ string, _ *http.Request) (proto.Message, error) {
 	config, revision, err := s.Editor.Config(ctx)
 	if err == nil {
@@ -46,13 +46,13 @@
 	if config == nil {
 		return nil, err
 	}
-	klog.Warningf("operator: the store is away, the lists shown are those in force here: %v", err)
+	klog.Warningf("operator: store unavailable, returning the lists in force here: %v", err)
 	return operatorpb.ConfigReply_builder{Config: config, Revision: revision}.Build(), nil
 }
 
 func (s *Server) put(ctx context.Context, operator string, r *http.Request) (proto.Message, error) {
 	request := &operatorpb.PutRequest{}
-	if err := read(r, request); err != nil {
+	if err := readBody(r, request); err != nil {
 		return nil, err
 	}
 	wanted := listpb.Config_builder{
@@ -74,7 +74,7 @@
 
 func (s *Server) grant(ctx context.Context, operator string, r *http.Request) (proto.Message, error) {
 	request := &operatorpb.GrantRequest{}
-	if err := read(r, request); err != nil {
+	if err := readBody(r, request); err != nil {
 		return nil, err
 	}
 	revision, err := s.Editor.Grant(ctx, request.GetHash(), request.GetAccount(), operator)
@@ -84,15 +84,14 @@
 	return operatorpb.ChangeReply_builder{Revision: revision, Stored: true}.Build(), nil
 }
 
-// withdraw ends the key here and, by the exchanges between processes,
-// everywhere before it asks the store: an outage of the store must not keep a
-// leaked key alive.
+// withdraw revokes the key here and, by gossip, at all processes before it
+// updates the store, so that a store outage doesn't keep a leaked key valid.
 func (s *Server) withdraw(ctx context.Context, operator string, r *http.Request) (proto.Message, error) {
 	request := &operatorpb.WithdrawRequest{}
-	if err := read(r, request); err != nil {
+	if err := readBody(r, request); err != nil {
 		return nil, err
 	}
-	hash, err := s.fullHash(request.GetHash())
+	hash, err := s.completeHash(request.GetHash())
 	if err != nil {
 		return nil, err
 	}
@@ -100,35 +99,35 @@
 	s.Members.Withdraw(withdrawal)
 	revision, err := s.Editor.Withdraw(ctx, []*peerpb.Withdrawal{withdrawal})
 	if err != nil {
-		klog.Warningf("operator: the withdrawal is in force but not stored yet: %v", err)
+		klog.Warningf("operator: withdrawal in force but not stored yet: %v", err)
 		return operatorpb.ChangeReply_builder{}.Build(), nil
 	}
 	return operatorpb.ChangeReply_builder{Revision: revision, Stored: true}.Build(), nil
 }
 
-// fullHash completes the start of a hash from the keys known here.
-func (s *Server) fullHash(start string) (string, error) {
-	start = strings.ToLower(start)
-	if len(start) == hashLength && strings.Trim(start, "0123456789abcdef") == "" {
-		return start, nil
+// completeHash completes a hash prefix from the keys known here.
+func (s *Server) completeHash(prefix string) (string, error) {
+	prefix = strings.ToLower(prefix)
+	if len(prefix) == hashLength && strings.Trim(prefix, "0123456789abcdef") == "" {
+		return prefix, nil
 	}
-	if len(start) < leastPrefix {
+	if len(prefix) < minHashPrefix {
 		return "", &lists.InvalidError{Problem: "give at least 8 digits of the key's hash"}
 	}
 	config, _ := s.View.Config()
-	var found []string
+	var matches []string
 	for _, key := range config.GetKeys() {
-		if strings.HasPrefix(key.GetHash(), start) {
-			found = append(found, key.GetHash())
+		if strings.HasPrefix(key.GetHash(), prefix) {
+			matches = append(matches, key.GetHash())
 		}
 	}
-	switch len(found) {
+	switch len(matches) {
 	case 0:
-		return "", &NotFoundError{Name: start}
+		return "", &NotFoundError{Name: prefix}
 	case 1:
-		return found[0], nil
+		return matches[0], nil
 	default:
-		return "", &lists.InvalidError{Problem: "several keys start with " + start}
+		return "", &lists.InvalidError{Problem: "several keys start with " + prefix}
 	}
 }
 
@@ -149,13 +148,13 @@
 	return reply, nil
 }
 
-// servers returns the backend servers of all pools as the fleet's facts tell them.
+// servers returns the backend servers of all pools according to the fleet facts.
 func (s *Server) servers() []*statepb.Server {
 	var found []*statepb.Server
 	for _, fact := range s.Members.Facts(member.FactFleet) {
 		fleet := &statepb.Fleet{}
 		if err := proto.Unmarshal(fact.GetValue(), fleet); err != nil {
-			klog.Warningf("operator: %s can't be read: %v", fact.GetName(), err)
+			klog.Warningf("operator: decode %s: %v", fact.GetName(), err)
 			continue
 		}
 		found = append(found, fleet.GetServers()...)
@@ -172,7 +171,7 @@
 	for _, value := range listed.Values {
 		holder, err := duty.ParseHolder(value)
 		if err != nil {
-			klog.Warningf("operator: %s can't be read: %v", value.Key, err)
+			klog.Warningf("operator: decode %s: %v", value.Key, err)
 			continue
 		}
 		found = append(found, operatorpb.Holder_builder{
@@ -197,10 +196,10 @@
 
 func (s *Server) drain(ctx context.Context, operator string, r *http.Request) (proto.Message, error) {
 	request := &operatorpb.DrainRequest{}
-	if err := read(r, request); err != nil {
+	if err := readBody(r, request); err != nil {
 		return nil, err
 	}
-	process := find(s.Members, request.GetName())
+	process := findProcess(s.Members, request.GetName())
 	if process == nil {
 		return nil, &NotFoundError{Name: request.GetName()}
 	}
@@ -211,8 +210,8 @@
 	return operatorpb.DrainReply_builder{Process: process.GetName(), Refusal: refusal}.Build(), nil
 }
 
-// find returns the process with the name, or beside the backend server with it.
-func find(members *member.Members, name string) *peerpb.Process {
+// findProcess returns the process with the name, or the one whose backend server has it.
+func findProcess(members *member.Members, name string) *peerpb.Process {
 	for _, role := range []peerpb.Role{peerpb.Role_ROLE_ENTRY, peerpb.Role_ROLE_SIDECAR} {
 		for _, process := range members.Processes(role) {
 			if process.GetName() == name || (name != "" && process.GetServer() == name) {
--- a/internal/operator/peers.go
+++ b/internal/operator/peers.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	askAtOnce  = 32
-	askTimeout = 2 * time.Second
+	maxConcurrentCalls = 32
+	callTimeout        = 2 * time.Second
 )
 
-// Peers asks the other processes on an operator's behalf. Its connections are
-// closed after each answer: with 1,330 processes, open ones would outweigh all
-// other memory of an entry.
+// Peers calls the other processes on an operator's behalf. It closes its
+// connections after each answer: with 1,330 processes, open ones would outweigh
+// all other memory of an entry.
 type Peers struct {
 	Members     *member.Members
 	Credentials credentials.TransportCredentials
-	// Own returns the address on which this process itself listens: it answers
-	// for itself also where the one that it tells others can't be reached from here.
+	// Own returns this process's own listen address. It is used for calls to itself,
+	// because the address that it announces may not be reachable from here.
 	Own func() string
 }
 
-// Drain makes a process drain, or take work again.
+// Drain sets a process to draining, or resumes it.
 func (p *Peers) Drain(ctx context.Context, process *peerpb.Process, operator string, resume bool) (*peerpb.Refusal, error) {
 	var refusal *peerpb.Refusal
-	err := p.ask(ctx, process, func(ctx context.Context, connection *grpc.ClientConn) error {
+	err := p.call(ctx, process, func(ctx context.Context, connection *grpc.ClientConn) error {
 		if process.GetRole() == peerpb.Role_ROLE_ENTRY {
 			request := peerpb.DrainRequest_builder{Operator: operator, Resume: resume}.Build()
 			_, err := peerpb.NewMemberClient(connection).Drain(ctx, request)
@@ -51,16 +51,16 @@
 	return refusal, err
 }
 
-// Explain gathers the decisions that all processes took for an identity, and
-// the names of those that gave no answer.
+// Explain returns the decisions that all processes recorded for an identity, and
+// the names of the processes that gave no answer.
 func (p *Peers) Explain(ctx context.Context, id string) ([]*peerpb.Decision, []string) {
 	var mutex sync.Mutex
 	var decisions []*peerpb.Decision
 	var silent []string
 	processes := append(p.Members.Processes(peerpb.Role_ROLE_ENTRY), p.Members.Processes(peerpb.Role_ROLE_SIDECAR)...)
-	p.each(processes, func(process *peerpb.Process) {
+	p.forEach(processes, func(process *peerpb.Process) {
 		var reply *peerpb.ExplainReply
-		err := p.ask(ctx, process, func(ctx context.Context, connection *grpc.ClientConn) (err error) {
+		err := p.call(ctx, process, func(ctx context.Context, connection *grpc.ClientConn) (err error) {
 			reply, err = peerpb.NewMemberClient(connection).Explain(ctx, peerpb.ExplainRequest_builder{Id: id}.Build())
 			return err
 		})
@@ -74,8 +74,7 @@
 	return decisions, silent
 }
 
-// Force asks the processes of a role which revision of the configuration is in
-// force there.
+// Force returns the configuration revision in force at each process of a role.
 func (p *Peers) Force(ctx context.Context, role peerpb.Role) []*operatorpb.Force {
 	processes := p.Members.Processes(role)
 	found := make([]*operatorpb.Force, len(processes))
@@ -83,15 +82,15 @@
 	for i, process := range processes {
 		index[process.GetName()] = i
 	}
-	p.each(processes, func(process *peerpb.Process) {
-		found[index[process.GetName()]] = p.forceAt(ctx, process)
+	p.forEach(processes, func(process *peerpb.Process) {
+		found[index[process.GetName()]] = p.revisionAt(ctx, process)
 	})
 	return found
 }
 
-func (p *Peers) forceAt(ctx context.Context, process *peerpb.Process) *operatorpb.Force {
+func (p *Peers) revisionAt(ctx context.Context, process *peerpb.Process) *operatorpb.Force {
 	force := operatorpb.Force_builder{Process: process.GetName(), Zone: process.GetZone()}.Build()
-	err := p.ask(ctx, process, func(ctx context.Context, connection *grpc.ClientConn) error {
+	err := p.call(ctx, process, func(ctx context.Context, connection *grpc.ClientConn) error {
 		reply, err := peerpb.NewMemberClient(connection).Status(ctx, &peerpb.StatusRequest{})
 		for _, fact := range reply.GetFacts() {
 			if fact.GetName() == member.FactConfig {
@@ -106,17 +105,17 @@
 	return force
 }
 
-// each calls do for all processes, a bounded number at the same time.
-func (p *Peers) each(processes []*peerpb.Process, do func(*peerpb.Process)) {
-	work := make(chan *peerpb.Process, len(processes))
+// forEach calls do for all processes, at most maxConcurrentCalls at the same time.
+func (p *Peers) forEach(processes []*peerpb.Process, do func(*peerpb.Process)) {
+	queue := make(chan *peerpb.Process, len(processes))
 	for _, process := range processes {
-		work <- process
+		queue <- process
 	}
-	close(work)
+	close(queue)
 	var group sync.WaitGroup
-	for range min(askAtOnce, len(processes)) {
+	for range min(maxConcurrentCalls, len(processes)) {
 		group.Go(func() {
-			for process := range work {
+			for process := range queue {
 				do(process)
 			}
 		})
@@ -124,15 +123,15 @@
 	group.Wait()
 }
 
-func (p *Peers) ask(ctx context.Context, process *peerpb.Process, call func(context.Context, *grpc.ClientConn) error) error {
+func (p *Peers) call(ctx context.Context, process *peerpb.Process, do func(context.Context, *grpc.ClientConn) error) error {
 	connection, err := listen.Dial(p.address(process), p.Credentials)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = connection.Close() }()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return call(ctx, connection)
+	return do(ctx, connection)
 }
 
 func (p *Peers) address(process *peerpb.Process) string {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,5 +1,5 @@
-// Package operator speaks to operators: the HTTP interface under /operator/v1/
-// that an entry serves, and its client for the command line.
+// Package operator implements the HTTP interface for operators under
+// /operator/v1/ that an entry serves, and its client for the command line.
 package operator
 
 import (
@@ -34,7 +34,7 @@
 	PathUsage    = "/operator/v1/usage"
 )
 
-// maxBodyBytes fits the largest lists that the store takes, as JSON.
+// maxBodyBytes fits the largest lists that the store accepts, as JSON.
 const maxBodyBytes = 4 << 20
 
 // Editor changes the configuration in the store.
@@ -45,14 +45,14 @@
 	Withdraw(ctx context.Context, withdrawals []*peerpb.Withdrawal) (uint64, error)
 }
 
-// Store is what the status reads of the platform's store.
+// Store is the part of the platform's store that commands read.
 type Store interface {
 	List(ctx context.Context, prefix string) (platform.ListReply, error)
 }
 
 var _ Editor = &lists.Editor{}
 
-// Server serves operators. Exported fields are set before the first request.
+// Server serves the HTTP interface. Exported fields are set before the first request.
 type Server struct {
 	Editor  Editor
 	Store   Store
@@ -64,7 +64,7 @@
 	Timeout time.Duration
 }
 
-// command answers one request of an authorised operator.
+// command handles a request of an authenticated operator.
 type command func(ctx context.Context, operator string, r *http.Request) (proto.Message, error)
 
 // Routes returns the routes of the interface.
@@ -87,36 +87,36 @@
 		name := s.Tokens.Name(r)
 		if name == "" {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			answer(w, http.StatusUnauthorized, operatorpb.Problem_builder{Message: "no operator has this token"}.Build())
+			writeResponse(w, http.StatusUnauthorized, operatorpb.Problem_builder{Message: "no operator has this token"}.Build())
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), s.Timeout)
 		defer cancel()
 		reply, err := run(ctx, name, r)
-		klog.Infof("operator: %s: %s %s: %s", name, r.Method, r.URL.Path, result(err))
+		klog.Infof("operator: %s: %s %s: %s", name, r.Method, r.URL.Path, outcome(err))
 		if err != nil {
-			status, problem := describe(err)
-			answer(w, status, problem)
+			status, problem := problemFor(err)
+			writeResponse(w, status, problem)
 			return
 		}
-		answer(w, http.StatusOK, reply)
+		writeResponse(w, http.StatusOK, reply)
 	}
 }
 
-func result(err error) string {
+func outcome(err error) string {
 	if err == nil {
 		return "done"
 	}
 	return err.Error()
 }
 
-// describe maps an error to the HTTP status and body for the operator.
-func describe(err error) (int, *operatorpb.Problem) {
+// problemFor maps an error to the HTTP status and body of the response.
+func problemFor(err error) (int, *operatorpb.Problem) {
 	problem := operatorpb.Problem_builder{Message: err.Error()}.Build()
 	var stale *lists.StaleError
 	var invalid *lists.InvalidError
 	var uncertain *lists.UncertainError
-	var missing *NotFoundError
+	var notFound *NotFoundError
 	switch {
 	case errors.As(err, &stale):
 		problem.SetPresent(withoutKeys(stale.Present))
@@ -126,28 +126,28 @@
 		return http.StatusUnprocessableEntity, problem
 	case errors.As(err, &uncertain):
 		return http.StatusGatewayTimeout, problem
-	case errors.As(err, &missing):
+	case errors.As(err, &notFound):
 		return http.StatusNotFound, problem
 	default:
 		return http.StatusServiceUnavailable, problem
 	}
 }
 
-func answer(w http.ResponseWriter, status int, message proto.Message) {
+func writeResponse(w http.ResponseWriter, status int, message proto.Message) {
 	text, err := protojson.Marshal(message)
 	if err != nil {
-		klog.Errorf("operator: encode answer: %v", err)
+		klog.Errorf("operator: encode response: %v", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if _, err := w.Write(text); err != nil {
-		klog.V(1).Infof("operator: answer: %v", err)
+		klog.V(1).Infof("operator: write response: %v", err)
 	}
 }
 
-func read(r *http.Request, message proto.Message) error {
+func readBody(r *http.Request, message proto.Message) error {
 	text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxBodyBytes))
 	if err != nil {
 		return &lists.InvalidError{Problem: "read body: " + err.Error()}
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -73,7 +73,7 @@
 	}.Build()
 }
 
-func mustRefuse(t *testing.T, status int, err error) *operator.Error {
+func mustFailWith(t *testing.T, status int, err error) *operator.Error {
 	t.Helper()
 	var refused *operator.Error
 	must.True(t, errors.As(err, &refused), must.Sprint(err))
@@ -85,7 +85,7 @@
 	f := newFixture(t)
 	for _, token := range []string{"", "wrong", lists.HashKey("ann-token")} {
 		_, err := f.client(token).Put(ctx, putRequest("gold", "x"))
-		mustRefuse(t, http.StatusUnauthorized, err)
+		mustFailWith(t, http.StatusUnauthorized, err)
 	}
 	must.Eq(t, 0, f.store.Calls())
 }
@@ -99,7 +99,7 @@
 	must.Eq(t, "ann", config.GetChanges()[0].GetOperator())
 
 	_, err = f.client("bob-token").Put(ctx, putRequest("silver", "y"))
-	refused := mustRefuse(t, http.StatusConflict, err)
+	refused := mustFailWith(t, http.StatusConflict, err)
 	must.Eq(t, 1, refused.Problem.GetPresent().GetLists())
 	must.Eq(t, "gold", refused.Problem.GetPresent().GetAccounts()[0].GetPlan())
 }
@@ -109,8 +109,8 @@
 	must.ErrorContains(t, err, "[operator] tokens")
 }
 
-// A key has leaked while the store is away. The operator withdraws it: the key
-// must stop working at once, not when the store comes back.
+// Guards against a leaked key that stays valid during a store outage: a
+// withdrawal must take effect at once.
 func TestWithdrawDuringOutage(t *testing.T) {
 	f := newFixture(t)
 	client := f.client("ann-token")
--- a/internal/operator/tokens.go
+++ b/internal/operator/tokens.go
@@ -12,21 +12,21 @@
 
 const hashLength = 64
 
-// Tokens tells operators by their tokens, which are kept as hashes only.
+// Tokens identifies operators by their tokens, which are kept as hashes only.
 type Tokens struct {
 	names  []string
 	hashes []string
 }
 
-// ParseTokens reads items of the form NAME:HASH.
+// ParseTokens parses items of the form NAME:HASH.
 func ParseTokens(items []string) (*Tokens, error) {
 	tokens := &Tokens{}
-	var faults []error
+	var errs []error
 	for _, item := range items {
 		name, hash, found := strings.Cut(item, ":")
 		hash = strings.ToLower(hash)
 		if !found || name == "" || len(hash) != hashLength || strings.Trim(hash, "0123456789abcdef") != "" {
-			faults = append(faults, &settings.Error{
+			errs = append(errs, &settings.Error{
 				File: "settings", Section: "operator", Key: "tokens",
 				Problem: "an item is not NAME:HASH with a SHA-256 of 64 hexadecimal digits",
 			})
@@ -35,12 +35,11 @@
 		tokens.names = append(tokens.names, name)
 		tokens.hashes = append(tokens.hashes, hash)
 	}
-	return tokens, errors.Join(faults...)
+	return tokens, errors.Join(errs...)
 }
 
-// Name returns the operator whose token came with the request, or "".
-// All hashes are compared in constant time, so that the time taken tells
-// nothing of a token.
+// Name returns the operator whose token the request carries, or "". All hashes
+// are compared in constant time, so that the response time reveals nothing about a token.
 func (t *Tokens) Name(r *http.Request) string {
 	token, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || token == "" {
--- a/internal/operator/usage.go
+++ b/internal/operator/usage.go
@@ -19,15 +19,15 @@
 // paramWindow is the query parameter for the start of a window.
 const paramWindow = "window"
 
-// Usage returns a closed usage window by its start, seconds since 1970 UTC; 0 returns all.
+// Usage returns the closed usage window with the given start (Unix seconds), or
+// all closed windows if start is 0.
 func (c *Client) Usage(ctx context.Context, start int64) (*operatorpb.UsageReply, error) {
 	reply := &operatorpb.UsageReply{}
 	query := url.Values{paramWindow: {strconv.FormatInt(start, 10)}}
 	return reply, c.call(ctx, http.MethodGet, PathUsage, query, nil, reply)
 }
 
-// usage answers with closed windows. The figures are those in the store, which
-// are the ones that are reported.
+// usage returns closed windows from the store, whose figures are the ones that are reported.
 func (s *Server) usage(ctx context.Context, _ string, r *http.Request) (proto.Message, error) {
 	text := r.URL.Query().Get(paramWindow)
 	start, err := strconv.ParseInt(text, 10, 64)
