--- a/internal/usage/collector.go
+++ b/internal/usage/collector.go
@@ -7,8 +7,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// maxAsked bounds the processes that a Collector asks at the same time.
-const maxAsked = 32
+// maxConcurrentCollects limits the concurrent requests of a Collector.
+const maxConcurrentCollects = 32
 
 // Collector gathers counters from all processes.
 type Collector struct {
@@ -16,50 +16,50 @@
 	Peers     Peers
 }
 
-// Collect returns the merged counters of the windows that start at or after
-// since and before until, and the names of the processes that gave no answer.
+// Collect returns the merged counters of the windows that start in [since, until)
+// and the names of the processes that did not answer.
 //
-// Sidecars are asked first. A sidecar's own counters are never behind a copy,
-// so the entries are asked only for those of incarnations that did not answer.
+// It queries the sidecars first. A sidecar's own counters are at least as recent
+// as any copy, so entries return only those of incarnations that did not answer.
 func (c *Collector) Collect(ctx context.Context, since, until int64) ([]*peerpb.Count, []string) {
 	run := &collection{peers: c.Peers, merged: &Ledger{}}
 	request := peerpb.CollectRequest_builder{Since: since, Until: until}
-	run.ask(ctx, c.Directory.Processes(peerpb.Role_ROLE_SIDECAR), request.Build())
+	run.query(ctx, c.Directory.Processes(peerpb.Role_ROLE_SIDECAR), request.Build())
 	request.Except = run.counted
-	run.ask(ctx, c.Directory.Processes(peerpb.Role_ROLE_ENTRY), request.Build())
-	return run.merged.Counts(since, until), run.silent
+	run.query(ctx, c.Directory.Processes(peerpb.Role_ROLE_ENTRY), request.Build())
+	return run.merged.Counts(since, until), run.unreachable
 }
 
-// collection is one round of questions.
+// collection is the state of one Collect call.
 type collection struct {
 	peers  Peers
 	merged *Ledger
 
-	mutex   sync.Mutex
-	counted []uint64
-	silent  []string
+	mutex       sync.Mutex
+	counted     []uint64
+	unreachable []string
 }
 
-// ask asks processes and returns once all have answered or failed to.
-func (c *collection) ask(ctx context.Context, processes []*peerpb.Process, request *peerpb.CollectRequest) {
-	var asking sync.WaitGroup
-	places := make(chan struct{}, maxAsked)
+// query requests the counters of processes and waits until every request has ended.
+func (c *collection) query(ctx context.Context, processes []*peerpb.Process, request *peerpb.CollectRequest) {
+	var requests sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentCollects)
 	for _, process := range processes {
-		places <- struct{}{}
-		asking.Go(func() {
-			defer func() { <-places }()
+		slots <- struct{}{}
+		requests.Go(func() {
+			defer func() { <-slots }()
 			reply, err := c.peers.Collect(ctx, process, request)
-			c.take(process, reply, err)
+			c.record(process, reply, err)
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 }
 
-func (c *collection) take(process *peerpb.Process, reply *peerpb.CollectReply, err error) {
+func (c *collection) record(process *peerpb.Process, reply *peerpb.CollectReply, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err != nil {
-		c.silent = append(c.silent, process.GetName())
+		c.unreachable = append(c.unreachable, process.GetName())
 		return
 	}
 	if reply.GetCounted() != 0 {
--- a/internal/usage/collector_test.go
+++ b/internal/usage/collector_test.go
@@ -9,7 +9,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/usage"
 )
 
-// newCollection is a sidecar with two answers counted, whose counters both entries hold too.
+// newCollection returns a sidecar with two counted responses and two entries that hold copies.
 func newCollection() (*fleet, *usage.Collector) {
 	sidecar := peerpb.Process_builder{Name: "s1", Zone: "a", Role: peerpb.Role_ROLE_SIDECAR}.Build()
 	fleet := newFleet(sidecar, entry("e1", "a"), entry("e2", "b"))
@@ -31,8 +31,8 @@
 	must.Eq(t, 1, fleet.collected)
 }
 
-// Answers of a sidecar that has restarted are not billed: the new incarnation
-// answers, and the entries leave out what the old one had counted.
+// Guards against lost counters of a restarted sidecar: its new incarnation
+// answers, and the entries must not exclude the counters of the old one.
 func TestCollectsFormerIncarnation(t *testing.T) {
 	fleet, collector := newCollection()
 	restarted := newCounter()
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -7,7 +7,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Counter counts what one incarnation of a process served.
+// Counter counts the responses of one incarnation of a process.
 // Exported fields are set before the first Add. It is safe for concurrent use.
 type Counter struct {
 	Process     string
@@ -19,8 +19,8 @@
 	mutex  sync.Mutex
 }
 
-// Add counts an answer that was given whole and returns the counters that it
-// raised, for whoever receives the answer's end to keep.
+// Add counts a completely delivered response and returns the counters that it
+// increased, so that the receiver of the response's end keeps a copy.
 func (c *Counter) Add(account, pool string, now time.Time, prompt, output uint64) []*peerpb.Count {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -31,27 +31,27 @@
 		Window:      Start(now, c.Window),
 		Pool:        pool,
 	}.Build()
-	known := c.ledger.get(keyOf(next))
-	next.SetRequests(known.GetRequests() + 1)
-	next.SetPromptTokens(known.GetPromptTokens() + prompt)
-	next.SetOutputTokens(known.GetOutputTokens() + output)
+	current := c.ledger.get(keyOf(next))
+	next.SetRequests(current.GetRequests() + 1)
+	next.SetPromptTokens(current.GetPromptTokens() + prompt)
+	next.SetOutputTokens(current.GetOutputTokens() + output)
 	counts := []*peerpb.Count{next}
 	c.ledger.Merge(counts)
 	return counts
 }
 
-// Changed returns the counters raised since a mark, and the next mark.
-// Mark 0 returns all of them.
-func (c *Counter) Changed(mark uint64) ([]*peerpb.Count, uint64) {
-	return c.ledger.Changed(mark)
+// Changed returns the counters that changed after a sequence number, and the
+// latest sequence number. 0 returns all counters.
+func (c *Counter) Changed(sequence uint64) ([]*peerpb.Count, uint64) {
+	return c.ledger.Changed(sequence)
 }
 
-// Counts returns the counters of the windows that start at or after since and before until.
+// Counts returns the counters of the windows that start in [since, until).
 func (c *Counter) Counts(since, until int64) []*peerpb.Count {
 	return c.ledger.Counts(since, until)
 }
 
-// Forget drops the windows that start before a time and returns how many counters that were.
+// Forget removes the windows that start before a time and returns the number of removed counters.
 func (c *Counter) Forget(before int64) int {
 	return c.ledger.Forget(before)
 }
--- a/internal/usage/fleet_test.go
+++ b/internal/usage/fleet_test.go
@@ -12,9 +12,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/usage"
 )
 
-var errGone = &platform.UnavailableError{Operation: "call", Cause: errors.New("gone")}
+var errUnreachable = &platform.UnavailableError{Operation: "call", Cause: errors.New("gone")}
 
-// fleet is the processes that hold counters, and the platform.
+// fleet fakes the processes that hold counters, and the platform.
 type fleet struct {
 	platformtest.Store
 
@@ -23,9 +23,9 @@
 	ledgers   map[string]*usage.Ledger
 	dead      map[string]bool
 	reports   []platform.Usage
-	// loseReports loses answers of reports.
+	// loseReports is the number of reports whose response is lost.
 	loseReports int
-	// counters are those of sidecars; collected counts what was sent to reporters.
+	// counters are those of sidecars; collected is the number of counters sent to reporters.
 	counters  map[string]*usage.Counter
 	collected int
 }
@@ -44,7 +44,7 @@
 
 func (f *fleet) Collect(ctx context.Context, process *peerpb.Process, request *peerpb.CollectRequest) (*peerpb.CollectReply, error) {
 	if f.isDead(process.GetName()) {
-		return nil, errGone
+		return nil, errUnreachable
 	}
 	server := &usage.Server{Ledger: f.ledgers[process.GetName()], Counter: f.counters[process.GetName()]}
 	reply, err := server.Collect(ctx, request)
@@ -58,7 +58,7 @@
 
 func (f *fleet) Keep(_ context.Context, process *peerpb.Process, counts []*peerpb.Count) error {
 	if f.isDead(process.GetName()) {
-		return errGone
+		return errUnreachable
 	}
 	f.ledgers[process.GetName()].Merge(counts)
 	return nil
@@ -83,7 +83,7 @@
 	f.reports = append(f.reports, usage)
 	if f.loseReports > 0 {
 		f.loseReports--
-		return errGone
+		return errUnreachable
 	}
 	return nil
 }
@@ -108,67 +108,67 @@
 	f.dead[name] = false
 }
 
-// sent returns the reports that arrived.
+// sent returns the received reports.
 func (f *fleet) sent() []platform.Usage {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]platform.Usage{}, f.reports...)
 }
 
-// mortal is a reporter's way to the platform; it ends at a step, before or after the call takes effect.
-type mortal struct {
+// crashingPlatform is the platform of a reporter that crashes at a step, before or after a call takes effect.
+type crashingPlatform struct {
 	*fleet
 
-	steps  int
-	dieAt  int
-	killed context.CancelFunc
-	gone   bool
+	step    int
+	crashAt int
+	cancel  context.CancelFunc
+	crashed bool
 }
 
-func (m *mortal) step() bool {
-	m.steps++
-	if m.steps == m.dieAt {
-		m.gone = true
-		m.killed()
+func (c *crashingPlatform) advance() bool {
+	c.step++
+	if c.step == c.crashAt {
+		c.crashed = true
+		c.cancel()
 	}
-	return m.gone
+	return c.crashed
 }
 
-// call makes a call between two steps.
-func (m *mortal) call(effect func() error) error {
-	if m.step() {
-		return errGone
+// call runs a call between two steps.
+func (c *crashingPlatform) call(operation func() error) error {
+	if c.advance() {
+		return errUnreachable
 	}
-	err := effect()
-	if m.step() {
-		return errGone
+	err := operation()
+	if c.advance() {
+		return errUnreachable
 	}
 	return err
 }
 
-func (m *mortal) Get(ctx context.Context, key string) (value platform.Value, err error) {
-	err = m.call(func() error {
-		value, err = m.fleet.Get(ctx, key)
+func (c *crashingPlatform) Get(ctx context.Context, key string) (value platform.Value, err error) {
+	err = c.call(func() error {
+		value, err = c.fleet.Get(ctx, key)
 		return err
 	})
 	return value, err
 }
 
-func (m *mortal) List(ctx context.Context, prefix string) (reply platform.ListReply, err error) {
-	err = m.call(func() error {
-		reply, err = m.fleet.List(ctx, prefix)
+func (c *crashingPlatform) List(ctx context.Context, prefix string) (reply platform.ListReply, err error) {
+	err = c.call(func() error {
+		reply, err = c.fleet.List(ctx, prefix)
 		return err
 	})
 	return reply, err
 }
 
-func (m *mortal) Report(ctx context.Context, usage platform.Usage, guard func() error) error {
-	return m.call(func() error { return m.fleet.Report(ctx, usage, guard) })
+func (c *crashingPlatform) Report(ctx context.Context, usage platform.Usage, guard func() error) error {
+	return c.call(func() error { return c.fleet.Report(ctx, usage, guard) })
 }
 
-func (m *mortal) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (revision uint64, err error) {
-	err = m.call(func() error {
-		revision, err = m.fleet.Swap(ctx, key, expect, data, lease)
+func (c *crashingPlatform) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (revision uint64, err error) {
+	err = c.call(func() error {
+		revision, err = c.fleet.Swap(ctx, key, expect, data, lease)
 		return err
 	})
 	return revision, err
--- a/internal/usage/holders.go
+++ b/internal/usage/holders.go
@@ -10,12 +10,12 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// copies is the number of entries that hold the counters of a sidecar.
-const copies = 2
+// replicaCount is the number of entries that hold copies of a process's counters.
+const replicaCount = 2
 
-// Holders returns the entries that hold the counters of a process: the first by
-// rendezvous hashing, each in a zone of its own and not in that of the process,
-// as far as there are zones. Entries that drain are passed by.
+// Holders returns the entries that hold copies of a process's counters: the first
+// by rendezvous hashing, each in a different zone and none in the zone of the
+// process, as far as there are enough zones. It skips draining entries.
 func Holders(process *peerpb.Process, entries []*peerpb.Process) []*peerpb.Process {
 	var live []*peerpb.Process
 	for _, entry := range entries {
@@ -24,23 +24,23 @@
 		}
 	}
 	slices.SortFunc(live, func(a, b *peerpb.Process) int {
-		return cmp.Or(cmp.Compare(weight(process, b), weight(process, a)), strings.Compare(a.GetName(), b.GetName()))
+		return cmp.Or(cmp.Compare(rendezvousWeight(process, b), rendezvousWeight(process, a)), strings.Compare(a.GetName(), b.GetName()))
 	})
-	used := map[string]bool{process.GetZone(): true}
+	usedZones := map[string]bool{process.GetZone(): true}
 	var holders, others []*peerpb.Process
 	for _, entry := range live {
-		if used[entry.GetZone()] || len(holders) == copies {
+		if usedZones[entry.GetZone()] || len(holders) == replicaCount {
 			others = append(others, entry)
 			continue
 		}
-		used[entry.GetZone()] = true
+		usedZones[entry.GetZone()] = true
 		holders = append(holders, entry)
 	}
-	missing := min(copies-len(holders), len(others))
+	missing := min(replicaCount-len(holders), len(others))
 	return append(holders, others[:missing]...)
 }
 
-func weight(process, entry *peerpb.Process) uint64 {
+func rendezvousWeight(process, entry *peerpb.Process) uint64 {
 	sum := sha256.Sum256([]byte(process.GetName() + "\x00" + entry.GetName()))
 	return binary.BigEndian.Uint64(sum[:8])
 }
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -12,109 +12,109 @@
 // Ledger holds counters of many processes, merged by maximum.
 // Its zero value is empty. It is safe for concurrent use.
 type Ledger struct {
-	mutex  sync.Mutex
-	counts map[key]held
-	mark   uint64
+	mutex    sync.Mutex
+	counts   map[counterKey]ledgerRecord
+	sequence uint64
 }
 
-// held is a counter and the mark of its last change.
-type held struct {
-	count *peerpb.Count
-	mark  uint64
+// ledgerRecord is a counter and the sequence number of its last change.
+type ledgerRecord struct {
+	count    *peerpb.Count
+	sequence uint64
 }
 
-// Changed returns the counters raised since a mark, and the next mark.
-// Mark 0 returns all of them.
-func (l *Ledger) Changed(mark uint64) ([]*peerpb.Count, uint64) {
+// Changed returns the counters that changed after a sequence number, and the
+// latest sequence number. 0 returns all counters.
+func (l *Ledger) Changed(sequence uint64) ([]*peerpb.Count, uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var found []*peerpb.Count
-	for _, held := range l.counts {
-		if held.mark > mark {
-			found = append(found, held.count)
+	for _, record := range l.counts {
+		if record.sequence > sequence {
+			found = append(found, record.count)
 		}
 	}
-	return found, l.mark
+	return found, l.sequence
 }
 
-// Counts returns the counters of the windows that start at or after since and before until, in a fixed order.
+// Counts returns the counters of the windows that start in [since, until), sorted.
 func (l *Ledger) Counts(since, until int64) []*peerpb.Count {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var found []*peerpb.Count
-	for _, held := range l.counts {
-		if window := held.count.GetWindow(); window >= since && window < until {
-			found = append(found, held.count)
+	for _, record := range l.counts {
+		if window := record.count.GetWindow(); window >= since && window < until {
+			found = append(found, record.count)
 		}
 	}
 	slices.SortFunc(found, compareCounts)
 	return found
 }
 
-// Forget drops the windows that start before a time and returns how many counters that were.
+// Forget removes the windows that start before a time and returns the number of removed counters.
 func (l *Ledger) Forget(before int64) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	dropped := 0
+	removed := 0
 	for key := range l.counts {
 		if key.window < before {
 			delete(l.counts, key)
-			dropped++
+			removed++
 		}
 	}
-	return dropped
+	return removed
 }
 
-// Merge takes counters. A counter only grows, so the larger value of each
-// part is the newer one and a copy that arrives late or twice changes nothing.
+// Merge merges counters by maximum. A counter only grows, so the larger value of
+// each field is the newer one, and a late or repeated copy changes nothing.
 func (l *Ledger) Merge(counts []*peerpb.Count) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.counts == nil {
-		l.counts = map[key]held{}
+		l.counts = map[counterKey]ledgerRecord{}
 	}
 	for _, count := range counts {
 		l.merge(count)
 	}
 }
 
-// Size returns the number of counters held.
+// Size returns the number of counters.
 func (l *Ledger) Size() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.counts)
 }
 
-func (l *Ledger) get(key key) *peerpb.Count {
+func (l *Ledger) get(key counterKey) *peerpb.Count {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.counts[key].count
 }
 
-// merge replaces a counter by a new message, since the old one may be on its way to another process.
+// merge replaces a counter with a new message, since the old one may be in use by an RPC.
 func (l *Ledger) merge(count *peerpb.Count) {
 	key := keyOf(count)
-	known := l.counts[key].count
-	if known != nil && !raises(count, known) {
+	current := l.counts[key].count
+	if current != nil && !increases(count, current) {
 		return
 	}
-	l.mark++
-	l.counts[key] = held{mark: l.mark, count: peerpb.Count_builder{
+	l.sequence++
+	l.counts[key] = ledgerRecord{sequence: l.sequence, count: peerpb.Count_builder{
 		Process:      key.process,
 		Incarnation:  key.incarnation,
 		Account:      key.account,
 		Window:       key.window,
 		Pool:         key.pool,
-		Requests:     max(count.GetRequests(), known.GetRequests()),
-		PromptTokens: max(count.GetPromptTokens(), known.GetPromptTokens()),
-		OutputTokens: max(count.GetOutputTokens(), known.GetOutputTokens()),
+		Requests:     max(count.GetRequests(), current.GetRequests()),
+		PromptTokens: max(count.GetPromptTokens(), current.GetPromptTokens()),
+		OutputTokens: max(count.GetOutputTokens(), current.GetOutputTokens()),
 	}.Build()}
 }
 
-func raises(count, known *peerpb.Count) bool {
-	return count.GetRequests() > known.GetRequests() ||
-		count.GetPromptTokens() > known.GetPromptTokens() ||
-		count.GetOutputTokens() > known.GetOutputTokens()
+func increases(count, current *peerpb.Count) bool {
+	return count.GetRequests() > current.GetRequests() ||
+		count.GetPromptTokens() > current.GetPromptTokens() ||
+		count.GetOutputTokens() > current.GetOutputTokens()
 }
 
 func compareCounts(a, b *peerpb.Count) int {
--- a/internal/usage/ledger_bench_test.go
+++ b/internal/usage/ledger_bench_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkClose closes a window of the letter's size: 930 sidecars, 8 accounts.
+// BenchmarkClose closes a window of 930 sidecars and 8 accounts.
 func BenchmarkClose(b *testing.B) {
 	counts := counters(930, 8)
 	b.ReportAllocs()
@@ -58,21 +58,21 @@
 	}
 }
 
-// BenchmarkLedgerSize reports the memory and the message bytes of a counter.
+// BenchmarkLedgerSize reports the memory and the encoded size of a counter.
 func BenchmarkLedgerSize(b *testing.B) {
 	counts := counters(930, 8)
 	for b.Loop() {
 		ledger := &usage.Ledger{}
-		before := heap()
+		before := heapBytes()
 		ledger.Merge(counts)
-		after := heap()
+		after := heapBytes()
 		b.ReportMetric(float64(after-before)/float64(ledger.Size()), "B/counter")
 		b.ReportMetric(float64(proto.Size(peerpb.KeepRequest_builder{Counts: counts}.Build()))/float64(len(counts)), "messageB/counter")
 		runtime.KeepAlive(ledger)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/usage/ledger_test.go
+++ b/internal/usage/ledger_test.go
@@ -35,16 +35,16 @@
 	must.Eq(t, noon.Truncate(time.Minute).Unix(), counts[0].GetWindow())
 }
 
-// A client account is billed twice for one answer: the sidecar's counter
-// reaches an entry with the answer's end, again by a push and, late, in an
-// older copy. Copies of one counter must never add up.
+// Guards against billing a client account twice for one response: a sidecar's
+// counter reaches an entry with the response's end, again by a push and late as
+// an older copy. Copies of one counter must not add up.
 func TestLedgerMergesCopies(t *testing.T) {
 	counter := newCounter()
 	first := counter.Add("a", "m", noon, 3, 4)
 	second := counter.Add("a", "m", noon, 3, 4)
 	ledger := &usage.Ledger{}
-	for _, copies := range [][]*peerpb.Count{second, first, second} {
-		ledger.Merge(copies)
+	for _, counts := range [][]*peerpb.Count{second, first, second} {
+		ledger.Merge(counts)
 	}
 	must.Eq(t, uint64(2), requests(ledger.Counts(0, noon.Unix()+1)))
 }
--- a/internal/usage/peers.go
+++ b/internal/usage/peers.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	askTimeout = 2 * time.Second
-	// maxConnections bounds the connections that stay open between pushes.
+	callTimeout = 2 * time.Second
+	// maxConnections limits the connections that stay open between pushes.
 	maxConnections = 4
 )
 
-// GRPCPeers speaks to other processes over gRPC. Connections for pushes stay
-// open; those for collecting are closed, since a reporter asks every process.
+// GRPCPeers calls the Usage service of other processes over gRPC. Connections for
+// pushes stay open; those for collecting are closed, since a reporter queries every process.
 type GRPCPeers struct {
 	Credentials credentials.TransportCredentials
 
@@ -37,22 +37,22 @@
 		return nil, err
 	}
 	defer func() { _ = connection.Close() }()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := peerpb.NewUsageClient(connection).Collect(ctx, request)
-	return reply, eris.Wrap(err, "collect at "+process.GetName())
+	return reply, eris.Wrap(err, "collect usage counters from "+process.GetName())
 }
 
-// Keep gives counters to a process to hold.
+// Keep sends counters to a process that stores copies of them.
 func (g *GRPCPeers) Keep(ctx context.Context, process *peerpb.Process, counts []*peerpb.Count) error {
 	connection, err := g.connect(process.GetAddress())
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err = peerpb.NewUsageClient(connection).Keep(ctx, peerpb.KeepRequest_builder{Counts: counts}.Build())
-	return eris.Wrap(err, "keep at "+process.GetName())
+	return eris.Wrap(err, "send usage counters to "+process.GetName())
 }
 
 func (g *GRPCPeers) connect(address string) (*grpc.ClientConn, error) {
--- a/internal/usage/pusher.go
+++ b/internal/usage/pusher.go
@@ -9,55 +9,55 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// lastPush bounds the push of a process that ends.
-const lastPush = 3 * time.Second
+// finalPushTimeout limits the last push of a process that shuts down.
+const finalPushTimeout = 3 * time.Second
 
-// Source holds counters that grow.
+// Source provides the counters to push.
 type Source interface {
-	Changed(mark uint64) ([]*peerpb.Count, uint64)
+	Changed(sequence uint64) ([]*peerpb.Count, uint64)
 	Forget(before int64) int
 }
 
-// Directory is what a Pusher needs to know of other processes.
+// Directory lists the processes and facts that are known to this process.
 type Directory interface {
 	Fact(name string) *peerpb.Fact
 	Processes(role peerpb.Role) []*peerpb.Process
 	Self() *peerpb.Process
 }
 
-// Peers speaks to the Usage service of other processes.
+// Peers calls the Usage service of other processes.
 type Peers interface {
 	Collect(ctx context.Context, process *peerpb.Process, request *peerpb.CollectRequest) (*peerpb.CollectReply, error)
 	Keep(ctx context.Context, process *peerpb.Process, counts []*peerpb.Count) error
 }
 
-// Pusher gives a process's counters to the entries that hold copies, and drops
+// Pusher sends a process's counters to the entries that hold copies, and removes
 // windows that are no longer needed. Exported fields are set before Run.
 type Pusher struct {
 	Source    Source
 	Directory Directory
 	Peers     Peers
-	// Interval is the time between two pushes; 0 pushes only at the end.
+	// Interval is the time between two pushes; 0 pushes only on shutdown.
 	Interval time.Duration
-	// Retain is how long counters are kept once their window was reported.
+	// Retain is how long counters are kept after their window was reported.
 	Retain time.Duration
-	// Keep is how long they are kept in any case.
+	// Keep is the longest time that counters are kept, whether reported or not.
 	Keep time.Duration
 
-	marks map[holder]uint64
+	acknowledged map[entryIncarnation]uint64
 }
 
-// holder is an incarnation of an entry; a new one has lost what the former held.
-type holder struct {
+// entryIncarnation identifies an incarnation of an entry; a restarted entry has lost its copies.
+type entryIncarnation struct {
 	name        string
 	incarnation uint64
 }
 
-// Run pushes until the context ends, then once more: by then all requests have
-// ended, and the counters of the last ones are nowhere else but in the entries
-// that received their answers.
+// Run pushes until the context ends, then once more: all requests have ended by
+// then, and only the entries that received the last responses hold copies of
+// their counters.
 func (p *Pusher) Run(ctx context.Context) error {
-	p.marks = map[holder]uint64{}
+	p.acknowledged = map[entryIncarnation]uint64{}
 	interval := p.Interval
 	if interval == 0 {
 		interval = time.Minute
@@ -67,50 +67,50 @@
 	for {
 		select {
 		case <-ctx.Done():
-			p.last()
+			p.finalPush()
 			return nil
 		case <-ticker.C:
 			if p.Interval > 0 {
 				p.push(ctx)
 			}
-			p.Source.Forget(p.needed(time.Now()))
+			p.Source.Forget(p.oldestNeeded(time.Now()))
 		}
 	}
 }
 
-func (p *Pusher) last() {
-	ctx, cancel := context.WithTimeout(context.Background(), lastPush)
+func (p *Pusher) finalPush() {
+	ctx, cancel := context.WithTimeout(context.Background(), finalPushTimeout)
 	defer cancel()
 	p.push(ctx)
 }
 
 func (p *Pusher) push(ctx context.Context) {
-	marks := map[holder]uint64{}
+	acknowledged := map[entryIncarnation]uint64{}
 	for _, entry := range Holders(p.Directory.Self(), p.Directory.Processes(peerpb.Role_ROLE_ENTRY)) {
-		key := holder{name: entry.GetName(), incarnation: entry.GetIncarnation()}
-		marks[key] = p.pushTo(ctx, entry, p.marks[key])
+		key := entryIncarnation{name: entry.GetName(), incarnation: entry.GetIncarnation()}
+		acknowledged[key] = p.pushTo(ctx, entry, p.acknowledged[key])
 	}
-	p.marks = marks
+	p.acknowledged = acknowledged
 }
 
-// pushTo returns the mark up to which the entry holds the counters.
-func (p *Pusher) pushTo(ctx context.Context, entry *peerpb.Process, mark uint64) uint64 {
-	counts, next := p.Source.Changed(mark)
+// pushTo returns the sequence number up to which the entry holds the counters.
+func (p *Pusher) pushTo(ctx context.Context, entry *peerpb.Process, acknowledged uint64) uint64 {
+	counts, next := p.Source.Changed(acknowledged)
 	if len(counts) == 0 {
 		return next
 	}
 	if err := p.Peers.Keep(ctx, entry, counts); err != nil {
-		klog.Warningf("usage: %s can't hold %d counters: %v", entry.GetName(), len(counts), err)
-		return mark
+		klog.Warningf("usage: entry %s did not store %d counters: %v", entry.GetName(), len(counts), err)
+		return acknowledged
 	}
 	return next
 }
 
-// needed returns the start of the oldest window whose counters are needed.
-func (p *Pusher) needed(now time.Time) int64 {
-	needed := now.Add(-p.Keep).Unix()
+// oldestNeeded returns the start of the oldest window whose counters must be kept.
+func (p *Pusher) oldestNeeded(now time.Time) int64 {
+	oldest := now.Add(-p.Keep).Unix()
 	if reported, ok := ParseReported(p.Directory.Fact(FactReported)); ok {
-		needed = max(needed, reported-int64(p.Retain/time.Second))
+		oldest = max(oldest, reported-int64(p.Retain/time.Second))
 	}
-	return needed
+	return oldest
 }
--- a/internal/usage/reported.go
+++ b/internal/usage/reported.go
@@ -7,10 +7,10 @@
 )
 
 // FactReported is the name of the fact that holds the start of the newest
-// window that was reported; its revision is that of the window's key.
+// reported window. Its revision is that of the window's key.
 const FactReported = "usage-reported"
 
-// NewReported returns the fact that a window was reported.
+// NewReported returns a fact for a reported window.
 func NewReported(start int64, revision uint64) *peerpb.Fact {
 	return peerpb.Fact_builder{
 		Name:     FactReported,
@@ -19,7 +19,7 @@
 	}.Build()
 }
 
-// ParseReported returns the window that a fact names.
+// ParseReported returns the window start in a fact.
 func ParseReported(fact *peerpb.Fact) (int64, bool) {
 	start, err := strconv.ParseInt(string(fact.GetValue()), 10, 64)
 	return start, err == nil
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -24,28 +24,28 @@
 const (
 	// DutyName is the name of the reporter's duty.
 	DutyName = "usage"
-	// Prefix of the store's keys of closed windows.
+	// Prefix is the key prefix of closed windows in the store.
 	Prefix = "usage/"
-	// maxCatchUp bounds the windows closed one by one after an outage; counts of
-	// older ones are late figures of the first.
+	// maxCatchUp limits the windows closed one by one after an outage. Counts of
+	// older windows become late figures of the first one.
 	maxCatchUp = 48
-	// maxDeletes bounds the old windows deleted in one round.
+	// maxDeletes limits the expired windows deleted in one round.
 	maxDeletes = 4
 )
 
-// SupersededError says that a newer reporter has taken a window.
+// SupersededError reports that a newer reporter has written a window.
 type SupersededError struct {
 	Window int64
 	Fence  uint64
 	Newer  uint64
 }
 
-// Error names the window and both fencing numbers.
+// Error names the window and both fencing tokens.
 func (e *SupersededError) Error() string {
 	return fmt.Sprintf("usage: window %d: term %d is superseded by %d", e.Window, e.Fence, e.Newer)
 }
 
-// EndedError says that a term ended before a report was sent.
+// EndedError reports that a term ended before a report was sent.
 type EndedError struct {
 	Fence uint64
 }
@@ -55,7 +55,7 @@
 	return "usage: term " + strconv.FormatUint(e.Fence, 10) + " has ended"
 }
 
-// Platform is what a Reporter needs of the platform.
+// Platform provides the platform's store and usage reports to a Reporter.
 type Platform interface {
 	Delete(ctx context.Context, key string, expect uint64) error
 	Get(ctx context.Context, key string) (platform.Value, error)
@@ -66,65 +66,64 @@
 
 // Reporter closes usage windows and reports them. Exported fields are set before Run.
 //
-// The figures of a window are written to the store once, before they are
-// reported; whoever reports the window sends those figures. A reporter writes
-// its fencing number to the window before it sends, which ends every earlier
-// reporter, and its first report waits until none of an earlier one can be
-// under way.
+// The figures of a window are stored once, before they are reported, and every
+// reporter of the window sends the stored figures. A reporter writes its fencing
+// token to the window before it sends, which stops every earlier reporter. Its
+// first report waits until no report of an earlier reporter can be in flight.
 type Reporter struct {
 	Process   string
 	Platform  Platform
 	Collector *Collector
-	// Offer gives a fact to the other processes.
+	// Offer distributes a fact to the other processes.
 	Offer     func(fact *peerpb.Fact) bool
 	Decisions *decision.Log
 	// Window is the length of a usage window.
 	Window time.Duration
-	// Settle is the wait after a window's end before it is closed.
+	// Settle is the delay between the end of a window and its closing.
 	Settle time.Duration
-	// Retain is how long after its window a count may still come in, as a late figure.
+	// Retain is how long after its window a count is still accepted, as a late figure.
 	Retain time.Duration
 	// Keep is how long closed windows stay in the store.
 	Keep time.Duration
 	// Interval is the time between two rounds.
 	Interval time.Duration
-	// Lease is the length of the duty's lease.
+	// Lease is the duration of the duty's lease.
 	Lease time.Duration
-	// Bound is the longest time that a report may be under way.
+	// Bound is the longest time that a report may be in flight.
 	Bound time.Duration
-	// Fenced says that the platform refuses reports with an old fencing number.
+	// Fenced is set if the platform rejects reports with an old fencing token.
 	Fenced bool
-	// Now tells the time of day by which windows end; nil takes time.Now.
+	// Now returns the wall clock time that decides when windows end; nil means time.Now.
 	Now func() time.Time
 
-	term    *duty.Term
-	ready   time.Time
-	windows map[int64]stored
+	term           *duty.Term
+	earliestReport time.Time
+	windows        map[int64]storedWindow
 }
 
-// stored is a window as the store holds it.
-type stored struct {
+// storedWindow is a window as the store holds it.
+type storedWindow struct {
 	window   *statepb.Window
 	revision uint64
 }
 
-// Key returns the store's key of a window.
+// Key returns the key of a window in the store.
 func Key(start int64) string { return Prefix + strconv.FormatInt(start, 10) }
 
-// ParseWindow reads the value of a window's key.
+// ParseWindow decodes the value of a window's key.
 func ParseWindow(value platform.Value) (*statepb.Window, error) {
 	window := &statepb.Window{}
 	return window, eris.Wrap(proto.Unmarshal(value.Data, window), "read "+value.Key)
 }
 
-// Run does the duty until its term ends.
+// Run closes and reports windows until the term ends.
 func (r *Reporter) Run(ctx context.Context, term *duty.Term) error {
 	r.term = term
 	ticker := time.NewTicker(r.Interval)
 	defer ticker.Stop()
 	for {
-		err := r.round(ctx)
-		if isOver(err) {
+		err := r.runRound(ctx)
+		if isTermOver(err) {
 			return err
 		}
 		if err != nil && ctx.Err() == nil {
@@ -138,27 +137,27 @@
 	}
 }
 
-func isOver(err error) bool {
+func isTermOver(err error) bool {
 	var superseded *SupersededError
 	var ended *EndedError
 	return errors.As(err, &superseded) || errors.As(err, &ended)
 }
 
-func (r *Reporter) round(ctx context.Context) error {
+func (r *Reporter) runRound(ctx context.Context) error {
 	if r.windows == nil {
 		if err := r.load(ctx); err != nil {
 			return err
 		}
 	}
-	for _, start := range r.due(r.now()) {
-		if err := r.settle(ctx, start); err != nil {
+	for _, start := range r.dueWindows(r.now()) {
+		if err := r.closeAndReport(ctx, start); err != nil {
 			return err
 		}
 		if !r.windows[start].window.GetReported() {
 			return nil
 		}
 	}
-	return r.deleteOld(ctx, r.now())
+	return r.deleteExpired(ctx, r.now())
 }
 
 func (r *Reporter) now() time.Time {
@@ -174,36 +173,37 @@
 	if err != nil {
 		return err
 	}
-	windows := map[int64]stored{}
+	windows := map[int64]storedWindow{}
 	for _, value := range reply.Values {
 		window, err := ParseWindow(value)
 		if err != nil {
 			return err
 		}
-		if err := r.check(window); err != nil {
+		if err := r.checkFence(window); err != nil {
 			return err
 		}
-		windows[window.GetStart()] = stored{window: window, revision: value.Revision}
+		windows[window.GetStart()] = storedWindow{window: window, revision: value.Revision}
 	}
 	r.windows = windows
 	return nil
 }
 
-// check ends the term if a newer reporter wrote the window, and makes the first
-// report wait if an earlier one did and the platform would take its late report.
-func (r *Reporter) check(window *statepb.Window) error {
+// checkFence returns an error if a newer reporter wrote the window. If an earlier
+// one wrote it and the platform does not reject its late reports, checkFence delays
+// the first report.
+func (r *Reporter) checkFence(window *statepb.Window) error {
 	own, other := r.term.Fence(), window.GetFence()
 	if other > own {
 		return &SupersededError{Window: window.GetStart(), Fence: own, Newer: other}
 	}
-	if other < own && r.ready.IsZero() && !r.Fenced {
-		r.ready = time.Now().Add(r.Lease + r.Bound)
+	if other < own && r.earliestReport.IsZero() && !r.Fenced {
+		r.earliestReport = time.Now().Add(r.Lease + r.Bound)
 	}
 	return nil
 }
 
-// due returns the windows that should be closed and reported by now, oldest first.
-func (r *Reporter) due(now time.Time) []int64 {
+// dueWindows returns the windows to close and report, oldest first.
+func (r *Reporter) dueWindows(now time.Time) []int64 {
 	length := max(int64(r.Window/time.Second), 1)
 	newest := Start(now.Add(-r.Settle), r.Window) - length
 	next := newest
@@ -223,44 +223,45 @@
 	return due
 }
 
-// settle closes a window if it is not closed, and reports it if it is not reported.
-func (r *Reporter) settle(ctx context.Context, start int64) error {
+// closeAndReport closes a window and reports it, unless that was done before.
+func (r *Reporter) closeAndReport(ctx context.Context, start int64) error {
 	if r.windows[start].window == nil {
-		if err := r.close(ctx, start); err != nil {
+		if err := r.closeWindow(ctx, start); err != nil {
 			return err
 		}
 	}
 	window := r.windows[start].window
-	if window == nil || window.GetReported() || time.Now().Before(r.ready) {
+	if window == nil || window.GetReported() || time.Now().Before(r.earliestReport) {
 		return nil
 	}
 	return r.report(ctx, window)
 }
 
-// close writes the figures of a window. Processes that don't answer get a
-// second settling time; after that their counts are late.
-func (r *Reporter) close(ctx context.Context, start int64) error {
+// closeWindow stores the figures of a window. If processes don't answer, it waits
+// for another Settle before it closes the window without them; their counts
+// become late figures.
+func (r *Reporter) closeWindow(ctx context.Context, start int64) error {
 	length := max(int64(r.Window/time.Second), 1)
-	counts, silent := r.Collector.Collect(ctx, start-int64(r.Retain/time.Second), start+length)
-	patience := time.Unix(start+length, 0).Add(2 * r.Settle)
-	if len(silent) > 0 && r.now().Before(patience) {
+	counts, unreachable := r.Collector.Collect(ctx, start-int64(r.Retain/time.Second), start+length)
+	deadline := time.Unix(start+length, 0).Add(2 * r.Settle)
+	if len(unreachable) > 0 && r.now().Before(deadline) {
 		return nil
 	}
 	window := statepb.Window_builder{
 		Start:   start,
 		Length:  length,
-		Figures: Close(start, counts, r.closed()),
+		Figures: Close(start, counts, r.closedWindows()),
 		Fence:   r.term.Fence(),
 	}.Build()
-	if err := r.swap(ctx, window); err != nil {
+	if err := r.write(ctx, window); err != nil {
 		return err
 	}
-	r.Decisions.Record(id(start), "usage", "closed by %s with %d figures, no answer from [%s]",
-		r.Process, len(window.GetFigures()), strings.Join(silent, " "))
+	r.Decisions.Record(decisionID(start), "usage", "closed by %s with %d figures, no answer from [%s]",
+		r.Process, len(window.GetFigures()), strings.Join(unreachable, " "))
 	return nil
 }
 
-func (r *Reporter) closed() []*statepb.Window {
+func (r *Reporter) closedWindows() []*statepb.Window {
 	var closed []*statepb.Window
 	for _, stored := range r.windows {
 		if stored.window != nil {
@@ -270,19 +271,19 @@
 	return closed
 }
 
-// report sends the figures that the store holds and marks the window.
+// report sends the stored figures and marks the window as reported.
 func (r *Reporter) report(ctx context.Context, window *statepb.Window) error {
 	start := window.GetStart()
 	if window.GetFence() != r.term.Fence() {
-		if err := r.change(ctx, window, func(next *statepb.Window) { next.SetFence(r.term.Fence()) }); err != nil {
+		if err := r.update(ctx, window, func(next *statepb.Window) { next.SetFence(r.term.Fence()) }); err != nil {
 			return err
 		}
 	}
 	if err := r.send(ctx, r.windows[start].window); err != nil {
 		return err
 	}
-	r.Decisions.Record(id(start), "usage", "reported by %s, term %d", r.Process, r.term.Fence())
-	if err := r.change(ctx, r.windows[start].window, func(next *statepb.Window) { next.SetReported(true) }); err != nil {
+	r.Decisions.Record(decisionID(start), "usage", "reported by %s, term %d", r.Process, r.term.Fence())
+	if err := r.update(ctx, r.windows[start].window, func(next *statepb.Window) { next.SetReported(true) }); err != nil {
 		return err
 	}
 	r.Offer(NewReported(start, r.windows[start].revision))
@@ -290,10 +291,10 @@
 }
 
 func (r *Reporter) send(ctx context.Context, window *statepb.Window) error {
-	until := time.Now().Add(r.Bound)
+	deadline := time.Now().Add(r.Bound)
 	guard := func() error {
 		now := time.Now()
-		if !r.term.Valid(now) || !now.Before(until) {
+		if !r.term.Valid(now) || !now.Before(deadline) {
 			return &EndedError{Fence: r.term.Fence()}
 		}
 		return nil
@@ -301,18 +302,18 @@
 	if err := guard(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(ctx, until)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	err := r.Platform.Report(ctx, message(window, r.Process), guard)
+	err := r.Platform.Report(ctx, newPlatformUsage(window, r.Process), guard)
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
-		// The platform has seen a newer term; this one must not call again.
+		// The platform has seen a newer term; this one must not send again.
 		return &SupersededError{Window: window.GetStart(), Fence: r.term.Fence(), Newer: conflict.Revision}
 	}
 	return err
 }
 
-func message(window *statepb.Window, process string) platform.Usage {
+func newPlatformUsage(window *statepb.Window, process string) platform.Usage {
 	usage := platform.Usage{Start: window.GetStart(), Length: window.GetLength(), Fence: window.GetFence(), From: process}
 	for _, figure := range window.GetFigures() {
 		usage.Figures = append(usage.Figures, platform.Figure{
@@ -327,40 +328,40 @@
 	return usage
 }
 
-// change writes a changed copy of a window that the store holds.
-func (r *Reporter) change(ctx context.Context, window *statepb.Window, change func(*statepb.Window)) error {
+// update writes a changed copy of a stored window.
+func (r *Reporter) update(ctx context.Context, window *statepb.Window, change func(*statepb.Window)) error {
 	next, ok := proto.Clone(window).(*statepb.Window)
 	if !ok {
-		return eris.New("usage: a window can't be copied")
+		return eris.New("usage: the clone of a window has an unexpected type")
 	}
 	change(next)
-	return r.swap(ctx, next)
+	return r.write(ctx, next)
 }
 
-// swap writes a window. After an error it takes what the store holds by then,
-// since the write may have taken effect although its answer was lost.
-func (r *Reporter) swap(ctx context.Context, window *statepb.Window) error {
+// write writes a window with compare-and-swap. After an error it reads the window
+// again, since the write may have succeeded although its response was lost.
+func (r *Reporter) write(ctx context.Context, window *statepb.Window) error {
 	start := window.GetStart()
 	data, err := proto.Marshal(window)
 	if err != nil {
-		return eris.Wrap(err, "encode window")
+		return eris.Wrap(err, "encode usage window")
 	}
 	revision, err := r.Platform.Swap(ctx, Key(start), r.windows[start].revision, data, 0)
 	if err != nil {
-		return errors.Join(err, r.read(ctx, start))
+		return errors.Join(err, r.reload(ctx, start))
 	}
-	r.windows[start] = stored{window: window, revision: revision}
+	r.windows[start] = storedWindow{window: window, revision: revision}
 	return nil
 }
 
-func (r *Reporter) read(ctx context.Context, start int64) error {
+func (r *Reporter) reload(ctx context.Context, start int64) error {
 	value, err := r.Platform.Get(ctx, Key(start))
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
 		return nil
 	}
 	if err != nil {
-		// What the store holds is not known: read everything again.
+		// The stored state is unknown: the next round loads all windows again.
 		r.windows = nil
 		return err
 	}
@@ -368,15 +369,15 @@
 	if err != nil {
 		return err
 	}
-	if err := r.check(window); err != nil {
+	if err := r.checkFence(window); err != nil {
 		return err
 	}
-	r.windows[start] = stored{window: window, revision: value.Revision}
+	r.windows[start] = storedWindow{window: window, revision: value.Revision}
 	return nil
 }
 
-// deleteOld deletes windows that no late figure can belong to any more.
-func (r *Reporter) deleteOld(ctx context.Context, now time.Time) error {
+// deleteExpired deletes reported windows that are too old for late figures.
+func (r *Reporter) deleteExpired(ctx context.Context, now time.Time) error {
 	oldest := now.Add(-max(r.Keep, r.Retain+2*r.Window+2*r.Settle)).Unix()
 	deleted := 0
 	for start, stored := range r.windows {
@@ -392,5 +393,5 @@
 	return nil
 }
 
-// id is the identity under which decisions about a window are kept.
-func id(start int64) string { return Key(start) }
+// decisionID returns the identity of a window in the decision log.
+func decisionID(start int64) string { return Key(start) }
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -14,7 +14,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/usage"
 )
 
-// start runs a reporter in a term and returns a function that ends it and waits.
+// start runs a reporter in a term and returns a function that stops it and waits for its end.
 func start(t *testing.T, reporter *usage.Reporter, fence uint64) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -29,10 +29,10 @@
 	}
 }
 
-// fences are those of the reporters in these tests.
+// fences are the fencing tokens of the reporters in these tests.
 var fences = map[string]uint64{"e1": 1, "e2": 2}
 
-// billed returns the requests that the reports bill, each window once.
+// billed returns the reported requests and counts each window once.
 func billed(t *testing.T, reports []platform.Usage) uint64 {
 	t.Helper()
 	windows := map[int64]platform.Usage{}
@@ -76,19 +76,19 @@
 	})
 }
 
-// A client account is billed twice, with different figures: the reporter is
-// killed between any two of its steps, and the next one, which sees counts that
-// came in since, reports the window again. The next one must send the figures
-// that the store holds, and the counts must appear in a later window, once.
+// Guards against billing a window twice with different figures: a reporter
+// crashes between two steps, and its successor, which collects newer counts,
+// reports the window again. The successor must send the stored figures, and the
+// newer counts must appear once, in a later window.
 func TestReporterKilledAtEachStep(t *testing.T) {
 	for step := 1; step <= 24; step++ {
 		synctest.Test(t, func(t *testing.T) {
 			fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
 			counter := newCounter()
 			serve(fleet, counter, "e1")
-			first := &mortal{fleet: fleet, dieAt: step}
+			first := &crashingPlatform{fleet: fleet, crashAt: step}
 			ctx, cancel := context.WithCancel(t.Context())
-			first.killed = cancel
+			first.cancel = cancel
 			ended := make(chan error, 1)
 			go func() {
 				ended <- newReporter(fleet, first, "e1").Run(ctx, duty.NewTerm(1, time.Now().Add(time.Hour)))
@@ -102,14 +102,14 @@
 			stop := start(t, newReporter(fleet, fleet, "e2"), 2)
 			time.Sleep(3 * length)
 			stop()
-			must.Eq(t, uint64(2), billed(t, fleet.sent()), must.Sprintf("killed at step %d", step))
+			must.Eq(t, uint64(2), billed(t, fleet.sent()), must.Sprintf("crashed at step %d", step))
 		})
 	}
 }
 
-// Two reporters report one window with different figures: one was paused after
-// it had collected, the other took over and saw more. The write that comes
-// second must fail, and its writer end.
+// Guards against two reports of one window with different figures: a reporter
+// pauses after collecting, and its successor collects more. The second write
+// must fail and stop its reporter.
 func TestTwoReporters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
@@ -128,8 +128,8 @@
 	})
 }
 
-// The store goes away while a window is closed, and answers of the writes
-// before and after are lost. Reports wait; none is lost and none doubled.
+// Guards against lost and duplicate reports: the store is unavailable while
+// windows end, and responses of writes and reports are lost before and after.
 func TestReportsThroughOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
@@ -150,11 +150,11 @@
 	})
 }
 
-// Two processes report one window and both believe that they are in charge: the
-// first is paused within a report, its lease lapses, the second takes over, and
-// the first is thawed. No report may arrive after one of the second.
+// Guards against reports of two processes that both consider themselves the
+// owner: the first pauses during a report, its lease expires, the second takes
+// over, and the first resumes. No report may arrive after one of the second.
 func TestReporterPaused(t *testing.T) {
-	tests := map[string]paused{
+	tests := map[string]pausingPlatform{
 		"before the last check": {before: 10 * lease},
 		"after the last check":  {after: lease + bound + 2*time.Second},
 	}
@@ -167,7 +167,7 @@
 				ended := make(chan error, 1)
 				term := duty.NewTerm(1, time.Now().Add(length+2*settle))
 				go func() { ended <- newReporter(fleet, &first, "e1").Run(t.Context(), term) }()
-				// The term ends three seconds, the margin, before the lease lapses.
+				// The term ends 3 seconds, the safety margin, before the lease expires.
 				time.Sleep(length + 2*settle + 3*time.Second)
 				stop := start(t, newReporter(fleet, fleet, "e2"), 2)
 				time.Sleep(3 * length)
@@ -179,15 +179,15 @@
 	}
 }
 
-// paused is a reporter's way to the platform on which it stands still.
-type paused struct {
+// pausingPlatform pauses a reporter during a report, before or after the guard.
+type pausingPlatform struct {
 	*fleet
 
 	before time.Duration
 	after  time.Duration
 }
 
-func (p *paused) Report(ctx context.Context, usage platform.Usage, guard func() error) error {
+func (p *pausingPlatform) Report(ctx context.Context, usage platform.Usage, guard func() error) error {
 	time.Sleep(p.before)
 	if err := guard(); err != nil {
 		return err
@@ -196,7 +196,7 @@
 	return p.fleet.Report(ctx, usage, func() error { return nil })
 }
 
-// A process that can't be reached for a moment must not make counts late.
+// Guards against late figures caused by a process that is unreachable for a moment.
 func TestWaitsForSilentProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
@@ -224,8 +224,9 @@
 	return late
 }
 
-// A count comes in after its window was reported, since the process that held
-// it could not be reached. It goes into a later window, marked with its own.
+// Guards against losing counts that arrive after their window was reported,
+// because their process was unreachable. A later window must include them as
+// late figures, marked with their own window.
 func TestLateCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
@@ -245,9 +246,9 @@
 	})
 }
 
-// An answer was given whole and is not billed: the host of its sidecar dies
-// before the counter was pushed, or that of the entry that received the answer.
-// Either alone must lose nothing.
+// Guards against not billing a delivered response: the host of its sidecar, or
+// that of the entry that received it, dies before the counter is pushed. The
+// loss of any one host must lose no counts.
 func TestAnyOneHostDies(t *testing.T) {
 	sidecar := peerpb.Process_builder{Name: "s1", Zone: "a", Role: peerpb.Role_ROLE_SIDECAR, State: peerpb.State_STATE_LIVE}.Build()
 	for _, dies := range []string{"s1", "e1", "e2", "e3"} {
@@ -255,7 +256,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				fleet := newFleet(sidecar, entry("e1", "a"), entry("e2", "b"), entry("e3", "c"))
 				counter := newCounter()
-				// The answer's end reaches the entry with the counters.
+				// The end of the response carries the counters to the entry.
 				serve(fleet, counter, "s1", "e1")
 				pusher := &usage.Pusher{Source: counter, Directory: fleet, Peers: fleet, Interval: time.Second, Keep: time.Hour}
 				ctx, cancel := context.WithCancel(t.Context())
@@ -276,8 +277,9 @@
 	}
 }
 
-// A sidecar is replaced right after its last answer: the entry that received
-// the answer dies before the next push. The sidecar must push once more when it ends.
+// Guards against losing the counters of a sidecar that shuts down right after its
+// last response, if the entry that received it dies before the next push. The
+// sidecar must push once more on shutdown.
 func TestLastPush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sidecar := peerpb.Process_builder{Name: "s1", Zone: "a", Role: peerpb.Role_ROLE_SIDECAR}.Build()
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,8 +1,8 @@
-// Package usage counts what client accounts used, keeps the counts safe until
-// their window is reported, and reports each window once.
+// Package usage counts the usage of client accounts, replicates the counters
+// until their window is reported, and reports each window once.
 //
-// A sidecar counts each answer that was given whole. Its counters only grow,
-// so copies of them are merged by maximum in any order and any number of times.
+// A sidecar counts each completely delivered response. Its counters only grow,
+// so merging copies by maximum is commutative and idempotent.
 package usage
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// key identifies one growing counter.
-type key struct {
+// counterKey identifies a counter.
+type counterKey struct {
 	process     string
 	incarnation uint64
 	account     string
@@ -20,8 +20,8 @@
 	window      int64
 }
 
-func keyOf(count *peerpb.Count) key {
-	return key{
+func keyOf(count *peerpb.Count) counterKey {
+	return counterKey{
 		process:     count.GetProcess(),
 		incarnation: count.GetIncarnation(),
 		account:     count.GetAccount(),
@@ -30,7 +30,7 @@
 	}
 }
 
-// Start returns the start of the window that holds a time, seconds since 1970 UTC.
+// Start returns the start of the window that contains now, in Unix seconds.
 // A length below one second counts as one second.
 func Start(now time.Time, length time.Duration) int64 {
 	seconds := max(int64(length/time.Second), 1)
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -9,50 +9,50 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// line identifies a figure of a window.
-type line struct {
+// figureKey identifies a figure by account, pool and window.
+type figureKey struct {
 	account string
 	pool    string
 	window  int64
 }
 
-// sum is the usage of one line.
-type sum struct {
-	requests uint64
-	prompt   uint64
-	output   uint64
+// amounts is the usage of one figure.
+type amounts struct {
+	requests     uint64
+	promptTokens uint64
+	outputTokens uint64
 }
 
 // Close returns the figures of a window from merged counters and the windows
 // that were closed before it.
 //
-// What an earlier window has by now and no closed window has shown is late: it
-// goes into this one, marked with the start of its own. Sums only grow with the
-// counters, so what was shown once is never shown again; counters that were
-// lost after they were shown make a sum smaller, and then nothing is late.
+// Usage of an earlier window that no closed window includes is late: this window
+// includes it, marked with the start of its own window. Totals only grow with
+// the counters, so no usage is included twice. If counters are lost after they
+// were included, a total shrinks, and then nothing is late.
 func Close(start int64, counts []*peerpb.Count, closed []*statepb.Window) []*statepb.Figure {
-	shown := map[line]sum{}
+	included := map[figureKey]amounts{}
 	for _, window := range closed {
-		addFigures(shown, window)
+		addFigures(included, window)
 	}
 	var figures []*statepb.Figure
-	for line, total := range total(counts) {
-		if line.window > start {
+	for key, total := range sumCounts(counts) {
+		if key.window > start {
 			continue
 		}
-		rest := total.less(shown[line])
-		if rest == (sum{}) {
+		remaining := total.subtract(included[key])
+		if remaining == (amounts{}) {
 			continue
 		}
 		figure := statepb.Figure_builder{
-			Account:      line.account,
-			Pool:         line.pool,
-			Requests:     rest.requests,
-			PromptTokens: rest.prompt,
-			OutputTokens: rest.output,
+			Account:      key.account,
+			Pool:         key.pool,
+			Requests:     remaining.requests,
+			PromptTokens: remaining.promptTokens,
+			OutputTokens: remaining.outputTokens,
 		}.Build()
-		if line.window != start {
-			figure.SetLate(line.window)
+		if key.window != start {
+			figure.SetLate(key.window)
 		}
 		figures = append(figures, figure)
 	}
@@ -60,44 +60,44 @@
 	return figures
 }
 
-// addFigures adds a closed window's figures to the lines they belong to.
-func addFigures(shown map[line]sum, window *statepb.Window) {
+// addFigures adds a closed window's figures, late ones under their own window.
+func addFigures(included map[figureKey]amounts, window *statepb.Window) {
 	for _, figure := range window.GetFigures() {
-		line := line{account: figure.GetAccount(), pool: figure.GetPool(), window: window.GetStart()}
+		key := figureKey{account: figure.GetAccount(), pool: figure.GetPool(), window: window.GetStart()}
 		if figure.GetLate() != 0 {
-			line.window = figure.GetLate()
+			key.window = figure.GetLate()
 		}
-		shown[line] = shown[line].plus(sum{
-			requests: figure.GetRequests(),
-			prompt:   figure.GetPromptTokens(),
-			output:   figure.GetOutputTokens(),
+		included[key] = included[key].add(amounts{
+			requests:     figure.GetRequests(),
+			promptTokens: figure.GetPromptTokens(),
+			outputTokens: figure.GetOutputTokens(),
 		})
 	}
 }
 
-func total(counts []*peerpb.Count) map[line]sum {
-	totals := map[line]sum{}
+func sumCounts(counts []*peerpb.Count) map[figureKey]amounts {
+	totals := map[figureKey]amounts{}
 	for _, count := range counts {
-		line := line{account: count.GetAccount(), pool: count.GetPool(), window: count.GetWindow()}
-		totals[line] = totals[line].plus(sum{
-			requests: count.GetRequests(),
-			prompt:   count.GetPromptTokens(),
-			output:   count.GetOutputTokens(),
+		key := figureKey{account: count.GetAccount(), pool: count.GetPool(), window: count.GetWindow()}
+		totals[key] = totals[key].add(amounts{
+			requests:     count.GetRequests(),
+			promptTokens: count.GetPromptTokens(),
+			outputTokens: count.GetOutputTokens(),
 		})
 	}
 	return totals
 }
 
-func (s sum) plus(other sum) sum {
-	return sum{requests: s.requests + other.requests, prompt: s.prompt + other.prompt, output: s.output + other.output}
+func (a amounts) add(other amounts) amounts {
+	return amounts{requests: a.requests + other.requests, promptTokens: a.promptTokens + other.promptTokens, outputTokens: a.outputTokens + other.outputTokens}
 }
 
-// less subtracts and stops at 0.
-func (s sum) less(other sum) sum {
-	return sum{
-		requests: s.requests - min(s.requests, other.requests),
-		prompt:   s.prompt - min(s.prompt, other.prompt),
-		output:   s.output - min(s.output, other.output),
+// subtract returns the difference, with each amount at least 0.
+func (a amounts) subtract(other amounts) amounts {
+	return amounts{
+		requests:     a.requests - min(a.requests, other.requests),
+		promptTokens: a.promptTokens - min(a.promptTokens, other.promptTokens),
+		outputTokens: a.outputTokens - min(a.outputTokens, other.outputTokens),
 	}
 }
 
