--- a/internal/caller/admission.go
+++ b/internal/caller/admission.go
@@ -13,10 +13,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// tellInterval is the time between two tellings of demands.
-const tellInterval = 500 * time.Millisecond
+// exchangeInterval is the time between two exchanges of demands with the other entries.
+const exchangeInterval = 500 * time.Millisecond
 
-// Neighbours are the other entries, to which demands are told.
+// Neighbours exchanges demands with the other entries.
 type Neighbours interface {
 	Demands(now time.Time) []*peerpb.Demand
 	OfferDemands(demands []*peerpb.Demand, now time.Time)
@@ -26,7 +26,7 @@
 
 var _ Neighbours = &member.Members{}
 
-// Admission keeps the limits of plans. Exported fields are set before Run.
+// Admission enforces the limits of plans. Exported fields are set before Run.
 type Admission struct {
 	Neighbours Neighbours
 
@@ -34,8 +34,8 @@
 	limiter limit.Limiter
 }
 
-// Admit decides on a request that takes about so many tokens. done is called
-// once with the tokens that it used.
+// Admit decides on a request with an estimated number of tokens. done must be
+// called once with the tokens that the request used.
 func (a *Admission) Admit(account string, plan *listpb.Plan, tokens int64) (done func(used int64), err error) {
 	limits := limit.Limits{Rate: plan.GetRate(), Concurrency: plan.GetConcurrency(), Tokens: plan.GetTokens()}
 	a.mutex.Lock()
@@ -48,9 +48,9 @@
 	return func(used int64) { a.finish(account, limits, tokens, used) }, nil
 }
 
-// Run tells the demands and takes those of others until the context ends.
+// Run exchanges demands with the other entries until the context ends.
 func (a *Admission) Run(ctx context.Context) error {
-	ticker := time.NewTicker(tellInterval)
+	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
 	for {
 		a.exchange(time.Now())
@@ -64,14 +64,14 @@
 
 func (a *Admission) exchange(now time.Time) {
 	entries := len(a.Neighbours.Processes(peerpb.Role_ROLE_ENTRY))
-	heard := a.Neighbours.Demands(now)
+	received := a.Neighbours.Demands(now)
 	a.mutex.Lock()
 	a.limiter.Self = a.Neighbours.Self().GetName()
 	a.limiter.Entries = entries
-	a.limiter.Learn(heard, now)
-	told := a.limiter.Demands(now)
+	a.limiter.Learn(received, now)
+	own := a.limiter.Demands(now)
 	a.mutex.Unlock()
-	a.Neighbours.OfferDemands(told, now)
+	a.Neighbours.OfferDemands(own, now)
 }
 
 func (a *Admission) finish(account string, limits limit.Limits, tokens, used int64) {
--- a/internal/caller/admission_test.go
+++ b/internal/caller/admission_test.go
@@ -15,8 +15,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/sidecar"
 )
 
-// awaitStill waits until a count has not moved for a while.
-func awaitStill(count *atomic.Int64) {
+// waitUnchanged waits until a count stays the same for 200 ms.
+func waitUnchanged(count *atomic.Int64) {
 	for last := int64(-1); last != count.Load(); {
 		last = count.Load()
 		time.Sleep(200 * time.Millisecond)
@@ -24,19 +24,19 @@
 }
 
 func TestWithdrawnKey(t *testing.T) {
-	// A franchise leaves and its key is withdrawn while one of its assistants
-	// streams a long answer, and another of its callers has stopped reading.
-	// Both must end at once, and new requests be refused.
-	begun := make(chan struct{}, 2)
+	// Guards against calls that outlive their key: the key is withdrawn while one
+	// caller streams a long response and another has stopped reading. Both calls
+	// must end at once, and new requests be refused.
+	started := make(chan struct{}, 2)
 	ended := make(chan error, 2)
-	var taken atomic.Int64
-	play := func(ctx context.Context, request *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error) {
+	var frames atomic.Int64
+	run := func(ctx context.Context, request *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error) {
 		if request.GetKind() == peerpb.Kind_KIND_PLAIN {
 			head := peerpb.Head_builder{Status: 200}.Build()
 			_ = sink(peerpb.Frame_builder{Head: head}.Build())
-			begun <- struct{}{}
+			started <- struct{}{}
 			for {
-				taken.Add(1)
+				frames.Add(1)
 				if err := sink(chunk(strings.Repeat("x", 1<<20))); err != nil {
 					ended <- err
 					return nil, err
@@ -44,37 +44,37 @@
 			}
 		}
 		_ = sink(chunk("Hel"))
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-ctx.Done()
 		ended <- ctx.Err()
 		return nil, ctx.Err()
 	}
-	server := serve(t, play)
+	server := serve(t, run)
 	stream := server.send(t, "POST", "/v1/completions", goodKey, `{"model":"assist","prompt":"p","stream":true}`)
-	<-begun
+	<-started
 	unread := server.send(t, "GET", "/services/ledger/records", goodKey, "")
-	<-begun
-	awaitStill(&taken)
-	server.force(t, config(true), 2)
+	<-started
+	waitUnchanged(&frames)
+	server.setConfig(t, config(true), 2)
 	for range 2 {
 		select {
 		case <-ended:
 		case <-time.After(5 * time.Second):
-			t.Fatal("a call of the withdrawn key runs on")
+			t.Fatal("a call of the withdrawn key did not end")
 		}
 	}
-	answer := text(t, stream)
-	must.StrContains(t, answer, `"code":"key_withdrawn"`)
-	must.StrNotContains(t, answer, "[DONE]")
+	body := text(t, stream)
+	must.StrContains(t, body, `"code":"key_withdrawn"`)
+	must.StrNotContains(t, body, "[DONE]")
 	_, err := io.ReadAll(unread.Body)
 	must.Error(t, err)
 	mustRefuse(t, server.send(t, "GET", "/v1/models", goodKey, ""), 401, "unknown_key", "not-run")
 }
 
 func TestIsolated(t *testing.T) {
-	// A process is cut off from the store and its peers. Keys may have been
-	// withdrawn since: it takes no new work and says when to come back.
-	server := serve(t, playText("never"))
+	// Guards against accepting withdrawn keys: a process that is partitioned from the
+	// store and its peers must accept no new work and set Retry-After.
+	server := serve(t, respondWith("never"))
 	server.isolated.Store(true)
 	response := server.send(t, "POST", "/v1/completions", goodKey, `{"model":"assist","prompt":"p"}`)
 	mustRefuse(t, response, 503, "isolated", "not-run")
@@ -83,23 +83,23 @@
 }
 
 func TestLimits(t *testing.T) {
-	// An account sends more at a time than its plan allows. The request too
-	// many is refused at once, with the time to come back, and is not held.
+	// Guards against queueing requests beyond the plan's concurrency limit: the
+	// excess request must be refused at once, with Retry-After.
 	release := make(chan struct{})
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	server := serve(t, func(ctx context.Context, request *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-release
-		return playText("done")(ctx, request, sink)
+		return respondWith("done")(ctx, request, sink)
 	})
 	config := config(false)
 	config.GetPlans()[0].SetConcurrency(1)
-	server.force(t, config, 2)
+	server.setConfig(t, config, 2)
 	answered := make(chan *http.Response, 1)
 	go func() {
 		answered <- server.send(t, "POST", "/v1/completions", goodKey, `{"model":"assist","prompt":"p"}`)
 	}()
-	<-begun
+	<-started
 	response := server.send(t, "POST", "/v1/completions", goodKey, `{"model":"assist","prompt":"p"}`)
 	mustRefuse(t, response, 429, "limit_concurrency", "not-run")
 	must.NotEq(t, "", response.Header.Get("Retry-After"))
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -14,8 +14,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// mustRefuseOrPass checks what holds for any body: it is refused as not run with
-// a client's status, or what is passed on is the known fields alone.
+// mustRefuseOrPass checks that a body is refused as not run with status 400, or
+// that only the known fields are forwarded.
 func mustRefuseOrPass(t *testing.T, body any, err error, known ...string) {
 	t.Helper()
 	var refused *refusal.Error
@@ -86,12 +86,12 @@
 }
 
 // Common client libraries send a message's content as a list of parts, and the
-// bound on tokens under its newer name.
+// token limit under its newer name.
 func TestParseChatForms(t *testing.T) {
 	tests := map[string]struct {
-		body string
-		text content
-		most int64
+		body      string
+		text      content
+		maxTokens int64
 	}{
 		"whole":  {`{"model":"m","messages":[{"role":"user","content":"ab"}],"max_tokens":3}`, "ab", 3},
 		"parts":  {`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, "ab", 0},
@@ -103,7 +103,7 @@
 			chat, _, err := parseChat([]byte(test.body))
 			must.NoError(t, err)
 			must.Eq(t, test.text, chat.Messages[0].Content)
-			must.Eq(t, test.most, chat.MaxTokens)
+			must.Eq(t, test.maxTokens, chat.MaxTokens)
 		})
 	}
 	_, _, err := parseChat([]byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`))
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// defaultRetry is told to callers where nothing better is known.
-	defaultRetry = time.Second
-	// isolatedRetry gives the platform's balancer time to choose another entry.
-	isolatedRetry = 5 * time.Second
+	// defaultRetryAfter is the delay where no better one is known.
+	defaultRetryAfter = time.Second
+	// isolatedRetryAfter gives the platform's load balancer time to choose another entry.
+	isolatedRetryAfter = 5 * time.Second
 )
 
-// statusClientClosed is what proxies log for a caller who left; none sees it.
-const statusClientClosed = 499
+// statusClientClosedRequest is what proxies log if the client disconnects; no client sees it.
+const statusClientClosedRequest = 499
 
 const keyCharacters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~+/="
 
-// answer writes the answer of one kind of request.
-type answer interface {
-	// take writes a frame or keeps it.
-	take(frame *peerpb.Frame) error
-	// restart forgets what was taken; it reports false if a part was written.
-	restart() bool
-	// end writes what closes the answer.
-	end(end *peerpb.End) error
-	// fail closes an answer that has begun; it reports false if nothing of it was written.
+// response writes the response to one kind of request.
+type response interface {
+	// writeFrame writes or buffers a frame.
+	writeFrame(frame *peerpb.Frame) error
+	// reset discards buffered frames; it reports false if a part was written.
+	reset() bool
+	// finish completes the response.
+	finish(end *peerpb.End) error
+	// fail ends a started response with an error; it reports false if no part was written.
 	fail(refusal *refusal.Error) bool
 }
 
-// call is one request of a caller.
+// call is a request of a caller.
 type call struct {
 	handler *Handler
 	writer  http.ResponseWriter
@@ -53,19 +53,19 @@
 	pool    string
 	status  int
 	code    string
-	// answer is nil until the request is sent on.
-	answer answer
+	// response is nil until the request is forwarded.
+	response response
 }
 
 func newCall(handler *Handler, w http.ResponseWriter, r *http.Request) *call {
 	return &call{handler: handler, writer: w, request: r, id: newID(), start: time.Now(), status: http.StatusOK}
 }
 
-// admit looks the key up and serves the call as long as the key is not withdrawn.
+// serveAuthorized looks the key up and serves the call until the key is withdrawn.
 //
-// The watch for the withdrawal begins before the key is looked up: a key
-// withdrawn between the two ends the call all the same.
-func (c *call) admit(ctx context.Context, serve func(*call) error) error {
+// It watches for the withdrawal before it looks the key up, so that a withdrawal
+// between the two ends the call as well.
+func (c *call) serveAuthorized(ctx context.Context, serve func(*call) error) error {
 	key, ok := bearerKey(c.request.Header.Get("Authorization"))
 	if !ok {
 		return refusal.NotRun(http.StatusUnauthorized, "missing_key", "send your key as Authorization: Bearer KEY")
@@ -83,9 +83,9 @@
 	return serve(c)
 }
 
-// bearerKey returns the key of an Authorization header. Characters outside of
-// those that RFC 6750 allows make it no key, so that a key reads the same in a
-// body, a path and a header.
+// bearerKey returns the key of an Authorization header. It accepts only the
+// characters that RFC 6750 allows, so that a key has the same form in a body, a
+// path and a header.
 func bearerKey(header string) (string, bool) {
 	scheme, key, ok := strings.Cut(header, " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
@@ -95,32 +95,32 @@
 	return key, key != "" && strings.Trim(key, keyCharacters) == ""
 }
 
-// run sends the request on and writes the answer.
-func (c *call) run(request *peerpb.RunRequest, answer answer, tokens int64) error {
+// run forwards the request and writes the response.
+func (c *call) run(request *peerpb.RunRequest, resp response, tokens int64) error {
 	c.pool = request.GetPool()
-	done, err := c.mayRun(tokens)
+	done, err := c.admit(tokens)
 	if err != nil {
 		return err
 	}
 	var used int64
 	defer func() { done(used) }()
-	c.answer = answer
-	c.complete(request)
+	c.response = resp
+	c.setCommonFields(request)
 	c.handler.Decisions.Record(c.id, "caller", "%s of account %s for %s is taken", request.GetKind(), c.grant.Account(), c.pool)
-	end, err := c.handler.Runner.RunRestartable(c.ctx, request, answer.take, answer.restart)
+	end, err := c.handler.Runner.RunRestartable(c.ctx, request, resp.writeFrame, resp.reset)
 	if err != nil {
 		used = tokens
-		return c.explain(err)
+		return c.refusalFor(err)
 	}
 	used = int64(end.GetPromptTokens() + end.GetOutputTokens())
-	return answer.end(end)
+	return resp.finish(end)
 }
 
-// mayRun decides whether new work is taken at all, and from this account.
-func (c *call) mayRun(tokens int64) (done func(used int64), err error) {
+// admit decides whether this process accepts new work, and whether the account's limits allow it.
+func (c *call) admit(tokens int64) (done func(used int64), err error) {
 	if c.handler.Isolated != nil && c.handler.Isolated(time.Now()) {
 		return nil, refusal.NotRun(http.StatusServiceUnavailable, "isolated",
-			"this entry hears neither the store nor most of its peers").After(isolatedRetry)
+			"this entry hears neither the store nor most of its peers").After(isolatedRetryAfter)
 	}
 	if c.handler.Admission == nil {
 		return func(int64) {}, nil
@@ -128,8 +128,8 @@
 	return c.handler.Admission.Admit(c.grant.Account(), c.grant.Plan(), tokens)
 }
 
-// complete sets what a request of any kind carries. The key is not among it.
-func (c *call) complete(request *peerpb.RunRequest) {
+// setCommonFields sets the fields that all kinds of requests share. None holds the key.
+func (c *call) setCommonFields(request *peerpb.RunRequest) {
 	request.SetId(c.id)
 	request.SetAccount(c.grant.Account())
 	request.SetWeight(c.grant.Plan().GetWeight())
@@ -137,8 +137,8 @@
 	request.SetTimeout(durationpb.New(c.handler.Timeout))
 }
 
-// explain turns the end of the call's context into the refusal that the caller sees.
-func (c *call) explain(err error) error {
+// refusalFor maps the end of the call's context to a refusal and returns other errors unchanged.
+func (c *call) refusalFor(err error) error {
 	if errors.Is(context.Cause(c.ctx), errWithdrawn) {
 		return refusal.Unknown(http.StatusUnauthorized, "key_withdrawn", "the key was withdrawn")
 	}
@@ -147,7 +147,7 @@
 	case errors.As(err, &refused):
 		return err
 	case c.request.Context().Err() != nil:
-		return refusal.Unknown(statusClientClosed, "caller_left", "the caller closed the connection")
+		return refusal.Unknown(statusClientClosedRequest, "caller_left", "the caller closed the connection")
 	case errors.Is(c.ctx.Err(), context.DeadlineExceeded):
 		return refusal.Unknown(http.StatusGatewayTimeout, "timeout", "no whole answer within %s", c.handler.Timeout)
 	default:
@@ -155,34 +155,34 @@
 	}
 }
 
-// refuse answers with a refusal, in the way that the answer begun so far allows.
+// refuse responds with a refusal, in a started response as far as its format allows.
 func (c *call) refuse(err error) {
-	refused := withRetry(refusal.Of(err))
+	refused := withRetryAfter(refusal.Of(err))
 	c.status, c.code = refused.Status, refused.Code
 	c.handler.Decisions.Record(c.id, "caller", "refused: %s", refused.Error())
-	if c.answer != nil && c.answer.fail(refused) {
+	if c.response != nil && c.response.fail(refused) {
 		return
 	}
 	refusal.Write(c.writer, refused)
 }
 
-// withRetry sets when to come back where coming back may help and nothing was said.
-func withRetry(refused *refusal.Error) *refusal.Error {
+// withRetryAfter sets the default delay of a refusal that has none, if a retry may help.
+func withRetryAfter(refused *refusal.Error) *refusal.Error {
 	switch refused.Status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if refused.Retry <= 0 {
-			refused.Retry = defaultRetry
+			refused.Retry = defaultRetryAfter
 		}
 	}
 	return refused
 }
 
-// mayUse checks a model or service against those of the plan.
-func (c *call) mayUse(what, name string, allowed []string) error {
+// checkPlan refuses a model or service that the plan does not include.
+func (c *call) checkPlan(kind, name string, allowed []string) error {
 	if slices.Contains(allowed, name) {
 		return nil
 	}
-	return refusal.NotRun(http.StatusForbidden, "not_in_plan", "your plan does not allow %s %q", what, name)
+	return refusal.NotRun(http.StatusForbidden, "not_in_plan", "your plan does not allow %s %q", kind, name)
 }
 
 var errWithdrawn = errors.New("key withdrawn")
--- a/internal/caller/engine.go
+++ b/internal/caller/engine.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// bytesPerToken is a rough figure for the tokens of a prompt, until its end tells them.
+	// bytesPerToken estimates the tokens of a prompt until the end of the response reports them.
 	bytesPerToken = 4
-	// assumedTokens stands for the answer of a request that sets no max_tokens.
-	assumedTokens = 256
+	// assumedOutputTokens estimates the output of a request without max_tokens.
+	assumedOutputTokens = 256
 )
 
 // completion serves POST /v1/completions.
@@ -22,11 +22,11 @@
 	if err != nil {
 		return err
 	}
-	completion, deliver, err := parseCompletion(body)
+	completion, options, err := parseCompletion(body)
 	if err != nil {
 		return err
 	}
-	return c.generate(peerpb.Kind_KIND_COMPLETION, completion.sampling, deliver, completion)
+	return c.generate(peerpb.Kind_KIND_COMPLETION, completion.sampling, options, completion)
 }
 
 // chat serves POST /v1/chat/completions.
@@ -35,24 +35,24 @@
 	if err != nil {
 		return err
 	}
-	chat, deliver, err := parseChat(body)
+	chat, options, err := parseChat(body)
 	if err != nil {
 		return err
 	}
-	return c.generate(peerpb.Kind_KIND_CHAT, chat.sampling, deliver, chat)
+	return c.generate(peerpb.Kind_KIND_CHAT, chat.sampling, options, chat)
 }
 
-// generate sends a checked request to an engine. The engine sees body alone,
+// generate sends a validated request to an engine. The engine receives only body,
 // which holds the known fields.
-func (c *call) generate(kind peerpb.Kind, fields sampling, deliver delivery, body any) error {
-	if err := c.mayUse("the model", fields.Model, c.grant.Plan().GetModels()); err != nil {
+func (c *call) generate(kind peerpb.Kind, fields sampling, options responseOptions, body any) error {
+	if err := c.checkPlan("the model", fields.Model, c.grant.Plan().GetModels()); err != nil {
 		return err
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
-		return malformed("the body can't be passed on")
+		return invalidRequest("the body can't be passed on")
 	}
-	if err := c.keepKey(string(text)); err != nil {
+	if err := c.rejectKeyLeak(string(text)); err != nil {
 		return err
 	}
 	request := peerpb.RunRequest_builder{
@@ -62,18 +62,18 @@
 		Body:       text,
 		Idempotent: true,
 	}.Build()
-	shape := shapeOf(kind)
+	format := formatOf(kind)
 	tokens := int64(len(text)/bytesPerToken) + fields.MaxTokens
 	if fields.MaxTokens == 0 {
-		tokens += assumedTokens
+		tokens += assumedOutputTokens
 	}
-	if deliver.Stream {
-		return c.run(request, newEventAnswer(c, shape, deliver.StreamOptions.IncludeUsage), tokens)
+	if options.Stream {
+		return c.run(request, newEventResponse(c, format, options.StreamOptions.IncludeUsage), tokens)
 	}
-	return c.run(request, &jsonAnswer{call: c, shape: shape}, tokens)
+	return c.run(request, &jsonResponse{call: c, format: format}, tokens)
 }
 
-// model is one model in the answer of GET /v1/models.
+// model is a model in the response to GET /v1/models.
 type model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -1,9 +1,8 @@
 // Package caller serves client accounts over HTTP: completions and chat
-// completions as clients of the OpenAI protocol send them, and plain services
-// under a path of their own.
+// completions of the OpenAI protocol, and plain services, each under its own path.
 //
-// A caller's key ends here. What goes on is built from the fields and headers
-// that are allowed, and nothing else of the request is passed on.
+// It never forwards a caller's key: forwarded requests are built only from the
+// allowed fields and headers.
 package caller
 
 import (
@@ -22,10 +21,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/sidecar"
 )
 
-// HeaderRequest carries the identity of a request to the caller.
+// HeaderRequest returns the ID of a request to the caller.
 const HeaderRequest = "X-Request-Id"
 
-// Grants tells what keys allow.
+// Grants looks up what keys allow.
 type Grants interface {
 	Grant(hash string) (lists.Grant, bool)
 	UntilWithdrawn(hash string, end func()) (stop func())
@@ -33,7 +32,7 @@
 
 var _ Grants = &lists.View{}
 
-// Runner runs requests at backend servers.
+// Runner runs requests on backend servers.
 type Runner interface {
 	RunRestartable(ctx context.Context, request *peerpb.RunRequest, sink sidecar.Sink, restart sidecar.Restart) (*peerpb.End, error)
 }
@@ -44,16 +43,16 @@
 type Handler struct {
 	Grants Grants
 	Runner Runner
-	// Admission keeps the limits of plans; nil sets none.
+	// Admission enforces the limits of plans; nil means no limits.
 	Admission *Admission
-	// Isolated reports whether this process can't know what changes elsewhere,
-	// as a withdrawn key, and so takes no new work; nil never does.
+	// Isolated reports whether this process can't learn of changes elsewhere, such
+	// as withdrawn keys, and so accepts no new work; nil means never.
 	Isolated  func(now time.Time) bool
 	Decisions *decision.Log
 	Metrics   prometheus.Registerer
-	// MaxBodyBytes is the largest request body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
-	// Timeout is the longest time for one request.
+	// Timeout limits the time of a request.
 	Timeout time.Duration
 
 	metrics *metrics
@@ -64,13 +63,13 @@
 	h.metrics = newMetrics(h.Metrics)
 }
 
-// NotAllowed answers a method that a path does not have.
+// NotAllowed responds to a method that a path does not support.
 func (h *Handler) NotAllowed(w http.ResponseWriter, r *http.Request) {
 	refusal.Write(w, refusal.NotRun(http.StatusMethodNotAllowed, "method_not_allowed", "%s has no method %s", r.URL.Path, r.Method))
 }
 
-// NotFound answers the paths without a route. Those of plain services are among
-// them, since the router has no pattern for a path of any depth.
+// NotFound serves the paths without a route. It also serves plain services, since
+// the router has no pattern for paths of any depth.
 func (h *Handler) NotFound(w http.ResponseWriter, r *http.Request) {
 	if isService(r.URL.Path) {
 		h.handle(h.plain)(w, r)
@@ -88,7 +87,7 @@
 	}
 }
 
-// handle wraps one kind of request: identity, key, time limit and refusal.
+// handle adds the ID, the authorization, the timeout, refusals and metrics to a kind of request.
 func (h *Handler) handle(serve func(*call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := newCall(h, w, r)
@@ -96,7 +95,7 @@
 		w.Header().Del("Traceparent")
 		ctx, cancel := context.WithTimeout(r.Context(), h.Timeout)
 		defer cancel()
-		err := c.admit(ctx, serve)
+		err := c.serveAuthorized(ctx, serve)
 		if err != nil {
 			c.refuse(err)
 		}
--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -32,25 +32,25 @@
 	otherKey = "uruguay-key-77c2"
 )
 
-// runner is a Runner that plays what a test gives it.
-type runner struct {
-	play func(ctx context.Context, request *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error)
+// fakeRunner is a Runner that calls a function of the test.
+type fakeRunner struct {
+	run func(ctx context.Context, request *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error)
 
-	mutex sync.Mutex
-	seen  []*peerpb.RunRequest
+	mutex    sync.Mutex
+	received []*peerpb.RunRequest
 }
 
-func (r *runner) RunRestartable(ctx context.Context, request *peerpb.RunRequest, sink sidecar.Sink, _ sidecar.Restart) (*peerpb.End, error) {
+func (r *fakeRunner) RunRestartable(ctx context.Context, request *peerpb.RunRequest, sink sidecar.Sink, _ sidecar.Restart) (*peerpb.End, error) {
 	r.mutex.Lock()
-	r.seen = append(r.seen, request)
+	r.received = append(r.received, request)
 	r.mutex.Unlock()
-	return r.play(ctx, request, sink)
+	return r.run(ctx, request, sink)
 }
 
-func (r *runner) requests() []*peerpb.RunRequest {
+func (r *fakeRunner) requests() []*peerpb.RunRequest {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.seen
+	return r.received
 }
 
 func config(withdrawn bool) *listpb.Config {
@@ -70,26 +70,26 @@
 	}.Build()
 }
 
-// served is a handler on a port of its own.
-type served struct {
+// testServer serves a Handler on its own port.
+type testServer struct {
 	view    *lists.View
-	runner  *runner
+	runner  *fakeRunner
 	address string
-	// isolated is what the handler is told of the process.
+	// isolated is the result of Handler.Isolated.
 	isolated atomic.Bool
 }
 
-func (s *served) force(t *testing.T, config *listpb.Config, revision uint64) {
+func (s *testServer) setConfig(t *testing.T, config *listpb.Config, revision uint64) {
 	t.Helper()
 	value, err := proto.Marshal(config)
 	must.NoError(t, err)
 	s.view.Take(peerpb.Fact_builder{Name: "config", Revision: revision, Value: value}.Build())
 }
 
-func serve(t *testing.T, play func(context.Context, *peerpb.RunRequest, sidecar.Sink) (*peerpb.End, error)) *served {
+func serve(t *testing.T, run func(context.Context, *peerpb.RunRequest, sidecar.Sink) (*peerpb.End, error)) *testServer {
 	t.Helper()
-	s := &served{view: &lists.View{}, runner: &runner{play: play}}
-	s.force(t, config(false), 1)
+	s := &testServer{view: &lists.View{}, runner: &fakeRunner{run: run}}
+	s.setConfig(t, config(false), 1)
 	handler := &caller.Handler{
 		Grants:       s.view,
 		Runner:       s.runner,
@@ -120,7 +120,7 @@
 	return s
 }
 
-func (s *served) send(t *testing.T, method, path, key, body string, headers ...string) *http.Response {
+func (s *testServer) send(t *testing.T, method, path, key, body string, headers ...string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, s.address+path, strings.NewReader(body))
 	must.NoError(t, err)
@@ -157,7 +157,7 @@
 	return peerpb.Frame_builder{Chunk: peerpb.Chunk_builder{Data: []byte(text)}.Build()}.Build()
 }
 
-func playText(parts ...string) func(context.Context, *peerpb.RunRequest, sidecar.Sink) (*peerpb.End, error) {
+func respondWith(parts ...string) func(context.Context, *peerpb.RunRequest, sidecar.Sink) (*peerpb.End, error) {
 	return func(_ context.Context, _ *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error) {
 		for _, part := range parts {
 			if err := sink(chunk(part)); err != nil {
@@ -197,7 +197,7 @@
 		"no such path":       {"GET", "/v2", goodKey, "", 404, "not_found"},
 		"method not allowed": {"GET", "/v1/completions", goodKey, "", 405, "method_not_allowed"},
 	}
-	server := serve(t, playText("never"))
+	server := serve(t, respondWith("never"))
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			response := server.send(t, test.method, test.path, test.key, test.body)
@@ -208,12 +208,12 @@
 }
 
 func TestCompletion(t *testing.T) {
-	server := serve(t, playText("Hel", "lo"))
+	server := serve(t, respondWith("Hel", "lo"))
 	response := server.send(t, "POST", "/v1/completions", goodKey, `{"model":"assist","prompt":"p","stop":"x","user":"u","key":"secret"}`)
 	must.Eq(t, 200, response.StatusCode)
-	answer := text(t, response)
-	must.StrContains(t, answer, `"text":"Hello","finish_reason":"stop"`)
-	must.StrContains(t, answer, `"total_tokens":5`)
+	body := text(t, response)
+	must.StrContains(t, body, `"text":"Hello","finish_reason":"stop"`)
+	must.StrContains(t, body, `"total_tokens":5`)
 	request := server.runner.requests()[0]
 	must.Eq(t, response.Header.Get(caller.HeaderRequest), request.GetId())
 	must.Eq(t, `{"prompt":"p","model":"assist","stop":["x"]}`, string(request.GetBody()))
@@ -222,26 +222,26 @@
 }
 
 func TestChatStream(t *testing.T) {
-	server := serve(t, playText("Hel", "lo"))
+	server := serve(t, respondWith("Hel", "lo"))
 	response := server.send(t, "POST", "/v1/chat/completions", goodKey, `{"model":"assist","messages":[{"role":"user","content":"p"}],"stream":true}`)
 	must.Eq(t, "text/event-stream", response.Header.Get("Content-Type"))
-	answer := text(t, response)
-	must.StrContains(t, answer, `"delta":{"role":"assistant","content":"Hel"}`)
-	must.StrContains(t, answer, `"delta":{"content":"lo"}`)
-	must.StrContains(t, answer, `"finish_reason":"stop"`)
-	must.StrHasSuffix(t, "data: [DONE]\n\n", answer)
+	body := text(t, response)
+	must.StrContains(t, body, `"delta":{"role":"assistant","content":"Hel"}`)
+	must.StrContains(t, body, `"delta":{"content":"lo"}`)
+	must.StrContains(t, body, `"finish_reason":"stop"`)
+	must.StrHasSuffix(t, "data: [DONE]\n\n", body)
 }
 
 func TestStreamCut(t *testing.T) {
-	// A caller streams a chat. The backend server dies after the first words.
-	// The caller must not take those words for the whole answer.
+	// Guards against a truncated stream that looks complete: the backend server
+	// dies after the first words of a streamed completion.
 	server := serve(t, func(_ context.Context, _ *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error) {
 		_ = sink(chunk("Hel"))
 		return nil, refusal.Unknown(http.StatusBadGateway, "cut", "cut")
 	})
-	answer := text(t, server.send(t, "POST", "/v1/completions", goodKey, `{"model":"assist","prompt":"p","stream":true}`))
-	must.StrContains(t, answer, `"code":"cut","outcome":"unknown"`)
-	must.StrNotContains(t, answer, "[DONE]")
+	body := text(t, server.send(t, "POST", "/v1/completions", goodKey, `{"model":"assist","prompt":"p","stream":true}`))
+	must.StrContains(t, body, `"code":"cut","outcome":"unknown"`)
+	must.StrNotContains(t, body, "[DONE]")
 }
 
 func TestModels(t *testing.T) {
@@ -250,7 +250,7 @@
 	must.StrNotContains(t, text(t, server.send(t, "GET", "/v1/models", otherKey, "")), "assist")
 }
 
-func playPlain(status int32, size int, cut bool) func(context.Context, *peerpb.RunRequest, sidecar.Sink) (*peerpb.End, error) {
+func respondPlain(status int32, size int, cut bool) func(context.Context, *peerpb.RunRequest, sidecar.Sink) (*peerpb.End, error) {
 	return func(_ context.Context, _ *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error) {
 		head := peerpb.Head_builder{Status: status, Headers: []*peerpb.Header{
 			peerpb.Header_builder{Name: "content-type", Value: "application/json"}.Build(),
@@ -265,7 +265,7 @@
 }
 
 func TestPlain(t *testing.T) {
-	server := serve(t, playPlain(http.StatusCreated, 10, false))
+	server := serve(t, respondPlain(http.StatusCreated, 10, false))
 	response := server.send(t, "POST", "/services/ledger/postings/a%2Fb?x=1", goodKey, `{"hours":1}`,
 		"Cookie", "session="+goodKey, "X-Api-Key", goodKey, "Content-Type", "application/json")
 	must.Eq(t, "xxxxxxxxxxy", text(t, response))
@@ -280,22 +280,22 @@
 }
 
 func TestPlainCut(t *testing.T) {
-	// A branch pulls a long list of records. The backend server dies half way.
-	// Without the guard the body would end like a whole one, and the branch
-	// would reconcile against half of its records.
+	// Guards against a truncated body that ends like a complete one: the backend
+	// server dies halfway through a long list of records, and the caller would
+	// reconcile against half of them.
 	t.Run("before the answer began", func(t *testing.T) {
-		server := serve(t, playPlain(http.StatusOK, 10, true))
+		server := serve(t, respondPlain(http.StatusOK, 10, true))
 		mustRefuse(t, server.send(t, "GET", "/services/ledger/records", goodKey, ""), 502, "cut", "unknown")
 	})
 	t.Run("after it began", func(t *testing.T) {
-		server := serve(t, playPlain(http.StatusOK, 2<<20, true))
+		server := serve(t, respondPlain(http.StatusOK, 2<<20, true))
 		_, err := io.ReadAll(server.send(t, "GET", "/services/ledger/records", goodKey, "").Body)
 		must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	})
 }
 
 func TestIdempotencyKey(t *testing.T) {
-	server := serve(t, playPlain(http.StatusCreated, 1, false))
+	server := serve(t, respondPlain(http.StatusCreated, 1, false))
 	claimed := func(key, idempotency, method string) string {
 		before := len(server.runner.requests())
 		_ = text(t, server.send(t, method, "/services/ledger/postings", key, "{}", caller.HeaderIdempotency, idempotency))
@@ -303,7 +303,7 @@
 	}
 	config := config(false)
 	config.GetPlans()[1].SetServices([]string{"ledger"})
-	server.force(t, config, 2)
+	server.setConfig(t, config, 2)
 	first := claimed(goodKey, "k1", "POST")
 	must.Eq(t, 64, len(first))
 	must.Eq(t, first, claimed(goodKey, "k1", "POST"))
@@ -314,10 +314,10 @@
 
 func TestPlainStatus(t *testing.T) {
 	for _, status := range []int32{0, 99, 101, 600, 1000} {
-		server := serve(t, playPlain(status, 1, false))
+		server := serve(t, respondPlain(status, 1, false))
 		mustRefuse(t, server.send(t, "GET", "/services/ledger/records", goodKey, ""), 502, "bad_status", "unknown")
 	}
-	server := serve(t, playPlain(http.StatusNoContent, 0, false))
+	server := serve(t, respondPlain(http.StatusNoContent, 0, false))
 	response := server.send(t, "POST", "/services/ledger/postings", goodKey, "{}")
 	must.Eq(t, 204, response.StatusCode)
 	must.Eq(t, "", response.Header.Get("Content-Length"))
--- a/internal/caller/metrics.go
+++ b/internal/caller/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics counts requests. Labels hold names of the lists alone, so that no
-// caller can make new ones.
+// metrics counts requests. Labels hold only configured names and fixed codes, so
+// that callers can't create new label values.
 type metrics struct {
 	requests *prometheus.CounterVec
 	duration *prometheus.HistogramVec
--- a/internal/caller/plain.go
+++ b/internal/caller/plain.go
@@ -12,12 +12,12 @@
 
 const servicePrefix = "/services/"
 
-// passedHeaders are the only headers of a request that a plain service sees.
-var passedHeaders = []string{
+// forwardedHeaders are the only request headers that a plain service receives.
+var forwardedHeaders = []string{
 	"Accept", "Accept-Language", "Content-Type", "If-Match", "If-Modified-Since", "If-None-Match", "If-Unmodified-Since",
 }
 
-// returnedHeaders are the only headers of a plain service that a caller sees.
+// returnedHeaders are the only response headers that a caller receives.
 var returnedHeaders = map[string]bool{
 	"Cache-Control":       true,
 	"Content-Disposition": true,
@@ -40,15 +40,15 @@
 	if err != nil {
 		return err
 	}
-	if err := c.mayUse("the service", service, c.grant.Plan().GetServices()); err != nil {
+	if err := c.checkPlan("the service", service, c.grant.Plan().GetServices()); err != nil {
 		return err
 	}
 	body, err := readBody(c.writer, c.request, h.MaxBodyBytes)
 	if err != nil {
 		return err
 	}
-	headers := c.headers()
-	if err := c.keepKey(append(values(headers), target, service, string(body))...); err != nil {
+	headers := c.requestHeaders()
+	if err := c.rejectKeyLeak(append(headerValues(headers), target, service, string(body))...); err != nil {
 		return err
 	}
 	claim, err := c.claim(service)
@@ -65,12 +65,12 @@
 		Body:       body,
 		Idempotent: isIdempotent(c.request.Method),
 	}.Build()
-	return c.run(request, &plainAnswer{call: c}, 0)
+	return c.run(request, &plainResponse{call: c}, 0)
 }
 
-// splitService returns the service and the path with the query that it sees.
-// A path with dot segments is refused: libraries resolve them differently, so
-// that a request could reach a place that nobody meant.
+// splitService returns the service, and the path and query that it receives.
+// It refuses paths with dot segments: libraries resolve them differently, so a
+// request could reach an unintended path.
 func splitService(address *url.URL) (service, target string, err error) {
 	service, rest, _ := strings.Cut(strings.TrimPrefix(address.EscapedPath(), servicePrefix), "/")
 	decoded := strings.TrimPrefix(address.Path, servicePrefix)
@@ -84,9 +84,9 @@
 	return service, target, nil
 }
 
-func (c *call) headers() []*peerpb.Header {
+func (c *call) requestHeaders() []*peerpb.Header {
 	var headers []*peerpb.Header
-	for _, name := range passedHeaders {
+	for _, name := range forwardedHeaders {
 		for _, value := range c.request.Header.Values(name) {
 			headers = append(headers, peerpb.Header_builder{Name: name, Value: value}.Build())
 		}
@@ -94,14 +94,13 @@
 	return headers
 }
 
-// keepKey refuses a request that carries its key in a place which is passed on.
+// rejectKeyLeak refuses a request that contains its key in a forwarded part.
 //
 // A key in a query, a body or another header would reach the backend server,
-// its logs and caches. The allow lists keep unknown headers back, but not text
-// inside of what is allowed; so each passed text is searched for the key, as
-// sent and unescaped.
-func (c *call) keepKey(passed ...string) error {
-	for _, text := range passed {
+// its logs and caches. The allow lists drop unknown headers, but not a key in
+// allowed parts, so rejectKeyLeak searches each of them as sent and unescaped.
+func (c *call) rejectKeyLeak(forwarded ...string) error {
+	for _, text := range forwarded {
 		unescaped, err := url.PathUnescape(text)
 		if strings.Contains(text, c.key) || err == nil && strings.Contains(unescaped, c.key) {
 			return refusal.NotRun(http.StatusBadRequest, "key_in_request", "send the key in the Authorization header alone")
@@ -110,7 +109,7 @@
 	return nil
 }
 
-func values(headers []*peerpb.Header) []string {
+func headerValues(headers []*peerpb.Header) []string {
 	var texts []string
 	for _, header := range headers {
 		texts = append(texts, header.GetValue())
--- a/internal/caller/shape.go
+++ b/internal/caller/responseformat.go
@@ -6,7 +6,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// usage is the token count in an answer.
+// usage is the token usage in a response.
 type usage struct {
 	PromptTokens     uint64       `json:"prompt_tokens"`
 	CompletionTokens uint64       `json:"completion_tokens"`
@@ -14,18 +14,18 @@
 	Details          usageDetails `json:"prompt_tokens_details"`
 }
 
-// usageDetails tells how much of the prompt the engine had cached.
+// usageDetails reports how many tokens of the prompt the engine had cached.
 type usageDetails struct {
 	CachedTokens uint64 `json:"cached_tokens"`
 }
 
-// delta is the part of a chat message in one event.
+// delta is the part of a chat message in an event.
 type delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// choice is the one choice of an answer.
+// choice is the only choice of a response.
 type choice struct {
 	Index        int      `json:"index"`
 	Text         *string  `json:"text,omitempty"`
@@ -34,8 +34,8 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// body is an answer or one event of it.
-type body struct {
+// responseBody is a response or an event of a streamed one.
+type responseBody struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -44,45 +44,45 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// shape is the form of the answers of one kind of request.
-type shape interface {
-	// whole returns the answer's object name and its choice.
-	whole(text string, finish *string) (string, choice)
-	// part returns an event's object name and its choice.
-	part(text string, first bool, finish *string) (string, choice)
+// responseFormat builds the responses to one kind of request.
+type responseFormat interface {
+	// full returns the object name and the choice of a complete response.
+	full(text string, finish *string) (string, choice)
+	// chunk returns the object name and the choice of an event.
+	chunk(text string, first bool, finish *string) (string, choice)
 }
 
-func shapeOf(kind peerpb.Kind) shape {
+func formatOf(kind peerpb.Kind) responseFormat {
 	if kind == peerpb.Kind_KIND_CHAT {
-		return chatShape{}
+		return chatFormat{}
 	}
-	return completionShape{}
+	return completionFormat{}
 }
 
-// completionShape is the form of completions.
-type completionShape struct{}
+// completionFormat is the format of completions.
+type completionFormat struct{}
 
-func (completionShape) whole(text string, finish *string) (string, choice) {
+func (completionFormat) full(text string, finish *string) (string, choice) {
 	return "text_completion", choice{Text: &text, FinishReason: finish}
 }
 
-func (s completionShape) part(text string, _ bool, finish *string) (string, choice) {
-	return s.whole(text, finish)
+func (s completionFormat) chunk(text string, _ bool, finish *string) (string, choice) {
+	return s.full(text, finish)
 }
 
-// chatShape is the form of chat completions.
-type chatShape struct{}
+// chatFormat is the format of chat completions.
+type chatFormat struct{}
 
-func (chatShape) whole(text string, finish *string) (string, choice) {
+func (chatFormat) full(text string, finish *string) (string, choice) {
 	return "chat.completion", choice{Message: &message{Role: "assistant", Content: content(text)}, FinishReason: finish}
 }
 
-func (chatShape) part(text string, first bool, finish *string) (string, choice) {
-	part := &delta{Content: text}
+func (chatFormat) chunk(text string, first bool, finish *string) (string, choice) {
+	chunk := &delta{Content: text}
 	if first {
-		part.Role = "assistant"
+		chunk.Role = "assistant"
 	}
-	return "chat.completion.chunk", choice{Delta: part, FinishReason: finish}
+	return "chat.completion.chunk", choice{Delta: chunk, FinishReason: finish}
 }
 
 func usageOf(end *peerpb.End) *usage {
@@ -94,13 +94,13 @@
 	}
 }
 
-// newBody returns the fields that an answer and its events share.
-func (c *call) newBody(object string, one choice) body {
-	return body{
+// newResponseBody returns the fields that responses and events share.
+func (c *call) newResponseBody(object string, only choice) responseBody {
+	return responseBody{
 		ID:      "cmpl-" + strings.ReplaceAll(c.id, "-", ""),
 		Object:  object,
 		Created: c.start.Unix(),
 		Model:   c.pool,
-		Choices: []choice{one},
+		Choices: []choice{only},
 	}
 }
--- a/internal/caller/send.go
+++ b/internal/caller/send.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// sendTimeout is how long a caller may leave a part of its answer unread.
-	sendTimeout = 30 * time.Second
-	// endTimeout is how long the last words of an ended call may take.
-	endTimeout = time.Second
+	// writeTimeout is how long a caller may leave a part of its response unread.
+	writeTimeout = 30 * time.Second
+	// endedWriteTimeout limits the writes of a call whose context has ended.
+	endedWriteTimeout = time.Second
 )
 
-// send writes a part of the answer through to the caller.
+// send writes a part of the response to the caller and flushes it.
 //
-// A caller that stops reading would hold the write, and with it the request at
-// the backend server, for good: the server has no write timeout, since answers
-// may be long. Each write has a bound of its own instead.
+// Each write has its own deadline, since a caller that stops reading would block
+// the write, and the request at the backend server, forever: the HTTP server has
+// no write timeout, as responses may take long.
 func (c *call) send(data []byte) error {
-	c.limitWrite()
-	//nolint:gosec // The answer is the caller's own, with the content type of its kind.
+	c.setWriteDeadline()
+	//nolint:gosec // The response is for the caller's own request and has a matching content type.
 	if _, err := c.writer.Write(data); err != nil {
 		return eris.Wrap(err, "write to the caller")
 	}
@@ -33,21 +33,21 @@
 	return nil
 }
 
-func (c *call) limitWrite() {
+func (c *call) setWriteDeadline() {
 	controller := listen.Controller(c.request.Context())
 	if controller == nil {
 		return
 	}
-	timeout := sendTimeout
+	timeout := writeTimeout
 	if c.ctx.Err() != nil {
-		timeout = endTimeout
+		timeout = endedWriteTimeout
 	}
-	// A connection without deadlines is that of a test.
+	// Only connections in tests lack deadlines.
 	_ = controller.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// withdraw ends the call, also one that waits for its caller to read.
+// withdraw ends the call, even if it waits for its caller to read.
 func (c *call) withdraw() {
 	c.cancel(errWithdrawn)
-	c.limitWrite()
+	c.setWriteDeadline()
 }
