--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -17,78 +17,78 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// Peers reaches the sidecars of other backend servers.
+// Peers calls the sidecars of other backend servers.
 type Peers interface {
-	// Claim asks a server's sidecar to keep a claim.
+	// Claim asks a server's sidecar to record a claim.
 	Claim(ctx context.Context, server string, request *peerpb.ClaimRequest) (*peerpb.ClaimReply, error)
-	// Join joins a run at a server's sidecar; it starts none.
+	// Join streams a run that exists at a server's sidecar; it never starts one.
 	Join(ctx context.Context, server string, request *peerpb.RunRequest) (grpc.ServerStreamingClient[peerpb.Frame], error)
-	// Recall asks a server's sidecar for the claims that it keeps.
+	// Recall returns the claims recorded at a server's sidecar.
 	Recall(ctx context.Context, server string, request *peerpb.RecallRequest) (*peerpb.RecallReply, error)
 }
 
-// Membership is what is known of the pool's servers and of earlier processes.
+// Membership describes the pool's servers and earlier processes of this sidecar.
 type Membership interface {
-	// Fleet returns the pool's servers, or nil if they are not known.
+	// Fleet returns the pool's servers, or nil if they are unknown.
 	Fleet(pool string) *statepb.Fleet
-	// IsFirst reports whether no earlier process stood beside this backend server.
+	// IsFirst reports whether this is the first sidecar process of the backend server.
 	IsFirst() bool
-	// Isolated reports whether neither the store nor most processes answer.
+	// Isolated reports whether neither the store nor a majority of processes answers.
 	Isolated(now time.Time) bool
-	// Others returns the number of other sidecars of the pool that are known.
+	// Others returns the number of other known sidecars of the pool.
 	Others(pool string) int
 }
 
-// Claims keeps the claims of idempotency keys, as a home and as a witness.
-// Exported fields are set before the first request.
+// Claims records the claims of idempotency keys, as a home and as a witness.
+// Exported fields must be set before the first request.
 type Claims struct {
-	// Server is the identity of the backend server, Pool what it serves.
+	// Server is the ID of the backend server, Pool the pool that it serves.
 	Server string
 	Pool   string
 
 	Members Membership
 	Peers   Peers
-	// Remember is how long after a request its retries may come.
+	// Remember is how long after a request its retries may arrive.
 	Remember time.Duration
-	// Started is when this process began to keep claims.
+	// Started is when this process began to record claims.
 	Started time.Time
-	// RunAlone says whether a claim runs while no other server can witness it.
+	// RunAlone allows a claim to run while the pool has no other server to witness it.
 	RunAlone bool
 
-	mutex   sync.Mutex
-	journal claim.Journal
-	learned atomic.Bool
+	mutex    sync.Mutex
+	journal  claim.Journal
+	restored atomic.Bool
 }
 
-// hold keeps a request's claim or finds out which run has it. It returns nil
-// and no refusal if the request itself has the claim, or a sidecar elsewhere.
-func (c *Claims) hold(request *peerpb.RunRequest, find func(id string) *run) (*run, *refusal.Error) {
+// acquire records a request's claim or returns the local run that holds it. It
+// returns nil and no refusal if the request itself or another sidecar holds it.
+func (c *Claims) acquire(request *peerpb.RunRequest, findRun func(id string) *run) (*run, *refusal.Error) {
 	if refused := c.checkNew(request); refused != nil {
 		return nil, refused
 	}
 	record, isNew, err := c.keep(request.GetClaim(), claim.NewRecord(request.GetId(), c.Server, digest(request)))
 	if err != nil {
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "%v", err).After(retryElsewhere)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "%v", err).After(retryDelay)
 	}
-	known := find(record.ID())
+	existing := findRun(record.ID())
 	switch {
 	case isNew:
 		return nil, nil
-	case record.Server() == c.Server && known != nil && known.isNotRun():
+	case record.Server() == c.Server && existing != nil && existing.isNotRun():
 		c.journal.Renew(request.GetClaim(), request.GetId(), digest(request), time.Now())
 		return nil, nil
-	case isOther(record.Digest(), request):
-		return nil, keyReused()
+	case isDifferentRequest(record.Digest(), request):
+		return nil, refuseReusedKey()
 	case record.Server() != c.Server:
 		return nil, nil
-	case known == nil:
+	case existing == nil:
 		return nil, refusal.Unknown(http.StatusBadGateway, "not_known", "the idempotency key was used and its answer is not known any more")
 	default:
-		return known, nil
+		return existing, nil
 	}
 }
 
-// checkNew refuses a new claim whose home is elsewhere before it waits in the queue.
+// checkNew refuses a new claim whose home is another server, before the request is queued.
 func (c *Claims) checkNew(request *peerpb.RunRequest) *refusal.Error {
 	fleet := c.Members.Fleet(c.Pool)
 	if _, known := c.journal.Find(request.GetClaim()); known || fleet == nil {
@@ -97,27 +97,27 @@
 	return c.checkHome(request, fleet)
 }
 
-// confirm asks the other sidecars that may know the claim, and its witness to
-// keep it. It is called just before the request is passed on. It returns the
-// holder if the claim is known elsewhere; the request then must not run here.
+// confirm asks the sidecars that may know the claim, and its witness, to record
+// it. It is called just before the request is forwarded. It returns the holder
+// if the claim is known elsewhere; the request must then not run here.
 func (c *Claims) confirm(ctx context.Context, request *peerpb.RunRequest) (*holder, *refusal.Error) {
-	if known := c.holder(request.GetClaim()); known != nil {
-		return known, nil
+	if remote := c.remoteHolder(request.GetClaim()); remote != nil {
+		return remote, nil
 	}
-	inquiry := &inquiry{claims: c, request: request}
-	refused := c.inquire(ctx, inquiry)
+	query := &claimQuery{claims: c, request: request}
+	refused := c.queryPeers(ctx, query)
 	switch {
-	case inquiry.holder == nil:
+	case query.holder == nil:
 		return nil, refused
-	case isOther(inquiry.holder.digest, request):
-		return nil, keyReused()
+	case isDifferentRequest(query.holder.digest, request):
+		return nil, refuseReusedKey()
 	default:
-		return inquiry.holder, nil
+		return query.holder, nil
 	}
 }
 
-// holder returns the other server that has a claim by the journal here, or nil.
-func (c *Claims) holder(key string) *holder {
+// remoteHolder returns the other server that holds a claim by the local journal, or nil.
+func (c *Claims) remoteHolder(key string) *holder {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	record, known := c.journal.Find(key)
@@ -127,49 +127,49 @@
 	return &holder{server: record.Server(), id: record.ID()}
 }
 
-func (c *Claims) inquire(ctx context.Context, inquiry *inquiry) *refusal.Error {
+func (c *Claims) queryPeers(ctx context.Context, query *claimQuery) *refusal.Error {
 	now := time.Now()
 	if c.Members.Isolated(now) {
-		return refusal.NotRun(http.StatusServiceUnavailable, "isolated", "the sidecar of %s is cut off and may know an old fleet", c.Server).After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "isolated", "the sidecar of %s is cut off and may know an old fleet", c.Server).After(retryDelay)
 	}
-	if !c.isFirm(now) && now.Sub(c.Started) < claim.Slack {
-		return refusal.NotRun(http.StatusServiceUnavailable, "restarted", "the sidecar of %s has just started and learns what ran before", c.Server).After(retryElsewhere)
+	if !c.isComplete(now) && now.Sub(c.Started) < claim.Slack {
+		return refusal.NotRun(http.StatusServiceUnavailable, "restarted", "the sidecar of %s has just started and learns what ran before", c.Server).After(retryDelay)
 	}
 	fleet := c.Members.Fleet(c.Pool)
 	if fleet == nil {
 		return c.confirmWithoutFleet(now)
 	}
-	if refused := c.checkHome(inquiry.request, fleet); refused != nil {
+	if refused := c.checkHome(query.request, fleet); refused != nil {
 		return refused
 	}
-	inquiry.epoch = fleet.GetEpoch()
-	plan := claim.NewPlan(inquiry.request.GetClaim(), fleet, now, c.Remember)
-	return c.refuse(plan.Check(func(server string) claim.Answer { return inquiry.ask(ctx, server) }))
+	query.epoch = fleet.GetEpoch()
+	plan := claim.NewPlan(query.request.GetClaim(), fleet, now, c.Remember)
+	return c.toRefusal(plan.Check(func(server string) claim.Answer { return query.ask(ctx, server) }))
 }
 
-// checkHome refuses a claim whose home is another server by this process's view.
-// The entry's epoch need not be the same: whom to ask is decided by the view
-// here, so an entry that is behind does no harm as long as it found the home.
+// checkHome refuses a claim whose home is another server by this process's fleet.
+// The entry's epoch may differ: the local fleet decides which sidecars to ask,
+// so an entry with an older fleet is safe if it found the right home.
 func (c *Claims) checkHome(request *peerpb.RunRequest, fleet *statepb.Fleet) *refusal.Error {
 	if home := claim.Home(request.GetClaim(), fleet); home != c.Server {
-		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_home", "requests with this idempotency key go to %q by epoch %d, sent by epoch %d", home, fleet.GetEpoch(), request.GetEpoch()).After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_home", "requests with this idempotency key go to %q by epoch %d, sent by epoch %d", home, fleet.GetEpoch(), request.GetEpoch()).After(retryDelay)
 	}
 	return nil
 }
 
-// confirmWithoutFleet decides while the pool's servers are not known.
+// confirmWithoutFleet decides while the pool's servers are unknown.
 func (c *Claims) confirmWithoutFleet(now time.Time) *refusal.Error {
 	switch {
 	case c.Members.Others(c.Pool) > 0:
-		return refusal.NotRun(http.StatusServiceUnavailable, "no_fleet", "the servers of %s are not known yet", c.Pool).After(retryElsewhere)
-	case !c.isFirm(now):
-		return c.refuse(claim.Lost)
+		return refusal.NotRun(http.StatusServiceUnavailable, "no_fleet", "the servers of %s are not known yet", c.Pool).After(retryDelay)
+	case !c.isComplete(now):
+		return c.toRefusal(claim.Lost)
 	default:
-		return c.refuse(claim.Alone)
+		return c.toRefusal(claim.Alone)
 	}
 }
 
-func (c *Claims) refuse(verdict claim.Verdict) *refusal.Error {
+func (c *Claims) toRefusal(verdict claim.Verdict) *refusal.Error {
 	switch {
 	case verdict == claim.Pass, verdict == claim.Alone && c.RunAlone:
 		return nil
@@ -178,12 +178,12 @@
 	case verdict == claim.Lost:
 		return refusal.Unknown(http.StatusServiceUnavailable, "claim_lost", "the servers that may have run a request with this idempotency key are gone")
 	default:
-		return refusal.NotRun(http.StatusServiceUnavailable, "no_witness", "no other server can witness the request").After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "no_witness", "no other server can witness the request").After(retryDelay)
 	}
 }
 
-// isOwnVoid reports whether a witness knows the claim from a request of this
-// process that was proved not to have run.
+// isOwnVoid reports whether a witness recorded the claim for a request of this
+// process that is proved not to have run.
 func (c *Claims) isOwnVoid(key string, reply *peerpb.ClaimReply) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -191,9 +191,9 @@
 	return known && reply.GetServer() == c.Server && record.IsVoid(reply.GetId())
 }
 
-// witness keeps a claim for another server's request. A claim that a request
-// here has given up without having run is taken over.
-func (c *Claims) witness(request *peerpb.ClaimRequest, find func(id string) *run) *peerpb.ClaimReply {
+// witness records a claim for another server's request. It takes over a claim
+// whose local request ended without having run.
+func (c *Claims) witness(request *peerpb.ClaimRequest, findRun func(id string) *run) *peerpb.ClaimReply {
 	if request.GetPool() != c.Pool {
 		return refuseClaim("wrong_pool", "%s serves %s", c.Server, c.Pool)
 	}
@@ -206,11 +206,11 @@
 	if err != nil {
 		return refuseClaim("memory_full", "%v", err)
 	}
-	if known := find(record.ID()); !isNew && record.Server() == c.Server && known != nil && known.isNotRun() {
+	if known := findRun(record.ID()); !isNew && record.Server() == c.Server && known != nil && known.isNotRun() {
 		record, isNew = c.journal.Replace(request.GetClaim(), claim.NewRecord(request.GetId(), request.GetServer(), request.GetDigest()), time.Now()), true
 	}
 	reply := peerpb.ClaimReply_builder{Recorded: isNew, Id: record.ID(), Server: record.Server(), Digest: record.Digest()}.Build()
-	if !c.isFirm(time.Now()) {
+	if !c.isComplete(time.Now()) {
 		reply.SetSince(uint64(c.Started.UnixNano()))
 	}
 	return reply
@@ -221,21 +221,21 @@
 	return c.journal.Hold(key, record, time.Now())
 }
 
-// isFirm reports whether this process knows every claim that its backend
-// server may have run within the window. One that was started again has lost
-// those of the process before it until it has learned them from the others, or
-// their time is over.
-func (c *Claims) isFirm(now time.Time) bool {
-	return c.learned.Load() || now.Sub(c.Started) >= claim.Window(c.Remember) || c.Members.IsFirst()
+// isComplete reports whether this process knows every claim that its backend
+// server may have run within the window. A restarted process lacks those of its
+// predecessor until it has restored them from other sidecars or they expired.
+func (c *Claims) isComplete(now time.Time) bool {
+	return c.restored.Load() || now.Sub(c.Started) >= claim.Window(c.Remember) || c.Members.IsFirst()
 }
 
-// hasAllMemory reads the start of a witness's memory; 0 is that of its server.
-func (c *Claims) hasAllMemory(since uint64) bool {
+// isCompleteSince reports whether a witness that has recorded claims since a
+// time knows every claim of the window; 0 means since its server began.
+func (c *Claims) isCompleteSince(since uint64) bool {
 	return since == 0 || time.Since(time.Unix(0, int64(since))) >= claim.Window(c.Remember)
 }
 
-func firmness(isFirm bool) claim.Answer {
-	if isFirm {
+func keptAnswer(isComplete bool) claim.Answer {
+	if isComplete {
 		return claim.Kept
 	}
 	return claim.KeptUnsure
@@ -246,23 +246,22 @@
 	return peerpb.ClaimReply_builder{Refusal: refused.ToMessage()}.Build()
 }
 
-// digest tells requests under one idempotency key apart.
+// digest returns a hash that distinguishes requests with the same idempotency key.
 func digest(request *peerpb.RunRequest) string {
 	sum := sha256.New()
 	for _, part := range [][]byte{[]byte(request.GetMethod()), []byte(request.GetPath()), request.GetBody()} {
-		length := sha256.Sum256(part)
-		_, _ = sum.Write(length[:])
+		partSum := sha256.Sum256(part)
+		_, _ = sum.Write(partSum[:])
 	}
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// isOther reports whether a known digest is that of another request; one that
-// isn't known tells nothing.
-func isOther(known string, request *peerpb.RunRequest) bool {
-	return known != "" && known != digest(request)
+// isDifferentRequest reports whether a digest is known and that of another request.
+func isDifferentRequest(knownDigest string, request *peerpb.RunRequest) bool {
+	return knownDigest != "" && knownDigest != digest(request)
 }
 
-func keyReused() *refusal.Error {
+func refuseReusedKey() *refusal.Error {
 	return refusal.NotRun(http.StatusUnprocessableEntity, "key_reused", "the idempotency key was used for another request")
 }
 
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -14,11 +14,11 @@
 
 const postingAnswer = `{"posting":1}`
 
-// A member's phone sends the same posting twice at once through two entries.
-// Both reach the key's home while the ledger works on the first. The ledger
-// must post once and both phones must see its answer.
+// Two requests with the same idempotency key arrive through two entries while
+// the backend server works on the first. It must run once, and both callers must
+// get its answer.
 func TestSameKeyAtOnce(t *testing.T) {
-	p := newPool(t, newService(t, true, answerPosting), bound)
+	p := newPool(t, newService(t, true, answerPosting), testTimeout)
 	home, _ := p.home()
 	first := sendAsync(p.clients[home], p.posting("r1"))
 	receive(t, p.arrived)
@@ -29,11 +29,11 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// The home's sidecar is killed after the posting was passed on and comes back
-// without memory. The clerk tries again with the same key. Only the witness
-// still knows, and must keep the home from posting again.
+// The home's sidecar is killed after it forwarded a request, and restarts without
+// its claims. A retry with the same key must not run again, since the witness
+// still has the claim.
 func TestRetryAtRestartedHome(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
 	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
 	p.start(home, false)
@@ -44,10 +44,10 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// The home's host is replaced after the posting ran. The witness becomes the
-// home and must recognise the key that it witnessed.
+// The home's host is replaced after a request ran. The witness becomes the home
+// and must recognise the claim that it witnessed.
 func TestRetryAfterHomeRemoved(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
 	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
 	p.remove(home)
@@ -56,10 +56,10 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// The home leaves the pool after the posting ran and its sidecar still drains.
-// The retry comes to the new home and must get the posting's answer.
+// The home leaves the pool after a request ran, and its sidecar still drains. A
+// retry reaches the new home and must get the answer of the first request.
 func TestRetryWhileHomeDrains(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
 	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
 	p.remove(home)
@@ -71,10 +71,11 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// Home and witness lose their memory within minutes. Nobody knows whether the
-// key was used, so it must not run, and the refusal must not say "not run".
+// Home and witness restart without their claims within the window. It is unknown
+// whether the key was used, so a retry must not run, and its outcome must not be
+// "not run".
 func TestRetryAfterBothRestarted(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
 	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
 	p.start(home, false)
@@ -83,11 +84,11 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// Both sidecars of a pool are replaced one after the other within minutes, as
-// in an upgrade. Each has to learn from the other what it kept: the key that was
-// used must not run again, and a new key must not be refused.
+// Both sidecars of a pool restart one after the other within the window, as in a
+// rolling upgrade. Each must restore its claims from the other: a used key must
+// not run again, and a new key must not be refused.
 func TestRollingReplacement(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
 	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
 	p.restart(home)
@@ -109,47 +110,46 @@
 	}
 }
 
-// The witness doesn't answer. A posting that ran now could not be told from a
-// new one after the loss of its home, so it waits; once the witness is back the
-// same key runs.
+// The witness doesn't answer. A request that ran now would be unknown after the
+// loss of its home, so it is refused. The same key runs once the witness is back.
 func TestNoWitness(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
-	known := p.address[witness]
+	address := p.address[witness]
 	p.setAddress(witness, "127.0.0.1:1")
 	mustBeRefused(t, notRun, "no_witness", p.send(home, "r1"))
 	must.Eq(t, 0, p.runs.Load())
-	p.setAddress(witness, known)
+	p.setAddress(witness, address)
 	mustBeWhole(t, postingAnswer, p.send(home, "r2"))
 }
 
-// The witness keeps the claim and its answer gets lost. The posting does not
-// run; the retry meets the claim at the witness and must still run, since its
-// home knows that the first send was given up.
+// The witness records the claim but its reply is lost, and the request doesn't
+// run. A retry finds the claim at the witness and must still run, since its home
+// knows that the first send ended as not run.
 func TestWitnessAnswerLost(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
-	p.losing.Store(true)
+	p.dropsReplies.Store(true)
 	mustBeRefused(t, notRun, "no_witness", p.send(home, "r1"))
-	p.losing.Store(false)
+	p.dropsReplies.Store(false)
 	mustBeWhole(t, postingAnswer, p.send(home, "r2"))
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// An entry with an old view sends a posting to a server that isn't its home.
-// The refusal must leave no trace that keeps the true home from running it.
+// An entry with an outdated fleet sends a request to a server that isn't its
+// home. The refusal must leave no claim that keeps the home from running it.
 func TestWrongHome(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
 	mustBeRefused(t, notRun, "wrong_home", p.send(witness, "r1"))
 	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// A server joins and the entry doesn't know yet, but finds the same home. To
-// refuse would stop postings with a key for each change of the pool.
+// A server joins; an entry with the previous epoch still finds the same home. A
+// refusal would interrupt all requests with a key on each change of the pool.
 func TestOldEpochOfEntry(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
 	old := p.posting("r1")
 	p.setFleet("live", "live")
@@ -158,10 +158,10 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// The home is behind and its witness knows a newer fleet, by which the claim may
-// have another home. The witness must not vouch for the old one.
+// A home asks with an older epoch than its witness has. By the newer fleet the
+// claim may have another home, so the witness must refuse.
 func TestOldEpochOfHome(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	_, witness := p.home()
 	request := peerpb.ClaimRequest_builder{Claim: key, Server: "s9", Pool: "ledger", Epoch: 0, Id: "r1"}.Build()
 	reply, err := p.clients[witness].Claim(context.Background(), request)
@@ -169,8 +169,8 @@
 	must.Eq(t, "wrong_epoch", reply.GetRefusal().GetCode())
 }
 
-// The ledger goes silent after it was sent the posting. Whether it posted can't
-// be known, and a retry with the same key must say so again without a second run.
+// The backend server goes silent after it was sent a request, so the outcome is
+// unknown. A retry with the same key must report that too and not run again.
 func TestSilentAfterSend(t *testing.T) {
 	p := newPool(t, newService(t, true, answerPosting), 200*time.Millisecond)
 	home, _ := p.home()
@@ -179,33 +179,33 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// A posting is given up while it waits in the queue, and says "not run". The
-// retry with the same key must then run.
+// A queued request is cancelled and ends as not run. A retry with the same key
+// must then run.
 func TestRetryAfterNotRun(t *testing.T) {
-	p := newPool(t, newService(t, true, answerPosting), bound)
+	p := newPool(t, newService(t, true, answerPosting), testTimeout)
 	home, _ := p.home()
 	running := sendAsync(p.clients[home], posting("running"))
 	receive(t, p.arrived)
-	mustCancelled(t, p, home)
+	mustCancelQueued(t, p, home)
 	close(p.release)
 	receive(t, running)
 	mustBeWhole(t, postingAnswer, p.send(home, "r2"))
 	must.Eq(t, 2, p.runs.Load())
 }
 
-// mustCancelled sends a posting with the key that waits, and cancels it.
-func mustCancelled(t *testing.T, p *pool, home string) {
+// mustCancelQueued sends a request with the key while the slot is taken, and cancels it.
+func mustCancelQueued(t *testing.T, p *pool, home string) {
 	t.Helper()
 	waiting := sendAsync(p.clients[home], p.posting("r1"))
 	mustCancel(t, p.clients[home], "r1")
 	mustBeRefused(t, notRun, "cancelled", receive(t, waiting))
 }
 
-// A sidecar is cut off from the store and the other processes, and an entry
-// that is cut off with it sends a posting. The fleet may have changed twice
-// outside, so the posting must not run here.
+// A sidecar and an entry are partitioned from the store and the other processes.
+// The fleet may have changed twice on the other side, so a request with a key
+// must not run here.
 func TestIsolated(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
 	p.isolated.Store(true)
 	mustBeRefused(t, notRun, "isolated", p.send(home, "r1"))
@@ -213,10 +213,10 @@
 	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
 }
 
-// Two callers sent the same posting; the first gives up while it waits. The
-// other one must still get its answer.
+// Two callers share a queued run and the first cancels. The other must still get
+// the answer.
 func TestCancelOfSharedRun(t *testing.T) {
-	p := newPool(t, newService(t, true, answerPosting), bound)
+	p := newPool(t, newService(t, true, answerPosting), testTimeout)
 	home, _ := p.home()
 	running := sendAsync(p.clients[home], posting("running"))
 	receive(t, p.arrived)
@@ -232,7 +232,7 @@
 }
 
 func TestKeyReused(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
 	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
 	other := p.posting("r2")
@@ -241,7 +241,7 @@
 }
 
 func TestAlone(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	p.setFleet("live")
 	mustBeWhole(t, postingAnswer, p.send("s1", "r1"))
 }
@@ -251,8 +251,8 @@
 	p.setFleet(states[server]...)
 }
 
-// mustBecomeKnown waits until the sidecar knows a run, without starting it: it
-// asks for a frame that is not there yet.
+// mustBecomeKnown waits until the sidecar knows a run. To start none itself, it
+// asks for a frame that does not exist yet.
 func mustBecomeKnown(t *testing.T, client peerpb.SidecarClient, id string) {
 	t.Helper()
 	probe := posting(id)
@@ -265,10 +265,10 @@
 	t.Fatalf("%s is not known", id)
 }
 
-// mustBeJoined sends a third posting with the key and waits until it has joined.
+// mustBeJoined sends a third request with the key and waits until it has joined.
 func mustBeJoined(t *testing.T, p *pool, home string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	stream, err := p.clients[home].Run(ctx, p.posting("r3"))
 	must.NoError(t, err)
--- a/internal/entry/share.go
+++ b/internal/entry/cost.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// usualTokens is the expected length of an answer that names no bound.
-	usualTokens = 256
-	// bytesAToken is about what a token of a prompt takes.
-	bytesAToken = 4
+	// defaultOutputTokens is the expected output of a request without a token limit.
+	defaultOutputTokens = 256
+	// bytesPerToken is the approximate size of a prompt's token.
+	bytesPerToken = 4
 )
 
-// newShare returns how a request counts in the queue: by tokens for an engine,
-// as one for a plain service.
-func newShare(request *peerpb.RunRequest, deadline time.Time) fair.Request {
+// newQueueRequest returns a request's entry in the fair queue. Its cost is in
+// tokens for an engine and 1 for a plain service.
+func newQueueRequest(request *peerpb.RunRequest, deadline time.Time) fair.Request {
 	return fair.Request{
 		Account:  request.GetAccount(),
 		Weight:   request.GetWeight(),
@@ -34,20 +34,20 @@
 		Completion float64 `json:"max_completion_tokens"`
 		Tokens     float64 `json:"max_tokens"`
 	}
-	longest := 0.0
+	maxTokens := 0.0
 	if json.Unmarshal(request.GetBody(), &body) == nil {
-		longest = max(body.Completion, body.Tokens)
+		maxTokens = max(body.Completion, body.Tokens)
 	}
-	if longest <= 0 {
-		longest = usualTokens
+	if maxTokens <= 0 {
+		maxTokens = defaultOutputTokens
 	}
-	return longest + float64(len(request.GetBody())/bytesAToken)
+	return maxTokens + float64(len(request.GetBody())/bytesPerToken)
 }
 
-// trueCost returns what an answer has cost; the expected cost if that isn't told.
-func trueCost(share fair.Request, end *peerpb.End) float64 {
+// actualCost returns an answer's cost, or the expected cost if it reports no output tokens.
+func actualCost(request fair.Request, end *peerpb.End) float64 {
 	if end.GetOutputTokens() == 0 {
-		return share.Cost
+		return request.Cost
 	}
 	return float64(end.GetPromptTokens() - min(end.GetCachedTokens(), end.GetPromptTokens()) + end.GetOutputTokens())
 }
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// lingerTime is how long an answer waits for its entry while the process
-	// stops; an entry notices a lost connection sooner.
-	lingerTime     = 5 * time.Second
-	lingerInterval = 20 * time.Millisecond
+	// deliveryTimeout is how long a stopping process waits for entries to fetch
+	// their answers; an entry detects a lost connection sooner.
+	deliveryTimeout      = 5 * time.Second
+	deliveryPollInterval = 20 * time.Millisecond
 )
 
-// Open lets requests through; it is called once before the service is served.
+// Open starts to admit requests. It must be called once before serving.
 func (s *Server) Open() {
 	s.metrics = newMetrics(s)
-	s.gate.open(s.Slots, s.Queue)
+	s.limiter.open(s.Slots, s.Queue)
 }
 
-// Drain takes no new work and returns once all running requests have ended and
-// their answers were sent. What waits is refused as not run, so that another server takes it at once.
+// Drain refuses new requests and returns once all running requests have ended
+// and their answers were sent. Queued requests are refused as not run, so that
+// another server can take them at once.
 func (s *Server) Drain(ctx context.Context) {
 	s.Decisions.Record(s.Name, "backend", "draining, takes no new work")
-	s.gate.close()
+	s.limiter.close()
 	s.Loads.OfferLoad(s.load())
 	if err := s.registry.wait(ctx); err != nil {
-		klog.Warningf("backend: %s stops with requests running: %v", s.Name, err)
+		klog.Warningf("backend: sidecar of %s stops while requests are still running: %v", s.Name, err)
 	}
-	s.deliver(ctx)
+	s.waitForDelivery(ctx)
 }
 
-// deliver waits for entries that lost their connection to come back for
-// answers that nobody was sent.
-func (s *Server) deliver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, lingerTime)
+// waitForDelivery waits until entries that lost their connection have
+// reconnected and fetched the answers that were not sent.
+func (s *Server) waitForDelivery(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
-	ticker := time.NewTicker(lingerInterval)
+	ticker := time.NewTicker(deliveryPollInterval)
 	defer ticker.Stop()
 	for !s.registry.isDelivered(time.Now()) {
 		select {
 		case <-ctx.Done():
-			klog.Warningf("backend: %s stops with answers that no entry fetched", s.Name)
+			klog.Warningf("backend: sidecar of %s stops before entries fetched all answers", s.Name)
 			return
 		case <-ticker.C:
 		}
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -21,10 +21,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// bound is the longest wait of a test for a state.
-const bound = 10 * time.Second
+// testTimeout bounds a test's wait for a state.
+const testTimeout = 10 * time.Second
 
-// service is a fake backend server that counts what it runs.
+// service is a fake backend server that counts its runs.
 type service struct {
 	*httptest.Server
 
@@ -33,7 +33,8 @@
 	release chan struct{}
 }
 
-// newService answers with handler after counting; requests wait for release if hold is set.
+// newService returns a fake backend server that answers with handler. If hold is
+// set, requests wait until release is closed.
 func newService(t *testing.T, hold bool, handler http.HandlerFunc) *service {
 	t.Helper()
 	s := &service{arrived: make(chan struct{}, 100), release: make(chan struct{})}
@@ -41,8 +42,8 @@
 		close(s.release)
 	}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Sidecars of another run on this machine may still ask for the load of an
-		// engine that had this port before; that is no run.
+		// Sidecars of another test process on this machine may still poll the load
+		// of an engine that had this port before; that must not count as a run.
 		if r.URL.Path == "/v1/load" {
 			http.NotFound(w, r)
 			return
@@ -66,28 +67,28 @@
 	_, _ = io.WriteString(w, `{"posting":1}`)
 }
 
-// loads takes loads and drops them.
-type loads struct{}
+// discardLoads is a load table that ignores reports.
+type discardLoads struct{}
 
-func (loads) OfferLoad(*peerpb.Load) {}
+func (discardLoads) OfferLoad(*peerpb.Load) {}
 
-// newServer returns the service of a sidecar beside a plain service.
+// newServer returns a sidecar's service with a plain service as its backend.
 func newServer(address string) *entry.Server {
 	plain := &backend.Plain{}
 	plain.Address, plain.Name, plain.Silence = address, "s1", 5*time.Second
 	return &entry.Server{
-		Name: "s1", Pool: "ledger", Backend: plain, Loads: loads{},
+		Name: "s1", Pool: "ledger", Backend: plain, Loads: discardLoads{},
 		Slots: 4, Queue: 4, Remember: time.Minute, Beat: 20 * time.Millisecond,
 	}
 }
 
-// serve serves a sidecar on loopback and returns a client.
+// serve runs a sidecar on loopback and returns a client.
 func serve(t *testing.T, server *entry.Server) peerpb.SidecarClient {
 	t.Helper()
 	return serveAs(t, server, server)
 }
 
-// serveAs serves a sidecar through service, which passes calls on to it.
+// serveAs runs a sidecar behind service, which wraps it.
 func serveAs(t *testing.T, server *entry.Server, service peerpb.SidecarServer) peerpb.SidecarClient {
 	t.Helper()
 	server.Open()
@@ -110,16 +111,16 @@
 	return peerpb.NewSidecarClient(connection)
 }
 
-// posting returns a request that is not idempotent.
+// posting returns a non-idempotent request.
 func posting(id string) *peerpb.RunRequest {
 	return peerpb.RunRequest_builder{
 		Id: id, Account: "branch", Pool: "ledger", Kind: peerpb.Kind_KIND_PLAIN,
 		Method: http.MethodPost, Path: "/postings", Body: []byte(`{"member":"m","hours":1}`),
-		Timeout: durationpb.New(bound),
+		Timeout: durationpb.New(testTimeout),
 	}.Build()
 }
 
-// answer is what a stream gave, beats left out.
+// answer is what a stream delivered; heartbeats are only counted.
 type answer struct {
 	frames  []*peerpb.Frame
 	beats   int
@@ -138,7 +139,7 @@
 
 // send sends a request and reads its stream to the end.
 func send(client peerpb.SidecarClient, request *peerpb.RunRequest) answer {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	stream, err := client.Run(ctx, request)
 	if err != nil {
@@ -179,13 +180,13 @@
 	select {
 	case value := <-from:
 		return value
-	case <-time.After(bound):
-		t.Fatal("waited too long")
+	case <-time.After(testTimeout):
+		t.Fatal("nothing was received before the timeout")
 		panic("not reached")
 	}
 }
 
-// mustBeWhole checks that an answer ended and that its frames are numbered without gaps.
+// mustBeWhole checks that an answer is complete and its frames are numbered without gaps.
 func mustBeWhole(t *testing.T, text string, a answer) {
 	t.Helper()
 	must.NoError(t, a.err)
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -7,8 +7,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// loadSequence orders the loads of one server. It starts at the time, so that
-// a restarted sidecar's loads are newer than those of the process before.
+// loadSequence numbers the load reports of one server. Numbers start at the
+// current time, so that those of a restarted sidecar exceed its predecessor's.
 type loadSequence struct {
 	last atomic.Uint64
 }
@@ -23,16 +23,16 @@
 	}
 }
 
-// load returns the server's load as it is now.
+// load returns the server's current load.
 func (s *Server) load() *peerpb.Load {
-	running, queued := s.gate.counts()
+	running, queued := s.limiter.counts()
 	return peerpb.Load_builder{
 		Server:   s.Name,
 		Running:  uint32(running),
 		Queued:   uint32(queued),
 		Slots:    uint32(s.Slots),
 		Version:  s.Backend.Version(),
-		Draining: s.gate.isClosed(),
+		Draining: s.limiter.isClosed(),
 		Seq:      s.loads.next(),
 	}.Build()
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// metrics counts what becomes of requests at a sidecar.
+// metrics holds a sidecar's request metrics.
 type metrics struct {
 	answered prometheus.Counter
 	refusals *prometheus.CounterVec
@@ -40,7 +40,7 @@
 func runningGauge(server *Server) prometheus.GaugeFunc {
 	options := prometheus.GaugeOpts{Name: "bramleyhatch_backend_running", Help: "Requests that the backend server has."}
 	return prometheus.NewGaugeFunc(options, func() float64 {
-		running, _ := server.gate.counts()
+		running, _ := server.limiter.counts()
 		return float64(running)
 	})
 }
@@ -48,15 +48,15 @@
 func queuedGauge(server *Server) prometheus.GaugeFunc {
 	options := prometheus.GaugeOpts{Name: "bramleyhatch_backend_queued", Help: "Requests that wait for a slot."}
 	return prometheus.NewGaugeFunc(options, func() float64 {
-		_, queued := server.gate.counts()
+		_, queued := server.limiter.counts()
 		return float64(queued)
 	})
 }
 
-func (m *metrics) ended() { m.answered.Inc() }
+func (m *metrics) observeAnswer() { m.answered.Inc() }
 
-func (m *metrics) refused(refused *refusal.Error) {
+func (m *metrics) observeRefusal(refused *refusal.Error) {
 	m.refusals.WithLabelValues(refused.Code, refused.OutcomeText()).Inc()
 }
 
-func (m *metrics) waited(wait time.Duration) { m.wait.Observe(wait.Seconds()) }
+func (m *metrics) observeWait(wait time.Duration) { m.wait.Observe(wait.Seconds()) }
--- a/internal/entry/metrics_test.go
+++ b/internal/entry/metrics_test.go
@@ -22,7 +22,7 @@
 	must.Eq(t, 0, gather(t, registry, "bramleyhatch_backend_running"))
 }
 
-// gather returns the value of a metric without or with one set of labels.
+// gather returns the value of a metric that has at most one set of labels.
 func gather(t *testing.T, registry *prometheus.Registry, name string) float64 {
 	t.Helper()
 	families, err := registry.Gather()
@@ -33,6 +33,6 @@
 			return metric.GetCounter().GetValue() + metric.GetGauge().GetValue()
 		}
 	}
-	t.Fatalf("%s is not there", name)
+	t.Fatalf("metric %s is not registered", name)
 	return 0
 }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -11,28 +11,28 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// longestOrder bounds orders that come without a time.
-const longestOrder = 2 * time.Minute
+// maxOrderTime is the upper bound of an order's timeout, and the default.
+const maxOrderTime = 2 * time.Minute
 
-// Loader is a backend server that loads weight versions on order.
+// Loader is implemented by backends that can load weight versions.
 type Loader interface {
-	// Load returns the version that the backend server shows afterwards. The
+	// Load returns the version that the backend server serves afterwards. The
 	// error is a *refusal.Error.
 	Load(ctx context.Context, order *peerpb.OrderRequest, timeout time.Duration) (uint64, error)
 }
 
-// orders keeps the fencing numbers of the duties that gave orders. Its zero
-// value has seen none.
-type orders struct {
+// orderState holds the highest fencing token seen of each duty. Its zero value
+// is ready for use.
+type orderState struct {
 	mutex  sync.Mutex
 	fences map[string]uint64
-	// loading lets one order at a time through to the backend server.
-	loading sync.Mutex
+	// loadMutex admits one weight load at a time to the backend server.
+	loadMutex sync.Mutex
 }
 
-// Order makes the sidecar drain or take work again, or passes an order on.
+// Order drains or resumes the backend server, or makes it load a weight version.
 func (s *Server) Order(ctx context.Context, order *peerpb.OrderRequest) (*peerpb.OrderReply, error) {
-	version, err := s.obey(ctx, order)
+	version, err := s.applyOrder(ctx, order)
 	reply := peerpb.OrderReply_builder{Version: version, Load: s.load()}.Build()
 	var refused *refusal.Error
 	switch {
@@ -45,8 +45,8 @@
 	return reply, nil
 }
 
-func (s *Server) obey(ctx context.Context, order *peerpb.OrderRequest) (uint64, error) {
-	if refused := s.orders.take(order); refused != nil {
+func (s *Server) applyOrder(ctx context.Context, order *peerpb.OrderRequest) (uint64, error) {
+	if refused := s.orders.checkFence(order); refused != nil {
 		return s.Backend.Version(), refused
 	}
 	switch order.GetAction() {
@@ -63,23 +63,23 @@
 	}
 }
 
-// loadVersion passes the order on. Orders wait for each other, and an order
-// that a newer fence has overtaken meanwhile is not passed on: an engine that
-// ignores fencing numbers would load the older order's version last.
+// loadVersion forwards a load order. Load orders run one at a time, and one that
+// a newer fencing token has superseded while it waited is refused: an engine
+// that ignores fencing tokens would load the older order's version last.
 func (s *Server) loadVersion(ctx context.Context, order *peerpb.OrderRequest) (uint64, error) {
 	loader, ok := s.Backend.(Loader)
 	if !ok {
 		return 0, refusal.NotRun(http.StatusBadRequest, "no_weights", "%s loads no weights", s.Name)
 	}
-	timeout := longestOrder
+	timeout := maxOrderTime
 	if order.HasTimeout() {
 		timeout = min(timeout, order.GetTimeout().AsDuration())
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	s.orders.loading.Lock()
-	defer s.orders.loading.Unlock()
-	if refused := s.orders.take(order); refused != nil {
+	s.orders.loadMutex.Lock()
+	defer s.orders.loadMutex.Unlock()
+	if refused := s.orders.checkFence(order); refused != nil {
 		return s.Backend.Version(), refused
 	}
 	if ctx.Err() != nil {
@@ -90,12 +90,12 @@
 	return version, err
 }
 
-// setDraining changes whether new work is taken, and tells the other processes.
+// setDraining starts or ends a drain and announces it to the other processes.
 func (s *Server) setDraining(draining bool) {
 	if draining {
-		s.gate.close()
+		s.limiter.close()
 	} else {
-		s.gate.open(s.Slots, s.Queue)
+		s.limiter.open(s.Slots, s.Queue)
 	}
 	if s.Draining != nil {
 		s.Draining(draining)
@@ -103,14 +103,15 @@
 	s.Loads.OfferLoad(s.load())
 }
 
-// take refuses an order of a duty's former holder, who was paused and believes
-// that it still holds the duty: its fencing number is lower than one seen.
-func (o *orders) take(order *peerpb.OrderRequest) *refusal.Error {
+// checkFence refuses an order whose fencing token is lower than one seen of its
+// duty. It comes from a former holder that was paused and still believes that
+// it holds the duty.
+func (o *orderState) checkFence(order *peerpb.OrderRequest) *refusal.Error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	seen := o.fences[order.GetDuty()]
-	if order.GetFence() < seen {
-		return refusal.NotRun(http.StatusConflict, "old_fence", "fence %d of %q is older than %d", order.GetFence(), order.GetDuty(), seen)
+	highest := o.fences[order.GetDuty()]
+	if order.GetFence() < highest {
+		return refusal.NotRun(http.StatusConflict, "old_fence", "fence %d of %q is older than %d", order.GetFence(), order.GetDuty(), highest)
 	}
 	if o.fences == nil {
 		o.fences = map[string]uint64{}
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -22,25 +22,25 @@
 	load   = peerpb.Action_ACTION_VERSION
 )
 
-// A zone's server is to be stopped while a clerk's posting runs on it. The
-// posting must end whole, what waits goes elsewhere at once, and nothing new is
-// taken until the order is taken back.
+// A server is drained by an order while a request runs. That request must
+// complete, queued and new requests must be refused at once as not run, and
+// requests must be admitted again after a resume.
 func TestDrainByOrder(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	server := newServer(service.URL)
 	server.Slots = 1
-	var told atomic.Bool
-	server.Draining = told.Store
+	var isDraining atomic.Bool
+	server.Draining = isDraining.Store
 	client := serve(t, server)
 	running := sendAsync(client, posting("running"))
 	receive(t, service.arrived)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	waiting, err := client.Run(ctx, posting("waiting"))
 	must.NoError(t, err)
 	mustBeQueued(t, waiting)
 	mustOrder(t, client, drain, 1)
-	must.True(t, told.Load())
+	must.True(t, isDraining.Load())
 	mustBeRefused(t, notRun, "draining", read(waiting))
 	refused := send(client, posting("new"))
 	mustBeRefused(t, notRun, "draining", refused)
@@ -51,7 +51,7 @@
 	mustBeWhole(t, postingAnswer, send(client, posting("new")))
 }
 
-// mustBeQueued reads beats until the server says that a request waits.
+// mustBeQueued reads heartbeats until the server reports a queued request.
 func mustBeQueued(t *testing.T, stream grpc.ServerStreamingClient[peerpb.Frame]) {
 	t.Helper()
 	for {
@@ -64,8 +64,8 @@
 	}
 }
 
-// The sidecar gets SIGTERM while a posting runs. It must stay until the posting
-// has ended.
+// The sidecar gets SIGTERM while a request runs. It must not exit before the
+// request has ended.
 func TestDrainWaitsForRuns(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	server := newServer(service.URL)
@@ -88,33 +88,34 @@
 	mustBeWhole(t, postingAnswer, receive(t, running))
 }
 
-// noting tells when the sidecar has done with a stream.
-type noting struct {
+// returnNotifier reports when a Run call of the sidecar returns.
+type returnNotifier struct {
 	*entry.Server
 
 	returned chan struct{}
 }
 
-func (n *noting) Run(request *peerpb.RunRequest, stream grpc.ServerStreamingServer[peerpb.Frame]) error {
+func (n *returnNotifier) Run(request *peerpb.RunRequest, stream grpc.ServerStreamingServer[peerpb.Frame]) error {
 	defer func() { n.returned <- struct{}{} }()
 	return n.Server.Run(request, stream)
 }
 
-// The entry's connection is lost while a posting runs, and the sidecar gets
-// SIGTERM. The posting ends before the entry is back; its answer must wait for
-// it, or a planned stop would turn a whole answer into an unknown outcome.
+// The entry's connection is lost while a request runs, and the sidecar gets
+// SIGTERM. The request ends before the entry reconnects. The sidecar must wait
+// for the entry to fetch the answer, or a planned stop would turn a complete
+// answer into an unknown outcome.
 func TestDrainWaitsForLostReader(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	server := newServer(service.URL)
-	noted := &noting{Server: server, returned: make(chan struct{}, 10)}
-	client := serveAs(t, server, noted)
+	notifier := &returnNotifier{Server: server, returned: make(chan struct{}, 10)}
+	client := serveAs(t, server, notifier)
 	ctx, cancel := context.WithCancel(context.Background())
 	stream, err := client.Run(ctx, posting("r1"))
 	must.NoError(t, err)
 	receive(t, service.arrived)
 	cancel()
 	must.Error(t, read(stream).err)
-	receive(t, noted.returned)
+	receive(t, notifier.returned)
 	drained := make(chan struct{})
 	go func() {
 		server.Drain(context.Background())
@@ -126,9 +127,9 @@
 		t.Fatal("drained before the answer was fetched")
 	case <-time.After(200 * time.Millisecond):
 	}
-	again := posting("r1")
-	again.SetResend(true)
-	mustBeWhole(t, postingAnswer, send(client, again))
+	resend := posting("r1")
+	resend.SetResend(true)
+	mustBeWhole(t, postingAnswer, send(client, resend))
 	receive(t, drained)
 }
 
@@ -141,7 +142,7 @@
 			return
 		}
 	}
-	t.Fatal("doesn't drain")
+	t.Fatal("the sidecar does not drain")
 }
 
 func mustOrder(t *testing.T, client peerpb.SidecarClient, action peerpb.Action, fence uint64) {
@@ -159,19 +160,19 @@
 	return reply
 }
 
-// newEngineServer returns the service of a sidecar beside an engine.
+// newEngineServer returns a sidecar's service with an engine as its backend.
 func newEngineServer(address string) *entry.Server {
 	engine := &backend.Engine{}
-	engine.Address, engine.Name, engine.Silence = address, "s1", bound
+	engine.Address, engine.Name, engine.Silence = address, "s1", testTimeout
 	server := newServer(address)
 	server.Backend = engine
 	return server
 }
 
-// The holder of the weights' duty is paused past its lease and its successor
-// orders version 2. Then the former holder wakes up and orders version 1 of an
-// engine that ignores fencing numbers. Samples would be made by old weights, so
-// the sidecar must keep the order from the engine.
+// The holder of the weights duty is paused past its lease and its successor
+// orders version 2. Then the former holder resumes and orders version 1. An
+// engine that ignores fencing tokens would produce samples with old weights, so
+// the sidecar must not forward that order.
 func TestOldFenceIsRefused(t *testing.T) {
 	service := newService(t, false, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprint(w, `{"version":2}`)
@@ -184,9 +185,9 @@
 	must.Eq(t, 1, service.runs.Load())
 }
 
-// Order 1 runs at the engine, order 2 waits for its end, and meanwhile the
-// duty's next holder gives an order with fence 3. Order 2 must not reach an
-// engine that ignores fencing numbers.
+// Order 1 runs at the engine, order 2 waits for it, and meanwhile the duty's next
+// holder sends an order with fencing token 3. Order 2 must not reach an engine
+// that ignores fencing tokens.
 func TestOvertakenOrder(t *testing.T) {
 	service := newService(t, true, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprint(w, `{"version":3}`)
@@ -205,7 +206,7 @@
 	must.Eq(t, 1, service.runs.Load())
 }
 
-// mustHaveSeen waits until the sidecar refuses fences lower than fence.
+// mustHaveSeen waits until the sidecar refuses fencing tokens lower than fence.
 func mustHaveSeen(t *testing.T, client peerpb.SidecarClient, fence uint64) {
 	t.Helper()
 	for range 10000 {
@@ -213,11 +214,11 @@
 			return
 		}
 	}
-	t.Fatalf("fence %d is not seen", fence)
+	t.Fatalf("fencing token %d was not recorded", fence)
 }
 
-// The engine's swap fails. The reply must name the version that the engine
-// shows, not the one that was ordered.
+// The engine's weight swap fails. The reply must report the version that the
+// engine serves, not the ordered one.
 func TestFailedSwap(t *testing.T) {
 	answers := []string{`{"version":4}`}
 	service := newService(t, false, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// claimTimeout is the longest wait for a witness.
+	// claimTimeout bounds a claim request to a witness.
 	claimTimeout = time.Second
-	// recallTimeout is the longest wait for all claims that a sidecar keeps.
+	// recallTimeout bounds a request for all claims of a sidecar.
 	recallTimeout = 5 * time.Second
 )
 
-// ProcessTable knows the processes of the system.
+// ProcessTable lists the known processes of a role.
 type ProcessTable interface {
 	Processes(role peerpb.Role) []*peerpb.Process
 }
 
-// Sidecars reaches the sidecars of other backend servers over gRPC.
-// Exported fields are set before the first call.
+// Sidecars calls the sidecars of other backend servers over gRPC.
+// Exported fields must be set before the first call.
 type Sidecars struct {
 	Members     ProcessTable
 	Credentials credentials.TransportCredentials
@@ -35,7 +35,7 @@
 	connections map[string]*peer
 }
 
-// peer is a connection to a server's sidecar.
+// peer is a connection to another server's sidecar.
 type peer struct {
 	address    string
 	connection *grpc.ClientConn
@@ -43,8 +43,8 @@
 
 var _ Peers = &Sidecars{}
 
-// Claim asks a server's sidecar to keep a claim. It is asked once: a lost
-// answer leaves the claim kept there, which is safe.
+// Claim asks a server's sidecar to record a claim. It doesn't retry: if the
+// reply is lost the claim may stay recorded there, which is safe.
 func (s *Sidecars) Claim(ctx context.Context, server string, request *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
 	connection, err := s.connect(server)
 	if err != nil {
@@ -53,10 +53,10 @@
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	reply, err := peerpb.NewSidecarClient(connection).Claim(ctx, request)
-	return reply, eris.Wrapf(err, "claim at %s", server)
+	return reply, eris.Wrapf(err, "Claim call to the sidecar of %s", server)
 }
 
-// Recall asks a server's sidecar for the claims that it keeps.
+// Recall returns the claims recorded at a server's sidecar.
 func (s *Sidecars) Recall(ctx context.Context, server string, request *peerpb.RecallRequest) (*peerpb.RecallReply, error) {
 	connection, err := s.connect(server)
 	if err != nil {
@@ -65,23 +65,23 @@
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	reply, err := peerpb.NewSidecarClient(connection).Recall(ctx, request)
-	return reply, eris.Wrapf(err, "recall from %s", server)
+	return reply, eris.Wrapf(err, "Recall call to the sidecar of %s", server)
 }
 
-// Join joins a run at a server's sidecar; it starts none.
+// Join streams a run that exists at a server's sidecar; it never starts one.
 func (s *Sidecars) Join(ctx context.Context, server string, request *peerpb.RunRequest) (grpc.ServerStreamingClient[peerpb.Frame], error) {
 	connection, err := s.connect(server)
 	if err != nil {
 		return nil, err
 	}
 	stream, err := peerpb.NewSidecarClient(connection).Run(ctx, request)
-	return stream, eris.Wrapf(err, "join at %s", server)
+	return stream, eris.Wrapf(err, "Run call to the sidecar of %s", server)
 }
 
 func (s *Sidecars) connect(server string) (*grpc.ClientConn, error) {
 	address := s.address(server)
 	if address == "" {
-		return nil, eris.Errorf("the sidecar of %s is not known", server)
+		return nil, eris.Errorf("no known address of the sidecar of %s", server)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/entry/pool_test.go
+++ b/internal/entry/pool_test.go
@@ -21,15 +21,15 @@
 
 const key = "key-1"
 
-// pool is two sidecars in two zones beside one fake ledger.
+// pool is two sidecars in two zones that share one fake backend server.
 type pool struct {
 	*service
 
 	t       *testing.T
 	silence time.Duration
-	// losing makes the answers of witnesses get lost.
-	losing atomic.Bool
-	// isolated makes every sidecar cut off.
+	// dropsReplies makes the replies of witnesses get lost.
+	dropsReplies atomic.Bool
+	// isolated makes Isolated report true at every sidecar.
 	isolated atomic.Bool
 	fleet    atomic.Pointer[statepb.Fleet]
 	mutex    sync.Mutex
@@ -47,7 +47,7 @@
 	return p
 }
 
-// setFleet sets the states of the two servers since long ago, and raises the epoch.
+// setFleet sets the servers' states, all but removals since long ago, and raises the epoch.
 func (p *pool) setFleet(states ...string) {
 	fleet := &statepb.Fleet{}
 	for i, state := range states {
@@ -62,26 +62,26 @@
 	p.fleet.Store(fleet)
 }
 
-// start starts a sidecar; one that isn't the first has lost its memory.
+// start starts a sidecar; one that isn't the first has lost its claims.
 func (p *pool) start(id string, isFirst bool) {
 	plain := &backend.Plain{}
 	plain.Address, plain.Name, plain.Silence = p.URL, id, p.silence
 	server := &entry.Server{
-		Name: id, Pool: "ledger", Backend: plain, Loads: loads{},
+		Name: id, Pool: "ledger", Backend: plain, Loads: discardLoads{},
 		Slots: 1, Queue: 1, Remember: time.Minute, Beat: 20 * time.Millisecond,
 	}
 	server.Claims = &entry.Claims{
-		Server: id, Pool: "ledger", Members: &members{pool: p, isFirst: isFirst}, Peers: &lossy{Sidecars: &entry.Sidecars{Members: p}, pool: p},
+		Server: id, Pool: "ledger", Members: &members{pool: p, isFirst: isFirst}, Peers: &lossyPeers{Sidecars: &entry.Sidecars{Members: p}, pool: p},
 		Remember: time.Minute, Started: time.Now().Add(-claim.Slack), RunAlone: true,
 	}
 	p.claims[id] = server.Claims
 	p.serve(id, server)
 }
 
-// restart starts a sidecar again without memory and waits until it has learned.
+// restart starts a sidecar without its claims and waits until it has restored them.
 func (p *pool) restart(id string) {
 	p.start(id, false)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	p.t.Cleanup(cancel)
 	go func() { _ = p.claims[id].Learn(ctx) }()
 	for {
@@ -121,7 +121,7 @@
 	p.address[id] = address
 }
 
-// Processes returns the sidecars with their addresses.
+// Processes returns the sidecars and their addresses.
 func (p *pool) Processes(peerpb.Role) []*peerpb.Process {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -132,12 +132,12 @@
 	return found
 }
 
-// home returns the claim's home and its witness by the present fleet.
+// home returns the claim's home and its witness in the current fleet.
 func (p *pool) home() (home, witness string) {
 	return claim.Home(key, p.fleet.Load()), claim.Witness(key, p.fleet.Load())
 }
 
-// send sends a posting with the key to a server, as an entry with the present fleet does.
+// send sends a request with the key to a server, as an entry with the current fleet does.
 func (p *pool) send(server, id string) answer {
 	return send(p.clients[server], p.posting(id))
 }
@@ -149,7 +149,7 @@
 	return request
 }
 
-// members is what one sidecar of the pool knows.
+// members is the membership as one sidecar of the pool knows it.
 type members struct {
 	*pool
 
@@ -163,16 +163,16 @@
 func (m *members) Others(string) int           { return 1 }
 func (m *members) Isolated(time.Time) bool     { return m.isolated.Load() }
 
-// lossy reaches the other sidecar; the answer gets lost while the pool says so.
-type lossy struct {
+// lossyPeers calls the other sidecar and loses replies while pool.dropsReplies is set.
+type lossyPeers struct {
 	*entry.Sidecars
 
 	pool *pool
 }
 
-func (l *lossy) Claim(ctx context.Context, server string, request *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
+func (l *lossyPeers) Claim(ctx context.Context, server string, request *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
 	reply, err := l.Sidecars.Claim(ctx, server, request)
-	if l.pool.losing.Load() {
+	if l.pool.dropsReplies.Load() {
 		return nil, context.DeadlineExceeded
 	}
 	return reply, err
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -9,34 +9,34 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// loadInterval is the shortest time between two loads on one stream.
-const loadInterval = 100 * time.Millisecond
+// minLoadInterval is the time between load reports on a stream, except with its last frame.
+const minLoadInterval = 100 * time.Millisecond
 
-// reader sends a run's frames on one stream.
+// reader sends a run's frames to one stream.
 type reader struct {
 	server   *Server
 	stream   grpc.ServerStreamingServer[peerpb.Frame]
 	id       string
 	position uint64
-	loaded   time.Time
+	lastLoad time.Time
 }
 
 func (s *Server) newReader(request *peerpb.RunRequest, stream grpc.ServerStreamingServer[peerpb.Frame]) *reader {
 	return &reader{server: s, stream: stream, id: request.GetId(), position: request.GetFrom()}
 }
 
-// follow sends the frames from the reader's position until the last.
+// follow sends the frames from the reader's position on, and heartbeats between them.
 func (r *reader) follow(run *run) error {
 	run.attach()
 	defer run.detach()
 	beat := time.NewTimer(r.server.Beat)
 	defer beat.Stop()
 	for {
-		frames, isLast, changed, refused := run.after(r.position)
+		frames, isLast, changed, refused := run.framesFrom(r.position)
 		if refused != nil {
 			return r.refuse(refused)
 		}
-		if err := r.sendAll(run, frames); err != nil || isLast {
+		if err := r.sendFrames(run, frames); err != nil || isLast {
 			return err
 		}
 		beat.Reset(r.server.Beat)
@@ -52,34 +52,33 @@
 	}
 }
 
-// refuse sends a refusal that belongs to no run.
+// refuse sends a refusal that is not part of a run.
 func (r *reader) refuse(refused *refusal.Error) error {
 	return r.send(peerpb.Frame_builder{Seq: r.position, Refusal: refused.ToMessage()}.Build())
 }
 
-// beat shows that the connection is alive.
+// beat sends a heartbeat.
 func (r *reader) beat() error {
 	return r.send(peerpb.Frame_builder{Seq: r.position, Beat: &peerpb.Beat{}}.Build())
 }
 
-func (r *reader) sendAll(run *run, frames []*peerpb.Frame) error {
+func (r *reader) sendFrames(run *run, frames []*peerpb.Frame) error {
 	for _, frame := range frames {
 		if err := r.send(copyFrame(frame)); err != nil {
 			return err
 		}
 		r.position = frame.GetSeq() + 1
 	}
-	run.got(r.position)
+	run.markSent(r.position)
 	return nil
 }
 
-// send binds the frame to the request that the stream is for, adds the
-// server's load now and then, and sends it.
+// send sets the frame's request ID, adds the server's load if due, and sends it.
 func (r *reader) send(frame *peerpb.Frame) error {
 	frame.SetId(r.id)
-	if now := time.Now(); now.Sub(r.loaded) >= loadInterval || isLastFrame(frame) {
+	if now := time.Now(); now.Sub(r.lastLoad) >= minLoadInterval || isLastFrame(frame) {
 		frame.SetLoad(r.server.load())
-		r.loaded = now
+		r.lastLoad = now
 	}
 	return r.stream.Send(frame)
 }
@@ -88,7 +87,7 @@
 	return frame.HasEnd() || frame.HasRefusal()
 }
 
-// copyFrame copies a frame without its part's content, which is never changed.
+// copyFrame returns a shallow copy of a frame; the content of its part is immutable.
 func copyFrame(frame *peerpb.Frame) *peerpb.Frame {
 	copied := peerpb.Frame_builder{Seq: frame.GetSeq()}.Build()
 	switch frame.WhichPart() {
--- a/internal/entry/registry.go
+++ b/internal/entry/registry.go
@@ -11,46 +11,45 @@
 )
 
 const (
-	// maxPostings is the most ended runs known that may not be repeated,
-	// maxAnswers of the others. One takes 520 bytes without its answer
-	// (BenchmarkRememberedRun).
-	maxPostings = 8192
-	maxAnswers  = 2048
-	// answerBytes is the most that ended runs hold of their answers together.
-	answerBytes = 2 << 20
-	// abandonedAfter is how long an idempotent run goes on without a reader.
-	abandonedAfter = 10 * time.Second
+	// maxNonIdempotentRuns and maxIdempotentRuns bound the ended runs that are
+	// retained. A run takes 520 bytes without its answer.
+	maxNonIdempotentRuns = 8192
+	maxIdempotentRuns    = 2048
+	// maxAnswerBytes bounds the answers' total size, per list of ended runs.
+	maxAnswerBytes = 2 << 20
+	// abandonTimeout is how long an idempotent run continues without a reader.
+	abandonTimeout = 10 * time.Second
 )
 
-// registry knows the runs by their identity. Its zero value is ready for use.
+// registry holds the runs by request ID. Its zero value is ready for use.
 type registry struct {
-	mutex  sync.Mutex
-	runs   map[string]*run
-	active int
-	left   chan struct{}
-	// answers are ended idempotent runs, postings the others; oldest first.
-	answers  endedList
-	postings endedList
+	mutex    sync.Mutex
+	runs     map[string]*run
+	active   int
+	runEnded chan struct{}
+	// idempotent and nonIdempotent hold the ended runs, oldest first.
+	idempotent    endedList
+	nonIdempotent endedList
 }
 
-// endedList holds ended runs in the order of their end.
+// endedList holds ended runs in the order in which they ended.
 type endedList struct {
 	runs  []endedRun
 	bytes int
 }
 
 type endedRun struct {
-	run  *run
-	time time.Time
-	held int
+	run   *run
+	time  time.Time
+	bytes int
 }
 
-// ended notes that a run has ended.
-func (r *registry) ended(run *run, now time.Time) {
+// markEnded records that a run has ended.
+func (r *registry) markEnded(run *run, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	list := r.list(run)
-	list.runs = append(list.runs, endedRun{run: run, time: now, held: run.size()})
+	list := r.listFor(run)
+	list.runs = append(list.runs, endedRun{run: run, time: now, bytes: run.size()})
 	list.bytes += run.size()
 	r.trim()
 	r.active--
@@ -63,13 +62,14 @@
 	return r.runs[id]
 }
 
-// isDelivered reports whether the answers of runs that ended lately were sent.
+// isDelivered reports whether the answers of all runs that ended within
+// deliveryTimeout were sent.
 func (r *registry) isDelivered(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, list := range []*endedList{&r.answers, &r.postings} {
+	for _, list := range []*endedList{&r.idempotent, &r.nonIdempotent} {
 		for _, ended := range list.runs {
-			if now.Sub(ended.time) < lingerTime && !ended.run.isDelivered() {
+			if now.Sub(ended.time) < deliveryTimeout && !ended.run.isDelivered() {
 				return false
 			}
 		}
@@ -77,60 +77,62 @@
 	return true
 }
 
-// join returns the run with the request's identity; a new one if there is none
-// or if the one there was proved not to have run. All is true if this process
-// knows every request that its backend server may have got before.
-func (r *registry) join(request *peerpb.RunRequest, all bool) (known *run, isNew bool, refused *refusal.Error) {
+// join returns the run with the request's ID. It creates one if there is none, or
+// if that one is proved not to have run and the request is not a resend. The
+// parameter remembersAll is true if this process knows every request that its
+// backend server may have received.
+func (r *registry) join(request *peerpb.RunRequest, remembersAll bool) (existing *run, isNew bool, refused *refusal.Error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known = r.runs[request.GetId()]
-	if known != nil && (request.GetResend() || !known.isNotRun()) {
-		return known, false, nil
+	existing = r.runs[request.GetId()]
+	if existing != nil && (request.GetResend() || !existing.isNotRun()) {
+		return existing, false, nil
 	}
-	if refused := r.admit(request, all); refused != nil {
+	if refused := r.admit(request, remembersAll); refused != nil {
 		return nil, false, refused
 	}
 	if r.runs == nil {
 		r.runs = map[string]*run{}
 	}
-	started := newRun(request)
-	started.mayHaveRun = mayHaveRun(request, all)
-	r.runs[request.GetId()] = started
+	created := newRun(request)
+	created.mayHaveRun = mayHaveRun(request, remembersAll)
+	r.runs[request.GetId()] = created
 	r.active++
-	return started, true, nil
+	return created, true, nil
 }
 
-// admit refuses to start what may have run before this process knew of it. A
-// sidecar that was killed after it had passed a request on comes back without
-// memory; the entry's resend would then run the request a second time, or join
-// two different answers at a position. A claim is left to the others that keep it.
-func (r *registry) admit(request *peerpb.RunRequest, all bool) *refusal.Error {
+// admit refuses to start a request that the previous process may have run. A
+// sidecar that is killed after it forwarded a request restarts without state;
+// the entry's resend would run the request twice, or continue one answer with
+// frames of another. Requests with a claim are checked by the sidecars that
+// recorded it.
+func (r *registry) admit(request *peerpb.RunRequest, remembersAll bool) *refusal.Error {
 	switch {
-	case mayHaveRun(request, all) && !request.GetIdempotent() && !isClaimed(request):
+	case mayHaveRun(request, remembersAll) && !request.GetIdempotent() && !isClaimed(request):
 		return refusal.Unknown(http.StatusBadGateway, "not_known", "the request was sent before and is not known here")
 	case request.GetFrom() > 0:
 		return refusal.Unknown(http.StatusBadGateway, "not_known", "the answer to go on with is not known here")
-	case !request.GetIdempotent() && len(r.postings.runs) >= maxPostings:
-		return refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "too many requests are remembered").After(retryElsewhere)
+	case !request.GetIdempotent() && len(r.nonIdempotent.runs) >= maxNonIdempotentRuns:
+		return refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "too many requests are remembered").After(retryDelay)
 	default:
 		return nil
 	}
 }
 
-// mayHaveRun reports whether an earlier send of a request that isn't known may
-// have run: at the process before this one, or so that its run is forgotten,
-// as happens to idempotent requests first.
-func mayHaveRun(request *peerpb.RunRequest, all bool) bool {
-	return request.GetResend() && (request.GetIdempotent() || !all)
+// mayHaveRun reports whether an earlier send of an unknown request may have run:
+// at the previous process, or in a run that was dropped, which happens to
+// idempotent runs first.
+func mayHaveRun(request *peerpb.RunRequest, remembersAll bool) bool {
+	return request.GetResend() && (request.GetIdempotent() || !remembersAll)
 }
 
-// sweep forgets runs that ended longer ago than remember and cancels abandoned ones.
+// sweep drops runs that ended longer ago than remember and cancels abandoned ones.
 func (r *registry) sweep(now time.Time, remember time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, list := range []*endedList{&r.answers, &r.postings} {
+	for _, list := range []*endedList{&r.idempotent, &r.nonIdempotent} {
 		for len(list.runs) > 0 && now.Sub(list.runs[0].time) > remember {
-			r.drop(list)
+			r.dropOldest(list)
 		}
 	}
 	for _, run := range r.runs {
@@ -140,62 +142,62 @@
 	}
 }
 
-// wait returns once no run is active, or with the context's error.
+// wait blocks until no run is active or the context ends.
 func (r *registry) wait(ctx context.Context) error {
 	for {
 		r.mutex.Lock()
 		active := r.active
-		if r.left == nil {
-			r.left = make(chan struct{})
+		if r.runEnded == nil {
+			r.runEnded = make(chan struct{})
 		}
-		left := r.left
+		runEnded := r.runEnded
 		r.mutex.Unlock()
 		if active == 0 {
 			return nil
 		}
 		select {
-		case <-left:
+		case <-runEnded:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// drop forgets the oldest run of a list.
-func (r *registry) drop(list *endedList) {
+// dropOldest removes the oldest run of a list.
+func (r *registry) dropOldest(list *endedList) {
 	oldest := list.runs[0]
 	list.runs[0] = endedRun{}
 	list.runs = list.runs[1:]
-	list.bytes -= oldest.held
+	list.bytes -= oldest.bytes
 	if r.runs[oldest.run.id] == oldest.run {
 		delete(r.runs, oldest.run.id)
 	}
 }
 
-func (r *registry) list(run *run) *endedList {
+func (r *registry) listFor(run *run) *endedList {
 	if run.idempotent {
-		return &r.answers
+		return &r.idempotent
 	}
-	return &r.postings
+	return &r.nonIdempotent
 }
 
 func (r *registry) notify() {
-	if r.left != nil {
-		close(r.left)
-		r.left = nil
+	if r.runEnded != nil {
+		close(r.runEnded)
+		r.runEnded = nil
 	}
 }
 
-// trim keeps ended runs within their bounds. Of a run that may not be repeated
-// only the answer is dropped: its identity has to stay known.
+// trim keeps ended runs within their bounds. Of a non-idempotent run only the
+// answer is dropped: its ID must stay known, so that a resend doesn't run again.
 func (r *registry) trim() {
-	for len(r.answers.runs) > maxAnswers || r.answers.bytes > answerBytes {
-		r.drop(&r.answers)
+	for len(r.idempotent.runs) > maxIdempotentRuns || r.idempotent.bytes > maxAnswerBytes {
+		r.dropOldest(&r.idempotent)
 	}
-	for i := 0; i < len(r.postings.runs) && r.postings.bytes > answerBytes; i++ {
-		ended := &r.postings.runs[i]
-		ended.run.forget()
-		r.postings.bytes -= ended.held
-		ended.held = 0
+	for i := 0; i < len(r.nonIdempotent.runs) && r.nonIdempotent.bytes > maxAnswerBytes; i++ {
+		ended := &r.nonIdempotent.runs[i]
+		ended.run.dropAnswer()
+		r.nonIdempotent.bytes -= ended.bytes
+		ended.bytes = 0
 	}
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -11,21 +11,21 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// relaySilence is how long another sidecar may send nothing, beats included.
-const relaySilence = 5 * time.Second
+// relayTimeout is the longest time without a frame or heartbeat from another sidecar.
+const relayTimeout = 5 * time.Second
 
-// relay gives the answer of the run that has the claim at another sidecar. The
-// retry of a posting whose home has changed since gets its answer that way,
-// while nothing is passed on here.
+// relay streams the answer of the run that holds the claim at another sidecar.
+// It gives the answer to a retry whose home has changed since the first send;
+// nothing is forwarded to the local backend server.
 func (s *Server) relay(ctx context.Context, run *run, holder *holder) (*peerpb.End, error) {
 	if holder.server == s.Name {
-		return nil, s.lost(holder)
+		return nil, s.refuseLost(holder)
 	}
 	s.Decisions.Record(run.id, "backend", "the claim is held by %s at %s, its answer is relayed", holder.id, holder.server)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(relaySilence, cancel)
-	defer silence.Stop()
+	timer := time.AfterFunc(relayTimeout, cancel)
+	defer timer.Stop()
 	stream, err := s.Claims.Peers.Join(ctx, holder.server, peerpb.RunRequest_builder{
 		Id:      holder.id,
 		Account: run.request.GetAccount(),
@@ -33,22 +33,22 @@
 		Resend:  true,
 	}.Build())
 	if err != nil {
-		return nil, s.lost(holder)
+		return nil, s.refuseLost(holder)
 	}
 	for {
 		end, err := s.relayFrame(stream, run, holder)
 		if end != nil || err != nil {
 			return end, err
 		}
-		silence.Reset(relaySilence)
+		timer.Reset(relayTimeout)
 	}
 }
 
-// relayFrame relays one frame; it returns the end of the answer with the last.
+// relayFrame relays one frame. It returns the answer's end with the last one.
 func (s *Server) relayFrame(stream grpc.ServerStreamingClient[peerpb.Frame], run *run, holder *holder) (*peerpb.End, error) {
 	frame, err := stream.Recv()
 	if err != nil {
-		return nil, s.lost(holder)
+		return nil, s.refuseLost(holder)
 	}
 	switch frame.WhichPart() {
 	case peerpb.Frame_End_case:
@@ -62,7 +62,7 @@
 	}
 }
 
-// lost refuses a request whose answer is at a sidecar that doesn't give it.
-func (s *Server) lost(holder *holder) *refusal.Error {
+// refuseLost refuses a request whose answer can't be read from the claim's holder.
+func (s *Server) refuseLost(holder *holder) *refusal.Error {
 	return refusal.Unknown(http.StatusConflict, "claimed_elsewhere", "the idempotency key was used for a request to %s", holder.server)
 }
--- a/internal/entry/resend_test.go
+++ b/internal/entry/resend_test.go
@@ -8,47 +8,47 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-func resent(request *peerpb.RunRequest) *peerpb.RunRequest {
+func asResend(request *peerpb.RunRequest) *peerpb.RunRequest {
 	request.SetResend(true)
 	return request
 }
 
-// The connection is lost before the posting has reached the sidecar, and the
-// entry sends it again. The sidecar knows that it never came, so it must run.
+// The connection is lost before a request has reached the sidecar, and the entry
+// resends it. The sidecar knows that it never received it, so it must run.
 func TestResendOfLostSend(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
-	mustBeWhole(t, postingAnswer, send(p.clients[home], resent(posting("r1"))))
-	mustBeWhole(t, postingAnswer, send(p.clients[home], resent(posting("r1"))))
+	mustBeWhole(t, postingAnswer, send(p.clients[home], asResend(posting("r1"))))
+	mustBeWhole(t, postingAnswer, send(p.clients[home], asResend(posting("r1"))))
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// A read was passed on, then its sidecar was killed and started again. The new
-// process takes no work when the entry sends the read again. It ran, so no
-// refusal may say "not run", whatever the new process refuses it for.
+// A sidecar is killed after it forwarded an idempotent request, and the new
+// process refuses the resend because it drains or for another reason. The
+// request may have run, so no refusal may be "not run".
 func TestResendIsNeverNotRun(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
 	p.start(home, false)
 	mustOrder(t, p.clients[home], drain, 1)
-	read := resent(posting("r1"))
+	read := asResend(posting("r1"))
 	read.SetIdempotent(true)
 	mustBeRefused(t, unknown, "draining", send(p.clients[home], read))
-	other := resent(posting("r2"))
+	other := asResend(posting("r2"))
 	other.SetPool("other")
 	mustBeRefused(t, unknown, "wrong_pool", send(p.clients[home], other))
 	mustBeRefused(t, notRun, "draining", send(p.clients[home], posting("r3")))
 }
 
-// The home is killed and started again, and the entry sends a posting with a key
-// again. If the posting had not been passed on, the witness knows of none and it
-// runs; if it had, it must not run a second time.
+// The home is killed and restarted, and the entry resends a request with a key.
+// If it was not forwarded before, the witness has no claim and it must run; if
+// it was, it must not run again.
 func TestResendWithKeyToRestartedHome(t *testing.T) {
-	p := newPool(t, newService(t, false, answerPosting), bound)
+	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
 	p.start(home, false)
-	mustBeWhole(t, postingAnswer, send(p.clients[home], resent(p.posting("r1"))))
+	mustBeWhole(t, postingAnswer, send(p.clients[home], asResend(p.posting("r1"))))
 	p.start(home, false)
-	mustBeRefused(t, unknown, "claimed_elsewhere", send(p.clients[home], resent(p.posting("r1"))))
+	mustBeRefused(t, unknown, "claimed_elsewhere", send(p.clients[home], asResend(p.posting("r1"))))
 	must.Eq(t, 1, p.runs.Load())
 }
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// heldBytes is the most that a run holds of its answer; older frames that
-	// a reader has got are dropped first.
-	heldBytes = 512 << 10
-	// frameBytes is what a frame takes in memory beside its content.
-	frameBytes = 256
-	// slowest is how long the backend server's answer waits for a reader.
-	slowest = 30 * time.Second
+	// maxHeldBytes bounds the size of the frames that a run buffers. Beyond it the
+	// oldest frames that a reader was sent are dropped.
+	maxHeldBytes = 512 << 10
+	// frameOverheadBytes is the memory of a frame besides its content.
+	frameOverheadBytes = 256
+	// maxReadDelay is how long a frame of the backend server waits for readers to catch up.
+	maxReadDelay = 30 * time.Second
 )
 
-// run is one request and the frames of its answer.
+// run is a request and the frames of its answer.
 type run struct {
 	id      string
 	request *peerpb.RunRequest
-	// idempotent is kept apart, since the request is dropped at the end.
+	// idempotent is a copy, since the request is dropped at the end.
 	idempotent bool
-	// mayHaveRun is true if an earlier send may have run where nobody here knows.
+	// mayHaveRun is true if an earlier send may have run unknown to this process.
 	mayHaveRun bool
 
-	mutex    sync.Mutex
-	stop     context.CancelFunc
-	stopped  bool
-	frames   []*peerpb.Frame
-	bytes    int
-	first    uint64
-	read     uint64
-	produced uint64
-	passed   bool
-	shared   bool
-	closed   bool
-	refusal  *refusal.Error
-	readers  int
-	lastRead time.Time
-	changed  chan struct{}
+	mutex     sync.Mutex
+	stop      context.CancelFunc
+	stopped   bool
+	frames    []*peerpb.Frame
+	bytes     int
+	firstSeq  uint64
+	sentSeq   uint64
+	produced  uint64
+	forwarded bool
+	shared    bool
+	closed    bool
+	refusal   *refusal.Error
+	readers   int
+	lastRead  time.Time
+	changed   chan struct{}
 }
 
 func newRun(request *peerpb.RunRequest) *run {
@@ -58,10 +58,10 @@
 	}
 }
 
-// add appends a frame; it waits while readers are too far behind.
+// add appends a frame. It blocks while the buffer is full and readers lag behind.
 func (r *run) add(frame *peerpb.Frame) error {
-	bound := time.NewTimer(slowest)
-	defer bound.Stop()
+	timer := time.NewTimer(maxReadDelay)
+	defer timer.Stop()
 	for {
 		changed, added := r.tryAdd(frame)
 		if added {
@@ -69,22 +69,22 @@
 		}
 		select {
 		case <-changed:
-		case <-bound.C:
-			return refusal.Unknown(http.StatusBadGateway, "not_read", "the answer was not read for %s", slowest)
+		case <-timer.C:
+			return refusal.Unknown(http.StatusBadGateway, "not_read", "the answer was not read for %s", maxReadDelay)
 		}
 	}
 }
 
-// cancel stops the run; the backend server's connection is closed. It reports
-// whether it does.
+// cancel stops the run, closes its connection to the backend server, and reports
+// whether it did.
 //
-// A request that may not be repeated and was passed on is left to end: stopped
-// in its middle, nobody would know whether it ran, while its answer tells a
-// retry with the same key. One that another caller has joined is left too.
+// A forwarded non-idempotent request continues: if it were stopped, its outcome
+// would be unknown, while its answer can serve a retry with the same key. A run
+// that another caller has joined continues too.
 func (r *run) cancel() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.shared || r.passed && !r.idempotent {
+	if r.shared || r.forwarded && !r.idempotent {
 		return false
 	}
 	r.stopped = true
@@ -94,19 +94,19 @@
 	return true
 }
 
-// share notes that another caller's request with the same claim has joined.
-func (r *run) share() {
+// markShared records that another request with the same claim has joined.
+func (r *run) markShared() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.shared = true
 }
 
-// end closes the run with a whole answer.
+// end closes the run with a complete answer.
 func (r *run) end(end *peerpb.End) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	end.SetFrames(r.next())
-	r.push(peerpb.Frame_builder{End: end}.Build())
+	end.SetFrames(r.nextSeq())
+	r.appendFrame(peerpb.Frame_builder{End: end}.Build())
 	r.close()
 }
 
@@ -115,23 +115,23 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.refusal = refused
-	r.push(peerpb.Frame_builder{Refusal: refused.ToMessage()}.Build())
+	r.appendFrame(peerpb.Frame_builder{Refusal: refused.ToMessage()}.Build())
 	r.close()
 }
 
-// after returns the frames from a position on, whether they are the last, and
-// a channel that is closed with the next change. It refuses a position whose
-// frames are not held any more.
-func (r *run) after(position uint64) ([]*peerpb.Frame, bool, <-chan struct{}, *refusal.Error) {
+// framesFrom returns the frames from a position on, whether they end the run, and
+// a channel that is closed on the next change. It refuses a position whose
+// frames were dropped or that is past the next frame.
+func (r *run) framesFrom(position uint64) ([]*peerpb.Frame, bool, <-chan struct{}, *refusal.Error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if position < r.first || position > r.next() {
+	if position < r.firstSeq || position > r.nextSeq() {
 		return nil, false, nil, refusal.Unknown(http.StatusBadGateway, "frames_dropped", "frame %d of the answer is not held any more", position)
 	}
-	return r.frames[position-r.first:], r.closed, r.changed, nil
+	return r.frames[position-r.firstSeq:], r.closed, r.changed, nil
 }
 
-// attach counts a reader until detach.
+// attach registers a reader until detach.
 func (r *run) attach() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -145,21 +145,21 @@
 	r.lastRead = time.Now()
 }
 
-// forget drops the answer and keeps the identity.
-func (r *run) forget() {
+// dropAnswer drops the frames; the run stays known by its ID.
+func (r *run) dropAnswer() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.first = r.next() + 1
+	r.firstSeq = r.nextSeq() + 1
 	r.frames = nil
 	r.bytes = 0
 }
 
-// got notes that a reader was sent the frames before a position.
-func (r *run) got(position uint64) {
+// markSent records that a reader was sent the frames before a position.
+func (r *run) markSent(position uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if position > r.read {
-		r.read = position
+	if position > r.sentSeq {
+		r.sentSeq = position
 		r.notify()
 	}
 }
@@ -167,35 +167,35 @@
 func (r *run) isAbandoned(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.idempotent && r.readers == 0 && now.Sub(r.lastRead) > abandonedAfter
+	return r.idempotent && r.readers == 0 && now.Sub(r.lastRead) > abandonTimeout
 }
 
-// isNotRun reports whether the run has ended and was proved not to have run.
+// isNotRun reports whether the run has ended and is proved not to have run.
 func (r *run) isNotRun() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.refusal != nil && r.refusal.Outcome == peerpb.Outcome_OUTCOME_NOT_RUN
 }
 
-func (r *run) length() int {
+func (r *run) frameCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return len(r.frames) + int(r.first)
+	return len(r.frames) + int(r.firstSeq)
 }
 
-// pass notes that the request is passed on; it reports false if it was cancelled.
-func (r *run) pass() bool {
+// markForwarded marks the request as forwarded, or reports false if it was cancelled.
+func (r *run) markForwarded() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.passed = !r.stopped
-	return r.passed
+	r.forwarded = !r.stopped
+	return r.forwarded
 }
 
-// isDelivered reports whether a reader was sent the whole answer.
+// isDelivered reports whether a reader was sent all frames of the answer.
 func (r *run) isDelivered() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.read >= r.next()
+	return r.sentSeq >= r.nextSeq()
 }
 
 func (r *run) size() int {
@@ -204,7 +204,7 @@
 	return r.bytes
 }
 
-func (r *run) start(stop context.CancelFunc) {
+func (r *run) setStop(stop context.CancelFunc) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.stop = stop
@@ -223,25 +223,25 @@
 func (r *run) tryAdd(frame *peerpb.Frame) (<-chan struct{}, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for r.bytes > heldBytes && r.first < r.read && len(r.frames) > 0 {
-		r.bytes -= heldSize(r.frames[0])
+	for r.bytes > maxHeldBytes && r.firstSeq < r.sentSeq && len(r.frames) > 0 {
+		r.bytes -= frameSize(r.frames[0])
 		r.frames = r.frames[1:]
-		r.first++
+		r.firstSeq++
 	}
-	if r.bytes > heldBytes {
+	if r.bytes > maxHeldBytes {
 		return r.changed, false
 	}
-	r.push(frame)
+	r.appendFrame(frame)
 	return nil, true
 }
 
-// push numbers a frame and binds it to the identity.
-func (r *run) push(frame *peerpb.Frame) {
+// appendFrame sets a frame's sequence number and request ID and appends it.
+func (r *run) appendFrame(frame *peerpb.Frame) {
 	frame.SetId(r.id)
-	frame.SetSeq(r.next())
+	frame.SetSeq(r.nextSeq())
 	r.produced += uint64(len(frame.GetChunk().GetTokens()))
 	r.frames = append(r.frames, frame)
-	r.bytes += heldSize(frame)
+	r.bytes += frameSize(frame)
 	r.notify()
 }
 
@@ -250,8 +250,8 @@
 	r.request = nil
 }
 
-func (r *run) next() uint64 {
-	return r.first + uint64(len(r.frames))
+func (r *run) nextSeq() uint64 {
+	return r.firstSeq + uint64(len(r.frames))
 }
 
 func (r *run) notify() {
@@ -259,6 +259,6 @@
 	r.changed = make(chan struct{})
 }
 
-func heldSize(frame *peerpb.Frame) int {
-	return proto.Size(frame) + frameBytes
+func frameSize(frame *peerpb.Frame) int {
+	return proto.Size(frame) + frameOverheadBytes
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,9 +1,9 @@
-// Package entry serves entries on a sidecar: it takes their requests, queues
-// them, passes each to the backend server once and streams the answer.
+// Package entry implements the service of a sidecar for entries: it queues their
+// requests, forwards each to the backend server once and streams the answer.
 //
-// A request is known by its identity from its first send until a while after
-// its end. An entry that lost a connection sends it again under the same
-// identity and joins the run that is there; it is never passed on twice.
+// A request is known by its ID from its first send until some time after its
+// end. An entry that lost a connection resends it with the same ID and joins
+// the existing run; a known request is never forwarded twice.
 package entry
 
 import (
@@ -21,39 +21,39 @@
 )
 
 const (
-	// retryElsewhere is when a request that another server can take should come back.
-	retryElsewhere = time.Second
-	// sweepInterval is the time between two looks at ended and abandoned runs.
+	// retryDelay is the retry delay of a refused request that another server can take.
+	retryDelay = time.Second
+	// sweepInterval is the time between sweeps of ended and abandoned runs.
 	sweepInterval = time.Second
-	// longestRun bounds requests that come without a time left.
-	longestRun = 10 * time.Minute
+	// maxRunTime is the upper bound of a request's timeout, and the default.
+	maxRunTime = 10 * time.Minute
 )
 
-// Backend passes requests to the backend server.
+// Backend forwards requests to the backend server.
 type Backend interface {
-	// Run passes a request once. It returns the end of a whole answer or an
+	// Run forwards a request once. It returns the end of a complete answer or an
 	// error, which is a *refusal.Error unless sink failed.
 	Run(ctx context.Context, request *peerpb.RunRequest, sink backend.Sink) (*peerpb.End, error)
-	// Version returns the newest weight version that the backend server showed.
+	// Version returns the newest weight version that the backend server reported.
 	Version() uint64
 }
 
-// Counter counts usage and returns the counters that changed.
+// Counter adds usage and returns the counters that changed.
 type Counter interface {
 	Add(account, pool string, now time.Time, prompt, output uint64) []*peerpb.Count
 }
 
-// LoadTable takes the server's own load for other processes.
+// LoadTable publishes the server's load to other processes.
 type LoadTable interface {
 	OfferLoad(load *peerpb.Load)
 }
 
 // Server is the gRPC service for entries and other sidecars.
-// Exported fields are set before Serve.
+// Exported fields must be set before Open.
 type Server struct {
 	peerpb.UnimplementedSidecarServer
 
-	// Name is the identity of the backend server, Pool what it serves.
+	// Name is the ID of the backend server, Pool the pool that it serves.
 	Name string
 	Pool string
 
@@ -62,32 +62,32 @@
 	// Metrics may be nil.
 	Metrics prometheus.Registerer
 	Loads   LoadTable
-	// Claims keeps the claims of idempotency keys; without it requests that come
-	// with one are refused.
+	// Claims records the claims of idempotency keys. If it is nil, non-idempotent
+	// requests with a claim are refused.
 	Claims *Claims
 	// Counter may be nil.
 	Counter Counter
-	// Draining is told when an order starts or ends a drain; it may be nil.
+	// Draining is called when an order starts or ends a drain; it may be nil.
 	Draining func(draining bool)
-	// Slots are the requests passed to the backend server at the same time.
+	// Slots is the maximum number of concurrent requests to the backend server.
 	Slots int
-	// Queue is the most requests that wait.
+	// Queue is the maximum number of queued requests.
 	Queue int
-	// Remember is how long a finished request stays known.
+	// Remember is how long an ended request stays known.
 	Remember time.Duration
-	// Beat is the longest time without a frame on a stream.
+	// Beat is the heartbeat interval: the longest time without a frame on a stream.
 	Beat time.Duration
 
-	gate     gate
+	limiter  limiter
 	registry registry
 	loads    loadSequence
-	orders   orders
+	orders   orderState
 	metrics  *metrics
 }
 
 var _ peerpb.SidecarServer = &Server{}
 
-// Cancel ends a request and stops it at the backend server.
+// Cancel stops a request, also at the backend server, unless it has to continue.
 func (s *Server) Cancel(_ context.Context, request *peerpb.CancelRequest) (*peerpb.CancelReply, error) {
 	run := s.registry.find(request.GetId())
 	if run == nil {
@@ -98,7 +98,7 @@
 	return peerpb.CancelReply_builder{Known: true}.Build(), nil
 }
 
-// Claim keeps a claim as the witness of another server's request.
+// Claim records a claim as the witness of another server's request.
 func (s *Server) Claim(_ context.Context, request *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
 	if s.Claims == nil {
 		return refuseClaim("no_claims", "%s keeps no claims", s.Name), nil
@@ -108,31 +108,31 @@
 	return reply, nil
 }
 
-// Recall returns the claims that are kept here.
+// Recall returns the claims recorded here.
 func (s *Server) Recall(_ context.Context, request *peerpb.RecallRequest) (*peerpb.RecallReply, error) {
 	if s.Claims == nil || request.GetPool() != s.Pool {
 		refused := refusal.NotRun(http.StatusServiceUnavailable, "no_claims", "%s keeps no claims of %s", s.Name, request.GetPool())
 		return peerpb.RecallReply_builder{Refusal: refused.ToMessage()}.Build(), nil
 	}
-	return s.Claims.all(time.Now()), nil
+	return s.Claims.newRecallReply(time.Now()), nil
 }
 
-// Run starts a request, or joins the one known under its identity, and streams
-// its frames from a position.
+// Run starts a request, or joins the run with its ID or claim, and streams the
+// frames from a position.
 func (s *Server) Run(request *peerpb.RunRequest, stream grpc.ServerStreamingServer[peerpb.Frame]) error {
 	reader := s.newReader(request, stream)
 	run, err := s.join(request)
 	if err != nil {
 		if mayHaveRun(request, s.remembersAll(time.Now())) {
-			err = unsure(err)
+			err = toUnknown(err)
 		}
-		s.metrics.refused(err)
+		s.metrics.observeRefusal(err)
 		return reader.refuse(err)
 	}
 	return reader.follow(run)
 }
 
-// Maintain forgets old runs and ends abandoned ones until the context ends.
+// Maintain sweeps runs and publishes the server's load until the context ends.
 func (s *Server) Maintain(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -147,7 +147,7 @@
 	}
 }
 
-// check refuses what this server can't run at all.
+// check refuses requests that this server can't run.
 func (s *Server) check(request *peerpb.RunRequest) *refusal.Error {
 	switch {
 	case request.GetId() == "":
@@ -155,46 +155,46 @@
 	case isClaimed(request) && s.Claims == nil:
 		return refusal.NotRun(http.StatusServiceUnavailable, "no_claims", "%s keeps no claims", s.Name)
 	case request.GetPool() != s.Pool:
-		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_pool", "%s serves %s", s.Name, s.Pool).After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_pool", "%s serves %s", s.Name, s.Pool).After(retryDelay)
 	default:
 		return nil
 	}
 }
 
-// join returns the run of the request's identity or claim and starts it if it is new.
+// join returns the run with the request's ID or claim and starts it if it is new.
 func (s *Server) join(request *peerpb.RunRequest) (*run, *refusal.Error) {
 	if refused := s.check(request); refused != nil {
 		return nil, refused
 	}
 	if !isClaimed(request) {
-		return s.joinIdentity(request)
+		return s.joinByID(request)
 	}
 	s.Claims.mutex.Lock()
 	defer s.Claims.mutex.Unlock()
-	return s.joinClaim(request)
+	return s.joinByClaim(request)
 }
 
-// joinClaim returns the run that has the request's claim. The same key sent
-// twice at once finds the first run here, whichever entry it came through.
-func (s *Server) joinClaim(request *peerpb.RunRequest) (*run, *refusal.Error) {
+// joinByClaim returns the run that holds the request's claim. Concurrent requests
+// with the same key share one run, whichever entries they came through.
+func (s *Server) joinByClaim(request *peerpb.RunRequest) (*run, *refusal.Error) {
 	if known := s.registry.find(request.GetId()); known != nil && !known.isNotRun() {
-		return s.joinIdentity(request)
+		return s.joinByID(request)
 	}
-	run, refused := s.Claims.hold(request, s.registry.find)
+	run, refused := s.Claims.acquire(request, s.registry.find)
 	switch {
 	case refused != nil:
 		s.Decisions.Record(request.GetId(), "backend", "refused, %v", refused)
 		return nil, refused
 	case run != nil:
-		run.share()
+		run.markShared()
 		s.Decisions.Record(request.GetId(), "backend", "joined %s by its claim", run.id)
 		return run, nil
 	default:
-		return s.joinIdentity(request)
+		return s.joinByID(request)
 	}
 }
 
-func (s *Server) joinIdentity(request *peerpb.RunRequest) (*run, *refusal.Error) {
+func (s *Server) joinByID(request *peerpb.RunRequest) (*run, *refusal.Error) {
 	run, isNew, refused := s.registry.join(request, s.remembersAll(time.Now()))
 	if refused != nil {
 		s.Decisions.Record(request.GetId(), "backend", "refused, %v", refused)
@@ -205,7 +205,7 @@
 		return run, nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeLeft(request))
-	run.start(cancel)
+	run.setStop(cancel)
 	go func() {
 		defer cancel()
 		s.execute(ctx, run)
@@ -214,15 +214,15 @@
 }
 
 // remembersAll reports whether this process knows every request that its backend
-// server may have got and that may still be sent again: no process was before
-// it, or it is older than any request.
+// server may have received and that may still be resent: it is the first
+// process, or older than any request.
 func (s *Server) remembersAll(now time.Time) bool {
-	return s.Claims != nil && (s.Claims.Members.IsFirst() || now.Sub(s.Claims.Started) >= longestRun)
+	return s.Claims != nil && (s.Claims.Members.IsFirst() || now.Sub(s.Claims.Started) >= maxRunTime)
 }
 
 func timeLeft(request *peerpb.RunRequest) time.Duration {
 	if !request.HasTimeout() {
-		return longestRun
+		return maxRunTime
 	}
-	return min(request.GetTimeout().AsDuration(), longestRun)
+	return min(request.GetTimeout().AsDuration(), maxRunTime)
 }
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -24,27 +24,26 @@
 	must.Eq(t, "s1", a.frames[0].GetLoad().GetServer())
 }
 
-// A clerk's posting is on its way when the connection between entry and sidecar
-// goes silent. The entry sends the posting again on a new connection while the
-// ledger still works on it, and a third time after its end. The ledger must
-// post once, and each stream must carry the whole answer.
+// The connection between entry and sidecar goes silent during a request. The
+// entry resends it on a new connection while it runs, and once more after its
+// end. It must run once, and each stream must carry the complete answer.
 func TestResendJoins(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	client := serve(t, newServer(service.URL))
 	first := sendAsync(client, posting("r1"))
 	receive(t, service.arrived)
-	again := posting("r1")
-	again.SetResend(true)
-	second := sendAsync(client, again)
+	resend := posting("r1")
+	resend.SetResend(true)
+	second := sendAsync(client, resend)
 	close(service.release)
 	mustBeWhole(t, `{"posting":1}`, receive(t, first))
 	mustBeWhole(t, `{"posting":1}`, receive(t, second))
-	mustBeWhole(t, `{"posting":1}`, send(client, again))
+	mustBeWhole(t, `{"posting":1}`, send(client, resend))
 	must.Eq(t, 1, service.runs.Load())
 }
 
-// An entry has got the first frames of an answer when its connection is lost.
-// It asks for the rest by position on a new one and must get only the rest.
+// An entry loses its connection after the first frames of an answer. It asks for
+// the rest by position on a new connection and must get only the rest.
 func TestResumeByPosition(t *testing.T) {
 	service := newService(t, false, answerPosting)
 	client := serve(t, newServer(service.URL))
@@ -57,24 +56,24 @@
 	must.Eq(t, 2, a.frames[0].GetSeq())
 }
 
-// A sidecar is killed after it has passed a posting on and comes back without
-// memory. The entry sends the posting again. Running it would post twice, so
-// the caller must hear that the outcome is unknown.
+// A sidecar is killed after it forwarded a request and restarts without state.
+// The entry's resend must not run a second time and must be refused with the
+// outcome unknown.
 func TestResendToRestarted(t *testing.T) {
 	service := newService(t, false, answerPosting)
 	before := serve(t, newServer(service.URL))
 	mustBeWhole(t, `{"posting":1}`, send(before, posting("r1")))
 	restarted := serve(t, newServer(service.URL))
-	again := posting("r1")
-	again.SetResend(true)
-	mustBeRefused(t, unknown, "not_known", send(restarted, again))
+	resend := posting("r1")
+	resend.SetResend(true)
+	mustBeRefused(t, unknown, "not_known", send(restarted, resend))
 	must.Eq(t, 1, service.runs.Load())
 }
 
 func TestBeats(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	client := serve(t, newServer(service.URL))
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	stream, err := client.Run(ctx, posting("r1"))
 	must.NoError(t, err)
@@ -87,8 +86,8 @@
 	mustBeWhole(t, `{"posting":1}`, read(stream))
 }
 
-// A caller gives up while its posting waits for the ledger. It was never passed
-// on, so it ends as not run.
+// A caller cancels a queued request. It was never forwarded, so it must end as
+// not run.
 func TestCancelWaiting(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	server := newServer(service.URL)
@@ -104,8 +103,8 @@
 	must.Eq(t, 1, service.runs.Load())
 }
 
-// A caller gives up while the ledger posts. Stopped in its middle, nobody would
-// know whether it was posted; so it ends, and the resend gets its answer.
+// A caller cancels a running non-idempotent request. Stopping it would leave the
+// outcome unknown, so it must complete, and the resend must get its answer.
 func TestCancelOfPostingLeavesIt(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	client := serve(t, newServer(service.URL))
@@ -118,8 +117,8 @@
 	must.Eq(t, 1, service.runs.Load())
 }
 
-// A caller gives up a read that runs. The backend server is left alone at once,
-// and the refusal doesn't say "not run", since it may have.
+// A caller cancels a running idempotent request. It must be stopped at the backend
+// server at once, and its outcome must be unknown, since it may have run.
 func TestCancelOfRead(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	client := serve(t, newServer(service.URL))
@@ -133,7 +132,7 @@
 
 func mustCancel(t *testing.T, client peerpb.SidecarClient, id string) {
 	t.Helper()
-	deadline := time.Now().Add(bound)
+	deadline := time.Now().Add(testTimeout)
 	for time.Now().Before(deadline) {
 		reply, err := client.Cancel(context.Background(), peerpb.CancelRequest_builder{Id: id}.Build())
 		must.NoError(t, err)
--- a/internal/entry/size_test.go
+++ b/internal/entry/size_test.go
@@ -13,20 +13,20 @@
 )
 
 // BenchmarkRememberedRun measures the memory of an ended run whose answer was
-// forgotten, in bytes a run.
+// dropped, in bytes per run.
 func BenchmarkRememberedRun(b *testing.B) {
 	var r registry
 	measureHeap(b, func(i int) {
 		request := peerpb.RunRequest_builder{Id: fmt.Sprintf("90bc38b1-6ff1-49cc-9ec9-%012d", i), Body: make([]byte, 1000)}.Build()
 		run, _, _ := r.join(request, true)
 		run.refuse(refusal.Unknown(http.StatusBadGateway, "cut", "cut"))
-		r.ended(run, time.Now())
-		run.forget()
+		r.markEnded(run, time.Now())
+		run.dropAnswer()
 	})
 	runtime.KeepAlive(&r)
 }
 
-// BenchmarkKeptClaim measures the memory of a claim, in bytes a claim.
+// BenchmarkKeptClaim measures the memory of a recorded claim, in bytes per claim.
 func BenchmarkKeptClaim(b *testing.B) {
 	journal := &claim.Journal{Keep: time.Hour, Size: 1 << 30}
 	measureHeap(b, func(i int) {
@@ -41,7 +41,7 @@
 	before := heapInUse()
 	count := 0
 	for b.Loop() {
-		if count < maxPostings {
+		if count < maxNonIdempotentRuns {
 			add(count)
 			count++
 		}
@@ -56,42 +56,42 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkAdmit measures a request's way through the gate.
+// BenchmarkAdmit measures acquiring and releasing a slot.
 func BenchmarkAdmit(b *testing.B) {
-	var g gate
-	g.open(16, 256)
+	var l limiter
+	l.open(16, 256)
 	request := peerpb.RunRequest_builder{Account: "a", Body: []byte(`{"max_tokens":128}`)}.Build()
 	b.ReportAllocs()
 	for b.Loop() {
-		share := newShare(request, time.Now().Add(time.Minute))
-		if refused := g.enter(b.Context(), share); refused != nil {
+		queueRequest := newQueueRequest(request, time.Now().Add(time.Minute))
+		if refused := l.acquire(b.Context(), queueRequest); refused != nil {
 			b.Fatal(refused)
 		}
-		g.leave(share, share.Cost)
+		l.release(queueRequest, queueRequest.Cost)
 	}
 }
 
-// BenchmarkFrame measures a frame's way into a run and out to a reader.
+// BenchmarkFrame measures adding a frame to a run and copying it for a reader.
 func BenchmarkFrame(b *testing.B) {
 	run := newRun(peerpb.RunRequest_builder{Id: "r"}.Build())
 	b.ReportAllocs()
 	for b.Loop() {
 		chunk := peerpb.Chunk_builder{Data: []byte("word "), Tokens: []int32{1}, Version: 1}.Build()
 		_ = run.add(peerpb.Frame_builder{Chunk: chunk}.Build())
-		frames, _, _, _ := run.after(run.read)
+		frames, _, _, _ := run.framesFrom(run.sentSeq)
 		for _, frame := range frames {
 			_ = copyFrame(frame)
 		}
-		run.got(run.read + uint64(len(frames)))
+		run.markSent(run.sentSeq + uint64(len(frames)))
 	}
 }
 
-// BenchmarkHeldFrame measures the memory of a frame of one token that a run holds.
+// BenchmarkHeldFrame measures the memory of a buffered frame with one token.
 func BenchmarkHeldFrame(b *testing.B) {
 	run := newRun(peerpb.RunRequest_builder{Id: "r"}.Build())
 	measureHeap(b, func(int) {
 		chunk := peerpb.Chunk_builder{Data: []byte("word "), Tokens: []int32{1}, Version: 1, Logprobs: []float32{-1}}.Build()
-		if run.bytes < heldBytes {
+		if run.bytes < maxHeldBytes {
 			_ = run.add(peerpb.Frame_builder{Chunk: chunk}.Build())
 		}
 	})
