--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,8 +1,8 @@
-// Package backend speaks HTTP to the backend server beside a sidecar: to model
-// engines and to plain services.
+// Package backend is the HTTP client for backend servers: model engines and plain
+// services.
 //
-// Each request is sent once. What is sent is built from what is allowed, so
-// that nothing of the caller's own headers reaches the backend server by chance.
+// Each request is sent once. Outgoing headers and bodies are built from allow lists, so
+// that no other header of the caller reaches the backend server.
 package backend
 
 import (
@@ -24,50 +24,50 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// retryElsewhere is when a refused request should come back; another backend
-// server may take it at once.
-const retryElsewhere = time.Second
+// retryAfter is the delay after which a refused client may retry; another backend server
+// may accept the request immediately.
+const retryAfter = time.Second
 
-// Sink takes the parts of an answer in order; it numbers them itself.
+// Sink receives the frames of an answer in order and numbers them itself.
 type Sink func(*peerpb.Frame) error
 
-// Codes of refusals after which a generation may be resumed.
+// Refusal codes after which a generation may be resumed.
 const (
 	codeCut    = "backend_cut"
 	codeSilent = "backend_silent"
 )
 
-// SilentError says that the backend server sent nothing for too long.
+// SilentError reports that the backend server sent nothing for the whole read timeout.
 type SilentError struct {
 	Silence time.Duration
 }
 
-// Error names the bound.
+// Error returns the message with the read timeout.
 func (e *SilentError) Error() string {
 	return fmt.Sprintf("nothing was sent for %s", e.Silence)
 }
 
-// Server is what both kinds of backend server share.
-// Exported fields are set before the first call.
+// Server is the part of the client common to both kinds of backend server. Exported fields
+// are set before the first call.
 type Server struct {
 	// Address is the base URL.
 	Address string
-	// Name is the identity of the backend server.
+	// Name identifies the backend server.
 	Name string
-	// Silence is how long the backend server may send nothing.
+	// Silence is the read timeout: how long the backend server may send nothing.
 	Silence time.Duration
-	// Idle is how long a connection is kept without requests; 0 takes the client's own.
+	// Idle is how long an unused connection is kept; 0 means the client's default.
 	Idle time.Duration
 
 	client atomic.Pointer[httpc.Service]
 }
 
-// answer is a response whose body ends with an error once the backend server
-// sends nothing for too long.
+// answer is a response whose body returns an error once the backend server sends nothing
+// for the read timeout.
 type answer struct {
 	*http.Response
 
-	watch *watch
+	watchdog *watchdog
 }
 
 // call is one request to the backend server.
@@ -76,53 +76,53 @@
 	path   string
 	header http.Header
 	body   []byte
-	// host is the caller's; "" takes the server's address.
+	// host is the Host header sent by the caller; "" means the server's address.
 	host string
-	// once keeps net/http from repeating requests that have no body.
-	once bool
-	// silence is how long the backend server may send nothing.
-	silence time.Duration
+	// noRepeat prevents net/http from repeating requests that have no body.
+	noRepeat bool
+	// readTimeout is how long the backend server may send nothing.
+	readTimeout time.Duration
 }
 
-// exchange sends one request. The error is a *refusal.Error; it says "not run"
-// only where no connection to the backend server was got, so that no byte of
-// the request can have reached it.
+// exchange sends one request. The error is a *refusal.Error; its outcome is "not run" only
+// if no connection to the backend server was obtained, so that no byte of the request can
+// have reached it.
 func (s *Server) exchange(ctx context.Context, call call) (*answer, error) {
-	target, err := s.target(call.path)
+	target, err := s.targetURL(call.path)
 	if err != nil {
 		return nil, refusal.NotRun(http.StatusBadRequest, "bad_path", "%v", err)
 	}
-	ctx, watch := newWatch(ctx, call.silence)
+	ctx, watchdog := newWatchdog(ctx, call.readTimeout)
 	connected := &atomic.Bool{}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }})
 	request, err := http.NewRequestWithContext(ctx, call.method, target.String(), http.NoBody)
 	if err != nil {
-		watch.stop()
+		watchdog.stop()
 		return nil, refusal.NotRun(http.StatusBadRequest, "bad_request", "%v", err)
 	}
 	request.Header = call.header
 	request.Host = call.host
-	if !call.once {
+	if !call.noRepeat {
 		request.Header.Del("Idempotency-Key")
 		request.Header.Del("X-Idempotency-Key")
 	}
 	setBody(request, call.body)
-	if call.once && len(call.body) == 0 {
+	if call.noRepeat && len(call.body) == 0 {
 		request.Body = io.NopCloser(emptyBody{})
 	}
-	response, err := s.service().DoRequest(request) //nolint:bodyclose // closed through answer
+	response, err := s.httpClient().DoRequest(request) //nolint:bodyclose // closed through answer
 	if err != nil {
-		defer watch.stop()
-		return nil, s.refuse(watch.cause(err), connected.Load())
+		defer watchdog.stop()
+		return nil, s.refuse(watchdog.cause(err), connected.Load())
 	}
-	response.Body = &watchedBody{ReadCloser: response.Body, watch: watch}
-	return &answer{Response: response, watch: watch}, nil
+	response.Body = &watchedBody{ReadCloser: response.Body, watchdog: watchdog}
+	return &answer{Response: response, watchdog: watchdog}, nil
 }
 
-// setBody sets a body that can be read once. net/http sends a request again on
-// a new connection when it can get the body anew (GetBody), or when there is no
-// body and an Idempotency-Key header; the caller would see one answer while a
-// posting ran twice. Without these it never does.
+// setBody sets a body that can be read only once. net/http repeats a request on a new
+// connection if it can obtain the body again (GetBody), or if there is no body and an
+// Idempotency-Key header is set; a posting could then run twice while the caller sees one
+// answer. Without these it never does.
 func setBody(request *http.Request, body []byte) {
 	if len(body) == 0 {
 		return
@@ -132,16 +132,16 @@
 	request.GetBody = nil
 }
 
-// emptyBody is a body without bytes that net/http doesn't know to be empty: it
-// repeats a GET without a body by itself when a kept connection dies, whatever
-// the request may do; one with a body it can't read again it never repeats.
+// emptyBody is an empty body that net/http does not recognize as empty. net/http repeats a
+// GET without a body when a kept-alive connection breaks, whatever the request may do; it
+// never repeats a request whose body it cannot read again.
 type emptyBody struct{}
 
-// Read returns the end of the body.
+// Read returns io.EOF.
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// target joins the base URL with a path and query; the path names no other host.
-func (s *Server) target(path string) (*url.URL, error) {
+// targetURL joins the base URL with a path and query, and rejects paths that contain a host.
+func (s *Server) targetURL(path string) (*url.URL, error) {
 	base, err := url.Parse(s.Address)
 	if err != nil {
 		return nil, err
@@ -161,24 +161,24 @@
 	return base, nil
 }
 
-func (s *Server) service() httpc.Service {
+func (s *Server) httpClient() httpc.Service {
 	for {
-		if known := s.client.Load(); known != nil {
-			return *known
+		if client := s.client.Load(); client != nil {
+			return *client
 		}
 		service := listen.ClientWith("backend-"+s.Name, listen.ClientOptions{Idle: s.Idle})
 		s.client.CompareAndSwap(nil, &service)
 	}
 }
 
-// refuse turns a failed exchange into a refusal.
+// refuse converts the error of an exchange into a refusal.
 //
-// After silence it drops the client with its idle connections. Whatever lost
-// track of the connection may have lost the idle ones as well, and they report
-// no error: a resumed generation would take one of them and be silent again.
+// After a read timeout it drops the client with its idle connections. If a device on the
+// network path lost track of the connection, it may have lost the idle ones as well, and
+// they report no error: a resumed generation would use one of them and time out again.
 func (s *Server) refuse(err error, connected bool) *refusal.Error {
 	if !connected {
-		return refusal.NotRun(http.StatusServiceUnavailable, "backend_unreachable", "%s can't be reached", s.Name).After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "backend_unreachable", "%s can't be reached", s.Name).After(retryAfter)
 	}
 	var silent *SilentError
 	switch {
@@ -194,5 +194,6 @@
 	}
 }
 
-// statusCancelled is the customary status of a request that its caller gave up.
+// statusCancelled is the non-standard status 499, commonly used when the client closed the
+// request.
 const statusCancelled = 499
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -32,33 +32,34 @@
 	done       = "data: [DONE]\n\n"
 )
 
-// script is a fake backend server that answers with raw bytes.
-type script struct {
+// fakeServer is a fake backend server that replies with raw bytes.
+type fakeServer struct {
 	net.Listener
 
-	// replies are given one a request; after the last the connection is closed.
+	// replies are sent one per request; after the last one the connection is closed.
 	replies []reply
-	// choose gives replies in their place, by the number of the request on its
-	// connection and in all.
+	// choose, if set, replaces replies; it gets the number of the request on its connection
+	// and in total.
 	choose func(onConnection, total int) reply
 	mutex  sync.Mutex
 	raw    []string
 	closed chan struct{}
 }
 
-// reply is what a request gets; after hold the connection stays open in silence.
+// reply is sent in response to a request; with hold the connection then stays open without
+// data.
 type reply struct {
 	text string
 	hold bool
-	// alive keeps the connection for the next request.
-	alive bool
+	// keepAlive keeps the connection open for the next request.
+	keepAlive bool
 }
 
-func newScript(t *testing.T, replies ...reply) *script {
+func newFakeServer(t *testing.T, replies ...reply) *fakeServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	s := &script{Listener: listener, replies: replies, closed: make(chan struct{})}
+	s := &fakeServer{Listener: listener, replies: replies, closed: make(chan struct{})}
 	go s.accept()
 	t.Cleanup(func() {
 		close(s.closed)
@@ -67,7 +68,7 @@
 	return s
 }
 
-func (s *script) accept() {
+func (s *fakeServer) accept() {
 	for {
 		connection, err := s.Accept()
 		if err != nil {
@@ -77,7 +78,7 @@
 	}
 }
 
-func (s *script) serve(connection net.Conn) {
+func (s *fakeServer) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for onConnection := 1; ; onConnection++ {
@@ -92,13 +93,13 @@
 		if reply.hold {
 			<-s.closed
 		}
-		if !reply.alive {
+		if !reply.keepAlive {
 			return
 		}
 	}
 }
 
-func (s *script) next(raw string, onConnection int) reply {
+func (s *fakeServer) next(raw string, onConnection int) reply {
 	s.mutex.Lock()
 	s.raw = append(s.raw, raw)
 	total := len(s.raw)
@@ -115,13 +116,13 @@
 }
 
 // requests returns the raw bytes of each request.
-func (s *script) requests() []string {
+func (s *fakeServer) requests() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return append([]string(nil), s.raw...)
 }
 
-func (s *script) url() string { return "http://" + s.Addr().String() }
+func (s *fakeServer) url() string { return "http://" + s.Addr().String() }
 
 // runner is a client of either kind.
 type runner interface {
@@ -149,7 +150,7 @@
 	return peerpb.RunRequest_builder{Id: "r1", Kind: peerpb.Kind_KIND_COMPLETION, Idempotent: true, Body: body}.Build()
 }
 
-// run returns the text of an answer, its chunks' tokens, its end and its error.
+// run returns the text, tokens, end and error of an answer.
 func run(client runner, request *peerpb.RunRequest) (text string, tokens []int32, end *peerpb.End, err error) {
 	end, err = client.Run(context.Background(), request, func(frame *peerpb.Frame) error {
 		text += string(frame.GetChunk().GetData())
@@ -176,9 +177,8 @@
 	return text
 }
 
-// A caller is told "not run" and posts again, though the ledger had the first
-// posting: wherever the backend server may have seen the request, the refusal
-// has to say that the outcome is unknown.
+// Guards against a refusal that says "not run" although the backend server may have
+// received the request: the caller would retry and post twice.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		engine  bool
@@ -206,84 +206,84 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			script := newScript(t, test.reply)
-			client, request := runner(newPlain(script.url())), posting()
+			server := newFakeServer(t, test.reply)
+			client, request := runner(newPlain(server.url())), posting()
 			if test.engine {
-				client, request = newEngine(script.url()), generation()
+				client, request = newEngine(server.url()), generation()
 			}
 			_, _, end, err := run(client, request)
 			mustBeRefused(t, test.outcome, test.code, end, err)
-			must.Len(t, 1, script.requests())
+			must.Len(t, 1, server.requests())
 		})
 	}
 }
 
 func TestOutcomeNotSent(t *testing.T) {
-	script := newScript(t)
-	must.NoError(t, script.Close())
-	_, _, end, err := run(newPlain(script.url()), posting())
+	server := newFakeServer(t)
+	must.NoError(t, server.Close())
+	_, _, end, err := run(newPlain(server.url()), posting())
 	mustBeRefused(t, notRun, "backend_unreachable", end, err)
 	bad := generation()
 	bad.SetBody([]byte("no JSON"))
-	_, _, end, err = run(newEngine(script.url()), bad)
+	_, _, end, err = run(newEngine(server.url()), bad)
 	mustBeRefused(t, notRun, "bad_body", end, err)
 	old := generation()
 	old.SetVersion(2)
-	_, _, end, err = run(newEngine(script.url()), old)
+	_, _, end, err = run(newEngine(server.url()), old)
 	mustBeRefused(t, notRun, "old_version", end, err)
 }
 
-// A generation gets an idle connection that went silent long ago. It is sent
-// anew once over a new one; if that is silent too, the outcome is unknown.
+// A generation gets an idle connection that broke long ago. It is retried once on a new
+// connection; if that times out too, the outcome is unknown.
 func TestSilentFromTheFirst(t *testing.T) {
 	whole := reply{text: chunked(oneToken, finish, done) + lastChunk}
-	script := newScript(t, reply{hold: true}, whole)
-	text, _, _, err := run(newEngine(script.url()), generation())
+	server := newFakeServer(t, reply{hold: true}, whole)
+	text, _, _, err := run(newEngine(server.url()), generation())
 	must.NoError(t, err)
 	must.Eq(t, "a", text)
-	script = newScript(t, reply{hold: true}, reply{hold: true}, whole)
-	_, _, end, err := run(newEngine(script.url()), generation())
+	server = newFakeServer(t, reply{hold: true}, reply{hold: true}, whole)
+	_, _, end, err := run(newEngine(server.url()), generation())
 	mustBeRefused(t, unknown, "backend_silent", end, err)
-	must.Len(t, 2, script.requests())
+	must.Len(t, 2, server.requests())
 }
 
-// A clerk posts over a connection that was used before. The ledger reads the
-// posting and closes the connection without an answer, as it does when it is
-// stopped. net/http sends a request again that it can read anew, so the ledger
-// would post twice while the clerk sees one answer.
+// Guards against a posting that runs twice. The ledger reads a posting on a reused
+// connection and closes it without an answer, as it does when it is stopped. net/http
+// repeats requests whose body it can read again, so the ledger would post twice while the
+// caller sees one answer.
 func TestPostingIsSentOnce(t *testing.T) {
-	first := reply{text: jsonHead + "Content-Length: 2\r\n\r\n{}", alive: true}
-	script := newScript(t, first, reply{}, first)
-	plain := newPlain(script.url())
+	first := reply{text: jsonHead + "Content-Length: 2\r\n\r\n{}", keepAlive: true}
+	server := newFakeServer(t, first, reply{}, first)
+	plain := newPlain(server.url())
 	_, _, _, err := run(plain, posting())
 	must.NoError(t, err)
 	request := posting()
 	request.SetHeaders([]*peerpb.Header{peerpb.Header_builder{Name: "Idempotency-Key", Value: "k"}.Build()})
 	_, _, end, err := run(plain, request)
 	mustBeRefused(t, unknown, "backend_cut", end, err)
-	must.Len(t, 2, script.requests())
+	must.Len(t, 2, server.requests())
 }
 
-// An engine loses its connection in the middle of a sample. The sidecar goes on
-// from the tokens that it has, and the sample must have each token once.
+// An engine loses its connection in the middle of a sample. The generation resumes after
+// the tokens received so far, and the sample must contain each token once.
 func TestGenerationIsResumed(t *testing.T) {
-	script := newScript(t, reply{text: chunked(oneToken)}, reply{text: chunked(oneToken, finish, done) + lastChunk})
-	text, tokens, end, err := run(newEngine(script.url()), generation())
+	server := newFakeServer(t, reply{text: chunked(oneToken)}, reply{text: chunked(oneToken, finish, done) + lastChunk})
+	text, tokens, end, err := run(newEngine(server.url()), generation())
 	must.NoError(t, err)
 	must.Eq(t, "aa", text)
 	must.Eq(t, []int32{7, 7}, tokens)
 	must.Eq(t, "stop", end.GetFinish())
-	must.StrContains(t, script.requests()[1], `"resume_tokens":[7]`)
+	must.StrContains(t, server.requests()[1], `"resume_tokens":[7]`)
 }
 
-// All connections to an engine go silent at once, the idle ones too, and new
-// ones work. A generation that is resumed must not go on over an idle one.
+// All connections to an engine, including idle ones, silently stop carrying data, while
+// new ones work. A resumed generation must not use an idle one.
 func TestResumeTakesNewConnection(t *testing.T) {
-	whole := reply{text: chunked(oneToken, finish, done) + lastChunk, alive: true}
+	whole := reply{text: chunked(oneToken, finish, done) + lastChunk, keepAlive: true}
 	both := &sync.WaitGroup{}
 	both.Add(2)
-	script := newScript(t)
-	script.choose = func(onConnection, total int) reply {
+	server := newFakeServer(t)
+	server.choose = func(onConnection, total int) reply {
 		switch {
 		case total <= 2:
 			both.Done()
@@ -297,7 +297,7 @@
 			return whole
 		}
 	}
-	engine := newEngine(script.url())
+	engine := newEngine(server.url())
 	engine.Silence = time.Second
 	var group sync.WaitGroup
 	for range 2 {
@@ -309,15 +309,15 @@
 	must.Eq(t, "aa", text)
 }
 
-// Each resumed generation is cut again. The sidecar must give up, and must not
-// say "not run" when the engine refuses to go on.
+// Each resumed generation is interrupted again. The engine client must give up, and must
+// not report "not run" when the engine refuses to resume.
 func TestResumesAreBounded(t *testing.T) {
-	script := newScript(t, reply{text: chunked(oneToken)}, reply{text: chunked(oneToken)}, reply{text: chunked(oneToken)})
-	_, _, end, err := run(newEngine(script.url()), generation())
+	server := newFakeServer(t, reply{text: chunked(oneToken)}, reply{text: chunked(oneToken)}, reply{text: chunked(oneToken)})
+	_, _, end, err := run(newEngine(server.url()), generation())
 	mustBeRefused(t, unknown, "backend_cut", end, err)
-	must.Len(t, 3, script.requests())
+	must.Len(t, 3, server.requests())
 
-	script = newScript(t, reply{text: chunked(oneToken)}, reply{text: "HTTP/1.1 503 x\r\nContent-Length: 16\r\n\r\n{\"error\":\"full\"}"})
-	_, _, end, err = run(newEngine(script.url()), generation())
+	server = newFakeServer(t, reply{text: chunked(oneToken)}, reply{text: "HTTP/1.1 503 x\r\nContent-Length: 16\r\n\r\n{\"error\":\"full\"}"})
+	_, _, end, err = run(newEngine(server.url()), generation())
 	mustBeRefused(t, unknown, "engine_full", end, err)
 }
--- a/internal/backend/direct.go
+++ b/internal/backend/direct.go
@@ -10,104 +10,105 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// Codes of refusals that say what became of a request at one server.
+// Refusal codes that tell how a request ended at one server.
 const (
-	// CodeFailed says that the server answered that its run failed.
+	// CodeFailed means that the server reported a failed run.
 	CodeFailed = "server_failed"
-	// CodeForeign says that the answer belongs to another request.
+	// CodeForeign means that the answer belongs to another request.
 	CodeForeign = "foreign_answer"
-	// CodeFull says that the server had no room and ran nothing.
+	// CodeFull means that the server had no free capacity and ran nothing.
 	CodeFull = "server_full"
-	// CodeOther says that another server than the one meant is at the address.
+	// CodeOther means that a server other than the intended one answered at the address.
 	CodeOther = "other_server"
 )
 
-// Send is one request as it is sent to one backend server.
+// Send is a request to one backend server.
 type Send struct {
-	// ID is the request's identity, under which the server answers.
+	// ID identifies the request; the server's answer repeats it.
 	ID string
-	// Server is the identity of the only server that may run it.
+	// Server is the name of the only server that may run the request.
 	Server string
-	// Host is the caller's.
+	// Host is the Host header sent by the caller.
 	Host   string
 	Method string
 	// Target is the path and query.
 	Target string
-	// Header is the caller's, without what concerns one connection; it is copied.
+	// Header holds the caller's header without hop-by-hop fields; Do sends a copy.
 	Header http.Header
-	// Body is sent with its length; nil for none.
+	// Body is sent with a Content-Length; nil means no body.
 	Body []byte
 	// Account is the client account; "" for requests without one.
 	Account string
-	// Silence is how long the server may send nothing.
+	// Silence is the read timeout: how long the server may send nothing.
 	Silence time.Duration
-	// Left is how long the caller will wait from now on; 0 if it doesn't say.
+	// Left is how much longer the caller waits; 0 if unknown.
 	Left time.Duration
-	// LastEvent is the last event that the caller has of its stream; 0 for none.
+	// LastEvent is the number of the last event that the caller received; 0 if none.
 	LastEvent uint64
-	// Priority from 1, the first, to 9; 0 says nothing.
+	// Priority ranges from 1 (highest) to 9; 0 means unspecified.
 	Priority int
 }
 
-// Wire knows how backend servers are told what concerns a request, and what
-// their answers say of it.
+// Wire encodes request metadata into headers for backend servers, and decodes the metadata
+// of their answers.
 type Wire interface {
-	// Prepare sets what the system says of a request in its header.
+	// Prepare sets the request's metadata in its header.
 	Prepare(header http.Header, send Send)
-	// IsAnswerTo reports whether an answer belongs to a request.
+	// IsAnswerTo reports whether an answer belongs to the request with this ID.
 	IsAnswerTo(answer *http.Response, id string) bool
-	// IsNotRun reports whether the server says that it ran nothing.
+	// IsNotRun reports whether the server states that it ran nothing.
 	IsNotRun(answer *http.Response) bool
-	// IsOther reports whether another server than the one meant has answered.
+	// IsOther reports whether a server other than the intended one answered.
 	IsOther(answer *http.Response) bool
-	// WriteLineVersion returns the line of an event that announces a weight version.
+	// WriteLineVersion returns the event line that announces a weight version.
 	WriteLineVersion(version uint64) string
-	// LineVersion returns the weight version that a line of an event announces.
+	// LineVersion returns the weight version that an event line announces.
 	LineVersion(line string) (uint64, bool)
 	// Proof returns the server's proof of its answer.
 	Proof(answer *http.Response) string
-	// Version returns the weight version of an answer's first event; 0 if it doesn't say.
+	// Version returns the weight version of an answer's first event; 0 if unspecified.
 	Version(answer *http.Response) uint64
 }
 
-// Direct speaks to a backend server that the system reaches without a process
-// beside it. Its requests and answers pass unchanged but for what Wire sets.
-// Exported fields are set before the first call.
+// Direct is the client for a backend server without a sidecar. Requests and answers pass
+// through unchanged except for the headers that Wire sets. Exported fields are set before
+// the first call.
 type Direct struct {
 	Server
 
 	Wire Wire
 }
 
-// Answer is a backend server's answer, whose body is read and closed by the caller.
+// Answer is a backend server's answer. The caller reads and closes its body.
 type Answer struct {
 	*http.Response
 
-	direct *Direct
-	watch  *watch
+	direct   *Direct
+	watchdog *watchdog
 }
 
-// Do sends a request once. The error is a *refusal.Error that says "not run"
-// only where that is proved. An answer that isn't of a success is returned too,
-// unless the server says that it ran nothing.
+// Do sends a request once. The error is a *refusal.Error whose outcome is "not run" only
+// if that is certain. Do also returns answers with an error status, unless the server
+// states that it ran nothing.
 func (d *Direct) Do(ctx context.Context, send Send) (*Answer, error) {
 	header := send.Header.Clone()
 	if header == nil {
 		header = http.Header{}
 	}
 	d.Wire.Prepare(header, send)
-	// Without this net/http adds an encoding of its own; the bytes would not be the server's.
+	// Without this header net/http requests compression and changes the bytes of the
+	// answer.
 	if header.Get("Accept-Encoding") == "" {
 		header.Set("Accept-Encoding", "identity")
 	}
 	answer, err := d.exchange(ctx, call{
-		method:  send.Method,
-		host:    send.Host,
-		path:    send.Target,
-		header:  header,
-		body:    send.Body,
-		once:    true,
-		silence: send.Silence,
+		method:      send.Method,
+		host:        send.Host,
+		path:        send.Target,
+		header:      header,
+		body:        send.Body,
+		noRepeat:    true,
+		readTimeout: send.Silence,
 	})
 	if err != nil {
 		return nil, err
@@ -118,44 +119,44 @@
 		if d.Wire.IsOther(answer.Response) {
 			code = CodeOther
 		}
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, code, "%s answered %d and ran nothing", d.Name, answer.StatusCode).After(retryElsewhere)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, code, "%s answered %d and ran nothing", d.Name, answer.StatusCode).After(retryAfter)
 	}
 	if !d.Wire.IsAnswerTo(answer.Response, send.ID) {
-		// An answer that stands where this one is due belongs to another request:
-		// given on, a caller would get another caller's bytes.
+		// Passing on an answer to a different request would leak another caller's data.
 		_ = answer.Body.Close()
 		return nil, refusal.Unknown(http.StatusBadGateway, CodeForeign, "%s answered another request", d.Name)
 	}
-	return &Answer{Response: answer.Response, direct: d, watch: answer.watch}, nil
+	return &Answer{Response: answer.Response, direct: d, watchdog: answer.watchdog}, nil
 }
 
-// Whole reads the body whole, up to a size. It reports false if the answer is
-// larger; what was read is returned then, and the rest can be read on.
-func (a *Answer) Whole(most int64) (body []byte, whole bool, err error) {
-	body, err = io.ReadAll(io.LimitReader(a.Body, most+1))
+// Whole reads the body up to limit bytes. It returns false if the body is larger; the body
+// then holds the bytes read so far, and the rest can still be read from the answer.
+func (a *Answer) Whole(limit int64) (body []byte, complete bool, err error) {
+	body, err = io.ReadAll(io.LimitReader(a.Body, limit+1))
 	if err != nil {
 		return nil, false, a.Cut()
 	}
-	return body, int64(len(body)) <= most, nil
+	return body, int64(len(body)) <= limit, nil
 }
 
-// Bound bounds from now on how long the server may send nothing.
-func (a *Answer) Bound(silence time.Duration) { a.watch.bound(silence) }
+// Bound sets the read timeout for the rest of the answer.
+func (a *Answer) Bound(silence time.Duration) { a.watchdog.setTimeout(silence) }
 
-// Cut returns the refusal for an answer that ended before it was whole.
+// Cut returns the refusal for an answer that ended early.
 func (a *Answer) Cut() error {
 	var silent *SilentError
-	if errors.As(context.Cause(a.watch.ctx), &silent) {
+	if errors.As(context.Cause(a.watchdog.ctx), &silent) {
 		return a.direct.refuse(silent, true)
 	}
 	return a.direct.refuse(io.ErrUnexpectedEOF, true)
 }
 
-// discard reads the rest of a short answer, so that its connection can be used again.
+// discard drains a short answer so that its connection can be reused.
 func (d *Direct) discard(answer *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxDiscardBytes))
 	_ = answer.Body.Close()
 }
 
-// maxDiscardBytes is the most of an unwanted answer that is read to keep its connection.
+// maxDiscardBytes limits how much of an unwanted answer is drained to reuse its
+// connection.
 const maxDiscardBytes = 4 << 10
--- a/internal/backend/direct_test.go
+++ b/internal/backend/direct_test.go
@@ -12,13 +12,13 @@
 	"github.com/bramleyhatch/bramleyhatch/platform"
 )
 
-// Guards against a stream whose silence is waited for as long as its first event,
-// and told as a cut connection.
+// Guards against a stalled stream that is held to the read timeout of its first event, and
+// reported as an interrupted connection.
 func TestBoundWithinAnAnswer(t *testing.T) {
 	const event = "id: 1\ndata: x\n\n"
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nAttempt-Id: i0\r\nTransfer-Encoding: chunked\r\n\r\n"
-	script := newScript(t, reply{text: head + "f\r\n" + event + "\r\n", hold: true})
-	direct := &backend.Direct{Server: backend.Server{Address: script.url(), Name: "s1"}, Wire: platform.Wire{}}
+	server := newFakeServer(t, reply{text: head + "f\r\n" + event + "\r\n", hold: true})
+	direct := &backend.Direct{Server: backend.Server{Address: server.url(), Name: "s1"}, Wire: platform.Wire{}}
 	answer, err := direct.Do(t.Context(), backend.Send{ID: "i0", Method: http.MethodPost, Target: "/", Silence: time.Hour})
 	must.NoError(t, err)
 	defer func() { _ = answer.Body.Close() }()
--- a/internal/backend/directstream.go
+++ b/internal/backend/directstream.go
@@ -12,14 +12,14 @@
 
 const eventPrefix = "id:"
 
-// Event is one event of a stream.
+// Event is a server-sent event.
 type Event struct {
-	// Number counts from 1.
+	// Number is the event's sequence number, starting at 1.
 	Number uint64
 	Data   string
-	// Version is the weight version that made it; 0 if the server doesn't say.
+	// Version is the weight version that produced the event; 0 if unknown.
 	Version uint64
-	// Raw holds the event as it was sent, with the empty line at its end.
+	// Raw holds the event's bytes, including the terminating empty line.
 	Raw []byte
 }
 
@@ -35,18 +35,18 @@
 	return &Events{answer: a, reader: bufio.NewReaderSize(a.Body, 4096), version: a.direct.Wire.Version(a.Response)}
 }
 
-// Version returns the weight version of the next event as far as it is known.
+// Version returns the weight version of the next event, as far as it is known.
 func (e *Events) Version() uint64 { return e.version }
 
-// Next returns the next event; io.EOF after the last one of a whole answer. An
-// answer that ends in the middle of an event, or by a fault, is cut.
+// Next returns the next event, or io.EOF after the last event of a complete answer. If the
+// answer ends within an event or with an error, Next returns the refusal of Answer.Cut.
 func (e *Events) Next() (Event, error) {
 	event := Event{}
-	began, hasData := false, false
+	started, hasData := false, false
 	for {
 		line, err := e.reader.ReadString('\n')
 		if err != nil {
-			if errors.Is(err, io.EOF) && !began && line == "" {
+			if errors.Is(err, io.EOF) && !started && line == "" {
 				return Event{}, io.EOF
 			}
 			return Event{}, e.answer.Cut()
@@ -57,7 +57,7 @@
 		event.Raw = append(event.Raw, line...)
 		line = strings.TrimRight(line, "\r\n")
 		switch {
-		case line == "" && !began:
+		case line == "" && !started:
 			event.Raw = event.Raw[:0]
 			continue
 		case line == "":
@@ -67,13 +67,13 @@
 			}
 			return event, nil
 		}
-		began = true
-		hasData = e.take(&event, line) || hasData
+		started = true
+		hasData = e.parseLine(&event, line) || hasData
 	}
 }
 
-// take reads one line of an event and reports whether it brought data.
-func (e *Events) take(event *Event, line string) bool {
+// parseLine parses one line of an event and reports whether it was a data line.
+func (e *Events) parseLine(event *Event, line string) bool {
 	if version, ok := e.answer.direct.Wire.LineVersion(line); ok {
 		e.version = version
 		return false
--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -16,47 +16,47 @@
 const (
 	pathCompletion = "/v1/completions"
 	pathChat       = "/v1/chat/completions"
-	// maxResumes is how often a generation that was cut is resumed.
+	// maxResumes limits how often an interrupted generation is resumed.
 	maxResumes = 2
 )
 
-// Engine speaks to a model engine.
+// Engine is the client for a model engine.
 type Engine struct {
 	Server
 
 	Decisions *decision.Log
 
 	version atomic.Uint64
-	// shownAt is when an answer showed the version, nanoseconds since 1970 UTC.
-	shownAt atomic.Int64
+	// versionSeenAt is when an answer last showed the version, in Unix nanoseconds.
+	versionSeenAt atomic.Int64
 }
 
-// Version returns the weight version that the engine has shown last; 0 if none.
+// Version returns the weight version that the engine last reported; 0 if none.
 func (e *Engine) Version() uint64 { return e.version.Load() }
 
-// Run passes a request on and gives the answer's parts to sink. The error is a
-// *refusal.Error unless sink failed.
+// Run sends a request to the engine and passes the frames of its answer to sink. The error
+// is a *refusal.Error unless sink failed.
 //
-// A generation that was cut goes on at the same engine from the tokens that
-// were received, so that the answer is one whole and no token is made twice.
+// An interrupted generation resumes at the same engine after the tokens received so far,
+// so that the caller gets one complete answer and no token is generated twice.
 func (e *Engine) Run(ctx context.Context, request *peerpb.RunRequest, sink Sink) (*peerpb.End, error) {
 	prompt, err := newPrompt(request)
 	if err != nil {
 		return nil, refusal.NotRun(http.StatusBadRequest, "bad_body", "%v", err)
 	}
-	if shown := e.Version(); shown < request.GetVersion() {
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, "old_version", "%s shows version %d, not %d", e.Name, shown, request.GetVersion()).After(retryElsewhere)
+	if current := e.Version(); current < request.GetVersion() {
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, "old_version", "%s shows version %d, not %d", e.Name, current, request.GetVersion()).After(retryAfter)
 	}
 	end, err := e.generate(ctx, request, prompt, sink)
 	for resumes := 0; resumes < maxResumes && request.GetIdempotent() && prompt.mayResume(err); resumes++ {
 		e.Decisions.Record(request.GetId(), "backend", "%v, resumed after %d tokens", err, len(prompt.tokens))
 		end, err = e.generate(ctx, request, prompt, sink)
-		err = afterSend(err)
+		err = asUnknown(err)
 	}
 	return end, err
 }
 
-// generate sends a prompt once and relays the events.
+// generate sends the prompt once and relays the events.
 func (e *Engine) generate(ctx context.Context, request *peerpb.RunRequest, prompt *prompt, sink Sink) (*peerpb.End, error) {
 	body, err := prompt.encode()
 	if err != nil {
@@ -66,25 +66,25 @@
 	header.Set("Content-Type", "application/json")
 	header.Set("Accept", "text/event-stream")
 	answer, err := e.exchange(ctx, call{
-		method:  http.MethodPost,
-		path:    enginePath(request.GetKind()),
-		header:  header,
-		body:    body,
-		silence: e.Silence,
+		method:      http.MethodPost,
+		path:        enginePath(request.GetKind()),
+		header:      header,
+		body:        body,
+		readTimeout: e.Silence,
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.StatusCode != http.StatusOK {
-		return nil, e.refused(answer)
+		return nil, e.statusRefusal(answer)
 	}
 	return e.relay(answer, prompt, sink)
 }
 
-// afterSend keeps a refusal from saying "not run" once the engine was sent the
-// request before.
-func afterSend(err error) error {
+// asUnknown changes the outcome of a refusal from "not run" to unknown, because an earlier
+// attempt already sent the request to the engine.
+func asUnknown(err error) error {
 	var refused *refusal.Error
 	if errors.As(err, &refused) && refused.Outcome == peerpb.Outcome_OUTCOME_NOT_RUN {
 		return refusal.Unknown(refused.Status, refused.Code, "%s", refused.Message).After(refused.Retry)
@@ -92,35 +92,35 @@
 	return err
 }
 
-// relay gives the events to sink until [DONE]. An answer without it was cut and
-// gets no end frame.
+// relay passes the events to sink until [DONE]. An answer without [DONE] was interrupted
+// and gets no end frame.
 func (e *Engine) relay(answer *answer, prompt *prompt, sink Sink) (*peerpb.End, error) {
 	events := newEvents(answer.Body)
 	end := &peerpb.End{}
 	for {
 		event, err := events.next()
 		if errors.Is(err, errDone) {
-			return e.finish(end, prompt)
+			return e.checkFinish(end, prompt)
 		}
 		if err != nil {
-			return nil, e.refuse(answer.watch.cause(err), true)
+			return nil, e.refuse(answer.watchdog.cause(err), true)
 		}
-		e.show(event.Version)
-		e.shownAt.Store(time.Now().UnixNano())
-		event.fill(end)
-		chunk := event.chunk()
+		e.setVersion(event.Version)
+		e.versionSeenAt.Store(time.Now().UnixNano())
+		event.fillEnd(end)
+		chunk := event.toChunk()
 		if chunk == nil {
 			continue
 		}
-		prompt.take(chunk)
+		prompt.addTokens(chunk)
 		if err := sink(peerpb.Frame_builder{Chunk: chunk}.Build()); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// finish checks that the engine said why it stopped.
-func (e *Engine) finish(end *peerpb.End, prompt *prompt) (*peerpb.End, error) {
+// checkFinish checks that the engine gave a finish reason.
+func (e *Engine) checkFinish(end *peerpb.End, prompt *prompt) (*peerpb.End, error) {
 	if end.GetFinish() == "" {
 		return nil, refusal.Unknown(http.StatusBadGateway, "unfinished", "%s ended its answer without saying why", e.Name)
 	}
@@ -130,9 +130,9 @@
 	return end, nil
 }
 
-// refused reads a status other than 200. Only 503 says that the engine has not
-// taken the request; any other may come after it has begun.
-func (e *Engine) refused(answer *answer) *refusal.Error {
+// statusRefusal returns the refusal for a status other than 200. Only 503 states that the
+// engine did not accept the request; it may send any other status after it has started.
+func (e *Engine) statusRefusal(answer *answer) *refusal.Error {
 	var body struct {
 		Error json.RawMessage `json:"error"`
 	}
@@ -140,7 +140,7 @@
 	isRefusal := err == nil && hasError(body.Error)
 	switch {
 	case answer.StatusCode == http.StatusServiceUnavailable && isRefusal:
-		return refusal.NotRun(http.StatusServiceUnavailable, "engine_full", "%s has no room", e.Name).After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "engine_full", "%s has no room", e.Name).After(retryAfter)
 	case answer.StatusCode >= 400 && answer.StatusCode < 500:
 		return refusal.Unknown(answer.StatusCode, "engine_rejected", "%s rejected the request: %s", e.Name, errorText(body.Error))
 	default:
@@ -148,8 +148,8 @@
 	}
 }
 
-// show notes the version that the engine has shown and logs a change.
-func (e *Engine) show(version uint64) {
+// setVersion stores the version that the engine reported and logs a change.
+func (e *Engine) setVersion(version uint64) {
 	if version == 0 || version == e.version.Swap(version) {
 		return
 	}
@@ -163,13 +163,13 @@
 	return pathCompletion
 }
 
-// errorText returns the message of an error in OpenAI's style, or the error as it is.
+// errorText returns the message of an OpenAI-style error, or the raw error.
 func errorText(raw json.RawMessage) string {
-	var style struct {
+	var body struct {
 		Message string `json:"message"`
 	}
-	if json.Unmarshal(raw, &style) == nil && style.Message != "" {
-		return style.Message
+	if json.Unmarshal(raw, &body) == nil && body.Message != "" {
+		return body.Message
 	}
 	return string(raw)
 }
--- a/internal/backend/event.go
+++ b/internal/backend/event.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// maxEventBytes is the largest server-sent event that is read.
+	// maxEventBytes limits the size of a server-sent event.
 	maxEventBytes = 1 << 20
 	dataPrefix    = "data:"
-	doneMark      = "[DONE]"
+	doneMarker    = "[DONE]"
 )
 
-// errDone is the engine's own mark of a whole answer.
+// errDone reports the engine's end marker of a complete answer.
 var errDone = errors.New("done")
 
-// event is one server-sent event of an engine.
+// event is a server-sent event of an engine.
 type event struct {
 	Choices []choice `json:"choices"`
 	Version uint64   `json:"weight_version"`
@@ -47,8 +47,8 @@
 	Output uint64 `json:"completion_tokens"`
 }
 
-// chunk returns the event's part of the answer, or nil if it has none.
-func (e *event) chunk() *peerpb.Chunk {
+// toChunk returns the chunk of the answer that the event carries, or nil if there is none.
+func (e *event) toChunk() *peerpb.Chunk {
 	if len(e.Choices) == 0 {
 		return nil
 	}
@@ -65,8 +65,8 @@
 	}.Build()
 }
 
-// fill takes what the event says of the answer's end.
-func (e *event) fill(end *peerpb.End) {
+// fillEnd copies the event's finish reason and token usage into end.
+func (e *event) fillEnd(end *peerpb.End) {
 	if len(e.Choices) > 0 && e.Choices[0].Finish != "" {
 		end.SetFinish(e.Choices[0].Finish)
 	}
@@ -88,7 +88,7 @@
 	return &events{scanner: scanner}
 }
 
-// next returns the next event; errDone after the mark of a whole answer, and
+// next returns the next event, errDone at the end marker of a complete answer, or
 // io.ErrUnexpectedEOF if the answer ends without it.
 func (e *events) next() (*event, error) {
 	for e.scanner.Scan() {
@@ -97,7 +97,7 @@
 			continue
 		}
 		data = strings.TrimSpace(data)
-		if data == doneMark {
+		if data == doneMarker {
 			return nil, errDone
 		}
 		return parseEvent(data)
@@ -114,7 +114,7 @@
 		return nil, eris.Wrap(err, "parse event")
 	}
 	if hasError(parsed.Error) {
-		return nil, eris.Errorf("engine failed in the middle of its answer: %s", errorText(parsed.Error))
+		return nil, eris.Errorf("engine reported an error in the middle of its answer: %s", errorText(parsed.Error))
 	}
 	return parsed, nil
 }
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -12,15 +12,15 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// A caller names another host in the path of a plain service. Whatever it
-// writes, the request goes to the backend server and carries no userinfo.
+// A caller puts another host into the path for a plain service. Whatever the path, the
+// request goes to the backend server and carries no userinfo.
 func FuzzTarget(f *testing.F) {
 	for _, seed := range []string{"/records/1", "//evil/x", "http://evil/", "/a?b=c#d", "/%2f%2fevil", "*", "", "/\\evil", "/a b", "//u:p@evil"} {
 		f.Add(seed)
 	}
 	server := &Server{Address: "http://127.0.0.1:8080"}
 	f.Fuzz(func(t *testing.T, path string) {
-		target, err := server.target(path)
+		target, err := server.targetURL(path)
 		if err != nil {
 			return
 		}
@@ -31,8 +31,8 @@
 	})
 }
 
-// An engine sends garbage. Reading it ends, and only the mark of a whole answer
-// makes it whole.
+// An engine sends malformed events. Reading terminates, and only the end marker completes
+// an answer.
 func FuzzEvents(f *testing.F) {
 	for _, seed := range []string{"data: [DONE]\n\n", "data: {}\n", "data:", "data: {\"choices\":[{}]}\n\ndata: [DONE]", "event: x\n"} {
 		f.Add(seed)
@@ -42,16 +42,16 @@
 		for {
 			event, err := events.next()
 			if err != nil {
-				must.True(t, !errors.Is(err, errDone) || strings.Contains(text, doneMark))
+				must.True(t, !errors.Is(err, errDone) || strings.Contains(text, doneMarker))
 				return
 			}
-			event.chunk()
-			event.fill(&peerpb.End{})
+			event.toChunk()
+			event.fillEnd(&peerpb.End{})
 		}
 	})
 }
 
-// A caller's body holds any fields. The engine gets only allowed ones.
+// A caller's body may have any fields. The engine gets only allowed ones.
 func FuzzPrompt(f *testing.F) {
 	for _, seed := range []string{`{"model":"m","user":"u"}`, `{"MODEL":1,"Prompt":"x"}`, `[]`, `{"resume_tokens":[1]}`, `{"a":{"model":1}}`} {
 		f.Add([]byte(seed))
--- a/internal/backend/keys.go
+++ b/internal/backend/keys.go
@@ -10,53 +10,52 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// separators end the words of a path, a query or a header in which a key may stand.
+// separators delimit the words of a path, query or header that may be a key.
 const separators = " ,;=&:/?@#\"'"
 
-// Keys knows the callers' keys by their hashes.
+// Keys looks up callers' API keys by hash.
 type Keys interface {
-	// IsKey reports whether a hash is that of a key, granted or withdrawn.
+	// IsKey reports whether hash is the hash of a key, granted or withdrawn.
 	IsKey(hash string) bool
 }
 
-// holdsKey reports whether a path, query or header of a request holds a key.
+// containsKey reports whether a request's path, query or headers contain an API key.
 //
-// The entry takes the caller's key away and a plain service only gets allowed
-// headers. A caller can still put a key where a service's own words go: into the
-// query, the path or an allowed header. The service would then see it. Words are
-// compared by hash, so this process needs to know no key.
-func holdsKey(request *peerpb.RunRequest, keys Keys) bool {
+// The entry removes the caller's key, and a plain service only gets allowed headers. A
+// caller can still put a key into the query, the path or an allowed header, which would
+// disclose it to the service. Words are compared by hash, so this process needs no keys.
+func containsKey(request *peerpb.RunRequest, keys Keys) bool {
 	if keys == nil {
 		return false
 	}
-	if textHoldsKey(request.GetPath(), keys) {
+	if textContainsKey(request.GetPath(), keys) {
 		return true
 	}
 	for _, header := range request.GetHeaders() {
-		if textHoldsKey(header.GetValue(), keys) {
+		if textContainsKey(header.GetValue(), keys) {
 			return true
 		}
 	}
 	return false
 }
 
-func textHoldsKey(text string, keys Keys) bool {
-	words := wordsOf(text)
+func textContainsKey(text string, keys Keys) bool {
+	words := splitWords(text)
 	if unescaped, err := url.QueryUnescape(text); err == nil && unescaped != text {
-		words = append(words, wordsOf(unescaped)...)
+		words = append(words, splitWords(unescaped)...)
 	}
 	for _, word := range words {
 		if isKey(word, keys) {
 			return true
 		}
-		if decoded, err := base64.RawStdEncoding.DecodeString(strings.TrimRight(word, "=")); err == nil && anyIsKey(wordsOf(string(decoded)), keys) {
+		if decoded, err := base64.RawStdEncoding.DecodeString(strings.TrimRight(word, "=")); err == nil && containsAnyKey(splitWords(string(decoded)), keys) {
 			return true
 		}
 	}
 	return false
 }
 
-func anyIsKey(words []string, keys Keys) bool {
+func containsAnyKey(words []string, keys Keys) bool {
 	for _, word := range words {
 		if isKey(word, keys) {
 			return true
@@ -70,8 +69,8 @@
 	return keys.IsKey(hex.EncodeToString(sum[:]))
 }
 
-// wordsOf returns a text and its words.
-func wordsOf(text string) []string {
+// splitWords returns the words of a text and the text itself.
+func splitWords(text string) []string {
 	isSeparator := func(r rune) bool { return strings.ContainsRune(separators, r) }
 	return append(strings.FieldsFunc(text, isSeparator), strings.TrimSpace(text))
 }
--- a/internal/backend/keys_test.go
+++ b/internal/backend/keys_test.go
@@ -15,10 +15,10 @@
 	secretBase64 = "bWVtYmVyOm1lbWJlci1zZWNyZXQtMQ==" // member:member-secret-1
 )
 
-// oneKey knows the secret by its hash.
-type oneKey struct{}
+// singleKey recognizes the hash of secret.
+type singleKey struct{}
 
-func (oneKey) IsKey(hash string) bool {
+func (singleKey) IsKey(hash string) bool {
 	sum := sha256.Sum256([]byte(secret))
 	return hash == hex.EncodeToString(sum[:])
 }
@@ -33,10 +33,9 @@
 	return func(request *peerpb.RunRequest) { request.SetPath(path) }
 }
 
-// A caller puts its key where only it can decide: headers of any name, cookies,
-// the query, the path, userinfo. The test looks at the raw bytes that the
-// ledger got. They must not hold the key, whether the request is run without it
-// or refused.
+// A caller puts its key anywhere in a request: headers of any name, cookies, the query,
+// the path, userinfo. The raw bytes that the backend server receives must not contain the
+// key, whether the request is run without it or refused.
 func TestNoKeyReachesBackend(t *testing.T) {
 	tests := map[string]struct {
 		change func(*peerpb.RunRequest)
@@ -64,43 +63,43 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			script := newScript(t, reply{text: jsonHead + "Content-Length: 2\r\n\r\n{}"})
-			plain := newPlain(script.url())
-			plain.Keys = oneKey{}
+			server := newFakeServer(t, reply{text: jsonHead + "Content-Length: 2\r\n\r\n{}"})
+			plain := newPlain(server.url())
+			plain.Keys = singleKey{}
 			request := posting()
 			test.change(request)
 			_, _, _, err := run(plain, request)
-			must.Len(t, test.sent, script.requests(), must.Sprint(err))
-			mustHoldNone(t, script.requests(), secret, secretBase64, "of another system", "Bearer")
+			must.Len(t, test.sent, server.requests(), must.Sprint(err))
+			mustHoldNone(t, server.requests(), secret, secretBase64, "of another system", "Bearer")
 		})
 	}
 }
 
-// The same, with the check by hashes away: what is built from allowed headers
-// alone must keep out every header that isn't allowed.
+// As TestNoKeyReachesBackend without the check by hashes: the list of allowed headers
+// alone must keep out every other header.
 func TestHeadersAreBuiltFromAllowed(t *testing.T) {
 	for _, name := range []string{"Authorization", "Cookie", "X-Api-Key", "Proxy-Authorization", "Trailer", "Referer", "Idempotency-Key", "X-Forwarded-For", "Te", "Connection", "Host"} {
 		t.Run(name, func(t *testing.T) {
-			script := newScript(t, reply{text: jsonHead + "Content-Length: 2\r\n\r\n{}"})
+			server := newFakeServer(t, reply{text: jsonHead + "Content-Length: 2\r\n\r\n{}"})
 			request := posting()
 			withHeader(name, secret)(request)
-			_, _, _, err := run(newPlain(script.url()), request)
+			_, _, _, err := run(newPlain(server.url()), request)
 			must.NoError(t, err)
-			mustHoldNone(t, script.requests(), secret)
+			mustHoldNone(t, server.requests(), secret)
 		})
 	}
 }
 
 // A caller puts its key into fields of a prompt's body that no engine needs.
 func TestPromptIsBuiltFromAllowed(t *testing.T) {
-	script := newScript(t, reply{text: chunked(oneToken, finish, done) + lastChunk})
+	server := newFakeServer(t, reply{text: chunked(oneToken, finish, done) + lastChunk})
 	request := generation()
 	request.SetBody([]byte(`{"model":"m","prompt":"p","user":"` + secret + `","api_key":"` + secret + `","metadata":{"k":"` + secret + `"}}`))
 	withHeader("Authorization", "Bearer "+secret)(request)
-	_, _, _, err := run(newEngine(script.url()), request)
+	_, _, _, err := run(newEngine(server.url()), request)
 	must.NoError(t, err)
-	must.Len(t, 1, script.requests())
-	mustHoldNone(t, script.requests(), secret)
+	must.Len(t, 1, server.requests())
+	mustHoldNone(t, server.requests(), secret)
 }
 
 func mustHoldNone(t *testing.T, requests []string, words ...string) {
--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -15,11 +15,11 @@
 const (
 	pathOrders = "/v1/orders"
 	pathLoad   = "/v1/load"
-	// watchInterval is the time between two looks at what the engine shows.
-	watchInterval = time.Second
-	// loadLag is how far an engine's load report may lag. What its answers
-	// showed since then counts more.
-	loadLag = 5 * time.Second
+	// pollInterval is the time between two requests for the engine's load report.
+	pollInterval = time.Second
+	// maxLoadLag is how far an engine's load report may lag. Versions shown in answers
+	// within that time take precedence.
+	maxLoadLag = 5 * time.Second
 )
 
 // versionOrder is the body of an order to load a weight version.
@@ -30,28 +30,28 @@
 	Fence   uint64 `json:"fence"`
 }
 
-// shown is what an engine says of itself: in its load report, and after an order.
-type shown struct {
+// versionReport holds the versions in an engine's load report or in its reply to an order.
+type versionReport struct {
 	Weights uint64 `json:"weight_version"`
 	Version uint64 `json:"version"`
 }
 
-// Load orders the engine to load a weight version and returns the version that
-// it shows afterwards, which is another one if it didn't obey.
+// Load orders the engine to load a weight version and returns the version that the engine
+// reports afterwards, which differs if it did not obey.
 func (e *Engine) Load(ctx context.Context, order *peerpb.OrderRequest, timeout time.Duration) (uint64, error) {
 	body, err := json.Marshal(versionOrder{Action: "version", Model: order.GetModel(), Version: order.GetVersion(), Fence: order.GetFence()})
 	if err != nil {
 		return e.Version(), refusal.NotRun(http.StatusBadRequest, "bad_order", "%v", err)
 	}
 	header := http.Header{"Content-Type": {"application/json"}, "User-Agent": {userAgent}}
-	answer, err := e.exchange(ctx, call{method: http.MethodPost, path: pathOrders, header: header, body: body, silence: timeout})
+	answer, err := e.exchange(ctx, call{method: http.MethodPost, path: pathOrders, header: header, body: body, readTimeout: timeout})
 	if err != nil {
 		return e.Version(), err
 	}
 	defer func() { _ = answer.Body.Close() }()
 	switch answer.StatusCode {
 	case http.StatusOK:
-		return e.loaded(answer)
+		return e.readLoadedVersion(answer)
 	case http.StatusConflict:
 		return e.Version(), refusal.NotRun(http.StatusConflict, "old_fence", "%s has seen a newer fence than %d", e.Name, order.GetFence())
 	default:
@@ -59,13 +59,13 @@
 	}
 }
 
-// Watch looks at what the engine shows until the context ends: an engine that
-// runs nothing shows its version nowhere else.
+// Watch polls the engine's version until the context ends: an idle engine reports its
+// version nowhere else.
 func (e *Engine) Watch(ctx context.Context) error {
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		e.look(ctx)
+		e.pollVersion(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -74,37 +74,37 @@
 	}
 }
 
-// look asks the engine which version it shows.
-func (e *Engine) look(ctx context.Context) {
-	answer, err := e.exchange(ctx, call{method: http.MethodGet, path: pathLoad, header: http.Header{"User-Agent": {userAgent}}, silence: e.Silence})
+// pollVersion requests the engine's load report and stores its version.
+func (e *Engine) pollVersion(ctx context.Context) {
+	answer, err := e.exchange(ctx, call{method: http.MethodGet, path: pathLoad, header: http.Header{"User-Agent": {userAgent}}, readTimeout: e.Silence})
 	if err != nil {
 		klog.V(1).Infof("backend: %s: %v", e.Name, err)
 		return
 	}
 	defer func() { _ = answer.Body.Close() }()
-	load, err := readShown(answer)
+	report, err := decodeVersionReport(answer)
 	if err != nil {
-		klog.Warningf("backend: load of %s can't be read: %v", e.Name, err)
+		klog.Warningf("backend: cannot decode the load report of %s: %v", e.Name, err)
 		return
 	}
-	if time.Since(time.Unix(0, e.shownAt.Load())) > loadLag {
-		e.show(load.Weights)
+	if time.Since(time.Unix(0, e.versionSeenAt.Load())) > maxLoadLag {
+		e.setVersion(report.Weights)
 	}
 }
 
-// loaded reads the version that the engine says it has after an order.
-func (e *Engine) loaded(answer *answer) (uint64, error) {
-	after, err := readShown(answer)
+// readLoadedVersion stores and returns the version in the engine's reply to an order.
+func (e *Engine) readLoadedVersion(answer *answer) (uint64, error) {
+	report, err := decodeVersionReport(answer)
 	if err != nil {
 		return e.Version(), refusal.Unknown(http.StatusBadGateway, "swap_unread", "%s answered an order with what can't be read", e.Name)
 	}
-	e.show(after.Version)
-	e.shownAt.Store(time.Now().UnixNano())
+	e.setVersion(report.Version)
+	e.versionSeenAt.Store(time.Now().UnixNano())
 	return e.Version(), nil
 }
 
-func readShown(answer *answer) (shown, error) {
-	var read shown
-	err := json.NewDecoder(http.MaxBytesReader(nil, answer.Body, maxEventBytes)).Decode(&read)
-	return read, err
+func decodeVersionReport(answer *answer) (versionReport, error) {
+	var report versionReport
+	err := json.NewDecoder(http.MaxBytesReader(nil, answer.Body, maxEventBytes)).Decode(&report)
+	return report, err
 }
--- a/internal/backend/plain.go
+++ b/internal/backend/plain.go
@@ -11,47 +11,48 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// userAgent names the system to backend servers.
+// userAgent is the User-Agent header sent to backend servers.
 const userAgent = "bramleyhatch"
 
-// partBytes is the largest chunk of a plain service's answer.
-const partBytes = 32 << 10
+// maxChunkBytes is the maximum size of a chunk of a plain service's answer.
+const maxChunkBytes = 32 << 10
 
-// requestHeaders are the caller's headers that a plain service may see.
+// requestHeaders are the caller's headers that are passed to a plain service.
 var requestHeaders = []string{
 	"Accept", "Accept-Language", "Content-Language", "Content-Type",
 	"If-Match", "If-Modified-Since", "If-None-Match", "If-Unmodified-Since", "Range",
 }
 
-// answerHeaders are the plain service's headers that the caller gets.
-var answerHeaders = []string{
+// responseHeaders are the plain service's headers that are passed to the caller.
+var responseHeaders = []string{
 	"Cache-Control", "Content-Disposition", "Content-Language", "Content-Range",
 	"Content-Type", "Etag", "Expires", "Last-Modified", "Location", "Retry-After", "Vary",
 }
 
-// Plain speaks to a plain service.
+// Plain is the client for a plain service.
 type Plain struct {
 	Server
 
-	// Keys refuses requests that hold a caller's key; nil refuses none.
+	// Keys detects API keys, and requests that contain one are refused; nil disables the
+	// check.
 	Keys Keys
 }
 
 // Version returns 0: a plain service has no weights.
 func (p *Plain) Version() uint64 { return 0 }
 
-// Run passes a request on and gives the answer's parts to sink. The error is a
-// *refusal.Error unless sink failed.
+// Run sends a request to the service and passes the frames of its answer to sink. The
+// error is a *refusal.Error unless sink failed.
 func (p *Plain) Run(ctx context.Context, request *peerpb.RunRequest, sink Sink) (*peerpb.End, error) {
-	if holdsKey(request, p.Keys) {
+	if containsKey(request, p.Keys) {
 		return nil, refusal.NotRun(http.StatusBadRequest, "key_in_request", "the path, query or a header holds a key")
 	}
 	answer, err := p.exchange(ctx, call{
-		method:  request.GetMethod(),
-		path:    request.GetPath(),
-		header:  plainHeader(request),
-		body:    request.GetBody(),
-		silence: p.Silence,
+		method:      request.GetMethod(),
+		path:        request.GetPath(),
+		header:      plainHeader(request),
+		body:        request.GetBody(),
+		readTimeout: p.Silence,
 	})
 	if err != nil {
 		return nil, err
@@ -60,7 +61,7 @@
 	if !isDelimited(request.GetMethod(), answer.Response) {
 		return nil, refusal.Unknown(http.StatusBadGateway, "undelimited", "%s sent an answer whose end can't be told from a cut", p.Name)
 	}
-	if err := sink(head(answer.Response)); err != nil {
+	if err := sink(newHeadFrame(answer.Response)); err != nil {
 		return nil, err
 	}
 	if err := p.relay(answer, sink); err != nil {
@@ -69,10 +70,10 @@
 	return &peerpb.End{}, nil
 }
 
-// relay gives the body to sink in parts. A body shorter than its
-// Content-Length, or without its last chunk, fails with io.ErrUnexpectedEOF.
+// relay passes the body to sink in chunks. Reading a body that is shorter than its
+// Content-Length, or lacks its last chunk, fails with io.ErrUnexpectedEOF.
 func (p *Plain) relay(answer *answer, sink Sink) error {
-	buffer := make([]byte, partBytes)
+	buffer := make([]byte, maxChunkBytes)
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
@@ -93,19 +94,19 @@
 
 func plainHeader(request *peerpb.RunRequest) http.Header {
 	header := baseHeader(request)
-	for _, given := range request.GetHeaders() {
-		name := http.CanonicalHeaderKey(given.GetName())
+	for _, requested := range request.GetHeaders() {
+		name := http.CanonicalHeaderKey(requested.GetName())
 		for _, allowed := range requestHeaders {
 			if name == allowed {
-				header.Add(name, given.GetValue())
+				header.Add(name, requested.GetValue())
 			}
 		}
 	}
 	return header
 }
 
-// baseHeader returns the headers of the system's own. Accept-Encoding keeps
-// net/http from asking for compression that the caller did not ask for.
+// baseHeader returns the headers that the system itself sets. Accept-Encoding keeps
+// net/http from requesting compression that the caller did not request.
 func baseHeader(request *peerpb.RunRequest) http.Header {
 	return http.Header{
 		"Accept-Encoding": {"identity"},
@@ -114,9 +115,9 @@
 	}
 }
 
-func head(response *http.Response) *peerpb.Frame {
+func newHeadFrame(response *http.Response) *peerpb.Frame {
 	var headers []*peerpb.Header
-	for _, name := range answerHeaders {
+	for _, name := range responseHeaders {
 		for _, value := range response.Header.Values(name) {
 			headers = append(headers, peerpb.Header_builder{Name: name, Value: value}.Build())
 		}
@@ -128,9 +129,9 @@
 	return peerpb.Frame_builder{Head: peerpb.Head_builder{Status: int32(response.StatusCode), Headers: headers}.Build()}.Build()
 }
 
-// isDelimited reports whether a cut of the answer can be told from its end. An
-// answer without length or chunks ends when the connection does, so a service
-// that dies in the middle would look like one that has finished.
+// isDelimited reports whether an interrupted answer can be told from a complete one. An
+// answer without Content-Length or chunked encoding ends with the connection, so a service
+// that crashes midway would look like one that finished.
 func isDelimited(method string, response *http.Response) bool {
 	if method == http.MethodHead || response.StatusCode == http.StatusNoContent || response.StatusCode == http.StatusNotModified {
 		return true
--- a/internal/backend/prompt.go
+++ b/internal/backend/prompt.go
@@ -10,28 +10,29 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// promptFields are the fields of a caller's body that an engine may see.
+// promptFields are the fields of a caller's body that are passed to an engine.
 var promptFields = []string{
 	"model", "prompt", "messages", "max_tokens", "max_completion_tokens", "temperature", "top_p", "top_k", "min_p",
 	"stop", "seed", "presence_penalty", "frequency_penalty", "repetition_penalty", "logit_bias", "logprobs",
 	"top_logprobs", "response_format", "tools", "tool_choice", "resume_tokens",
 }
 
-// prompt is the body of a request to an engine, with the tokens produced so far.
+// prompt is the body of a request to an engine, with the tokens generated so far.
 type prompt struct {
 	fields map[string]json.RawMessage
-	// given are the caller's own resume tokens, tokens those received since.
-	given  []int32
-	tokens []int32
-	// sent is the number of tokens known when the prompt was sent last.
-	sent int
-	// sends is how often the prompt was sent.
-	sends int
-	// untold is true once text came without its tokens.
-	untold bool
+	// callerTokens are the resume tokens in the caller's request; tokens are those received
+	// since.
+	callerTokens []int32
+	tokens       []int32
+	// sentTokens is the number of tokens received before the prompt was last sent.
+	sentTokens int
+	// sendCount is how often the prompt was sent.
+	sendCount int
+	// tokensMissing is true once text arrived without its tokens.
+	tokensMissing bool
 }
 
-// newPrompt takes the allowed fields of a request's body.
+// newPrompt copies the allowed fields of a request's body.
 func newPrompt(request *peerpb.RunRequest) (*prompt, error) {
 	var body map[string]json.RawMessage
 	if err := json.Unmarshal(request.GetBody(), &body); err != nil {
@@ -39,25 +40,25 @@
 	}
 	p := &prompt{fields: map[string]json.RawMessage{}}
 	for _, name := range promptFields {
-		if value, given := body[name]; given {
+		if value, ok := body[name]; ok {
 			p.fields[name] = value
 		}
 	}
 	if resume := p.fields["resume_tokens"]; len(resume) > 0 {
-		if err := json.Unmarshal(resume, &p.given); err != nil {
+		if err := json.Unmarshal(resume, &p.callerTokens); err != nil {
 			return nil, eris.New("resume_tokens is not a list of whole numbers")
 		}
 	}
 	p.fields["stream"] = json.RawMessage("true")
-	return p, p.set("priority", request.GetPriority())
+	return p, p.setField("priority", request.GetPriority())
 }
 
 // encode returns the body to send, with all tokens known so far.
 func (p *prompt) encode() ([]byte, error) {
-	p.sent = len(p.tokens)
-	p.sends++
-	if resume := append(append([]int32(nil), p.given...), p.tokens...); len(resume) > 0 {
-		if err := p.set("resume_tokens", resume); err != nil {
+	p.sentTokens = len(p.tokens)
+	p.sendCount++
+	if resume := append(append([]int32(nil), p.callerTokens...), p.tokens...); len(resume) > 0 {
+		if err := p.setField("resume_tokens", resume); err != nil {
 			return nil, err
 		}
 	}
@@ -65,29 +66,29 @@
 	return body, eris.Wrap(err, "encode body")
 }
 
-// mayResume reports whether the generation can go on after err: the connection
-// was lost, tokens came since the prompt was sent last, and all are known. A
-// connection that was silent from the first is tried anew once: it may have
-// been an idle one that went silent long ago, while new ones work.
+// mayResume reports whether the generation can resume after err: the connection was lost,
+// tokens arrived since the prompt was last sent, and all of them are known. After a
+// timeout without any token the prompt is sent once more: the connection may have been an
+// idle one that broke long ago, while new ones work.
 func (p *prompt) mayResume(err error) bool {
 	var refused *refusal.Error
-	if !errors.As(err, &refused) || p.untold {
+	if !errors.As(err, &refused) || p.tokensMissing {
 		return false
 	}
-	if len(p.tokens) == p.sent {
-		return p.sends == 1 && refused.Code == codeSilent
+	if len(p.tokens) == p.sentTokens {
+		return p.sendCount == 1 && refused.Code == codeSilent
 	}
 	return refused.Code == codeCut || refused.Code == codeSilent
 }
 
-func (p *prompt) set(name string, value any) error {
+func (p *prompt) setField(name string, value any) error {
 	raw, err := json.Marshal(value)
 	p.fields[name] = raw
 	return eris.Wrap(err, "encode "+name)
 }
 
-// take notes the tokens of a chunk.
-func (p *prompt) take(chunk *peerpb.Chunk) {
-	p.untold = p.untold || len(chunk.GetTokens()) == 0
+// addTokens appends the tokens of a chunk.
+func (p *prompt) addTokens(chunk *peerpb.Chunk) {
+	p.tokensMissing = p.tokensMissing || len(chunk.GetTokens()) == 0
 	p.tokens = append(p.tokens, chunk.GetTokens()...)
 }
