--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -19,39 +19,40 @@
 )
 
 const (
-	// heldBytes is the most of an answer that is held until it is whole, so that
-	// one that breaks off can be had from another server. Usual answers have 1 KB.
-	heldBytes = 256 << 10
-	// roomAgain is when a caller should come back whose request found no room:
-	// about the time in which some slots of a pool become free.
-	roomAgain = 100 * time.Millisecond
-	// serverAgain is that time where no server of the pool is known: about the
-	// time in which one registers.
-	serverAgain = time.Second
-	// streamSilence is how long a stream that can go on elsewhere may be silent:
-	// callers leave after two seconds at the earliest.
-	streamSilence = 1500 * time.Millisecond
-	// waitForRoom is the pause before all servers are asked once more that had no room.
-	waitForRoom = 15 * time.Millisecond
+	// maxBufferedBytes limits how much of an answer is buffered until it is complete, so
+	// that an interrupted one can be requested from another server. 1 KB is typical.
+	maxBufferedBytes = 256 << 10
+	// fullRetryAfter is the Retry-After of requests that found no free capacity: about the
+	// time in which some slots of a pool become free.
+	fullRetryAfter = 100 * time.Millisecond
+	// noServerRetryAfter is the Retry-After if the pool has no known server: about the time
+	// in which one registers.
+	noServerRetryAfter = time.Second
+	// streamReadTimeout is the read timeout of a stream that can resume on another server:
+	// callers disconnect after two seconds at the earliest.
+	streamReadTimeout = 1500 * time.Millisecond
+	// retryDelay is the delay before all servers that had no free capacity are asked again.
+	retryDelay = 15 * time.Millisecond
 )
 
-// Forwarder runs callers' requests. Exported fields are set before the first one.
+// Forwarder sends callers' requests to backend servers. Exported fields are set before the
+// first one.
 type Forwarder struct {
 	Roster *roster.Roster
 }
 
 // Run sends a request until a backend server has answered it. The error is a
-// *refusal.Error; it says "not run" only where that is proved.
+// *refusal.Error; its outcome is "not run" only if that is certain.
 func (f *Forwarder) Run(ctx context.Context, request *Request) (*Answer, error) {
 	run := &run{
 		forwarder: f,
 		request:   request,
 		pool:      request.Route.Pool(rand.Float64()),
-		policy:    policy{attempts: request.Route.Attempts, repeats: request.mayRepeat(), target: request.Route.Target},
+		policy:    policy{attempts: request.Route.Attempts, repeatable: request.isRepeatable(), target: request.Route.Target},
 		tried:     map[string]bool{},
 	}
 	ctx, cancel := context.WithTimeout(ctx, request.left())
-	answer, err := run.follow(ctx)
+	answer, err := run.execute(ctx)
 	if err != nil {
 		cancel()
 		return nil, err
@@ -61,80 +62,79 @@
 	return answer, nil
 }
 
-// run is one request with its tries.
+// run is the state of one request across its attempts.
 type run struct {
 	forwarder *Forwarder
 	request   *Request
 	pool      string
 	policy    policy
 	tried     map[string]bool
-	began     bool
+	begun     bool
 }
 
-func (r *run) follow(ctx context.Context) (*Answer, error) {
+func (r *run) execute(ctx context.Context) (*Answer, error) {
 	var last error
 	for {
 		server, reason := r.forwarder.Roster.Choose(r.pool, r.tried)
 		if server == nil {
-			if again, err := r.noServer(ctx, last); !again {
+			if retry, err := r.resetTried(ctx, last); !retry {
 				return nil, err
 			}
 			continue
 		}
-		klog.InfoS("route: chosen", "id", r.request.ID, "route", r.request.Route.Name, "server", server.Name(), "running", r.forwarder.Roster.Running(server), "reason", reason, "tried", len(r.tried), "left", r.request.left())
+		klog.InfoS("route: server chosen", "id", r.request.ID, "route", r.request.Route.Name, "server", server.Name(), "running", r.forwarder.Roster.Running(server), "reason", reason, "tried", len(r.tried), "left", r.request.left())
 		r.tried[server.Name()] = true
-		answer, err := r.try(ctx, server)
+		answer, err := r.tryServer(ctx, server)
 		if err == nil {
 			return answer, nil
 		}
 		r.forwarder.Roster.Finish(server)
-		r.note(ctx, server, err)
+		r.noteFailure(ctx, server, err)
 		last = err
-		if ctx.Err() != nil || !r.policy.failed(err, r.request.left()) {
+		if ctx.Err() != nil || !r.policy.recordFailure(err, r.request.left()) {
 			return nil, r.refuse(ctx, err)
 		}
-		klog.InfoS("route: tried elsewhere", "id", r.request.ID, "server", server.Name(), "after", err.Error(), "left", r.request.left())
+		klog.InfoS("route: retrying on another server", "id", r.request.ID, "server", server.Name(), "after", err.Error(), "left", r.request.left())
 	}
 }
 
-// noServer reports whether the servers are to be asked once more. Where the
-// pool has none, or the time is nearly over, the request is refused at once.
-func (r *run) noServer(ctx context.Context, last error) (bool, error) {
+// resetTried makes all servers eligible again after a delay. It returns false and the
+// refusal if the pool has no server, the request may have run or its time is nearly over.
+func (r *run) resetTried(ctx context.Context, last error) (bool, error) {
 	if last == nil {
-		klog.InfoS("route: no server", "id", r.request.ID, "pool", r.pool)
+		klog.InfoS("route: no server available", "id", r.request.ID, "pool", r.pool)
 		r.forwarder.Roster.Refused(r.pool)
-		return false, refusal.NotRun(http.StatusServiceUnavailable, "no_server", "no backend server of the pool gets work").After(serverAgain)
+		return false, refusal.NotRun(http.StatusServiceUnavailable, "no_server", "no backend server of the pool gets work").After(noServerRetryAfter)
 	}
-	if !refusal.IsNotRun(last) || r.request.left() < 2*waitForRoom {
+	if !refusal.IsNotRun(last) || r.request.left() < 2*retryDelay {
 		return false, r.refuse(ctx, last)
 	}
-	if !pause.For(ctx, waitForRoom) {
+	if !pause.For(ctx, retryDelay) {
 		return false, r.refuse(ctx, last)
 	}
 	clear(r.tried)
 	return true, nil
 }
 
-// try sends the request to one server. It takes answers of failed servers for
-// what they are: a failure of the request, given on to the caller.
-func (r *run) try(ctx context.Context, server *roster.Server) (*Answer, error) {
+// tryServer sends the request to one server. An error status of a server counts as a
+// failure of the request and is passed on to the caller.
+func (r *run) tryServer(ctx context.Context, server *roster.Server) (*Answer, error) {
 	left := r.request.left()
 	if left <= 0 {
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, "no_time", "the request's time was over before it was sent").After(roomAgain)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, "no_time", "the request's time was over before it was sent").After(fullRetryAfter)
 	}
 	answer, err := r.send(ctx, server)
 	if err != nil {
 		return nil, err
 	}
-	return r.read(ctx, server, answer)
+	return r.readAnswer(ctx, server, answer)
 }
 
-// send sends the request to one server.
 func (r *run) send(ctx context.Context, server *roster.Server) (*backend.Answer, error) {
 	left, began := r.request.left(), clock.Now()
-	answer, err := server.Direct().Do(ctx, r.request.to(server.Name(), left, r.silence(left)))
+	answer, err := server.Direct().Do(ctx, r.request.sendTo(server.Name(), left, r.readTimeout(left)))
 	if err == nil || !refusal.IsNotRun(err) {
-		r.start()
+		r.markBegun()
 	}
 	if err == nil {
 		r.forwarder.Roster.Answered(server)
@@ -145,39 +145,39 @@
 	return answer, err
 }
 
-// silence returns how long a server may send nothing: of a stream that can go on
-// elsewhere, no longer than callers wait between two events.
-func (r *run) silence(left time.Duration) time.Duration {
-	if r.request.Route.Kind == table.Stream && r.policy.repeats {
-		return min(left, streamSilence)
+// readTimeout returns how long a server may send nothing; for a stream that can resume on
+// another server it is at most the time that callers wait between two events.
+func (r *run) readTimeout(left time.Duration) time.Duration {
+	if r.request.Route.Kind == table.Stream && r.policy.repeatable {
+		return min(left, streamReadTimeout)
 	}
-	return r.policy.silence(left)
+	return r.policy.readTimeout(left)
 }
 
-func (r *run) start() {
-	if r.began {
+func (r *run) markBegun() {
+	if r.begun {
 		return
 	}
-	r.began = true
+	r.begun = true
 	if r.request.Began != nil {
 		r.request.Began()
 	}
 }
 
-// read takes an answer whole if it is short and not a stream.
-func (r *run) read(ctx context.Context, server *roster.Server, answer *backend.Answer) (*Answer, error) {
-	got := &Answer{Answer: answer, Finish: func() {
+// readAnswer reads an answer completely if it is short and not a stream.
+func (r *run) readAnswer(ctx context.Context, server *roster.Server, answer *backend.Answer) (*Answer, error) {
+	result := &Answer{Answer: answer, Finish: func() {
 		_ = answer.Body.Close()
 		r.forwarder.Roster.Finish(server)
 	}}
 	if r.request.Route.Kind == table.Stream && answer.StatusCode < http.StatusMultipleChoices {
-		if r.policy.repeats {
-			events := newStream(ctx, r, server, answer)
-			got.Next, got.Finish = events.Next, events.close
+		if r.policy.repeatable {
+			resumable := newStream(ctx, r, server, answer)
+			result.Next, result.Finish = resumable.Next, resumable.close
 		}
-		return got, nil
+		return result, nil
 	}
-	body, whole, err := answer.Whole(heldBytes)
+	body, complete, err := answer.Whole(maxBufferedBytes)
 	if err != nil {
 		_ = answer.Body.Close()
 		return nil, err
@@ -185,21 +185,20 @@
 	if answer.StatusCode == http.StatusInternalServerError && r.request.Failed != nil {
 		r.request.Failed()
 	}
-	if answer.StatusCode >= http.StatusInternalServerError && r.policy.repeats && r.policy.sent+1 < r.policy.attempts {
+	if answer.StatusCode >= http.StatusInternalServerError && r.policy.repeatable && r.policy.executions+1 < r.policy.attempts {
 		_ = answer.Body.Close()
 		return nil, refusal.Unknown(http.StatusBadGateway, backend.CodeFailed, "%s answered %d", server.Name(), answer.StatusCode)
 	}
-	got.Body, got.Whole = body, whole
-	return got, nil
+	result.Body, result.Whole = body, complete
+	return result, nil
 }
 
-// note tells the roster what a failure says of its server.
-func (r *run) note(ctx context.Context, server *roster.Server, err error) {
+func (r *run) noteFailure(ctx context.Context, server *roster.Server, err error) {
 	NoteFailure(ctx, r.forwarder.Roster, server, err)
 }
 
-// NoteFailure tells the roster what a failed try says of its server. A try that
-// ended with its request's own time or caller says nothing.
+// NoteFailure reports a failed attempt to the roster. An attempt that ended because the
+// request timed out or its caller disconnected tells nothing about the server.
 func NoteFailure(ctx context.Context, servers *roster.Roster, server *roster.Server, err error) {
 	refused := refusal.Of(err)
 	switch {
@@ -214,24 +213,24 @@
 	}
 }
 
-// refuse ends the request. Once any server may have run it, the outcome stays
-// unknown, whatever the last one said.
+// refuse returns the refusal that ends the request. Once any server may have run it, the
+// outcome is unknown, whatever the last one reported.
 func (r *run) refuse(ctx context.Context, err error) error {
 	refused := *refusal.Of(err)
-	if r.policy.ran {
+	if r.policy.mayHaveRun {
 		refused.Outcome = peerpb.Outcome_OUTCOME_UNKNOWN
 		if refused.Status == http.StatusServiceUnavailable {
 			refused.Status = http.StatusBadGateway
 		}
 	} else if refused.Retry == 0 {
-		refused.Retry = roomAgain
+		refused.Retry = fullRetryAfter
 	}
-	if ctx.Err() != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && r.policy.ran {
+	if ctx.Err() != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && r.policy.mayHaveRun {
 		refused.Status = http.StatusGatewayTimeout
 	}
 	if refused.Code == backend.CodeFull {
 		r.forwarder.Roster.Refused(r.pool)
 	}
-	klog.InfoS("route: refused", "id", r.request.ID, "status", refused.Status, "code", refused.Code, "tried", len(r.tried), "left", r.request.left(), "at", clock.Now())
+	klog.InfoS("route: request refused", "id", r.request.ID, "status", refused.Status, "code", refused.Code, "tried", len(r.tried), "left", r.request.left(), "at", clock.Now())
 	return &refused
 }
--- a/internal/forward/policy.go
+++ b/internal/forward/policy.go
@@ -6,50 +6,51 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// usualShare is how many times the target latency a try may take before it is
-// given up for another one: work of twice the target is rare, and a server that
-// is silent that long has mostly gone.
-const usualShare = 2
+// minTargetMultiple times the target latency is the least time before an attempt is
+// abandoned for another: requests rarely take twice the target, and a server that sends
+// nothing for so long is mostly down.
+const minTargetMultiple = 2
 
-// policy decides on the tries of one request. It does no input or output.
+// policy decides on the attempts of one request. It does no I/O.
 type policy struct {
-	// attempts is the most servers that the request may run at.
+	// attempts is the maximum number of servers that may run the request.
 	attempts int
-	// repeats says that it may run more than once.
-	repeats bool
-	target  time.Duration
+	// repeatable is true if the request may run more than once.
+	repeatable bool
+	target     time.Duration
 
-	// sent counts the servers that may have run it.
-	sent int
-	// ran is true once a server may have run it.
-	ran bool
+	// executions counts the servers that may have run it.
+	executions int
+	// mayHaveRun is true once a server may have run it.
+	mayHaveRun bool
 }
 
-// silence returns how long the next try may go without an answer. The last try
-// takes all the time that is left; one before it leaves the others their part.
-func (p *policy) silence(left time.Duration) time.Duration {
-	rest := p.attempts - p.sent
-	if rest <= 1 || !p.repeats {
+// readTimeout returns how long the next attempt may go without an answer. The last attempt
+// gets all the remaining time; an earlier one leaves a share for the others.
+func (p *policy) readTimeout(left time.Duration) time.Duration {
+	attemptsLeft := p.attempts - p.executions
+	if attemptsLeft <= 1 || !p.repeatable {
 		return left
 	}
-	return min(left, max(usualShare*p.target, left/time.Duration(rest)))
+	return min(left, max(minTargetMultiple*p.target, left/time.Duration(attemptsLeft)))
 }
 
-// failed notes a try that gave no answer, and reports whether there may be another.
+// recordFailure records an attempt without an answer, and reports whether another one is
+// allowed.
 //
-// One that was proved not to run costs no attempt and may always go elsewhere.
-// One that may have run goes only if it may run again: sent once more, a posting
-// would be made twice.
-func (p *policy) failed(err error, left time.Duration) bool {
+// An attempt that certainly did not run is not counted, and the request may always go to
+// another server. If it may have run, it goes only if it is repeatable: otherwise a
+// posting could be made twice.
+func (p *policy) recordFailure(err error, left time.Duration) bool {
 	if !refusal.IsNotRun(err) {
-		p.sent++
-		p.ran = true
+		p.executions++
+		p.mayHaveRun = true
 	}
 	if left <= 0 {
 		return false
 	}
-	if p.ran && !p.repeats {
+	if p.mayHaveRun && !p.repeatable {
 		return false
 	}
-	return p.sent < p.attempts
+	return p.executions < p.attempts
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -1,5 +1,5 @@
-// Package forward gives a caller's request to a backend server, and to another
-// one where that is allowed and of use.
+// Package forward sends callers' requests to backend servers, and retries them on another
+// server where that is safe and useful.
 package forward
 
 import (
@@ -10,32 +10,32 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/table"
 )
 
-// Request is a caller's request on its way. Exported fields are set before it is run.
+// Request is a caller's request. Exported fields are set before it is run.
 type Request struct {
-	// Send is what each backend server is sent, but for Server, Left and Silence,
-	// which differ from try to try.
+	// Send is sent to each backend server, except for Server, Left and Silence, which are
+	// set for each attempt.
 	backend.Send
 
 	Route *table.Route
-	// Until is when the caller or the route gives the request up.
+	// Until is the deadline of the caller or the route.
 	Until clock.Boot
-	// Failed is called for each answer by which a backend server says that the
-	// request failed there; nil is allowed.
+	// Failed, if not nil, is called for each answer in which a backend server reports that
+	// the request failed there.
 	Failed func()
-	// Began is called when a backend server has the request for the first time; nil is allowed.
+	// Began, if not nil, is called when the first backend server has received the request.
 	Began func()
 }
 
-// mayRepeat reports whether the request may run more than once.
-func (r *Request) mayRepeat() bool {
+// isRepeatable reports whether the request may run more than once.
+func (r *Request) isRepeatable() bool {
 	return r.Route.Kind == table.Idempotent || r.Route.Kind == table.Stream && r.Route.Resumable
 }
 
-// left returns how long the request may still take.
+// left returns the time until the deadline.
 func (r *Request) left() time.Duration { return r.Until.Sub(clock.Now()) }
 
-// to returns what one server is sent.
-func (r *Request) to(server string, left, silence time.Duration) backend.Send {
+// sendTo returns the request to one server.
+func (r *Request) sendTo(server string, left, silence time.Duration) backend.Send {
 	send := r.Send
 	send.Server, send.Left, send.Silence = server, left, silence
 	return send
@@ -45,12 +45,12 @@
 type Answer struct {
 	*backend.Answer
 
-	// Body is what was read of it; Whole says that this is all.
+	// Body is the part read so far; Whole is true if it is complete.
 	Body  []byte
 	Whole bool
-	// Next returns the next part of an answer that comes in events, and io.EOF after
-	// the last one; nil where the rest is read from the answer's own body.
+	// Next returns the next part of an event stream, and io.EOF after the last one; if nil,
+	// the rest is read from the answer's body.
 	Next func() ([]byte, error)
-	// Finish is called once the answer was read or given up.
+	// Finish is called once the answer was read or abandoned.
 	Finish func()
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -11,8 +11,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/roster"
 )
 
-// stream is an answer in events that goes on at another server when its own one
-// breaks off. It is used by one goroutine.
+// stream is an event stream that resumes on another server when it is interrupted. It is
+// used by one goroutine.
 type stream struct {
 	run *run
 	ctx context.Context
@@ -20,33 +20,33 @@
 	server *roster.Server
 	answer *backend.Answer
 	events *backend.Events
-	// last is the number of the last event, version the one that made it.
-	last    uint64
-	version uint64
+	// lastEvent is the number of the last event, version its weight version.
+	lastEvent uint64
+	version   uint64
 }
 
 func newStream(ctx context.Context, run *run, server *roster.Server, answer *backend.Answer) *stream {
 	events := answer.Events()
-	return &stream{run: run, ctx: ctx, server: server, answer: answer, events: events, last: run.request.LastEvent, version: events.Version()}
+	return &stream{run: run, ctx: ctx, server: server, answer: answer, events: events, lastEvent: run.request.LastEvent, version: events.Version()}
 }
 
-// Next returns the next event as it is to be sent; io.EOF after the last one.
+// Next returns the next event as it is sent to the caller, or io.EOF after the last one.
 //
-// A sampler that dies cuts its stream. The caller would have to ask again and
-// wait for a new start; here the rest comes from another sampler, which is told
-// the last event that the caller has. The answer keeps the head of the first one.
+// A sampler that crashes interrupts its stream. Instead of making the caller retry and
+// wait for a new start, Next gets the rest from another sampler, which is told the last
+// event that the caller has. The answer keeps the headers of the first sampler.
 func (s *stream) Next() ([]byte, error) {
 	for {
 		event, err := s.events.Next()
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		if err == nil && event.Number != s.last+1 {
+		if err == nil && event.Number != s.lastEvent+1 {
 			err = s.answer.Cut()
 		}
 		if err == nil {
-			s.last = event.Number
-			return s.announce(event), nil
+			s.lastEvent = event.Number
+			return s.withVersionLine(event), nil
 		}
 		if !s.resume(err) {
 			return nil, err
@@ -54,9 +54,9 @@
 	}
 }
 
-// announce puts the line of a new weight version before an event of a resumed
-// answer: the caller sees the head of the first server alone.
-func (s *stream) announce(event backend.Event) []byte {
+// withVersionLine prepends a line with the new weight version to an event of a resumed
+// answer, because the caller only sees the headers of the first server.
+func (s *stream) withVersionLine(event backend.Event) []byte {
 	if event.Version == s.version || event.Version == 0 {
 		return event.Raw
 	}
@@ -68,32 +68,32 @@
 	return append([]byte(line), event.Raw...)
 }
 
-// resume goes on at another server. It reports false if there is none, or the
+// resume continues the stream on another server. It returns false if there is none, or the
 // request has no attempt or time left.
 func (s *stream) resume(cause error) bool {
 	s.close()
-	s.run.note(s.ctx, s.server, cause)
-	for s.ctx.Err() == nil && s.run.policy.failed(cause, s.run.request.left()) {
+	s.run.noteFailure(s.ctx, s.server, cause)
+	for s.ctx.Err() == nil && s.run.policy.recordFailure(cause, s.run.request.left()) {
 		server, reason := s.run.forwarder.Roster.Choose(s.run.pool, s.run.tried)
 		if server == nil {
 			return false
 		}
 		s.run.tried[server.Name()] = true
-		klog.InfoS("route: stream goes on elsewhere", "id", s.run.request.ID, "server", server.Name(), "reason", reason, "after", s.last, "cause", cause.Error())
-		s.run.request.LastEvent = s.last
+		klog.InfoS("route: resuming the stream on another server", "id", s.run.request.ID, "server", server.Name(), "reason", reason, "after", s.lastEvent, "cause", cause.Error())
+		s.run.request.LastEvent = s.lastEvent
 		answer, err := s.run.send(s.ctx, server)
 		if err == nil {
 			s.server, s.answer, s.events = server, answer, answer.Events()
 			return true
 		}
 		s.run.forwarder.Roster.Finish(server)
-		s.run.note(s.ctx, server, err)
+		s.run.noteFailure(s.ctx, server, err)
 		cause = err
 	}
 	return false
 }
 
-// close gives the present answer up.
+// close abandons the current answer.
 func (s *stream) close() {
 	if s.answer == nil {
 		return
