--- a/internal/sidecar/budget.go
+++ b/internal/sidecar/budget.go
@@ -13,13 +13,13 @@
 	budget route.Budget
 }
 
-func (b *lockedBudget) request(now time.Time) {
+func (b *lockedBudget) addRequest(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.budget.Request(now)
 }
 
-func (b *lockedBudget) retry(now time.Time) bool {
+func (b *lockedBudget) takeRetry(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.budget.Retry(now)
--- a/internal/sidecar/cancel.go
+++ b/internal/sidecar/cancel.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	cancelWorkers = 4
-	cancelQueue   = 1024
-	cancelTimeout = time.Second
+	cancelWorkers   = 4
+	cancelQueueSize = 1024
+	cancelTimeout   = time.Second
 )
 
 // cancellation asks a sidecar to stop a request.
@@ -22,8 +22,9 @@
 	reason  string
 }
 
-// cancel queues a cancellation and never waits: the caller's answer goes first.
-// One that finds the queue full is dropped; the request then ends at its time limit.
+// cancel queues a cancellation and never blocks, so that it does not delay the caller's
+// answer. If the queue is full, the cancellation is dropped; the request then ends at its
+// timeout.
 func (p *Pool) cancel(address, id, reason string) {
 	select {
 	case p.cancels <- cancellation{address: address, id: id, reason: reason}:
@@ -45,15 +46,15 @@
 }
 
 func (p *Pool) sendCancel(ctx context.Context, next cancellation) {
-	used, err := p.connections.get(next.address)
+	conn, err := p.connections.get(next.address)
 	if err != nil {
 		return
 	}
-	defer p.connections.release(used)
+	defer p.connections.release(conn)
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	request := peerpb.CancelRequest_builder{Id: next.id, Reason: next.reason}.Build()
-	if _, err := peerpb.NewSidecarClient(used).Cancel(ctx, request); err != nil {
-		klog.V(1).Infof("route: %s: not cancelled: %v", next.id, err)
+	if _, err := peerpb.NewSidecarClient(conn).Cancel(ctx, request); err != nil {
+		klog.V(1).Infof("route: %s: cancellation failed: %v", next.id, err)
 	}
 }
--- a/internal/sidecar/connections.go
+++ b/internal/sidecar/connections.go
@@ -9,13 +9,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/listen"
 )
 
-// connection is an open connection and the number of those who use it.
+// connection is an open connection with its number of users.
 type connection struct {
 	*grpc.ClientConn
 	users int
 }
 
-// connections holds one connection for each address. Its zero value holds none.
+// connections holds one connection per address. The zero value is empty and usable.
 type connections struct {
 	credentials credentials.TransportCredentials
 
@@ -23,33 +23,32 @@
 	opened map[string]*connection
 }
 
-// discard closes a connection that went silent or broke, so that the next
-// request dials a new one. It reports whether the connection was still in use
-// for its address, false if another stream had discarded it.
+// discard closes a connection that timed out or broke, so that the next request dials a
+// new one. It returns false if another stream had already discarded the connection.
 //
-// Something between the two ends can lose track of a connection: it stays open
-// and carries nothing, while a new one works. gRPC's own pings would take
-// longer than a caller waits. Other streams on the connection break too; each
-// resumes from its position on the new one.
+// A device on the network path can lose track of a connection: it stays open and carries
+// no data, while new ones work. gRPC's keepalive pings would take longer than a caller
+// waits. Other streams on the connection break too; each resumes from its position on the
+// new one.
 func (c *connections) discard(address string, old *connection) bool {
 	c.mutex.Lock()
-	present := c.opened[address] == old
-	if present {
+	current := c.opened[address] == old
+	if current {
 		delete(c.opened, address)
 	}
 	c.mutex.Unlock()
 	_ = old.Close()
-	return present
+	return current
 }
 
-// get returns the connection of an address, and opens it if there is none.
-// release ends the use.
+// get returns the connection to an address and opens it if there is none. The caller must
+// release it.
 func (c *connections) get(address string) (*connection, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if present := c.opened[address]; present != nil {
-		present.users++
-		return present, nil
+	if existing := c.opened[address]; existing != nil {
+		existing.users++
+		return existing, nil
 	}
 	dialed, err := listen.Dial(address, c.credentials)
 	if err != nil {
@@ -62,21 +61,21 @@
 	return c.opened[address], nil
 }
 
-func (c *connections) release(used *connection) {
+func (c *connections) release(conn *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	used.users--
+	conn.users--
 }
 
-// retain closes the unused connections to addresses that no process has any
-// more. Those in use stay: a process taken for failed by mistake still answers.
-func (c *connections) retain(present map[string]bool) {
+// closeUnused closes the unused connections to addresses that no process has any more.
+// Connections in use stay open: a process wrongly suspected to have failed still answers.
+func (c *connections) closeUnused(addresses map[string]bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for address, one := range c.opened {
-		if !present[address] && one.users == 0 {
+	for address, conn := range c.opened {
+		if !addresses[address] && conn.users == 0 {
 			delete(c.opened, address)
-			_ = one.Close()
+			_ = conn.Close()
 		}
 	}
 }
--- a/internal/sidecar/directory.go
+++ b/internal/sidecar/directory.go
@@ -12,35 +12,35 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// directoryAge is how old the list of servers may get; a leaving server gets
-// no new work this long after its mark has come here.
-const directoryAge = 100 * time.Millisecond
+// maxDirectoryAge is the maximum age of the list of servers; a draining server gets no new
+// work this long after the entry learns of the drain.
+const maxDirectoryAge = 100 * time.Millisecond
 
-// server is a backend server as this entry sees it, and the address of its sidecar.
+// server is a backend server as seen by this entry, with the address of its sidecar.
 type server struct {
 	*route.Server
 	address     string
 	incarnation uint64
 }
 
-// directory holds the backend servers known, by pool.
+// directory holds the known backend servers by pool.
 type directory struct {
 	members *member.Members
 	chooser *route.Chooser
-	// retain is called with the addresses present, each time the list is read.
-	retain func(map[string]bool)
+	// closeUnused is called with the current addresses on each refresh.
+	closeUnused func(map[string]bool)
 
 	mutex   sync.Mutex
 	servers map[string]*server
 	pools   map[string][]*route.Server
-	read    time.Time
+	readAt  time.Time
 }
 
-// begin counts a request sent to a server.
-func (d *directory) begin(one *server) {
+// begin records the start of a request at a server.
+func (d *directory) begin(s *server) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	one.Begin()
+	s.Begin()
 }
 
 // choose returns the server of a pool for a request, or nil.
@@ -56,7 +56,7 @@
 	return d.servers[choice.Server.Name()], choice.Reason
 }
 
-// find returns a server by its name if it may be asked, or nil.
+// find returns a server by name, or nil if it is not known.
 func (d *directory) find(name string) *server {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -64,41 +64,40 @@
 	return d.servers[name]
 }
 
-// finish counts the end of a request.
-func (d *directory) finish(one *server) {
+// finish records the end of a request at a server.
+func (d *directory) finish(s *server) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	one.Finish()
+	s.Finish()
 }
 
-// refresh reads the processes anew if the list is old.
+// refresh reads the processes again if the list is outdated.
 func (d *directory) refresh(now time.Time) {
-	if d.servers != nil && now.Sub(d.read) < directoryAge {
+	if d.servers != nil && now.Sub(d.readAt) < maxDirectoryAge {
 		return
 	}
-	d.read = now
-	known := d.servers
+	d.readAt = now
+	previous := d.servers
 	d.servers = map[string]*server{}
 	d.pools = map[string][]*route.Server{}
-	leaving := map[string]map[string]bool{}
-	present := map[string]bool{}
+	draining := map[string]map[string]bool{}
+	addresses := map[string]bool{}
 	for _, process := range d.members.Processes(peerpb.Role_ROLE_SIDECAR) {
 		pool := process.GetPool()
-		if leaving[pool] == nil {
-			leaving[pool] = d.leaving(pool)
+		if draining[pool] == nil {
+			draining[pool] = d.drainingServers(pool)
 		}
-		present[process.GetAddress()] = true
-		if one := d.add(known, process); one != nil {
-			d.mark(one, process, leaving[pool], now)
+		addresses[process.GetAddress()] = true
+		if added := d.add(previous, process); added != nil {
+			d.updateServer(added, process, draining[pool], now)
 		}
 	}
-	d.retain(present)
+	d.closeUnused(addresses)
 }
 
-// add takes a process into the list. Where two processes name one backend
-// server, as after a replacement, the one that started last counts; add returns
-// nil for the other.
-func (d *directory) add(known map[string]*server, process *peerpb.Process) *server {
+// add adds a process to the list. If two processes serve the same backend server, as after
+// a replacement, the one that started last wins; add returns nil for the other.
+func (d *directory) add(previous map[string]*server, process *peerpb.Process) *server {
 	name := process.GetServer()
 	if other := d.servers[name]; other != nil {
 		if other.incarnation >= process.GetIncarnation() {
@@ -108,8 +107,8 @@
 		return other
 	}
 	next := &server{address: process.GetAddress(), incarnation: process.GetIncarnation()}
-	if one := known[name]; one != nil {
-		next.Server = one.Server
+	if old := previous[name]; old != nil {
+		next.Server = old.Server
 	} else {
 		next.Server = route.NewServer(name, process.GetRegion(), process.GetZone())
 	}
@@ -118,15 +117,15 @@
 	return next
 }
 
-// mark sets whether a server gets new work: by its process's own record, by its
-// load and by the fleet's orders, of which any may be the first to say that it leaves.
-func (d *directory) mark(one *server, process *peerpb.Process, leaving map[string]bool, now time.Time) {
-	load := d.members.Load(one.Name())
-	one.SetStanding(standing(process.GetState()))
-	if load.GetDraining() || leaving[one.Name()] {
-		one.SetStanding(route.Closed)
+// updateServer sets whether a server gets new work, based on its process record, its load
+// report and the fleet; any of them may be the first to show that the server drains.
+func (d *directory) updateServer(s *server, process *peerpb.Process, draining map[string]bool, now time.Time) {
+	load := d.members.Load(s.Name())
+	s.SetStanding(standing(process.GetState()))
+	if load.GetDraining() || draining[s.Name()] {
+		s.SetStanding(route.Closed)
 	}
-	one.TakeReport(route.Report{
+	s.TakeReport(route.Report{
 		Seq:     load.GetSeq(),
 		Time:    now,
 		Running: int64(load.GetRunning()),
@@ -147,20 +146,20 @@
 	}
 }
 
-func (d *directory) leaving(pool string) map[string]bool {
-	leaving := map[string]bool{}
+func (d *directory) drainingServers(pool string) map[string]bool {
+	draining := map[string]bool{}
 	fact := d.members.Fact(member.FactFleet + pool)
 	if fact == nil {
-		return leaving
+		return draining
 	}
 	fleet := &statepb.Fleet{}
 	if err := proto.Unmarshal(fact.GetValue(), fleet); err != nil {
-		return leaving
+		return draining
 	}
-	for _, one := range fleet.GetServers() {
-		if one.GetState() == "draining" || one.GetState() == "removed" {
-			leaving[one.GetId()] = true
+	for _, server := range fleet.GetServers() {
+		if server.GetState() == "draining" || server.GetState() == "removed" {
+			draining[server.GetId()] = true
 		}
 	}
-	return leaving
+	return draining
 }
--- a/internal/sidecar/fake_test.go
+++ b/internal/sidecar/fakesidecar_test.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	silence = 300 * time.Millisecond
-	bound   = 10 * time.Second
+	readTimeout = 300 * time.Millisecond
+	testTimeout = 10 * time.Second
 )
 
-// fake is a sidecar that plays what a test gives it.
-type fake struct {
+// fakeSidecar is a sidecar whose answers come from a test's handler.
+type fakeSidecar struct {
 	peerpb.UnimplementedSidecarServer
 
-	play      func(request *peerpb.RunRequest, stream frames) error
+	handler   func(request *peerpb.RunRequest, stream frameStream) error
 	cancelled chan string
 	address   string
 	stop      func()
@@ -36,29 +36,29 @@
 	seen  []*peerpb.RunRequest
 }
 
-type frames = grpc.ServerStreamingServer[peerpb.Frame]
+type frameStream = grpc.ServerStreamingServer[peerpb.Frame]
 
-func (f *fake) Cancel(_ context.Context, request *peerpb.CancelRequest) (*peerpb.CancelReply, error) {
+func (f *fakeSidecar) Cancel(_ context.Context, request *peerpb.CancelRequest) (*peerpb.CancelReply, error) {
 	f.cancelled <- request.GetId()
 	return &peerpb.CancelReply{}, nil
 }
 
-func (f *fake) Run(request *peerpb.RunRequest, stream frames) error {
+func (f *fakeSidecar) Run(request *peerpb.RunRequest, stream frameStream) error {
 	f.mutex.Lock()
 	f.seen = append(f.seen, request)
 	f.mutex.Unlock()
-	return f.play(request, stream)
+	return f.handler(request, stream)
 }
 
-func (f *fake) requests() []*peerpb.RunRequest {
+func (f *fakeSidecar) requests() []*peerpb.RunRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.seen
 }
 
-func startFake(t *testing.T, play func(*peerpb.RunRequest, frames) error) *fake {
+func startFakeSidecar(t *testing.T, handler func(*peerpb.RunRequest, frameStream) error) *fakeSidecar {
 	t.Helper()
-	f := &fake{play: play, cancelled: make(chan string, 16)}
+	f := &fakeSidecar{handler: handler, cancelled: make(chan string, 16)}
 	listening := make(chan string, 1)
 	server := &listen.GRPC{
 		Address:   "127.0.0.1:0",
@@ -77,18 +77,18 @@
 	return f
 }
 
-// known is a process that the pool knows.
-type known struct {
+// processInfo is a process known to the pool.
+type processInfo struct {
 	server, address, pool string
 	state                 peerpb.State
 }
 
-func newPool(t *testing.T, processes ...known) *sidecar.Pool {
+func newPool(t *testing.T, processes ...processInfo) *sidecar.Pool {
 	t.Helper()
 	self := peerpb.Process_builder{Name: "e1", Role: peerpb.Role_ROLE_ENTRY, Zone: "z1", State: peerpb.State_STATE_LIVE}.Build()
 	members := member.NewMembers(self)
-	learn(t, members, processes...)
-	pool := &sidecar.Pool{Members: members, Decisions: &decision.Log{}, Silence: silence}
+	addProcesses(t, members, processes...)
+	pool := &sidecar.Pool{Members: members, Decisions: &decision.Log{}, Silence: readTimeout}
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- pool.Serve(ctx) }()
@@ -99,17 +99,17 @@
 	return pool
 }
 
-func learn(t *testing.T, members *member.Members, processes ...known) {
+func addProcesses(t *testing.T, members *member.Members, processes ...processInfo) {
 	t.Helper()
 	gossip := &peerpb.Gossip{}
-	for _, one := range processes {
-		state := one.state
+	for _, process := range processes {
+		state := process.state
 		if state == peerpb.State_STATE_UNSPECIFIED {
 			state = peerpb.State_STATE_LIVE
 		}
 		gossip.SetProcesses(append(gossip.GetProcesses(), peerpb.Process_builder{
-			Name: "sidecar-" + one.server, Incarnation: 1, Version: 1, Role: peerpb.Role_ROLE_SIDECAR, State: state,
-			Zone: "z1", Address: one.address, Server: one.server, Pool: one.pool,
+			Name: "sidecar-" + process.server, Incarnation: 1, Version: 1, Role: peerpb.Role_ROLE_SIDECAR, State: state,
+			Zone: "z1", Address: process.address, Server: process.server, Pool: process.pool,
 		}.Build()))
 	}
 	gossip.SetSender(members.Self())
@@ -127,8 +127,8 @@
 	return peerpb.Frame_builder{Id: request.GetId(), Seq: frames, End: end}.Build()
 }
 
-// sendAll sends frames until one can't be sent.
-func sendAll(stream frames, all ...*peerpb.Frame) error {
+// sendAll sends frames until sending fails.
+func sendAll(stream frameStream, all ...*peerpb.Frame) error {
 	for _, frame := range all {
 		if err := stream.Send(frame); err != nil {
 			return err
@@ -137,9 +137,10 @@
 	return nil
 }
 
-// words plays an answer of one frame for each word, from the position wanted.
-func words(all ...string) func(*peerpb.RunRequest, frames) error {
-	return func(request *peerpb.RunRequest, stream frames) error {
+// answerWords returns a handler that sends one frame per word, from the requested
+// position.
+func answerWords(all ...string) func(*peerpb.RunRequest, frameStream) error {
+	return func(request *peerpb.RunRequest, stream frameStream) error {
 		for seq := request.GetFrom(); seq < uint64(len(all)); seq++ {
 			if err := stream.Send(numbered(request, seq, all[seq])); err != nil {
 				return err
@@ -150,12 +151,12 @@
 }
 
 // hang keeps a stream open until its client ends it.
-func hang(stream frames) error {
+func hang(stream frameStream) error {
 	<-stream.Context().Done()
 	return nil
 }
 
-// collector is a sink that keeps the text.
+// collector is a sink that collects the text.
 type collector struct {
 	text string
 }
@@ -165,25 +166,25 @@
 	return true
 }
 
-func (c *collector) take(frame *peerpb.Frame) error {
+func (c *collector) collect(frame *peerpb.Frame) error {
 	c.text += string(frame.GetChunk().GetData())
 	return nil
 }
 
-// relay passes connections on, and can lose track of those that are open.
-type relay struct {
+// proxy is a TCP proxy that can stop passing data on its open connections.
+type proxy struct {
 	address string
 
 	mutex  sync.Mutex
 	silent map[chan struct{}]bool
 }
 
-func startRelay(t *testing.T, target string) *relay {
+func startProxy(t *testing.T, target string) *proxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	r := &relay{address: listener.Addr().String(), silent: map[chan struct{}]bool{}}
+	p := &proxy{address: listener.Addr().String(), silent: map[chan struct{}]bool{}}
 	go func() {
 		for {
 			near, err := listener.Accept()
@@ -196,34 +197,34 @@
 				continue
 			}
 			t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-			r.pass(near, far)
+			p.pass(near, far)
 		}
 	}()
-	return r
+	return p
 }
 
-func (r *relay) pass(near, far net.Conn) {
+func (p *proxy) pass(near, far net.Conn) {
 	silent := make(chan struct{})
-	r.mutex.Lock()
-	r.silent[silent] = false
-	r.mutex.Unlock()
+	p.mutex.Lock()
+	p.silent[silent] = false
+	p.mutex.Unlock()
 	go copyUntil(far, near, silent)
 	go copyUntil(near, far, silent)
 }
 
-// silence makes the open connections carry nothing any more; new ones work.
-func (r *relay) silence() {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	for silent, done := range r.silent {
+// silence stops data on the open connections; new ones work.
+func (p *proxy) silence() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	for silent, done := range p.silent {
 		if !done {
 			close(silent)
-			r.silent[silent] = true
+			p.silent[silent] = true
 		}
 	}
 }
 
-// copyUntil copies until the connection is silenced; what it reads then is lost.
+// copyUntil copies data until silent is closed, then discards what it reads.
 func copyUntil(to io.Writer, from io.Reader, silent <-chan struct{}) {
 	buffer := make([]byte, 4096)
 	for {
--- a/internal/sidecar/homes.go
+++ b/internal/sidecar/homes.go
@@ -11,26 +11,26 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// FleetHomes finds the homes of claims by the newest fleet known of a pool.
-// Exported fields are set before the first call.
+// FleetHomes finds the homes of claims in the newest known fleet of a pool. Exported
+// fields are set before the first call.
 type FleetHomes struct {
 	Members *member.Members
 	// Choose returns the home of a claim in a fleet; empty if there is none.
 	Choose func(claim string, fleet *statepb.Fleet) string
 
 	mutex  sync.Mutex
-	fleets map[string]readFleet
+	fleets map[string]decodedFleet
 }
 
-// readFleet is a fleet and the fact that it was read from.
-type readFleet struct {
+// decodedFleet is a fleet with the fact from which it was decoded.
+type decodedFleet struct {
 	fact  *peerpb.Fact
 	fleet *statepb.Fleet
 }
 
 var _ Homes = &FleetHomes{}
 
-// Home returns the home of a claim and the epoch of the fleet that gave it.
+// Home returns the home of a claim and the epoch of the fleet that determined it.
 func (h *FleetHomes) Home(pool, claim string) (server string, epoch uint64) {
 	fleet := h.fleet(pool)
 	if fleet == nil {
@@ -46,17 +46,17 @@
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if read := h.fleets[pool]; read.fact == fact {
-		return read.fleet
+	if decoded := h.fleets[pool]; decoded.fact == fact {
+		return decoded.fleet
 	}
 	fleet := &statepb.Fleet{}
 	if err := proto.Unmarshal(fact.GetValue(), fleet); err != nil {
-		klog.Errorf("route: fleet of %s at revision %d can't be read: %v", pool, fact.GetRevision(), err)
+		klog.Errorf("route: cannot decode the fleet of pool %s at revision %d: %v", pool, fact.GetRevision(), err)
 		return nil
 	}
 	if h.fleets == nil {
-		h.fleets = map[string]readFleet{}
+		h.fleets = map[string]decodedFleet{}
 	}
-	h.fleets[pool] = readFleet{fact: fact, fleet: fleet}
+	h.fleets[pool] = decodedFleet{fact: fact, fleet: fleet}
 	return fleet
 }
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics counts what the pool does.
+// metrics holds the counters of a pool.
 type metrics struct {
 	refusals *prometheus.CounterVec
 	dropped  *prometheus.CounterVec
--- a/internal/sidecar/place.go
+++ b/internal/sidecar/place.go
@@ -7,17 +7,17 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// choose returns the server for a request and the reason, or nil.
+// choose returns the server for a request, or nil, and the reason.
 func (p *Pool) choose(request *peerpb.RunRequest, prefix uint64, tried map[string]bool) (*server, route.Reason) {
 	if request.GetClaim() != "" {
-		return p.home(request, tried)
+		return p.findHome(request, tried)
 	}
 	wanted := route.Request{Prefix: prefix, Version: request.GetVersion(), Tried: tried}
 	return p.directory.choose(request.GetPool(), wanted)
 }
 
-// home returns the one server at which a claim may run, whatever its load.
-func (p *Pool) home(request *peerpb.RunRequest, tried map[string]bool) (*server, route.Reason) {
+// findHome returns the only server that may run a claim, whatever its load.
+func (p *Pool) findHome(request *peerpb.RunRequest, tried map[string]bool) (*server, route.Reason) {
 	if p.Homes == nil {
 		return nil, "claims have no home here"
 	}
@@ -32,7 +32,7 @@
 	return p.directory.find(name), "home of the claim"
 }
 
-// prompt holds the parts of an engine's request that its prefix is read from.
+// prompt holds the fields of an engine request that form its prefix.
 type prompt struct {
 	Prompt   string `json:"prompt"`
 	Messages []struct {
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -1,5 +1,5 @@
-// Package sidecar speaks to sidecars on behalf of an entry: it places a request
-// on a backend server, and follows its answer over as many connections as that takes.
+// Package sidecar is the entry's client for sidecars: it chooses a backend server for a
+// request, and receives the answer over as many connections as necessary.
 package sidecar
 
 import (
@@ -17,26 +17,26 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// Sink takes the frames of one answer in order, each once; beats are left out.
+// Sink receives the frames of one answer in order, each once, without beats.
 type Sink func(*peerpb.Frame) error
 
-// Restart makes a sink forget what it took, so that the request can run again
-// elsewhere. It reports false where that can't be.
+// Restart discards what a sink received, so that the request can run again on another
+// server. It returns false if that is not possible.
 type Restart func() bool
 
-// Pool holds the connections to sidecars and sends requests to them.
-// Exported fields are set before the first request.
+// Pool holds the connections to sidecars and sends requests to them. Exported fields are
+// set before the first request.
 type Pool struct {
 	Members     *member.Members
 	Decisions   *decision.Log
 	Credentials credentials.TransportCredentials
-	// Silence is how long a sidecar may send nothing.
+	// Silence is the read timeout: how long a sidecar may send nothing.
 	Silence time.Duration
-	// Homes places requests that carry a claim; nil refuses them.
+	// Homes finds the servers for requests with a claim; if nil, these are refused.
 	Homes Homes
-	// Counted takes the counters that end an answer; nil drops them.
+	// Counted, if not nil, receives the counters at the end of an answer.
 	Counted func([]*peerpb.Count)
-	// Metrics takes the pool's metrics; nil keeps them to itself.
+	// Metrics registers the pool's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
 
 	once        sync.Once
@@ -47,32 +47,32 @@
 	metrics     *metrics
 }
 
-// Homes finds the one backend server at which a claim may run.
+// Homes finds the only backend server that may run a claim.
 type Homes interface {
-	// Home returns the server of a pool for a claim, and the epoch of the
-	// pool's servers by which it was chosen; no server if none is known.
+	// Home returns the server of a pool for a claim, and the epoch of the fleet that
+	// determined it; server is empty if none is known.
 	Home(pool, claim string) (server string, epoch uint64)
 }
 
-// Run sends a request to a server of its pool and gives the answer's frames to
-// sink. It returns the end frame once the answer is whole, else an error, which
-// is a *refusal.Error unless sink failed or the context ended.
+// Run sends a request to a server of its pool and passes the answer's frames to sink. It
+// returns the end frame if the answer is complete. Otherwise it returns an error, which is
+// a *refusal.Error unless sink failed or the context ended.
 func (p *Pool) Run(ctx context.Context, request *peerpb.RunRequest, sink Sink) (*peerpb.End, error) {
 	return p.RunRestartable(ctx, request, sink, nil)
 }
 
-// RunRestartable is Run for a sink that can forget what it took: an idempotent
-// request then runs again elsewhere also after a part of its answer has come.
+// RunRestartable is Run for a sink that can discard what it received: an idempotent
+// request can then run again on another server after a part of its answer was received.
 func (p *Pool) RunRestartable(ctx context.Context, request *peerpb.RunRequest, sink Sink, restart Restart) (*peerpb.End, error) {
-	p.once.Do(p.open)
-	p.budget.request(time.Now())
+	p.once.Do(p.setup)
+	p.budget.addRequest(time.Now())
 	r := &run{pool: p, ctx: ctx, request: request, sink: sink, restart: restart, prefix: prefixOf(request), tried: map[string]bool{}, began: time.Now()}
-	return r.follow()
+	return r.execute()
 }
 
-// Serve tells sidecars of callers who left, until the context ends.
+// Serve sends cancellations to sidecars until the context ends.
 func (p *Pool) Serve(ctx context.Context) error {
-	p.once.Do(p.open)
+	p.once.Do(p.setup)
 	var group sync.WaitGroup
 	for range cancelWorkers {
 		group.Go(func() { p.sendCancels(ctx) })
@@ -81,18 +81,18 @@
 	return nil
 }
 
-func (p *Pool) open() {
+func (p *Pool) setup() {
 	p.connections.credentials = p.Credentials
-	p.cancels = make(chan cancellation, cancelQueue)
+	p.cancels = make(chan cancellation, cancelQueueSize)
 	p.budget = &lockedBudget{}
 	p.metrics = newMetrics(p.Metrics)
 	self := p.Members.Self()
 	p.directory.chooser = &route.Chooser{Region: self.GetRegion(), Zone: self.GetZone()}
 	p.directory.members = p.Members
-	p.directory.retain = p.connections.retain
+	p.directory.closeUnused = p.connections.closeUnused
 }
 
-func (p *Pool) counted(end *peerpb.End) {
+func (p *Pool) reportCounts(end *peerpb.End) {
 	if p.Counted != nil && len(end.GetCounts()) > 0 {
 		p.Counted(end.GetCounts())
 	}
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -23,27 +23,27 @@
 	return peerpb.RunRequest_builder{Id: "p1", Pool: "ledger", Kind: peerpb.Kind_KIND_PLAIN, Method: "POST"}.Build()
 }
 
-// silentBackend refuses as a sidecar does whose backend server sends nothing.
-func silentBackend(request *peerpb.RunRequest, stream frames) error {
+// silentBackend refuses like a sidecar whose backend server sends nothing.
+func silentBackend(request *peerpb.RunRequest, stream frameStream) error {
 	refused := refusal.Unknown(http.StatusGatewayTimeout, "backend_silent", "nothing came").After(time.Second)
 	return stream.Send(peerpb.Frame_builder{Id: request.GetId(), Refusal: refused.ToMessage()}.Build())
 }
 
 func mustAnswer(t *testing.T, pool *sidecar.Pool, request *peerpb.RunRequest, text string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), bound)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	taken := &collector{}
-	_, err := pool.Run(ctx, request, taken.take)
+	sink := &collector{}
+	_, err := pool.Run(ctx, request, sink.collect)
 	must.NoError(t, err)
-	must.Eq(t, text, taken.text)
+	must.Eq(t, text, sink.text)
 }
 
 func mustRefuse(t *testing.T, pool *sidecar.Pool, request *peerpb.RunRequest, outcome peerpb.Outcome, code string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), bound)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	_, err := pool.Run(ctx, request, (&collector{}).take)
+	_, err := pool.Run(ctx, request, (&collector{}).collect)
 	mustBeRefusal(t, err, outcome, code)
 }
 
@@ -57,50 +57,50 @@
 }
 
 func TestRunWhole(t *testing.T) {
-	one := startFake(t, words("a", "b", "c"))
-	mustAnswer(t, newPool(t, known{"s1", one.address, "assist", 0}), idempotent(), "abc")
+	server := startFakeSidecar(t, answerWords("a", "b", "c"))
+	mustAnswer(t, newPool(t, processInfo{"s1", server.address, "assist", 0}), idempotent(), "abc")
 }
 
 func TestRunCrossedFrames(t *testing.T) {
-	// A member asks for her balance and gets a neighbour's, or her own twice.
-	// Frames of another request and old ones come on her request's stream,
-	// after a resend crossed with a late answer. Only her own count, once each.
-	one := startFake(t, func(request *peerpb.RunRequest, stream frames) error {
+	// Guards against answers with frames of another request, or with frames twice. After a
+	// resend crosses with a late answer, a stream carries frames of another request and
+	// duplicates. Only the request's own frames count, once each.
+	server := startFakeSidecar(t, func(request *peerpb.RunRequest, stream frameStream) error {
 		other := peerpb.RunRequest_builder{Id: "other"}.Build()
 		return sendAll(stream,
 			numbered(other, 0, "X"), numbered(request, 0, "a"), numbered(request, 0, "a"),
 			end(other, 1), numbered(request, 1, "b"), numbered(request, 0, "a"), end(request, 2))
 	})
-	mustAnswer(t, newPool(t, known{"s1", one.address, "assist", 0}), idempotent(), "ab")
+	mustAnswer(t, newPool(t, processInfo{"s1", server.address, "assist", 0}), idempotent(), "ab")
 }
 
 func TestRunResumes(t *testing.T) {
-	// A caller reads a long answer and a part in the middle is missing, or the
-	// rest never comes. A frame got lost, or the stream broke. The entry asks
-	// the same sidecar for the rest from the position that it has.
-	first := func(play func(*peerpb.RunRequest, frames) error) func(*peerpb.RunRequest, frames) error {
-		return func(request *peerpb.RunRequest, stream frames) error {
+	// Guards against answers with a missing part or end, after a frame is lost or the
+	// stream breaks. The entry requests the rest from the same sidecar, from the position
+	// that it has.
+	interrupted := func(handler func(*peerpb.RunRequest, frameStream) error) func(*peerpb.RunRequest, frameStream) error {
+		return func(request *peerpb.RunRequest, stream frameStream) error {
 			if request.GetFrom() == 0 {
-				return play(request, stream)
+				return handler(request, stream)
 			}
-			return words("a", "b", "c")(request, stream)
+			return answerWords("a", "b", "c")(request, stream)
 		}
 	}
-	tests := map[string]func(*peerpb.RunRequest, frames) error{
-		"gap": func(request *peerpb.RunRequest, stream frames) error {
+	tests := map[string]func(*peerpb.RunRequest, frameStream) error{
+		"gap": func(request *peerpb.RunRequest, stream frameStream) error {
 			return sendAll(stream, numbered(request, 0, "a"), numbered(request, 2, "c"), end(request, 3))
 		},
-		"cut": func(request *peerpb.RunRequest, stream frames) error {
+		"cut": func(request *peerpb.RunRequest, stream frameStream) error {
 			return sendAll(stream, numbered(request, 0, "a"))
 		},
-		"end too early": func(request *peerpb.RunRequest, stream frames) error {
+		"end too early": func(request *peerpb.RunRequest, stream frameStream) error {
 			early := peerpb.Frame_builder{Id: request.GetId(), Seq: 1, End: peerpb.End_builder{Frames: 3}.Build()}.Build()
 			return sendAll(stream, numbered(request, 0, "a"), early)
 		},
-		"silent": func(request *peerpb.RunRequest, stream frames) error {
+		"silent": func(request *peerpb.RunRequest, stream frameStream) error {
 			return errors.Join(sendAll(stream, numbered(request, 0, "a")), hang(stream))
 		},
-		"only frames of others": func(request *peerpb.RunRequest, stream frames) error {
+		"only frames of others": func(request *peerpb.RunRequest, stream frameStream) error {
 			_ = stream.Send(numbered(request, 0, "a"))
 			for stream.Context().Err() == nil {
 				_ = stream.Send(numbered(peerpb.RunRequest_builder{Id: "other"}.Build(), 1, "X"))
@@ -108,12 +108,12 @@
 			return nil
 		},
 	}
-	for name, play := range tests {
+	for name, handler := range tests {
 		t.Run(name, func(t *testing.T) {
-			one := startFake(t, first(play))
-			mustAnswer(t, newPool(t, known{"s1", one.address, "assist", 0}), idempotent(), "abc")
-			must.Len(t, 2, one.requests())
-			again := one.requests()[1]
+			server := startFakeSidecar(t, interrupted(handler))
+			mustAnswer(t, newPool(t, processInfo{"s1", server.address, "assist", 0}), idempotent(), "abc")
+			must.Len(t, 2, server.requests())
+			again := server.requests()[1]
 			must.Eq(t, 1, again.GetFrom())
 			must.True(t, again.GetResend())
 			must.Eq(t, "r1", again.GetId())
@@ -122,173 +122,173 @@
 }
 
 func TestRunSilentConnection(t *testing.T) {
-	// A posting is sent and its answer never comes, though new connections to
-	// the same host work: a box in between has lost track of the connection.
-	// gRPC would notice after 13 s. The entry asks again under the same
-	// identity on a new connection, and the next request goes there at once.
-	one := startFake(t, nil)
-	between := startRelay(t, one.address)
-	one.play = func(request *peerpb.RunRequest, stream frames) error {
+	// A device on the network path loses track of a connection: the answer to a posting
+	// never arrives, while new connections to the same host work. gRPC's keepalive would
+	// notice after 13 s. The entry must resend under the same ID on a new connection, and
+	// the next request must use that connection from the start.
+	server := startFakeSidecar(t, nil)
+	middlebox := startProxy(t, server.address)
+	server.handler = func(request *peerpb.RunRequest, stream frameStream) error {
 		if !request.GetResend() && request.GetId() == "p1" {
-			between.silence()
+			middlebox.silence()
 		}
-		return words("done")(request, stream)
+		return answerWords("done")(request, stream)
 	}
-	pool := newPool(t, known{"s1", between.address, "ledger", 0})
+	pool := newPool(t, processInfo{"s1", middlebox.address, "ledger", 0})
 	mustAnswer(t, pool, posting(), "done")
-	must.Len(t, 2, one.requests())
+	must.Len(t, 2, server.requests())
 	began := time.Now()
 	next := posting()
 	next.SetId("p2")
 	mustAnswer(t, pool, next, "done")
-	must.Less(t, silence, time.Since(began))
+	must.Less(t, readTimeout, time.Since(began))
 }
 
 func TestRunBeats(t *testing.T) {
-	// An engine with a long queue gives nothing for a while. Beats show that
-	// the connection is alive, so the request must not be sent again.
-	one := startFake(t, func(request *peerpb.RunRequest, stream frames) error {
-		ticker := time.NewTicker(silence / 10)
+	// An engine with a long queue sends nothing for a while. Beats show that the connection
+	// is alive, so the request must not be sent again.
+	server := startFakeSidecar(t, func(request *peerpb.RunRequest, stream frameStream) error {
+		ticker := time.NewTicker(readTimeout / 10)
 		defer ticker.Stop()
 		for range 20 {
 			<-ticker.C
 			_ = stream.Send(peerpb.Frame_builder{Id: request.GetId(), Beat: &peerpb.Beat{}}.Build())
 		}
-		return words("late")(request, stream)
+		return answerWords("late")(request, stream)
 	})
-	mustAnswer(t, newPool(t, known{"s1", one.address, "assist", 0}), idempotent(), "late")
-	must.Len(t, 1, one.requests())
+	mustAnswer(t, newPool(t, processInfo{"s1", server.address, "assist", 0}), idempotent(), "late")
+	must.Len(t, 1, server.requests())
 }
 
 func TestRunServerLost(t *testing.T) {
-	// A sidecar's host dies with a request on it. An idempotent request of
-	// which the caller saw nothing runs elsewhere; a posting must not, since it
-	// may have been posted: its caller is told so at once.
-	dies := func(t *testing.T, before ...string) *fake {
-		one := startFake(t, nil)
-		one.play = func(request *peerpb.RunRequest, stream frames) error {
+	// A sidecar's host crashes while it runs a request. An idempotent request of which the
+	// caller received nothing runs on another server; a posting must not, since it may have
+	// been posted: its caller is told so at once.
+	startDying := func(t *testing.T, before ...string) *fakeSidecar {
+		server := startFakeSidecar(t, nil)
+		server.handler = func(request *peerpb.RunRequest, stream frameStream) error {
 			for seq, word := range before {
 				_ = stream.Send(numbered(request, uint64(seq), word))
 			}
 			if len(before) == 0 {
-				go one.stop()
+				go server.stop()
 			}
 			return hang(stream)
 		}
-		return one
+		return server
 	}
-	// dying takes a part and then lets the server die: the part has come.
-	dying := func(one *fake, taken *collector) sidecar.Sink {
+	// stopOnFrame returns a sink that stops the server when the first part has arrived.
+	stopOnFrame := func(server *fakeSidecar, sink *collector) sidecar.Sink {
 		return func(frame *peerpb.Frame) error {
-			go one.stop()
-			return taken.take(frame)
+			go server.stop()
+			return sink.collect(frame)
 		}
 	}
 	t.Run("idempotent", func(t *testing.T) {
-		one, two := dies(t), startFake(t, words("a"))
-		pool := newPool(t, known{"s1", one.address, "assist", 0}, known{"s2", two.address, "assist", peerpb.State_STATE_SUSPECT})
+		first, second := startDying(t), startFakeSidecar(t, answerWords("a"))
+		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
 		mustAnswer(t, pool, idempotent(), "a")
 	})
 	t.Run("backend server silent", func(t *testing.T) {
-		// The sidecar is well, its engine hangs and the sidecar gives it up.
-		one, two := startFake(t, silentBackend), startFake(t, words("a"))
-		pool := newPool(t, known{"s1", one.address, "assist", 0}, known{"s2", two.address, "assist", peerpb.State_STATE_SUSPECT})
+		// The sidecar works, but its engine hangs and the sidecar gives up on it.
+		first, second := startFakeSidecar(t, silentBackend), startFakeSidecar(t, answerWords("a"))
+		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
 		mustAnswer(t, pool, idempotent(), "a")
-		mustRefuse(t, newPool(t, known{"s1", one.address, "ledger", 0}, known{"s2", two.address, "ledger", peerpb.State_STATE_SUSPECT}),
+		mustRefuse(t, newPool(t, processInfo{"s1", first.address, "ledger", 0}, processInfo{"s2", second.address, "ledger", peerpb.State_STATE_SUSPECT}),
 			posting(), peerpb.Outcome_OUTCOME_UNKNOWN, "backend_silent")
 	})
 	t.Run("posting", func(t *testing.T) {
-		one, two := dies(t), startFake(t, words("a"))
-		pool := newPool(t, known{"s1", one.address, "ledger", 0}, known{"s2", two.address, "ledger", peerpb.State_STATE_SUSPECT})
+		first, second := startDying(t), startFakeSidecar(t, answerWords("a"))
+		pool := newPool(t, processInfo{"s1", first.address, "ledger", 0}, processInfo{"s2", second.address, "ledger", peerpb.State_STATE_SUSPECT})
 		mustRefuse(t, pool, posting(), peerpb.Outcome_OUTCOME_UNKNOWN, "server_lost")
-		must.SliceEmpty(t, two.requests())
+		must.SliceEmpty(t, second.requests())
 	})
 	t.Run("idempotent, and no other can be reached", func(t *testing.T) {
-		// The second server is sure that it ran nothing. The first may have run
-		// it, so the caller must not read "not run".
-		one, two := dies(t), startFake(t, nil)
-		two.stop()
-		pool := newPool(t, known{"s1", one.address, "assist", 0}, known{"s2", two.address, "assist", peerpb.State_STATE_SUSPECT})
+		// The second server is certain that it ran nothing. The first may have run the
+		// request, so the caller must not be told "not run".
+		first, second := startDying(t), startFakeSidecar(t, nil)
+		second.stop()
+		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
 		mustRefuse(t, pool, idempotent(), peerpb.Outcome_OUTCOME_UNKNOWN, "no_connection")
 	})
 	t.Run("a part was seen", func(t *testing.T) {
-		one, two := dies(t, "x"), startFake(t, words("a"))
-		pool := newPool(t, known{"s1", one.address, "assist", 0}, known{"s2", two.address, "assist", peerpb.State_STATE_SUSPECT})
-		_, err := pool.Run(t.Context(), idempotent(), dying(one, &collector{}))
+		first, second := startDying(t, "x"), startFakeSidecar(t, answerWords("a"))
+		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
+		_, err := pool.Run(t.Context(), idempotent(), stopOnFrame(first, &collector{}))
 		mustBeRefusal(t, err, peerpb.Outcome_OUTCOME_UNKNOWN, "server_lost")
-		must.SliceEmpty(t, two.requests())
+		must.SliceEmpty(t, second.requests())
 	})
 	t.Run("a part can be forgotten", func(t *testing.T) {
-		one, two := dies(t, "x"), startFake(t, words("a"))
-		pool := newPool(t, known{"s1", one.address, "assist", 0}, known{"s2", two.address, "assist", peerpb.State_STATE_SUSPECT})
-		taken := &collector{}
-		_, err := pool.RunRestartable(t.Context(), idempotent(), dying(one, taken), taken.restart)
+		first, second := startDying(t, "x"), startFakeSidecar(t, answerWords("a"))
+		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
+		sink := &collector{}
+		_, err := pool.RunRestartable(t.Context(), idempotent(), stopOnFrame(first, sink), sink.restart)
 		must.NoError(t, err)
-		must.Eq(t, "a", taken.text)
+		must.Eq(t, "a", sink.text)
 	})
 }
 
 func TestRunNotRun(t *testing.T) {
-	// A refusal that says "not run" lets a branch post again. It must be true:
-	// the request may not have left this process, or its sidecar says so.
-	gone := startFake(t, nil)
-	gone.stop()
+	// A refusal with the outcome "not run" allows a branch to post again. It must be true:
+	// either the request never left this process, or its sidecar says so.
+	stopped := startFakeSidecar(t, nil)
+	stopped.stop()
 	t.Run("no server", func(t *testing.T) {
 		mustRefuse(t, newPool(t), posting(), peerpb.Outcome_OUTCOME_NOT_RUN, "no_server")
 	})
 	t.Run("nothing listens", func(t *testing.T) {
-		pool := newPool(t, known{"s1", gone.address, "ledger", 0})
+		pool := newPool(t, processInfo{"s1", stopped.address, "ledger", 0})
 		mustRefuse(t, pool, posting(), peerpb.Outcome_OUTCOME_NOT_RUN, "no_connection")
 	})
 	t.Run("nothing listens, another does", func(t *testing.T) {
-		two := startFake(t, words("a"))
-		pool := newPool(t, known{"s1", gone.address, "ledger", 0}, known{"s2", two.address, "ledger", peerpb.State_STATE_SUSPECT})
+		second := startFakeSidecar(t, answerWords("a"))
+		pool := newPool(t, processInfo{"s1", stopped.address, "ledger", 0}, processInfo{"s2", second.address, "ledger", peerpb.State_STATE_SUSPECT})
 		mustAnswer(t, pool, posting(), "a")
 	})
 	t.Run("the sidecar says so", func(t *testing.T) {
 		full := refusal.NotRun(503, "queue_full", "full").After(time.Second).ToMessage()
-		one := startFake(t, func(request *peerpb.RunRequest, stream frames) error {
+		server := startFakeSidecar(t, func(request *peerpb.RunRequest, stream frameStream) error {
 			return stream.Send(peerpb.Frame_builder{Id: request.GetId(), Refusal: full}.Build())
 		})
-		mustRefuse(t, newPool(t, known{"s1", one.address, "ledger", 0}), posting(), peerpb.Outcome_OUTCOME_NOT_RUN, "queue_full")
+		mustRefuse(t, newPool(t, processInfo{"s1", server.address, "ledger", 0}), posting(), peerpb.Outcome_OUTCOME_NOT_RUN, "queue_full")
 	})
 	t.Run("nobody accepts", func(t *testing.T) {
-		// A frozen host: its kernel takes the connection, its sidecar says nothing.
+		// A frozen host: its kernel accepts the connection, but its sidecar sends nothing.
 		frozen, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		t.Cleanup(func() { _ = frozen.Close() })
-		pool := newPool(t, known{"s1", frozen.Addr().String(), "ledger", 0})
+		pool := newPool(t, processInfo{"s1", frozen.Addr().String(), "ledger", 0})
 		mustRefuse(t, pool, posting(), peerpb.Outcome_OUTCOME_NOT_RUN, "no_connection")
 	})
 }
 
 func TestRunClosedServers(t *testing.T) {
-	// A backend server is about to stop. New requests must go elsewhere even
-	// where that leaves none.
-	one := startFake(t, words("a"))
-	pool := newPool(t, known{"s1", one.address, "assist", peerpb.State_STATE_DRAINING})
+	// A backend server is draining. New requests must not go to it, even if no other server
+	// is left.
+	server := startFakeSidecar(t, answerWords("a"))
+	pool := newPool(t, processInfo{"s1", server.address, "assist", peerpb.State_STATE_DRAINING})
 	mustRefuse(t, pool, idempotent(), peerpb.Outcome_OUTCOME_NOT_RUN, "no_server")
-	must.SliceEmpty(t, one.requests())
+	must.SliceEmpty(t, server.requests())
 }
 
 func TestRunCancels(t *testing.T) {
-	// A caller closes the window in the middle of a long answer. The engine
-	// would go on for minutes and keep others waiting.
+	// A caller disconnects in the middle of a long answer. Without a cancellation the
+	// engine would go on for minutes and delay others.
 	ctx, cancel := context.WithCancel(t.Context())
-	one := startFake(t, func(request *peerpb.RunRequest, stream frames) error {
+	server := startFakeSidecar(t, func(request *peerpb.RunRequest, stream frameStream) error {
 		_ = stream.Send(numbered(request, 0, "a"))
 		return hang(stream)
 	})
-	pool := newPool(t, known{"s1", one.address, "assist", 0})
+	pool := newPool(t, processInfo{"s1", server.address, "assist", 0})
 	_, err := pool.Run(ctx, idempotent(), func(*peerpb.Frame) error {
 		cancel()
 		return nil
 	})
 	must.ErrorIs(t, err, context.Canceled)
 	select {
-	case id := <-one.cancelled:
+	case id := <-server.cancelled:
 		must.Eq(t, "r1", id)
-	case <-time.After(bound):
+	case <-time.After(testTimeout):
 		t.Fatal("the sidecar was not told")
 	}
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// maxFailures is the number of streams in a row that may break at once and
-	// without a frame before a request that can go elsewhere does.
+	// maxFailures is the number of consecutive streams that may break quickly and without a
+	// frame before a request that can move to another server does so.
 	maxFailures = 4
-	// maxServers is the number of servers that one request tries.
+	// maxServers is the maximum number of servers tried for one request.
 	maxServers = 3
 	retryAfter = time.Second
-	// codeUnreached and codeLost are the codes of refusals because of a connection.
+	// codeUnreached and codeLost are the refusal codes for connection errors.
 	codeUnreached = "no_connection"
 	codeLost      = "server_lost"
-	// codeSilent is the code of sidecars whose backend server sent nothing.
+	// codeSilent is the refusal code of sidecars whose backend server timed out.
 	codeSilent = "backend_silent"
-	// resumePause is the time between two tries to reach a sidecar again.
-	resumePause = 50 * time.Millisecond
+	// resumeDelay is the delay between two attempts to reconnect to a sidecar.
+	resumeDelay = 50 * time.Millisecond
 )
 
-// run is one request on its way.
+// run is the state of one request across servers and connections.
 type run struct {
 	pool    *Pool
 	ctx     context.Context
@@ -38,56 +38,56 @@
 	restart Restart
 	// prefix is the hash of the prompt's first bytes; 0 if there is none.
 	prefix uint64
-	// next is the number of the first frame that sink has not taken.
+	// next is the number of the next frame to pass to sink.
 	next uint64
-	// sent is true once the request may have reached the present server.
+	// sent is true once the request may have reached the current server.
 	sent bool
 	// mayHaveRun is true once any server may have run the request.
 	mayHaveRun bool
-	// heard is when the present server last showed life.
-	heard time.Time
-	began time.Time
-	// left holds the servers from which the request moved on.
-	left []*server
-	// tried holds the servers that have had the request.
+	// lastHeard is when the current server last sent a frame of the request.
+	lastHeard time.Time
+	began     time.Time
+	// previous holds the servers from which the request moved on.
+	previous []*server
+	// tried holds the servers to which the request was assigned.
 	tried map[string]bool
 }
 
-// follow places the request on servers until one has answered it whole.
-func (r *run) follow() (*peerpb.End, error) {
+// execute sends the request to servers until one has answered it completely.
+func (r *run) execute() (*peerpb.End, error) {
 	var last error
 	for {
-		server, err := r.place(last)
+		server, err := r.chooseServer(last)
 		if err != nil {
 			return nil, err
 		}
-		end, err := r.at(server)
+		end, err := r.runAt(server)
 		if err == nil {
-			r.pool.counted(end)
-			r.stopOthers(server)
+			r.pool.reportCounts(end)
+			r.cancelOthers(server)
 			return end, nil
 		}
-		if gone := r.gone(server, err); gone != nil {
-			return nil, gone
+		if aborted := r.abort(server, err); aborted != nil {
+			return nil, aborted
 		}
 		r.mayHaveRun = r.mayHaveRun || !refusal.IsNotRun(err)
 		if !r.mayMove(err) {
 			return nil, r.refuse(err)
 		}
-		r.left = append(r.left, server)
+		r.previous = append(r.previous, server)
 		last = err
 	}
 }
 
-// place chooses a server. Where none is left, the refusal of the last one holds.
-func (r *run) place(last error) (*server, error) {
+// chooseServer chooses a server. If none is left, it returns the refusal of the last one.
+func (r *run) chooseServer(last error) (*server, error) {
 	chosen, reason := r.pool.choose(r.request, r.prefix, r.tried)
 	if chosen != nil {
 		r.pool.Decisions.Record(r.request.GetId(), "route", "%s, %s", chosen.Name(), reason)
 		return chosen, nil
 	}
-	if last != nil && r.comesBack(last) {
-		return r.place(last)
+	if last != nil && r.resetTried(last) {
+		return r.chooseServer(last)
 	}
 	if last != nil {
 		return nil, r.refuse(last)
@@ -97,9 +97,9 @@
 
 // refuse ends the request with the refusal of the last server.
 //
-// That server may be sure that it ran nothing, while one before it may have run
-// the request and then been lost: the caller would read "not run" and be wrong.
-// Once any server may have run it, the outcome stays unknown.
+// The last server may be certain that it ran nothing, while an earlier one may have run
+// the request and then been lost. Once any server may have run it, the outcome is unknown,
+// and the caller must not be told "not run".
 func (r *run) refuse(err error) *refusal.Error {
 	refused := *refusal.Of(err)
 	if r.mayHaveRun {
@@ -108,10 +108,10 @@
 	return r.pool.refuse(&refused)
 }
 
-// comesBack makes all servers eligible again after a pause, where none could be
-// reached and the bound on silence has not passed. A link that is cut for a
-// moment in front of all sidecars would else fail each request that begins then.
-func (r *run) comesBack(last error) bool {
+// resetTried makes all servers eligible again after a delay if none could be reached and
+// the read timeout has not passed. Without it, a brief network failure in front of all
+// sidecars would fail every request that starts meanwhile.
+func (r *run) resetTried(last error) bool {
 	code := refusal.Of(last).Code
 	if code != codeUnreached && code != codeLost {
 		return false
@@ -123,83 +123,82 @@
 	return true
 }
 
-// at follows the answer of one server over as many connections as needed.
-func (r *run) at(server *server) (*peerpb.End, error) {
+// runAt receives the answer of one server over as many connections as necessary.
+func (r *run) runAt(server *server) (*peerpb.End, error) {
 	r.tried[server.Name()] = true
 	r.sent = false
-	r.heard = time.Now()
+	r.lastHeard = time.Now()
 	r.pool.directory.begin(server)
 	defer r.pool.directory.finish(server)
 	failures := 0
 	for isResume := false; ; isResume = true {
 		began, next := time.Now(), r.next
-		end, err := r.once(server)
+		end, err := r.sendOnce(server)
 		if err == nil || !r.isBroken(err) || r.ctx.Err() != nil {
-			return end, r.meaning(server, err)
+			return end, r.toRefusal(server, err)
 		}
 		failures = r.countFailure(failures, isResume, began, next)
 		r.pool.metrics.resumes.Inc()
 		r.pool.Decisions.Record(r.request.GetId(), "route", "%s, again from frame %d: %v", server.Name(), r.next, err)
-		if failures >= maxFailures && r.givesUp() {
-			return nil, r.meaning(server, err)
+		if failures >= maxFailures && r.shouldGiveUp() {
+			return nil, r.toRefusal(server, err)
 		}
 		if failures > 1 && !r.pause() {
-			return nil, r.meaning(server, err)
+			return nil, r.toRefusal(server, err)
 		}
 	}
 }
 
-// countFailure counts the streams in a row that broke without life. A resumed one that
-// was silent from its start settles it: the sidecar doesn't answer on a new
-// connection either.
+// countFailure counts the consecutive streams that broke without progress. A resumed stream
+// that times out from its start reaches the limit at once: the sidecar does not answer on
+// a new connection either.
 func (r *run) countFailure(failures int, isResume bool, began time.Time, next uint64) int {
-	isAlive := r.heard.After(began)
-	isLong := time.Since(began) >= r.pool.Silence
+	isAlive := r.lastHeard.After(began)
+	timedOut := time.Since(began) >= r.pool.Silence
 	switch {
-	case r.next > next, isAlive && isLong:
+	case r.next > next, isAlive && timedOut:
 		return 0
-	case isResume && isLong:
+	case isResume && timedOut:
 		return maxFailures
 	default:
 		return failures + 1
 	}
 }
 
-// givesUp reports whether a sidecar that breaks off each stream is worth no
-// more tries: at once if the request can go elsewhere, else when the sidecar
-// has shown no life within the bound on silence, since the run may still go on
-// there. Without that, a link that is cut for a moment costs each caller behind
-// it the answer.
-func (r *run) givesUp() bool {
-	return r.request.GetIdempotent() && r.forget() || time.Since(r.heard) >= r.pool.Silence
+// shouldGiveUp reports whether to stop retrying a sidecar that breaks off each stream:
+// immediately if the request can go to another server, otherwise once the sidecar has sent
+// nothing for the read timeout, since the run may still continue there. Without that, a
+// brief network failure would cost every caller behind it the answer.
+func (r *run) shouldGiveUp() bool {
+	return r.request.GetIdempotent() && r.restartAnswer() || time.Since(r.lastHeard) >= r.pool.Silence
 }
 
-// pause waits between two tries; it returns false once the context has ended.
+// pause waits between two attempts; it returns false once the context has ended.
 func (r *run) pause() bool {
-	return pause.For(r.ctx, resumePause)
+	return pause.For(r.ctx, resumeDelay)
 }
 
-// once sends the request over the server's connection.
-func (r *run) once(server *server) (*peerpb.End, error) {
-	used, err := r.pool.connections.get(server.address)
+// sendOnce sends the request once over the server's connection.
+func (r *run) sendOnce(server *server) (*peerpb.End, error) {
+	conn, err := r.pool.connections.get(server.address)
 	if err != nil {
 		return nil, &notSentError{cause: err}
 	}
-	defer r.pool.connections.release(used)
-	r.prepare()
-	end, err := r.stream(used.ClientConn)
+	defer r.pool.connections.release(conn)
+	r.prepareSend()
+	end, err := r.stream(conn.ClientConn)
 	if r.ctx.Err() != nil || !isConnectionFault(err) {
 		return end, err
 	}
-	if !r.pool.connections.discard(server.address, used) {
-		// Another stream closed this connection; that says nothing of the server.
+	if !r.pool.connections.discard(server.address, conn) {
+		// Another stream closed this connection; that tells nothing about the server.
 		return nil, &lostError{cause: err}
 	}
 	return nil, err
 }
 
-// prepare sets what differs from send to send.
-func (r *run) prepare() {
+// prepareSend sets the fields that differ between attempts.
+func (r *run) prepareSend() {
 	r.request.SetFrom(r.next)
 	r.request.SetResend(r.sent)
 	if deadline, ok := r.ctx.Deadline(); ok {
@@ -207,32 +206,32 @@
 	}
 }
 
-// meaning turns a fault of a stream into a refusal that says what is known.
-func (r *run) meaning(server *server, err error) error {
-	var unsent *notSentError
+// toRefusal converts a stream error into a refusal with the outcome as far as it is known.
+func (r *run) toRefusal(server *server, err error) error {
+	var notSent *notSentError
 	switch {
-	case !r.sent && (errors.As(err, &unsent) || isLost(err)):
+	case !r.sent && (errors.As(err, &notSent) || isLost(err)):
 		return refusal.NotRun(http.StatusServiceUnavailable, codeUnreached, "%s can't be reached", server.Name()).After(retryAfter)
-	case errors.As(err, &unsent), isLost(err):
+	case errors.As(err, &notSent), isLost(err):
 		return refusal.Unknown(http.StatusBadGateway, codeLost, "%s no longer answers", server.Name()).After(retryAfter)
 	default:
 		return err
 	}
 }
 
-// stopOthers stops the request at the servers that it was tried at before. It
-// is not stopped there earlier, since it may come back to them.
-func (r *run) stopOthers(server *server) {
-	for _, one := range r.left {
-		if one.address != server.address {
-			r.pool.cancel(one.address, r.request.GetId(), "answered elsewhere")
+// cancelOthers cancels the request at the servers that were tried before. It is not
+// cancelled there earlier, since it may return to them.
+func (r *run) cancelOthers(server *server) {
+	for _, other := range r.previous {
+		if other.address != server.address {
+			r.pool.cancel(other.address, r.request.GetId(), "answered elsewhere")
 		}
 	}
 }
 
-// gone ends a request whose caller is gone or whose sink failed, and stops it
-// at the sidecar. It returns nil if neither is so.
-func (r *run) gone(server *server, err error) error {
+// abort ends a request whose caller disconnected or whose sink failed, and cancels it at
+// the sidecar. It returns nil if neither is the case.
+func (r *run) abort(server *server, err error) error {
 	var failed *sinkError
 	switch {
 	case errors.As(err, &failed):
@@ -248,13 +247,12 @@
 	return err
 }
 
-// mayMove decides whether the request may go to another server.
+// mayMove reports whether the request may move to another server.
 //
-// One that was proved not to run may always go. One that may have run goes only
-// if it is idempotent and the caller has seen nothing of it; a claim goes only
-// to the home that a newer fleet gives it. Both need the
-// budget: without it a fleet that is too slow for its load would get each
-// request several times and be slower still.
+// A request that certainly did not run may always move. One that may have run moves only
+// if it is idempotent and the caller has received nothing of it; a claim moves only to its
+// home in a newer fleet. Both consume the retry budget: without it an overloaded fleet
+// would get each request several times and become slower still.
 func (r *run) mayMove(err error) bool {
 	refused := refusal.Of(err)
 	if len(r.tried) >= maxServers || !isServerFault(refused) {
@@ -263,10 +261,10 @@
 	if !refusal.IsNotRun(err) && !r.request.GetIdempotent() {
 		return false
 	}
-	if !r.forget() {
+	if !r.restartAnswer() {
 		return false
 	}
-	if !r.pool.budget.retry(time.Now()) {
+	if !r.pool.budget.takeRetry(time.Now()) {
 		r.pool.Decisions.Record(r.request.GetId(), "route", "not tried elsewhere, the retry budget is spent")
 		return false
 	}
@@ -275,8 +273,8 @@
 	return true
 }
 
-// forget starts the answer anew.
-func (r *run) forget() bool {
+// restartAnswer discards what the sink received; it returns false if that is not possible.
+func (r *run) restartAnswer() bool {
 	if r.next == 0 {
 		return true
 	}
@@ -287,12 +285,11 @@
 	return true
 }
 
-// isBroken reports whether the stream ended without an answer. One that could
-// not be opened counts only after the request was sent once: until then another
-// server can have it.
+// isBroken reports whether the stream ended without an answer. A stream that could not be
+// opened counts only once the request was sent: until then another server can run it.
 func (r *run) isBroken(err error) bool {
-	var unsent *notSentError
-	return isLost(err) || r.sent && errors.As(err, &unsent)
+	var notSent *notSentError
+	return isLost(err) || r.sent && errors.As(err, &notSent)
 }
 
 func isLost(err error) bool {
@@ -300,9 +297,9 @@
 	return errors.As(err, &broken)
 }
 
-// isServerFault tells faults of one server from those of the request. A timeout
-// is a fault of the server only where its backend server sent nothing: else the
-// request's own time is over.
+// isServerFault reports whether a refusal is the fault of one server and not of the
+// request. A timeout is the server's fault only if its backend server sent nothing:
+// otherwise the request's own deadline passed.
 func isServerFault(refused *refusal.Error) bool {
 	switch refused.Status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusInternalServerError:
@@ -312,8 +309,8 @@
 	}
 }
 
-// isConnectionFault reports whether a stream's end speaks against its connection.
+// isConnectionFault reports whether a stream's error indicates a broken connection.
 func isConnectionFault(err error) bool {
-	var unsent *notSentError
-	return errors.As(err, &unsent) || isLost(err) && !errors.Is(err, errCut)
+	var notSent *notSentError
+	return errors.As(err, &notSent) || isLost(err) && !errors.Is(err, errNoEnd)
 }
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -12,55 +12,55 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// notSentError says that a request can't have reached a sidecar.
+// notSentError means that a request cannot have reached a sidecar.
 type notSentError struct {
 	cause error
 }
 
-// Error gives the cause.
+// Error returns the message with the cause.
 func (e *notSentError) Error() string { return "not sent: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *notSentError) Unwrap() error { return e.cause }
 
-// lostError says that a stream broke or went silent after the request was sent.
+// lostError means that a stream broke or timed out after the request was sent.
 type lostError struct {
 	cause error
 }
 
-// Error gives the cause.
+// Error returns the message with the cause.
 func (e *lostError) Error() string { return "stream lost: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *lostError) Unwrap() error { return e.cause }
 
-// sinkError says that the sink failed.
+// sinkError means that the sink failed.
 type sinkError struct {
 	cause error
 }
 
-// Error gives the cause.
+// Error returns the message with the cause.
 func (e *sinkError) Error() string { return "sink: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *sinkError) Unwrap() error { return e.cause }
 
 var (
-	errSilent = errors.New("silent for too long")
-	errCut    = errors.New("ended without its end frame")
-	errGap    = errors.New("a frame is missing")
-	errFrames = errors.New("the end frame counts other frames")
+	errSilent     = errors.New("silent for too long")
+	errNoEnd      = errors.New("ended without its end frame")
+	errGap        = errors.New("a frame is missing")
+	errFrameCount = errors.New("the end frame counts other frames")
 )
 
-// stream follows an answer over one connection.
+// stream receives an answer over one connection.
 type stream struct {
 	run    *run
 	frames *grpc.GenericClientStream[peerpb.RunRequest, peerpb.Frame]
-	// watchdog ends the stream's context after silence.
+	// watchdog cancels the stream's context after the read timeout.
 	watchdog *time.Timer
 }
 
-// stream opens a stream on a connection and takes frames until the answer ends.
+// stream opens a stream on a connection and handles frames until the answer ends.
 func (r *run) stream(connection *grpc.ClientConn) (*peerpb.End, error) {
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
@@ -74,7 +74,7 @@
 		if err != nil {
 			return nil, err
 		}
-		end, err := s.take(frame)
+		end, err := s.handle(frame)
 		if end != nil || err != nil {
 			return end, err
 		}
@@ -83,9 +83,9 @@
 
 // open sends the request.
 //
-// The generated client makes the stream and sends the request in one call, so
-// that its error doesn't tell whether the request left. Here the two are apart:
-// without a stream no byte of the request was written, and "not run" is true.
+// The generated client creates the stream and sends the request in one call, so that its
+// error does not tell whether the request was sent. Here the two are separate: without a
+// stream no byte of the request was written, and the outcome "not run" is certain.
 func (s *stream) open(ctx context.Context, connection *grpc.ClientConn) error {
 	description := &peerpb.Sidecar_ServiceDesc.Streams[0]
 	opened, err := connection.NewStream(ctx, description, peerpb.Sidecar_Run_FullMethodName)
@@ -106,7 +106,7 @@
 func (s *stream) receive(ctx context.Context) (*peerpb.Frame, error) {
 	frame, err := s.frames.Recv()
 	if errors.Is(err, io.EOF) {
-		return nil, &lostError{cause: errCut}
+		return nil, &lostError{cause: errNoEnd}
 	}
 	if err != nil {
 		return nil, &lostError{cause: causeOf(ctx, err)}
@@ -114,12 +114,12 @@
 	return frame, nil
 }
 
-// take checks a frame and gives it to the sink.
+// handle checks a frame and passes it to the sink.
 //
-// A frame of another request is dropped, and so is one that came already: a
-// crossed or late answer never mixes into this one. A gap ends the stream, and
-// the answer is asked for again from the position before it.
-func (s *stream) take(frame *peerpb.Frame) (*peerpb.End, error) {
+// Frames of other requests and duplicate frames are dropped, so that a crossed or late
+// answer never mixes with this one. A gap ends the stream, and the answer is requested
+// again from the position before it.
+func (s *stream) handle(frame *peerpb.Frame) (*peerpb.End, error) {
 	if load := frame.GetLoad(); load != nil {
 		s.run.pool.Members.OfferLoad(load)
 	}
@@ -127,7 +127,7 @@
 		s.run.pool.metrics.dropped.WithLabelValues("other_request").Inc()
 		return nil, nil
 	}
-	s.run.heard = time.Now()
+	s.run.lastHeard = time.Now()
 	s.watchdog.Reset(s.run.pool.Silence)
 	switch frame.WhichPart() {
 	case peerpb.Frame_Beat_case, peerpb.Frame_Part_not_set_case:
@@ -135,11 +135,11 @@
 	case peerpb.Frame_Refusal_case:
 		return nil, refusal.FromMessage(frame.GetRefusal())
 	default:
-		return s.takeNumbered(frame)
+		return s.handleNumbered(frame)
 	}
 }
 
-func (s *stream) takeNumbered(frame *peerpb.Frame) (*peerpb.End, error) {
+func (s *stream) handleNumbered(frame *peerpb.Frame) (*peerpb.End, error) {
 	if frame.GetSeq() < s.run.next {
 		s.run.pool.metrics.dropped.WithLabelValues("duplicate").Inc()
 		return nil, nil
@@ -148,21 +148,21 @@
 		return nil, &lostError{cause: errGap}
 	}
 	if frame.WhichPart() == peerpb.Frame_End_case {
-		return s.end(frame.GetEnd())
+		return s.checkEnd(frame.GetEnd())
 	}
-	return nil, s.give(frame)
+	return nil, s.deliver(frame)
 }
 
-func (s *stream) end(end *peerpb.End) (*peerpb.End, error) {
+func (s *stream) checkEnd(end *peerpb.End) (*peerpb.End, error) {
 	if end.GetFrames() != s.run.next {
-		return nil, &lostError{cause: errFrames}
+		return nil, &lostError{cause: errFrameCount}
 	}
 	return end, nil
 }
 
-// give hands a frame on. The sink waits for a slow caller, which is no silence
-// of the sidecar.
-func (s *stream) give(frame *peerpb.Frame) error {
+// deliver passes a frame to the sink. The sink blocks on a slow caller, which does not
+// count against the sidecar's read timeout.
+func (s *stream) deliver(frame *peerpb.Frame) error {
 	s.watchdog.Stop()
 	defer s.watchdog.Reset(s.run.pool.Silence)
 	if err := s.run.sink(frame); err != nil {
