--- a/internal/listen/client.go
+++ b/internal/listen/client.go
@@ -12,29 +12,28 @@
 )
 
 const (
-	dialTimeout      = 2 * time.Second
-	idleConnections  = 64
-	idleConnectionAt = 30 * time.Second
+	dialTimeout        = 2 * time.Second
+	maxIdleConnections = 64
+	defaultIdleTimeout = 30 * time.Second
 )
 
-// Client returns an HTTP client for one remote service, without the library's
-// own decisions: no circuit breaker, no redirects followed. A request without
-// GetBody and without an Idempotency-Key header is never sent twice by
-// net/http; callers that send a request which may not be repeated clear both.
+// Client returns an HTTP client for one remote service. It has no circuit breaker and
+// follows no redirects. net/http never repeats a request without GetBody and without an
+// Idempotency-Key header; callers clear both for requests that must not be repeated.
 func Client(name string) httpc.Service {
 	return ClientWith(name, ClientOptions{})
 }
 
-// ClientTLS returns a Client with TLS settings of its own; nil takes the system's.
+// ClientTLS returns a Client with its own TLS settings; nil means the system's.
 func ClientTLS(name string, config *tls.Config) httpc.Service {
 	return ClientWith(name, ClientOptions{TLS: config})
 }
 
-// ClientOptions differ from service to service.
+// ClientOptions holds the settings that differ between services.
 type ClientOptions struct {
-	// TLS is nil for the system's own settings.
+	// TLS is nil for the system's settings.
 	TLS *tls.Config
-	// Idle is how long a connection is kept without requests; 0 takes 30 s.
+	// Idle is how long an unused connection is kept; 0 means 30 s.
 	Idle time.Duration
 }
 
@@ -44,14 +43,14 @@
 	logx.SetWriter(klogWriter{})
 	breaker.NoBreakerFor(name)
 	if options.Idle == 0 {
-		options.Idle = idleConnectionAt
+		options.Idle = defaultIdleTimeout
 	}
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: aliveTime}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepaliveTime}
 	client := &http.Client{
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
 			TLSClientConfig:     options.TLS,
-			MaxIdleConnsPerHost: idleConnections,
+			MaxIdleConnsPerHost: maxIdleConnections,
 			IdleConnTimeout:     options.Idle,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
--- a/internal/listen/exchange.go
+++ b/internal/listen/exchange.go
@@ -9,8 +9,8 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// JSON returns a request with a JSON body, or without one where it is nil, that
-// net/http never sends twice by itself.
+// JSON returns a request with a JSON body, or with none if body is nil. net/http never
+// repeats it.
 func JSON(ctx context.Context, method, address string, body []byte) (*http.Request, error) {
 	var reader io.Reader = http.NoBody
 	if body != nil {
@@ -27,15 +27,15 @@
 	return request, nil
 }
 
-// Exchange sends a request and reads its answer up to a number of bytes. The
-// status is 0 where no answer came. An error beside a status says that the answer
-// did not come whole; what came of it is returned too.
-func Exchange(client httpc.Service, request *http.Request, most int64) (status int, answer []byte, err error) {
+// Exchange sends a request and reads up to limit bytes of the answer. The status is 0 if
+// there was no answer. An error with a status means that the answer is incomplete; the
+// part received is returned too.
+func Exchange(client httpc.Service, request *http.Request, limit int64) (status int, answer []byte, err error) {
 	response, err := client.DoRequest(request)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err = io.ReadAll(io.LimitReader(response.Body, most))
+	answer, err = io.ReadAll(io.LimitReader(response.Body, limit))
 	return response.StatusCode, answer, err
 }
--- a/internal/listen/grpc.go
+++ b/internal/listen/grpc.go
@@ -14,43 +14,44 @@
 )
 
 const (
-	maxMessageBytes = 16 << 20
-	aliveTime       = 10 * time.Second
-	aliveTimeout    = 3 * time.Second
-	leastAliveTime  = time.Second
-	// idleClose is how long a connection without calls stays open. An entry
-	// reaches hundreds of sidecars; pings and buffers of all of them would take
-	// more than a process may spend on control.
-	idleClose = 30 * time.Second
-	// firstRedial and lastRedial bound the wait before a connection that was refused
-	// is tried again. Processes that start anew are back within some tenths of a
-	// second; by the library's own wait of a second and more, each of those that
-	// came a little earlier went without the others for that long.
-	firstRedial = 50 * time.Millisecond
-	lastRedial  = time.Second
-	// peerDialTimeout bounds one try to connect to another process: fifty times the
-	// way between two zones, and less than the second after which a lost opening
-	// packet is sent again. Where whole hosts start anew, one that is a little earlier
-	// than its keeper loses that packet, has no texts in time, and makes them all anew.
+	maxMessageBytes  = 16 << 20
+	keepaliveTime    = 10 * time.Second
+	keepaliveTimeout = 3 * time.Second
+	minKeepaliveTime = time.Second
+	// grpcIdleTimeout is how long a connection without calls stays open. An entry connects
+	// to hundreds of sidecars; pings and buffers for all of them would exceed a process's
+	// resources for control traffic.
+	grpcIdleTimeout = 30 * time.Second
+	// minRedialDelay and maxRedialDelay bound the backoff before a refused connection is
+	// retried. Restarted processes are back within some tenths of a second; with gRPC's
+	// default backoff of a second and more, those that started slightly earlier were
+	// without the others for that long.
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = time.Second
+	// peerDialTimeout bounds one attempt to connect to another process: fifty times the
+	// latency between two zones, and less than the second after which a lost SYN is
+	// retransmitted. When whole hosts restart, a process that starts slightly before its
+	// keeper loses its SYN, does not get its texts in time, and generates all of them
+	// again.
 	peerDialTimeout = 400 * time.Millisecond
 )
 
-// GRPC is the server for other processes of the system.
-// Exported fields are set before Run.
+// GRPC is the server for other processes of the system. Exported fields are set before
+// Run.
 type GRPC struct {
-	// Address is an IP address and port; port 0 lets the system choose.
+	// Address is an IP address and port; with port 0 the system chooses the port.
 	Address string
-	// Credentials hold this process's certificate; nil runs without TLS.
+	// Credentials hold this process's certificate; nil disables TLS.
 	Credentials credentials.TransportCredentials
-	// Options are added to the server's own.
+	// Options are added to the default server options.
 	Options []grpc.ServerOption
-	// Register adds the services.
+	// Register registers the services.
 	Register func(grpc.ServiceRegistrar)
-	// Listening is called once with the address in use.
+	// Listening is called once with the actual address.
 	Listening func(address string)
 }
 
-// Run serves until the context ends, then waits for open calls up to grace.
+// Run serves until the context ends, then waits for open calls for up to grace.
 func (g *GRPC) Run(ctx context.Context, grace time.Duration) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", g.Address)
 	if err != nil {
@@ -79,8 +80,8 @@
 	options := append([]grpc.ServerOption{
 		grpc.Creds(transport),
 		grpc.MaxRecvMsgSize(maxMessageBytes),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: aliveTime, Timeout: aliveTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: leastAliveTime, PermitWithoutStream: true}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minKeepaliveTime, PermitWithoutStream: true}),
 	}, g.Options...)
 	server := grpc.NewServer(options...)
 	g.Register(server)
@@ -100,9 +101,8 @@
 	}
 }
 
-// Dial returns a connection to another process. It never repeats a call:
-// gRPC's own retries are off, since whether a request may be sent again is
-// decided by the caller, who knows whether it is idempotent.
+// Dial returns a connection to another process. gRPC's own retries are disabled: only the
+// caller knows whether a request is idempotent and may be sent again.
 func Dial(address string, transport credentials.TransportCredentials) (*grpc.ClientConn, error) {
 	if transport == nil {
 		transport = insecure.NewCredentials()
@@ -110,14 +110,14 @@
 	connection, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(transport),
 		grpc.WithDisableRetry(),
-		grpc.WithIdleTimeout(idleClose),
+		grpc.WithIdleTimeout(grpcIdleTimeout),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: firstRedial, Multiplier: backoff.DefaultConfig.Multiplier, Jitter: backoff.DefaultConfig.Jitter, MaxDelay: lastRedial},
+			Backoff:           backoff.Config{BaseDelay: minRedialDelay, Multiplier: backoff.DefaultConfig.Multiplier, Jitter: backoff.DefaultConfig.Jitter, MaxDelay: maxRedialDelay},
 			MinConnectTimeout: peerDialTimeout,
 		}),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: aliveTime, Timeout: aliveTimeout, PermitWithoutStream: true}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout, PermitWithoutStream: true}),
 	)
 	return connection, eris.Wrapf(err, "dial %s", address)
 }
--- a/internal/listen/http.go
+++ b/internal/listen/http.go
@@ -1,7 +1,7 @@
 // Package listen runs the HTTP and gRPC servers of a process.
 //
-// It turns off what the libraries decide on their own: go-zero's timeouts,
-// body limits, load shedding, circuit breakers and its handling of SIGTERM.
+// It disables library defaults: go-zero's timeouts, body limits, load shedding, circuit
+// breakers and SIGTERM handling.
 package listen
 
 import (
@@ -25,49 +25,49 @@
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// never is longer than any process runs. go-zero shuts its servers down one
-	// second after SIGTERM and kills the process after 5.5 s, which cuts off long
-	// streams; with these times the process ends only by its own drain.
-	never = 1000 * time.Hour
+	// maxProcessTime is longer than any process runs. By default go-zero shuts its servers
+	// down one second after SIGTERM and kills the process after 5.5 s, which interrupts
+	// long streams; with this value only the process's own drain ends it.
+	maxProcessTime = 1000 * time.Hour
 )
 
 var setupOnce sync.Once
 
-// AddressError says that an address can't be listened on.
+// AddressError means that listening on an address failed.
 type AddressError struct {
 	Address string
 	Problem string
 }
 
-// Error names the address.
+// Error returns the message with the address.
 func (e *AddressError) Error() string {
 	return "listen on " + e.Address + ": " + e.Problem
 }
 
-// HTTP is a server for callers, trainers and operators.
-// Exported fields are set before Run.
+// HTTP is a server for callers, trainers and operators. Exported fields are set before
+// Run.
 type HTTP struct {
-	// Address is an IP address and port; port 0 lets the system choose.
+	// Address is an IP address and port; with port 0 the system chooses the port.
 	Address string
-	// Routes are served; another path answers 404.
+	// Routes are the served routes; other paths answer 404.
 	Routes []rest.Route
-	// NotFound answers paths without a route; nil answers a plain 404.
+	// NotFound answers paths without a route; nil means a plain 404.
 	NotFound http.Handler
-	// NotAllowed answers methods without a route; nil answers a plain 405.
+	// NotAllowed answers methods without a route; nil means a plain 405.
 	NotAllowed http.Handler
-	// TLS is used where it is not nil; Certificate and Key then name PEM files,
-	// without which go-zero would serve plain HTTP whatever TLS says.
+	// TLS enables TLS if it is not nil; Certificate and Key are then PEM file names,
+	// without which go-zero would serve plain HTTP regardless of TLS.
 	TLS         *tls.Config
 	Certificate string
 	Key         string
-	// Listening is called once with the address in use.
+	// Listening is called once with the actual address.
 	Listening func(address string)
 
 	mutex  sync.Mutex
 	server *http.Server
 }
 
-// Run serves until the context ends, then waits for open requests up to grace.
+// Run serves until the context ends, then waits for open requests for up to grace.
 func (h *HTTP) Run(ctx context.Context, grace time.Duration) error {
 	server, err := h.build()
 	if err != nil {
@@ -114,7 +114,7 @@
 	return server, nil
 }
 
-// serve runs the server; go-zero panics where it can't listen.
+// serve runs the server; go-zero panics if it cannot listen.
 func (h *HTTP) serve(server *rest.Server, failed chan<- error) {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -130,8 +130,8 @@
 		h.mutex.Lock()
 		h.server = s
 		h.mutex.Unlock()
-		// http.Server hands its listener to BaseContext, the only place that
-		// tells the port that the system chose.
+		// http.Server passes its listener to BaseContext, the only way to get the port that
+		// the system chose.
 		s.BaseContext = func(listener net.Listener) context.Context {
 			if h.Listening != nil {
 				h.Listening(listener.Addr().String())
@@ -154,11 +154,11 @@
 }
 
 func setup() {
-	proc.Setup(proc.ShutdownConf{WrapUpTime: never, WaitTime: 2 * never})
+	proc.Setup(proc.ShutdownConf{WrapUpTime: maxProcessTime, WaitTime: 2 * maxProcessTime})
 	logx.DisableStat()
 }
 
-// klogWriter sends go-zero's own log lines to klog.
+// klogWriter writes go-zero's log lines to klog.
 type klogWriter struct{}
 
 var _ logx.Writer = klogWriter{}
@@ -167,8 +167,8 @@
 func (klogWriter) Close() error                    { return nil }
 func (klogWriter) Debug(v any, _ ...logx.LogField) { klog.V(2).Info("rest: ", v) }
 
-// Error keeps httpc's own lines on failed calls out of the normal log: who
-// makes a call handles its error and logs that once.
+// Error logs httpc's lines on failed calls at level 1 only, since the caller handles the
+// error and logs it once.
 func (klogWriter) Error(v any, _ ...logx.LogField) {
 	if text, ok := v.(string); ok && strings.HasPrefix(text, "[HTTP]") {
 		klog.V(1).Info("rest: ", text)
--- a/internal/listen/listentest/address.go
+++ b/internal/listen/listentest/address.go
@@ -1,5 +1,4 @@
-// Package listentest gives tests addresses on which a process that they start
-// can listen.
+// Package listentest allocates addresses for processes that tests start.
 package listentest
 
 import (
@@ -11,24 +10,24 @@
 )
 
 const (
-	// firstPort and lastPort bound the ports given out. The system gives those
-	// from 32768 on to outgoing connections.
+	// firstPort and lastPort bound the allocated ports. The system assigns ports from 32768
+	// on to outgoing connections.
 	firstPort, lastPort = 20000, 32767
-	// blockPorts is the number of ports that one test program takes at a time: more
-	// than most tests need, and small enough for dozens of test programs at once.
+	// blockPorts is the number of ports that one test program reserves at a time: more than
+	// most tests need, and small enough for dozens of test programs at once.
 	blockPorts = 200
 )
 
-// blocks are the blocks of ports that this test program holds.
-var blocks holder
+// allocator holds the blocks of ports reserved by this test program.
+var allocator portAllocator
 
-// holder gives out ports of blocks that no other test program uses.
-type holder struct {
+// portAllocator allocates ports from blocks that no other test program uses.
+type portAllocator struct {
 	mutex sync.Mutex
-	// locks are listeners on the first port of each block held. They are never
-	// closed, and so other test programs can't take the block.
+	// locks are listeners on the first port of each reserved block. They stay open, so that
+	// other test programs cannot reserve the block.
 	locks []net.Listener
-	// next is the next port to try, and end the first one behind the block.
+	// next is the next port to try, and end the first one after the block.
 	next, end int
 	// block is the first port of the next block to try.
 	block int
@@ -36,24 +35,24 @@
 
 // Free returns an IP address and port on which nothing listens.
 //
-// A port that the system chooses, and that is closed again until the process
-// under test listens on it, may be taken meanwhile by an outgoing connection: the
-// process then fails to start, or to start again. Ports of a block of its own,
-// below those for outgoing connections, are taken by nobody else.
+// If the system chose a port and it were closed until the process under test listens on
+// it, an outgoing connection could take it meanwhile: the process would fail to start or
+// restart. Ports of a reserved block, below those for outgoing connections, are used by
+// nobody else.
 func Free(t testing.TB) string {
 	t.Helper()
-	blocks.mutex.Lock()
-	defer blocks.mutex.Unlock()
+	allocator.mutex.Lock()
+	defer allocator.mutex.Unlock()
 	for {
-		for blocks.next < blocks.end {
-			address := fmt.Sprintf("127.0.0.1:%d", blocks.next)
-			blocks.next++
+		for allocator.next < allocator.end {
+			address := fmt.Sprintf("127.0.0.1:%d", allocator.next)
+			allocator.next++
 			if isFree(address) {
 				return address
 			}
 		}
-		if !blocks.take() {
-			t.Fatal("no block of free ports is left")
+		if !allocator.reserveBlock() {
+			t.Fatal("no free block of ports left")
 		}
 	}
 }
@@ -70,8 +69,8 @@
 	return listener.Close() == nil
 }
 
-// take takes a further block; it reports false where none is left.
-func (h *holder) take() bool {
+// reserveBlock reserves another block; it returns false if none is left.
+func (h *portAllocator) reserveBlock() bool {
 	if h.block == 0 {
 		h.block = firstPort
 	}
--- a/internal/listen/listentest/address_test.go
+++ b/internal/listen/listentest/address_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A test starts a gateway on a port that the system had chosen for it. Before
-// the gateway listens, a connection of another test is given the same port, and
-// the gateway never becomes ready.
+// Guards against a port that is taken before its process listens. A test starts a gateway
+// on a port chosen by the system; before the gateway listens, a connection of another test
+// gets the same port, and the gateway never becomes ready.
 func TestFree(t *testing.T) {
 	seen := map[string]bool{}
 	for range blockPorts + 1 {
@@ -23,14 +23,14 @@
 		must.NoError(t, err)
 		must.Less(t, 32768, port)
 	}
-	must.SliceLen(t, 2, blocks.locks)
+	must.SliceLen(t, 2, allocator.locks)
 }
 
-// Two test programs run at once. The block of one is passed over by the other.
+// Two test programs run at once; each must skip the blocks reserved by the other.
 func TestBlocksAreHeld(t *testing.T) {
-	first, second := &holder{}, &holder{}
-	must.True(t, first.take())
-	must.True(t, second.take())
+	first, second := &portAllocator{}, &portAllocator{}
+	must.True(t, first.reserveBlock())
+	must.True(t, second.reserveBlock())
 	must.NotEq(t, first.next, second.next)
 	for _, lock := range append(first.locks, second.locks...) {
 		must.NoError(t, lock.Close())
--- a/internal/listen/post.go
+++ b/internal/listen/post.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// Post sends a value as JSON by the client of a name, and expects an answer of status 200.
-func Post(ctx context.Context, client, address string, value any) error {
+// Post sends a value as JSON with the named client, and expects status 200.
+func Post(ctx context.Context, clientName, address string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -17,7 +17,7 @@
 	if err != nil {
 		return err
 	}
-	response, err := Client(client).DoRequest(request)
+	response, err := Client(clientName).DoRequest(request)
 	if err != nil {
 		return err
 	}
