--- a/internal/platform/api.go
+++ b/internal/platform/api.go
@@ -1,6 +1,6 @@
 package platform
 
-// Paths of the platform's interface.
+// Paths of the platform's API.
 const (
 	PathValue  = "/v1/kv"
 	PathWatch  = "/v1/watch"
@@ -11,16 +11,16 @@
 	PathHost   = "/v1/hosts"
 )
 
-// Value is a value of the key-value service.
+// Value is a key and its value in the key-value service.
 type Value struct {
 	Key string `json:"key"`
 	// Data is base64 in JSON.
 	Data []byte `json:"value"`
-	// Revision of the change that wrote it; revisions of all keys are one sequence.
+	// Revision of the change that wrote the value; all keys share one sequence.
 	Revision uint64 `json:"revision"`
-	// Lease with which the value ends; 0 is none.
+	// Lease is the lease whose end removes the value; 0 means none.
 	Lease uint64 `json:"lease,omitempty"`
-	// Deleted is true in events of a watch.
+	// Deleted marks a watch event that removed the key.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
@@ -33,35 +33,35 @@
 	Lease  uint64 `json:"lease,omitempty"`
 }
 
-// SwapReply is the answer of PUT and DELETE /v1/kv: 200 with the new revision,
-// or 409 with the present one.
+// SwapReply is the response of PUT and DELETE /v1/kv: 200 with the new revision,
+// or 409 with the current one.
 type SwapReply struct {
 	Revision uint64 `json:"revision"`
 }
 
-// ListReply is the answer of GET /v1/kv?prefix= and of GET /v1/watch?prefix=&after=,
+// ListReply is the response of GET /v1/kv?prefix= and of GET /v1/watch?prefix=&after=,
 // which waits up to wait for a change after the revision.
 type ListReply struct {
 	Values []Value `json:"values"`
-	// Revision is the newest of the whole service.
+	// Revision is the newest revision of the service.
 	Revision uint64 `json:"revision"`
 }
 
-// LeaseRequest is the body of POST /v1/leases, and of PUT /v1/leases to renew.
+// LeaseRequest is the body of POST /v1/leases, and of PUT /v1/leases to renew a lease.
 type LeaseRequest struct {
 	ID uint64 `json:"id,omitempty"`
-	// Length in milliseconds.
+	// Length is in milliseconds.
 	Length int64 `json:"length"`
 }
 
-// LeaseReply is the answer of POST and PUT /v1/leases; a lapsed lease answers 404.
+// LeaseReply is the response of POST and PUT /v1/leases; an expired lease gets 404.
 type LeaseReply struct {
 	ID uint64 `json:"id"`
 }
 
 // Order is the body of POST /v1/orders: start or stop a backend server.
-// The platform runs an order's ID once, and refuses (409) a fence lower than
-// one that it has seen for the zone.
+// The platform executes each order ID once, and refuses (409) a fencing token
+// lower than one that it has seen for the zone.
 type Order struct {
 	ID     string `json:"id"`
 	Zone   string `json:"zone"`
@@ -69,13 +69,13 @@
 	Action string `json:"action"`
 	Server string `json:"server"`
 	Fence  uint64 `json:"fence"`
-	// NotAfter is when the order must no longer be taken, milliseconds since 1970 UTC.
+	// NotAfter is the time after which the order must not be accepted, in Unix milliseconds.
 	NotAfter int64 `json:"not_after"`
-	// From names the process that sends it.
+	// From is the name of the sending process.
 	From string `json:"from"`
 }
 
-// Server is a backend server in the answer of GET /v1/servers.
+// Server is a backend server in the response of GET /v1/servers.
 type Server struct {
 	ID   string `json:"id"`
 	Pool string `json:"pool"`
@@ -85,9 +85,9 @@
 	State string `json:"state"`
 }
 
-// Usage is the body of POST /v1/usage: the figures of one window.
+// Usage is the body of POST /v1/usage: the usage in one window.
 type Usage struct {
-	// Start of the window and its length, seconds.
+	// Start is when the window begins, in Unix seconds; Length is in seconds.
 	Start   int64    `json:"start"`
 	Length  int64    `json:"length"`
 	Figures []Figure `json:"figures"`
@@ -102,14 +102,14 @@
 	Requests     uint64 `json:"requests"`
 	PromptTokens uint64 `json:"prompt_tokens"`
 	OutputTokens uint64 `json:"output_tokens"`
-	// Late is the start of the window to which a late figure belongs; 0 if it is not late.
+	// Late is the start of the window to which late usage belongs; 0 if it is not late.
 	Late int64 `json:"late,omitempty"`
 }
 
-// Host is a host in the answer of GET /v1/hosts, which lags.
+// Host is a host in the response of GET /v1/hosts, which may be stale.
 type Host struct {
 	Name string `json:"name"`
-	// Address is the peer address of the process on it.
+	// Address is the peer address of the process on the host.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	// Role is entry or sidecar.
@@ -124,21 +124,21 @@
 	Revision uint64
 }
 
-// Write is one value that a commit writes. Lease 0 is none.
+// Write is a value written by a commit. Lease 0 means none.
 type Write struct {
 	Key   string
 	Data  []byte
 	Lease uint64
 }
 
-// Commit changes several keys at once, or none of them.
+// Commit changes several keys atomically.
 type Commit struct {
 	Expect []Expect
 	Writes []Write
 	Remove []string
 }
 
-// Name names the commit in errors by the first key that it changes.
+// Name returns the first key that the commit changes, which identifies it in errors.
 func (c *Commit) Name() string {
 	switch {
 	case len(c.Writes) > 0:
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,5 +1,5 @@
-// Package platform speaks to the platform: its key-value service, the interface
-// that orders backend servers, the intake of usage reports and the host list.
+// Package platform is a client of the platform: its key-value service, its orders
+// for backend servers, its usage reports and its host list.
 package platform
 
 import (
@@ -21,18 +21,18 @@
 const maxAnswerBytes = 64 << 20
 
 // ConflictError says that a compare-and-swap found another revision, or that
-// an order came with an old fencing number.
+// an order had an outdated fencing token.
 type ConflictError struct {
 	Key string
-	// Revision is the present one.
+	// Revision is the current revision of the key.
 	Revision uint64
-	// Present holds the keys of a commit's expectations as they are, where the
-	// store tells them; a key that doesn't exist is left out.
+	// Present holds the current values of the keys in a commit's expectations, if
+	// the store returns them; keys that don't exist are omitted.
 	Present []Value
 }
 
-// Find returns the present value of one of the commit's keys; false if the key
-// doesn't exist or the store doesn't tell.
+// Find returns the current value of one of the commit's keys. It returns false if
+// the key doesn't exist or the store didn't return it.
 func (e *ConflictError) Find(key string) (Value, bool) {
 	for _, value := range e.Present {
 		if value.Key == key && value.Revision != 0 {
@@ -42,18 +42,18 @@
 	return Value{}, false
 }
 
-// CompactedError says that the store no longer knows what has changed since a revision.
+// CompactedError says that the store no longer has the changes since a revision.
 type CompactedError struct {
 	Prefix string
 	After  uint64
 }
 
-// Error names the prefix.
+// Error returns a message with the prefix and the revision.
 func (e *CompactedError) Error() string {
 	return fmt.Sprintf("platform: changes of %s since revision %d are no longer known", e.Prefix, e.After)
 }
 
-// Error names the key.
+// Error returns a message with the key and its current revision.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("platform: %s has changed, now at revision %d", e.Key, e.Revision)
 }
@@ -63,19 +63,19 @@
 	Key string
 }
 
-// Error names the key.
+// Error returns a message with the key.
 func (e *NotFoundError) Error() string { return "platform: " + e.Key + " does not exist" }
 
-// UnavailableError says that the platform gave no answer or could not do the
-// call. A change may have taken effect all the same: read back before deciding.
+// UnavailableError says that the platform did not respond or could not process the
+// call. A change may still have taken effect: read the value back before deciding.
 type UnavailableError struct {
 	Operation string
-	// Status is the HTTP status; 0 if no answer came.
+	// Status is the HTTP status, or 0 if there was no response.
 	Status int
 	Cause  error
 }
 
-// Error names the operation.
+// Error returns a message with the operation and its cause or status.
 func (e *UnavailableError) Error() string {
 	if e.Cause != nil {
 		return "platform: " + e.Operation + ": " + e.Cause.Error()
@@ -83,22 +83,23 @@
 	return "platform: " + e.Operation + ": status " + strconv.Itoa(e.Status)
 }
 
-// IsTurnedAway reports whether a status of the store says that it did nothing.
+// IsTurnedAway reports whether a status means that the store rejected the call
+// without any effect.
 func IsTurnedAway(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// Unwrap returns the cause.
+// Unwrap returns e.Cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// Client speaks to the platform. Exported fields are set before the first call.
-// Calls are never repeated here: each duty decides for itself.
+// Client calls the platform. Exported fields must be set before the first call.
+// It never retries a call: each duty decides that for itself.
 type Client struct {
 	// Address is the base URL.
 	Address string
-	// Timeout bounds each call but Watch.
+	// Timeout limits each call; Watch may take its wait in addition.
 	Timeout time.Duration
-	// Heard is called after each answer of the key-value service; nil is allowed.
+	// Heard is called after each response with status 200, 404 or 409; may be nil.
 	Heard func()
 
 	service httpc.Service
@@ -122,14 +123,14 @@
 	return value, err
 }
 
-// Grant makes a lease.
+// Grant creates a lease and returns its ID.
 func (c *Client) Grant(ctx context.Context, length time.Duration) (uint64, error) {
 	var reply LeaseReply
 	err := c.call(ctx, http.MethodPost, PathLease, nil, "lease", LeaseRequest{Length: length.Milliseconds()}, &reply)
 	return reply.ID, err
 }
 
-// Hosts returns the platform's lagging list of hosts.
+// Hosts returns the platform's list of hosts, which may be stale.
 func (c *Client) Hosts(ctx context.Context) ([]Host, error) {
 	var hosts []Host
 	err := c.call(ctx, http.MethodGet, PathHost, nil, "hosts", nil, &hosts)
@@ -143,32 +144,32 @@
 	return reply, err
 }
 
-// Order sends an order for a backend server. The guard is asked as the last
-// thing before the order goes out; its error means that nothing was sent.
+// Order sends an order for a backend server. It calls guard immediately before
+// sending the order; a guard error is returned and means that no order was sent.
 func (c *Client) Order(ctx context.Context, order Order, guard func() error) error {
-	return c.guarded(ctx, PathOrder, "order "+order.ID, order, guard)
+	return c.sendGuarded(ctx, PathOrder, "order "+order.ID, order, guard)
 }
 
-// Renew lengthens a lease from now on, or returns a NotFoundError if it has lapsed.
+// Renew extends a lease from now, or returns a NotFoundError if it has expired.
 func (c *Client) Renew(ctx context.Context, lease uint64, length time.Duration) error {
 	request := LeaseRequest{ID: lease, Length: length.Milliseconds()}
 	return c.call(ctx, http.MethodPut, PathLease, nil, "lease", request, &LeaseReply{})
 }
 
-// Report sends the figures of a usage window under a guard, as Order does.
+// Report sends the usage of a window. It calls guard as Order does.
 func (c *Client) Report(ctx context.Context, usage Usage, guard func() error) error {
-	return c.guarded(ctx, PathUsage, "usage", usage, guard)
+	return c.sendGuarded(ctx, PathUsage, "usage", usage, guard)
 }
 
-// Servers returns the backend servers of a zone as the platform sees them.
+// Servers returns the platform's list of the backend servers in a zone.
 func (c *Client) Servers(ctx context.Context, zone string) ([]Server, error) {
 	var servers []Server
 	err := c.call(ctx, http.MethodGet, PathServer, url.Values{"zone": {zone}}, "servers", nil, &servers)
 	return servers, err
 }
 
-// Swap writes a value if the key has the expected revision; 0 means that it
-// must not exist. Lease 0 is none. It returns the new revision.
+// Swap writes a value if the key has the expected revision; 0 means that the key
+// must not exist. Lease 0 means none. It returns the new revision.
 func (c *Client) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	var reply SwapReply
 	request := SwapRequest{Key: key, Data: data, Expect: expect, Lease: lease}
@@ -176,8 +177,8 @@
 	return reply.Revision, err
 }
 
-// Watch waits up to wait for changes of keys with the prefix after a revision.
-// An empty reply means that none came.
+// Watch waits up to wait for changes, after a revision, to keys with the prefix.
+// An empty reply means that there were none.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (ListReply, error) {
 	var reply ListReply
 	query := url.Values{
@@ -191,15 +192,15 @@
 	return reply, err
 }
 
-func (c *Client) guarded(ctx context.Context, path, key string, message any, guard func() error) error {
+func (c *Client) sendGuarded(ctx context.Context, path, key string, message any, guard func() error) error {
 	text, err := json.Marshal(message)
 	if err != nil {
 		return &UnavailableError{Operation: key, Cause: err}
 	}
 	body := newGuardedBody(text, guard)
 	err = c.call(ctx, http.MethodPost, path, nil, key, body, nil)
-	if refused := body.refusal(); refused != nil {
-		return refused
+	if guardErr := body.guardError(); guardErr != nil {
+		return guardErr
 	}
 	return err
 }
@@ -220,7 +221,7 @@
 	if err != nil {
 		return &UnavailableError{Operation: operation, Cause: err}
 	}
-	return c.read(status, operation, key, answer, reply)
+	return c.decode(status, operation, key, answer, reply)
 }
 
 func (c *Client) request(ctx context.Context, method, path string, query url.Values, body any) (*http.Request, error) {
@@ -247,7 +248,7 @@
 	if isGuarded {
 		request.ContentLength = guarded.length()
 	}
-	// Without GetBody net/http never sends a change twice by itself.
+	// Without GetBody, net/http can't replay the body, so it never sends a change twice.
 	request.GetBody = nil
 	if body != nil {
 		request.Header.Set("Content-Type", "application/json")
@@ -255,10 +256,10 @@
 	return request, nil
 }
 
-func (c *Client) read(status int, operation, key string, answer []byte, reply any) error {
+func (c *Client) decode(status int, operation, key string, answer []byte, reply any) error {
 	switch status {
 	case http.StatusOK:
-		c.heard()
+		c.notifyHeard()
 		if reply == nil {
 			return nil
 		}
@@ -267,21 +268,21 @@
 		}
 		return nil
 	case http.StatusNotFound:
-		c.heard()
+		c.notifyHeard()
 		return &NotFoundError{Key: key}
 	case http.StatusConflict:
-		c.heard()
-		var present SwapReply
-		if err := json.Unmarshal(answer, &present); err != nil {
+		c.notifyHeard()
+		var current SwapReply
+		if err := json.Unmarshal(answer, &current); err != nil {
 			return &UnavailableError{Operation: operation, Status: status, Cause: err}
 		}
-		return &ConflictError{Key: key, Revision: present.Revision}
+		return &ConflictError{Key: key, Revision: current.Revision}
 	default:
 		return &UnavailableError{Operation: operation, Status: status}
 	}
 }
 
-func (c *Client) heard() {
+func (c *Client) notifyHeard() {
 	if c.Heard != nil {
 		c.Heard()
 	}
--- a/internal/platform/guardedbody.go
+++ b/internal/platform/guardedbody.go
@@ -5,44 +5,44 @@
 	"sync"
 )
 
-// guardedBody is the body of an order or report that asks a guard before it is read.
+// guardedBody is the body of an order or report that calls a guard before each read.
 //
-// A holder that is paused after it checked its term, and thawed once another
-// process holds the duty, would send it all the same. net/http reads the
-// body after it has a connection and before it flushes the request, so the
-// check is made here: only the write itself comes after it. Headers that went
-// out already are nothing, since the body that they announce never comes.
+// A duty holder that is suspended after checking its term, and resumes when another
+// process holds the duty, would otherwise still send the request. net/http reads
+// the body after it has a connection and before it flushes the request, so only
+// the write itself follows this check. Headers already sent have no effect, since
+// the body that they announce never arrives.
 type guardedBody struct {
-	text  *bytes.Reader
-	guard func() error
+	reader *bytes.Reader
+	guard  func() error
 
-	mutex   sync.Mutex
-	refused error
+	mutex    sync.Mutex
+	guardErr error
 }
 
 func newGuardedBody(text []byte, guard func() error) *guardedBody {
-	return &guardedBody{text: bytes.NewReader(text), guard: guard}
+	return &guardedBody{reader: bytes.NewReader(text), guard: guard}
 }
 
-// Read asks the guard each time.
+// Read calls the guard and returns its error, if any, in this and all later calls.
 func (g *guardedBody) Read(buffer []byte) (int, error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.refused == nil {
-		g.refused = g.guard()
+	if g.guardErr == nil {
+		g.guardErr = g.guard()
 	}
-	if g.refused != nil {
-		return 0, g.refused
+	if g.guardErr != nil {
+		return 0, g.guardErr
 	}
-	return g.text.Read(buffer)
+	return g.reader.Read(buffer)
 }
 
-// length returns the number of bytes.
-func (g *guardedBody) length() int64 { return g.text.Size() }
+// length returns the body length in bytes.
+func (g *guardedBody) length() int64 { return g.reader.Size() }
 
-// refusal returns the guard's error.
-func (g *guardedBody) refusal() error {
+// guardError returns the error of the guard, or nil.
+func (g *guardedBody) guardError() error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.refused
+	return g.guardErr
 }
--- a/internal/platform/order_test.go
+++ b/internal/platform/order_test.go
@@ -14,9 +14,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Two processes order servers of one zone: one is paused while it waits for a
-// connection, after it checked its term, and sends its order when it is thawed.
-// The guard is asked after that wait, and the receiver must get no order.
+// Guards against an order from a process that lost its duty: it checks its term,
+// is suspended while it waits for a connection, and sends the order on resuming,
+// so two processes order servers of one zone. The guard must run after that wait,
+// and the receiver must get no order.
 func TestOrderAsksGuardLast(t *testing.T) {
 	var orders atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -27,9 +28,9 @@
 	}))
 	defer server.Close()
 	client := platform.NewClient(server.URL, time.Second)
-	ended := errors.New("term has ended")
+	errTermEnded := errors.New("term has ended")
 
-	must.ErrorIs(t, client.Order(t.Context(), platform.Order{ID: "o1"}, func() error { return ended }), ended)
+	must.ErrorIs(t, client.Order(t.Context(), platform.Order{ID: "o1"}, func() error { return errTermEnded }), errTermEnded)
 	must.NoError(t, client.Order(t.Context(), platform.Order{ID: "o2"}, func() error { return nil }))
 	must.Eq(t, 1, orders.Load())
 }
--- a/internal/platform/platformtest/store.go
+++ b/internal/platform/platformtest/store.go
@@ -1,5 +1,5 @@
-// Package platformtest holds a small key-value service in memory for tests of
-// the parts that use the platform's.
+// Package platformtest provides an in-memory key-value service for tests of
+// packages that use the platform's.
 package platformtest
 
 import (
@@ -13,34 +13,34 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Store is a key-value service in memory. Its zero value is empty.
+// Store is an in-memory key-value service. Its zero value is empty.
 // It is safe for concurrent use.
 type Store struct {
-	mutex    sync.Mutex
-	values   map[string]platform.Value
-	revision uint64
-	changed  chan struct{}
-	away     bool
-	silent   bool
-	lose     int
-	before   func()
-	calls    int
-	swaps    int
-	// deleted holds the newest deletion of each key, for watches.
+	mutex         sync.Mutex
+	values        map[string]platform.Value
+	revision      uint64
+	changed       chan struct{}
+	unavailable   bool
+	silentWatches bool
+	answersToLose int
+	beforeSwap    func()
+	calls         int
+	swaps         int
+	// deleted holds the latest deletion event of each key, for watches.
 	deleted map[string]platform.Value
-	// compacted is the revision up to which changes are no longer known.
+	// compacted is the revision up to which changes were discarded.
 	compacted uint64
 	leases    map[uint64]*time.Timer
 }
 
-// Commit changes several keys at once if all have the expected revisions.
+// Commit changes several keys atomically if all have the expected revisions.
 func (s *Store) Commit(_ context.Context, commit platform.Commit) (uint64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.call("commit"); err != nil {
+	if err := s.countCall("commit"); err != nil {
 		return 0, err
 	}
-	if conflict := s.conflict(commit); conflict != nil {
+	if conflict := s.checkExpectations(commit); conflict != nil {
 		return 0, conflict
 	}
 	for _, write := range commit.Writes {
@@ -54,33 +54,34 @@
 	for _, key := range commit.Remove {
 		s.remove(key)
 	}
-	if s.lose > 0 {
-		s.lose--
+	if s.answersToLose > 0 {
+		s.answersToLose--
 		return 0, &platform.UnavailableError{Operation: "commit"}
 	}
 	return s.revision, nil
 }
 
-// conflict returns the present values of a commit's expectations if one fails.
-func (s *Store) conflict(commit platform.Commit) error {
-	failed := &platform.ConflictError{}
+// checkExpectations returns a *platform.ConflictError with the current values if a
+// key has another revision than the commit expects.
+func (s *Store) checkExpectations(commit platform.Commit) error {
+	conflict := &platform.ConflictError{}
 	for _, expect := range commit.Expect {
-		if present := s.values[expect.Key]; present.Revision != expect.Revision && failed.Key == "" {
-			failed.Key, failed.Revision = expect.Key, present.Revision
+		if current := s.values[expect.Key]; current.Revision != expect.Revision && conflict.Key == "" {
+			conflict.Key, conflict.Revision = expect.Key, current.Revision
 		}
 	}
-	if failed.Key == "" {
+	if conflict.Key == "" {
 		return nil
 	}
 	for _, expect := range commit.Expect {
 		if value, found := s.values[expect.Key]; found {
-			failed.Present = append(failed.Present, value)
+			conflict.Present = append(conflict.Present, value)
 		}
 	}
-	return failed
+	return conflict
 }
 
-// Compact forgets what has changed so far.
+// Compact discards all past changes.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -88,11 +89,11 @@
 	s.deleted = nil
 }
 
-// End ends a lease and removes its keys.
+// End revokes a lease and removes its keys.
 func (s *Store) End(_ context.Context, lease uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.call("end"); err != nil {
+	if err := s.countCall("end"); err != nil {
 		return err
 	}
 	return s.end(lease)
@@ -113,11 +114,11 @@
 	return nil
 }
 
-// Grant makes a lease.
+// Grant creates a lease and returns its ID.
 func (s *Store) Grant(_ context.Context, length time.Duration) (uint64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.call("grant"); err != nil {
+	if err := s.countCall("grant"); err != nil {
 		return 0, err
 	}
 	if s.leases == nil {
@@ -133,11 +134,11 @@
 	return lease, nil
 }
 
-// Renew lengthens a lease.
+// Renew extends a lease from now.
 func (s *Store) Renew(_ context.Context, lease uint64, length time.Duration) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.call("renew"); err != nil {
+	if err := s.countCall("renew"); err != nil {
 		return err
 	}
 	timer := s.leases[lease]
@@ -158,17 +159,18 @@
 		s.deleted = map[string]platform.Value{}
 	}
 	s.deleted[key] = platform.Value{Key: key, Revision: s.revision, Deleted: true}
-	s.wake()
+	s.notifyWatchers()
 }
 
-// Before calls do once, just before the next swap: the place of a racing writer.
-func (s *Store) Before(do func()) {
+// Before makes the next swap call hook first, once. It simulates a concurrent writer.
+func (s *Store) Before(hook func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.before = do
+	s.beforeSwap = hook
 }
 
-// Calls returns the number of calls so far; a watch counts as one.
+// Calls returns the number of calls so far. A watch counts once, and again each
+// time a change wakes it.
 func (s *Store) Calls() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -179,11 +181,11 @@
 func (s *Store) Delete(_ context.Context, key string, expect uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.call("delete"); err != nil {
+	if err := s.countCall("delete"); err != nil {
 		return err
 	}
-	if present := s.values[key].Revision; present != expect {
-		return &platform.ConflictError{Key: key, Revision: present}
+	if current := s.values[key].Revision; current != expect {
+		return &platform.ConflictError{Key: key, Revision: current}
 	}
 	s.remove(key)
 	return nil
@@ -193,7 +195,7 @@
 func (s *Store) Get(_ context.Context, key string) (platform.Value, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.call("get"); err != nil {
+	if err := s.countCall("get"); err != nil {
 		return platform.Value{}, err
 	}
 	value, found := s.values[key]
@@ -207,72 +209,73 @@
 func (s *Store) List(_ context.Context, prefix string) (platform.ListReply, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.call("list"); err != nil {
+	if err := s.countCall("list"); err != nil {
 		return platform.ListReply{}, err
 	}
 	return s.list(prefix, 0), nil
 }
 
-// LoseAnswers makes the next swaps take effect and fail without an answer.
+// LoseAnswers makes the next swaps and commits take effect but fail as if the
+// response was lost.
 func (s *Store) LoseAnswers(number int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lose = number
+	s.answersToLose = number
 }
 
-// SetAway begins or ends an outage.
-func (s *Store) SetAway(away bool) {
+// SetAway starts or ends an outage.
+func (s *Store) SetAway(unavailable bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.away = away
-	s.wake()
+	s.unavailable = unavailable
+	s.notifyWatchers()
 }
 
-// SetSilent makes watches show nothing although values change.
+// SetSilent makes watches return no events although values change.
 func (s *Store) SetSilent(silent bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.silent = silent
+	s.silentWatches = silent
 }
 
 // Swap writes a value if its key has the expected revision.
 func (s *Store) Swap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	s.mutex.Lock()
-	before := s.before
-	s.before = nil
+	hook := s.beforeSwap
+	s.beforeSwap = nil
 	s.mutex.Unlock()
-	if before != nil {
-		before()
+	if hook != nil {
+		hook()
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.call("swap"); err != nil {
+	if err := s.countCall("swap"); err != nil {
 		return 0, err
 	}
-	if present := s.values[key].Revision; present != expect {
-		return 0, &platform.ConflictError{Key: key, Revision: present}
+	if current := s.values[key].Revision; current != expect {
+		return 0, &platform.ConflictError{Key: key, Revision: current}
 	}
 	s.write(key, data, lease)
-	if s.lose > 0 {
-		s.lose--
+	if s.answersToLose > 0 {
+		s.answersToLose--
 		return 0, &platform.UnavailableError{Operation: "swap"}
 	}
 	return s.revision, nil
 }
 
-// Swaps returns the number of swaps that took effect.
+// Swaps returns the number of values written so far, by swaps and commits.
 func (s *Store) Swaps() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.swaps
 }
 
-// Watch waits for a change after the revision.
+// Watch waits up to wait for a change after the revision.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (platform.ListReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		reply, changed, err := s.look(prefix, after)
+		reply, changed, err := s.changesSince(prefix, after)
 		if err != nil || len(reply.Values) > 0 {
 			return reply, err
 		}
@@ -284,16 +287,16 @@
 	}
 }
 
-func (s *Store) look(prefix string, after uint64) (platform.ListReply, <-chan struct{}, error) {
+func (s *Store) changesSince(prefix string, after uint64) (platform.ListReply, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.call("watch"); err != nil {
+	if err := s.countCall("watch"); err != nil {
 		return platform.ListReply{}, nil, err
 	}
 	if s.changed == nil {
 		s.changed = make(chan struct{})
 	}
-	if s.silent {
+	if s.silentWatches {
 		return platform.ListReply{Revision: after}, s.changed, nil
 	}
 	if after < s.compacted {
@@ -319,9 +322,9 @@
 	return reply
 }
 
-func (s *Store) call(operation string) error {
+func (s *Store) countCall(operation string) error {
 	s.calls++
-	if s.away {
+	if s.unavailable {
 		return &platform.UnavailableError{Operation: operation}
 	}
 	return nil
@@ -334,10 +337,10 @@
 	s.revision++
 	s.swaps++
 	s.values[key] = platform.Value{Key: key, Data: data, Revision: s.revision, Lease: lease}
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	if s.changed != nil {
 		close(s.changed)
 	}
