--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -10,7 +10,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/settingspb"
 )
 
-// Reference returns a page in Markdown with all settings of a kind of process.
+// Reference returns a Markdown section with all settings of one kind of process.
 func Reference(title string, message proto.Message) string {
 	var page strings.Builder
 	fmt.Fprintf(&page, "## %s\n", title)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings loads the INI files that operators write.
+// Package settings loads and validates the INI files that operators write.
 //
-// The names, defaults and bounds of all settings are in the schema
-// (schema/settings); this package checks a file against it.
+// The schema (schema/settings) defines the names, defaults and bounds of all
+// settings.
 package settings
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/settingspb"
 )
 
-// Error is one fault of a settings file.
+// Error is one invalid entry of a settings file.
 type Error struct {
 	File    string
 	Section string
@@ -23,7 +23,7 @@
 	Problem string
 }
 
-// Error names the file, the section and the key.
+// Error returns a message with the file, section, key and problem.
 func (e *Error) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("%s: [%s]: %s", e.File, e.Section, e.Problem)
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("%s: [%s] %s: %s", e.File, e.Section, e.Key, e.Problem)
 }
 
-// Load reads the file and fills message, each of whose fields is a section.
-// The error joins one *Error for each fault.
+// Load reads the file into message, each of whose fields is a section.
+// The returned error joins one *Error for each invalid entry.
 func Load(file string, message proto.Message) error {
 	document, err := Open(file)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return decodeSections(file, document, message.ProtoReflect())
 }
 
-// Open reads an INI file without filling anything.
+// Open parses an INI file without checking it against the schema.
 func Open(file string) (*ini.File, error) {
 	options := ini.LoadOptions{
 		AllowNonUniqueSections:   false,
@@ -55,17 +55,17 @@
 	return document, nil
 }
 
-// Decode fills message from one section; each field is a key.
-// The error joins one *Error for each fault.
+// Decode reads one section into message, each of whose fields is a key.
+// The returned error joins one *Error for each invalid entry.
 func Decode(file string, section *ini.Section, message proto.Message) error {
 	return decodeKeys(file, section.Name(), section.KeysHash(), message.ProtoReflect())
 }
 
 func decodeSections(file string, document *ini.File, message protoreflect.Message) error {
 	fields := message.Descriptor().Fields()
-	var faults []error
+	var errs []error
 	for _, section := range document.Sections() {
-		faults = append(faults, checkSection(file, section, fields))
+		errs = append(errs, checkSection(file, section, fields))
 	}
 	for i := range fields.Len() {
 		field := fields.Get(i)
@@ -74,9 +74,9 @@
 		if section, err := document.GetSection(name); err == nil {
 			values = section.KeysHash()
 		}
-		faults = append(faults, decodeKeys(file, name, values, message.Mutable(field).Message()))
+		errs = append(errs, decodeKeys(file, name, values, message.Mutable(field).Message()))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func checkSection(file string, section *ini.Section, fields protoreflect.FieldDescriptors) error {
@@ -95,20 +95,20 @@
 
 func decodeKeys(file, section string, values map[string]string, message protoreflect.Message) error {
 	fields := message.Descriptor().Fields()
-	var faults []error
+	var errs []error
 	for key := range values {
 		if fields.ByName(protoreflect.Name(key)) == nil {
-			faults = append(faults, &Error{File: file, Section: section, Key: key, Problem: "unknown setting"})
+			errs = append(errs, &Error{File: file, Section: section, Key: key, Problem: "unknown setting"})
 		}
 	}
 	for i := range fields.Len() {
 		field := fields.Get(i)
 		text, given := values[string(field.Name())]
 		if err := decodeField(message, field, text, given); err != nil {
-			faults = append(faults, &Error{File: file, Section: section, Key: string(field.Name()), Problem: err.Error()})
+			errs = append(errs, &Error{File: file, Section: section, Key: string(field.Name()), Problem: err.Error()})
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func decodeField(message protoreflect.Message, field protoreflect.FieldDescriptor, text string, given bool) error {
@@ -125,7 +125,7 @@
 	return setField(message, field, setting, text)
 }
 
-// Describe returns what the schema says of a setting.
+// Describe returns the schema's description of a setting, empty if it has none.
 func Describe(field protoreflect.FieldDescriptor) *settingspb.Setting {
 	setting, ok := proto.GetExtension(field.Options(), settingspb.E_Setting).(*settingspb.Setting)
 	if !ok || setting == nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/settings"
 )
 
-const goodEntry = `
+const validEntry = `
 [process]
 name = e1
 region = r
@@ -34,7 +34,7 @@
 
 func TestLoad(t *testing.T) {
 	var entry settingspb.Entry
-	must.NoError(t, settings.Load(writeFile(t, goodEntry), &entry))
+	must.NoError(t, settings.Load(writeFile(t, validEntry), &entry))
 	must.Eq(t, "e1", entry.GetProcess().GetName())
 	must.Eq(t, 3*time.Second, entry.GetCaller().GetSilence().AsDuration())
 	must.Eq(t, int64(8<<20), entry.GetCaller().GetMaxBodyBytes())
@@ -45,10 +45,10 @@
 		text         string
 		section, key string
 	}{
-		"unknown setting": {goodEntry + "colour = red\n", "caller", "colour"},
-		"unknown section": {goodEntry + "[extra]\na = b\n", "extra", ""},
-		"bad duration":    {goodEntry + "timeout = soon\n", "caller", "timeout"},
-		"below least":     {goodEntry + "silence = 1ms\n", "caller", "silence"},
+		"unknown setting": {validEntry + "colour = red\n", "caller", "colour"},
+		"unknown section": {validEntry + "[extra]\na = b\n", "extra", ""},
+		"bad duration":    {validEntry + "timeout = soon\n", "caller", "timeout"},
+		"below least":     {validEntry + "silence = 1ms\n", "caller", "silence"},
 		"missing":         {"[process]\nregion = r\nzone = a\npeer = x\n[platform]\naddress = x\n[caller]\nlisten = x\n", "process", "name"},
 	}
 	for name, test := range tests {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -50,10 +50,10 @@
 func parseValue(field protoreflect.FieldDescriptor, setting *settingspb.Setting, text string) (protoreflect.Value, error) {
 	switch field.Kind() {
 	case protoreflect.StringKind:
-		return protoreflect.ValueOfString(text), checkOne(setting, text)
+		return protoreflect.ValueOfString(text), checkAllowed(setting, text)
 	case protoreflect.BoolKind:
 		value, err := strconv.ParseBool(text)
-		return protoreflect.ValueOfBool(value), describeParse(err, "true or false", text)
+		return protoreflect.ValueOfBool(value), parseError(err, "true or false", text)
 	case protoreflect.Int64Kind:
 		value, err := parseInRange(setting, text, "a whole number", parseInt)
 		return protoreflect.ValueOfInt64(value), err
@@ -66,13 +66,13 @@
 	case protoreflect.MessageKind:
 		return parseMessage(field, setting, text)
 	default:
-		return protoreflect.Value{}, fmt.Errorf("type %s is not read from settings", field.Kind())
+		return protoreflect.Value{}, fmt.Errorf("unsupported setting type %s", field.Kind())
 	}
 }
 
 func parseMessage(field protoreflect.FieldDescriptor, setting *settingspb.Setting, text string) (protoreflect.Value, error) {
 	if field.Message().FullName() != durationName {
-		return protoreflect.Value{}, fmt.Errorf("type %s is not read from settings", field.Message().FullName())
+		return protoreflect.Value{}, fmt.Errorf("unsupported setting type %s", field.Message().FullName())
 	}
 	value, err := parseInRange(setting, text, "a time such as 250ms, 5s or 1h", time.ParseDuration)
 	return protoreflect.ValueOfMessage(durationpb.New(value).ProtoReflect()), err
@@ -87,7 +87,7 @@
 
 func parseFloat(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
 
-// number is what a bounded setting can hold.
+// number is the constraint of settings that have bounds.
 type number interface {
 	~int32 | ~int64 | ~float64
 }
@@ -95,29 +95,29 @@
 func parseInRange[T number](setting *settingspb.Setting, text, kind string, parse func(string) (T, error)) (T, error) {
 	value, err := parse(text)
 	if err != nil {
-		return value, describeParse(err, kind, text)
+		return value, parseError(err, kind, text)
 	}
-	if low := setting.GetMin(); low != "" {
-		if bound, err := parse(low); err == nil && value < bound {
-			return value, fmt.Errorf("%s is below the least value %s", text, low)
+	if minText := setting.GetMin(); minText != "" {
+		if minimum, err := parse(minText); err == nil && value < minimum {
+			return value, fmt.Errorf("%s is below the minimum %s", text, minText)
 		}
 	}
-	if high := setting.GetMax(); high != "" {
-		if bound, err := parse(high); err == nil && value > bound {
-			return value, fmt.Errorf("%s is above the greatest value %s", text, high)
+	if maxText := setting.GetMax(); maxText != "" {
+		if maximum, err := parse(maxText); err == nil && value > maximum {
+			return value, fmt.Errorf("%s is above the maximum %s", text, maxText)
 		}
 	}
 	return value, nil
 }
 
-func describeParse(err error, kind, text string) error {
+func parseError(err error, kind, text string) error {
 	if err == nil {
 		return nil
 	}
 	return fmt.Errorf("%q is not %s", text, kind)
 }
 
-func checkOne(setting *settingspb.Setting, text string) error {
+func checkAllowed(setting *settingspb.Setting, text string) error {
 	allowed := setting.GetOne()
 	if len(allowed) == 0 || slices.Contains(allowed, text) {
 		return nil
