--- a/internal/secure/identity.go
+++ b/internal/secure/identity.go
@@ -1,9 +1,9 @@
-// Package secure holds TLS between processes and towards callers: certificates
-// that are read again when their files change, and what a process may ask of
-// another by the role in its certificate.
+// Package secure provides TLS between processes and for callers: certificates that
+// are reloaded when their files change, and authorization of calls between
+// processes by the role in the certificate.
 //
 // A process's certificate is signed by the deployment's authority. Its common
-// name is the process's name; its DNS names are "process.bramleyhatch" and
+// name is the process's name; its DNS names are "process.bramleyhatch" and either
 // "entry.bramleyhatch" or "sidecar.bramleyhatch".
 package secure
 
@@ -22,56 +22,57 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/settings"
 )
 
-// DNS names in the certificates of processes.
+// DNS names in processes' certificates.
 const (
 	NameProcess = "process.bramleyhatch"
 	NameEntry   = "entry.bramleyhatch"
 	NameSidecar = "sidecar.bramleyhatch"
 )
 
-// Identity is the certificate of this process and the authority that others
-// are checked by. It is gRPC's transport credentials on both sides.
+// Identity is the certificate of this process and the authority that verifies
+// peers. It implements gRPC transport credentials for clients and servers.
 type Identity struct {
-	pair      *watched[*tls.Certificate]
-	authority *watched[*x509.CertPool]
+	keyPair   *reloader[*tls.Certificate]
+	authority *reloader[*x509.CertPool]
 }
 
 var _ credentials.TransportCredentials = &Identity{}
 
-// NewIdentity returns the identity that the settings name, or nil if they name
-// none. name is the process's name, which the certificate must bear.
+// NewIdentity loads the identity from the files in the settings. It returns nil if
+// the settings name no files. name is the process's name, which must be the
+// certificate's common name.
 func NewIdentity(secure *settingspb.Secure, name string) (*Identity, error) {
-	return newIdentity(secure, name, checkInterval)
+	return newIdentity(secure, name, minCheckInterval)
 }
 
 func newIdentity(secure *settingspb.Secure, name string, interval time.Duration) (*Identity, error) {
-	given := []string{secure.GetAuthority(), secure.GetCertificate(), secure.GetKey()}
-	if given[0]+given[1]+given[2] == "" {
+	files := []string{secure.GetAuthority(), secure.GetCertificate(), secure.GetKey()}
+	if files[0]+files[1]+files[2] == "" {
 		return nil, nil
 	}
 	for i, key := range []string{"authority", "certificate", "key"} {
-		if given[i] == "" {
-			return nil, fault(key, "missing; authority, certificate and key belong together")
+		if files[i] == "" {
+			return nil, settingsError(key, "missing; authority, certificate and key must be set together")
 		}
 	}
 	identity := &Identity{
-		pair:      newPair(secure.GetCertificate(), secure.GetKey(), interval),
-		authority: newAuthority(secure.GetAuthority(), interval),
+		keyPair:   newKeyPair(secure.GetCertificate(), secure.GetKey(), interval),
+		authority: newAuthorityPool(secure.GetAuthority(), interval),
 	}
 	if _, err := identity.authority.get(); err != nil {
-		return nil, fault("authority", err.Error())
+		return nil, settingsError("authority", err.Error())
 	}
-	pair, err := identity.pair.get()
+	pair, err := identity.keyPair.get()
 	if err != nil {
-		return nil, fault("certificate", err.Error())
+		return nil, settingsError("certificate", err.Error())
 	}
 	if pair.Leaf.Subject.CommonName != name {
-		return nil, fault("certificate", "is for "+pair.Leaf.Subject.CommonName+", this process is "+name)
+		return nil, settingsError("certificate", "is for "+pair.Leaf.Subject.CommonName+", this process is "+name)
 	}
 	return identity, nil
 }
 
-// ClientHandshake shows this process's certificate and checks the other's.
+// ClientHandshake performs a mutual TLS handshake as the client.
 func (i *Identity) ClientHandshake(ctx context.Context, _ string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	config, err := i.config()
 	if err != nil {
@@ -80,18 +81,18 @@
 	return credentials.NewTLS(config).ClientHandshake(ctx, NameProcess, conn)
 }
 
-// Clone returns the same identity, which holds no state of a connection.
+// Clone returns the identity itself, which holds no per-connection state.
 func (i *Identity) Clone() credentials.TransportCredentials { return i }
 
-// Info tells gRPC which protocol this is.
+// Info returns the security protocol.
 func (i *Identity) Info() credentials.ProtocolInfo {
 	return credentials.ProtocolInfo{SecurityProtocol: "tls"}
 }
 
-// OverrideServerName does nothing: the name of processes is fixed.
+// OverrideServerName does nothing: the server name is always NameProcess.
 func (i *Identity) OverrideServerName(string) error { return nil }
 
-// ServerHandshake shows this process's certificate and checks the other's.
+// ServerHandshake performs a mutual TLS handshake as the server.
 func (i *Identity) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	config, err := i.config()
 	if err != nil {
@@ -101,7 +102,7 @@
 }
 
 func (i *Identity) config() (*tls.Config, error) {
-	pair, err := i.pair.get()
+	pair, err := i.keyPair.get()
 	if err != nil {
 		return nil, err
 	}
@@ -119,10 +120,10 @@
 	}, nil
 }
 
-// ForCallers returns the TLS settings of the callers' interface, or nil if the
+// ForCallers returns the TLS configuration of the server for callers, or nil if the
 // settings name no certificate.
 func ForCallers(secure *settingspb.Secure) (*tls.Config, error) {
-	return forCallers(secure, checkInterval)
+	return forCallers(secure, minCheckInterval)
 }
 
 func forCallers(secure *settingspb.Secure, interval time.Duration) (*tls.Config, error) {
@@ -131,25 +132,25 @@
 	case certificate == "" && key == "":
 		return nil, nil
 	case certificate == "":
-		return nil, fault("caller_certificate", "missing, though caller_key is given")
+		return nil, settingsError("caller_certificate", "missing, although caller_key is set")
 	case key == "":
-		return nil, fault("caller_key", "missing, though caller_certificate is given")
+		return nil, settingsError("caller_key", "missing, although caller_certificate is set")
 	}
-	pair := newPair(certificate, key, interval)
-	if _, err := pair.get(); err != nil {
-		return nil, fault("caller_certificate", err.Error())
+	keyPair := newKeyPair(certificate, key, interval)
+	if _, err := keyPair.get(); err != nil {
+		return nil, settingsError("caller_certificate", err.Error())
 	}
-	current := func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		newest, err := pair.get()
+	currentConfig := func(*tls.ClientHelloInfo) (*tls.Config, error) {
+		newest, err := keyPair.get()
 		if err != nil {
 			return nil, err
 		}
 		return &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*newest}}, nil
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: current}, nil
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: currentConfig}, nil
 }
 
-// ForOperators returns the TLS settings of an operator's command that trusts
+// ForOperators returns the TLS configuration of an operator's command, which trusts
 // the authority in a file.
 func ForOperators(file string) (*tls.Config, error) {
 	authority, err := readAuthority(file)
@@ -159,8 +160,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: authority}, nil
 }
 
-func newAuthority(file string, interval time.Duration) *watched[*x509.CertPool] {
-	return &watched[*x509.CertPool]{
+func newAuthorityPool(file string, interval time.Duration) *reloader[*x509.CertPool] {
+	return &reloader[*x509.CertPool]{
 		files:    []string{file},
 		interval: interval,
 		load:     func() (*x509.CertPool, error) { return readAuthority(file) },
@@ -174,11 +175,11 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, eris.Errorf("%s holds no certificate", file)
+		return nil, eris.Errorf("%s contains no certificate", file)
 	}
 	return pool, nil
 }
 
-func fault(key, problem string) error {
+func settingsError(key, problem string) error {
 	return &settings.Error{File: "settings", Section: "secure", Key: key, Problem: problem}
 }
--- a/internal/secure/identity_test.go
+++ b/internal/secure/identity_test.go
@@ -58,7 +58,7 @@
 	return a
 }
 
-// issue writes a certificate and key for a name and returns the settings.
+// issue writes a new certificate and key for a name and returns settings that name them.
 func (a *authority) issue(t *testing.T, folder, name string, dnsNames ...string) *settingspb.Secure {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -94,17 +94,17 @@
 	return identity
 }
 
-type answering struct {
+type memberServer struct {
 	peerpb.UnimplementedMemberServer
 }
 
-// Exchange answers with nothing.
-func (answering) Exchange(context.Context, *peerpb.Gossip) (*peerpb.Gossip, error) {
+// Exchange returns an empty reply.
+func (memberServer) Exchange(context.Context, *peerpb.Gossip) (*peerpb.Gossip, error) {
 	return &peerpb.Gossip{}, nil
 }
 
-// Drain answers with nothing.
-func (answering) Drain(context.Context, *peerpb.DrainRequest) (*peerpb.DrainReply, error) {
+// Drain returns an empty reply.
+func (memberServer) Drain(context.Context, *peerpb.DrainRequest) (*peerpb.DrainReply, error) {
 	return &peerpb.DrainReply{}, nil
 }
 
@@ -115,7 +115,7 @@
 		Address:     "127.0.0.1:0",
 		Credentials: identity,
 		Options:     ServerOptions(),
-		Register:    func(registrar grpc.ServiceRegistrar) { peerpb.RegisterMemberServer(registrar, answering{}) },
+		Register:    func(registrar grpc.ServiceRegistrar) { peerpb.RegisterMemberServer(registrar, memberServer{}) },
 		Listening:   func(address string) { listening <- address },
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -128,7 +128,7 @@
 	return <-listening
 }
 
-// call exchanges, and drains if asked to, on a new connection.
+// call calls Drain if drain is set, or else Exchange, on a new connection.
 func call(t *testing.T, identity *Identity, address, sender string, drain bool) codes.Code {
 	t.Helper()
 	var connection *grpc.ClientConn
@@ -151,9 +151,9 @@
 	return status.Code(err)
 }
 
-// A host of the network that is none of the deployment's, or one beside a
-// backend server that was taken over, speaks to an entry. It must not get in,
-// nor speak for another process, nor give orders that only entries may give.
+// Guards against calls to an entry from a host outside the deployment or from a
+// compromised sidecar. The host must not get in; the sidecar must not impersonate
+// another process or make calls reserved for entries.
 func TestWhoMayCall(t *testing.T) {
 	a, other := newTestAuthority(t), newTestAuthority(t)
 	address := serveAs(t, a.identity(t, "e1", NameEntry))
@@ -180,8 +180,8 @@
 	}
 }
 
-// A caller that is no process of ours answers at an address that was given to
-// another host: this process must not send it anything.
+// Guards against sending requests to an impostor: an address was reassigned to a
+// host whose certificate the deployment's authority did not sign.
 func TestServerIsChecked(t *testing.T) {
 	a, other := newTestAuthority(t), newTestAuthority(t)
 	config, err := other.identity(t, "e1", NameEntry).config()
@@ -191,8 +191,8 @@
 	must.Eq(t, codes.Unavailable, call(t, a.identity(t, "e2", NameEntry), address, "e2", false))
 }
 
-// Certificates run out and are replaced while the process runs: new connections
-// must use the new ones, and a file cut short must not end all connections.
+// Certificates expire and are replaced while the process runs. New connections must
+// use the new certificate, and a truncated file must not make all handshakes fail.
 func TestCertificateIsReplaced(t *testing.T) {
 	a, folder := newTestAuthority(t), t.TempDir()
 	settings := a.issue(t, folder, "e1", NameProcess, NameSidecar)
@@ -231,8 +231,8 @@
 	must.ErrorContains(t, err, "[secure] caller_certificate: missing")
 }
 
-// The callers' certificate runs out and is replaced. Callers speak HTTPS to the
-// entry throughout, and see the new one without a restart.
+// The callers' certificate expires and is replaced. Callers can connect to the entry
+// over HTTPS throughout, and see the new certificate without a restart.
 func TestCallersTLS(t *testing.T) {
 	a, folder := newTestAuthority(t), t.TempDir()
 	issued := a.issue(t, folder, "callers", NameProcess)
@@ -268,13 +268,13 @@
 	return <-listening
 }
 
-// serialAt returns the serial number of the certificate that callers see.
+// serialAt returns the serial number of the certificate served at an address.
 func serialAt(t *testing.T, a *authority, address string) int64 {
 	t.Helper()
-	trusting, err := ForOperators(a.file)
+	config, err := ForOperators(a.file)
 	must.NoError(t, err)
-	trusting.ServerName = NameProcess
-	client := &http.Client{Transport: &http.Transport{TLSClientConfig: trusting, DisableKeepAlives: true}}
+	config.ServerName = NameProcess
+	client := &http.Client{Transport: &http.Transport{TLSClientConfig: config, DisableKeepAlives: true}}
 	response, err := client.Get("https://" + address)
 	must.NoError(t, err)
 	must.Eq(t, http.StatusNotFound, response.StatusCode)
--- a/internal/secure/permit.go
+++ b/internal/secure/permit.go
@@ -13,9 +13,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// onlyEntries are the methods that a sidecar may not call: a host beside a
-// backend server that is taken over must not run requests or order others.
-var onlyEntries = map[string]bool{
+// entryOnlyMethods are the methods that a sidecar may not call: a compromised
+// sidecar must not run requests or order other processes.
+var entryOnlyMethods = map[string]bool{
 	peerpb.Sidecar_Run_FullMethodName:    true,
 	peerpb.Sidecar_Cancel_FullMethodName: true,
 	peerpb.Sidecar_Order_FullMethodName:  true,
@@ -25,7 +25,7 @@
 	peerpb.Step_Announce_FullMethodName:  true,
 }
 
-// ServerOptions returns the checks of who calls what.
+// ServerOptions returns gRPC interceptors that authorize each call.
 func ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{grpc.UnaryInterceptor(permitUnary), grpc.StreamInterceptor(permitStream)}
 }
@@ -44,17 +44,17 @@
 	return handler(server, stream)
 }
 
-// permit checks the role and name in the caller's certificate.
+// permit authorizes a call by the role and name in the caller's certificate.
 //
-// Any process of the deployment has a certificate that the authority signed.
-// Without the check of the name, one of them could speak for all others and
-// take them out of service or hand them its own address.
+// Every process of the deployment has a certificate signed by the authority.
+// Without the check of the name, any of them could impersonate the others and
+// take them out of service or replace their addresses with its own.
 func permit(ctx context.Context, method string, request any) error {
-	name, role := caller(ctx)
+	name, role := callerIdentity(ctx)
 	if role == "" {
 		return status.Error(codes.PermissionDenied, "the certificate names no role")
 	}
-	if onlyEntries[method] && role != NameEntry {
+	if entryOnlyMethods[method] && role != NameEntry {
 		return status.Errorf(codes.PermissionDenied, "%s may not call %s", role, method)
 	}
 	gossip, isGossip := request.(*peerpb.Gossip)
@@ -64,12 +64,12 @@
 	return nil
 }
 
-func caller(ctx context.Context) (name, role string) {
-	from, found := peer.FromContext(ctx)
+func callerIdentity(ctx context.Context) (name, role string) {
+	remote, found := peer.FromContext(ctx)
 	if !found {
 		return "", ""
 	}
-	info, isTLS := from.AuthInfo.(credentials.TLSInfo)
+	info, isTLS := remote.AuthInfo.(credentials.TLSInfo)
 	if !isTLS || len(info.State.PeerCertificates) == 0 {
 		return "", ""
 	}
--- a/internal/secure/reloader.go
+++ b/internal/secure/reloader.go
@@ -10,62 +10,62 @@
 	"k8s.io/klog/v2"
 )
 
-// checkInterval is the least time between two looks at files that may have changed.
-const checkInterval = time.Second
+// minCheckInterval is the minimum time between checks for changed files.
+const minCheckInterval = time.Second
 
-// watched reads a value from files and reads it again once they have changed.
-type watched[T any] struct {
+// reloader loads a value from files and reloads it when they change.
+type reloader[T any] struct {
 	files []string
 	load  func() (T, error)
-	// interval is the least time between two looks at the files.
+	// interval is the minimum time between checks for changed files.
 	interval time.Duration
 
-	mutex  sync.Mutex
-	value  T
-	looked time.Time
-	stamps []time.Time
+	mutex     sync.Mutex
+	value     T
+	checkedAt time.Time
+	modTimes  []time.Time
 }
 
-// get returns the newest value that could be read.
+// get returns the last value that was loaded, after reloading it if the files changed.
 //
-// Certificates are replaced while the process runs. A file that is being
-// written can be cut short: the handshakes would fail until the next look. The
-// value read before stays in use then, as long as it is valid.
-func (w *watched[T]) get() (T, error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if !w.looked.IsZero() && time.Since(w.looked) < w.interval {
-		return w.value, nil
+// Certificates are replaced while the process runs. A file that is being written
+// may be truncated, and handshakes would fail until the next check. If a reload
+// fails, the previous value stays in use as long as it is valid.
+func (r *reloader[T]) get() (T, error) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if !r.checkedAt.IsZero() && time.Since(r.checkedAt) < r.interval {
+		return r.value, nil
 	}
-	stamps := w.modified()
-	if !w.looked.IsZero() && same(stamps, w.stamps) {
-		w.looked = time.Now()
-		return w.value, nil
+	modTimes := r.readModTimes()
+	if !r.checkedAt.IsZero() && equalTimes(modTimes, r.modTimes) {
+		r.checkedAt = time.Now()
+		return r.value, nil
 	}
-	value, err := w.load()
-	if err != nil && w.looked.IsZero() {
+	value, err := r.load()
+	if err != nil && r.checkedAt.IsZero() {
 		return value, err
 	}
-	w.looked = time.Now()
+	r.checkedAt = time.Now()
 	if err != nil {
-		klog.Errorf("secure: %v; what was read before stays in use", err)
-		return w.value, nil
+		klog.Errorf("secure: %v; keeping the previously loaded value", err)
+		return r.value, nil
 	}
-	w.value, w.stamps = value, stamps
+	r.value, r.modTimes = value, modTimes
 	return value, nil
 }
 
-func (w *watched[T]) modified() []time.Time {
-	stamps := make([]time.Time, len(w.files))
-	for i, file := range w.files {
+func (r *reloader[T]) readModTimes() []time.Time {
+	modTimes := make([]time.Time, len(r.files))
+	for i, file := range r.files {
 		if info, err := os.Stat(file); err == nil {
-			stamps[i] = info.ModTime()
+			modTimes[i] = info.ModTime()
 		}
 	}
-	return stamps
+	return modTimes
 }
 
-func same(a, b []time.Time) bool {
+func equalTimes(a, b []time.Time) bool {
 	for i := range a {
 		if i >= len(b) || !a[i].Equal(b[i]) {
 			return false
@@ -74,8 +74,8 @@
 	return true
 }
 
-func newPair(certificate, key string, interval time.Duration) *watched[*tls.Certificate] {
-	return &watched[*tls.Certificate]{
+func newKeyPair(certificate, key string, interval time.Duration) *reloader[*tls.Certificate] {
+	return &reloader[*tls.Certificate]{
 		files:    []string{certificate, key},
 		interval: interval,
 		load: func() (*tls.Certificate, error) {
