--- a/internal/logging/output.go
+++ b/internal/logging/output.go
@@ -1,5 +1,5 @@
-// Package logging writes a process's log to standard output without ever making
-// the process wait for whoever reads it.
+// Package logging writes a process's log to standard output without ever blocking
+// the process on a slow reader.
 package logging
 
 import (
@@ -17,50 +17,50 @@
 )
 
 const (
-	// ringLines is the most lines that wait for the reader: some seconds of a busy
-	// gateway, and about 1 MB.
-	ringLines = 4096
-	// linesPerSecond and burstLines bound the usual lines. A busy gateway writes
-	// some dozens a second; ten times that is a fault that repeats itself.
-	linesPerSecond = 400
-	burstLines     = 2000
-	// reportInterval is the time between two lines that tell how many were dropped.
-	reportInterval = time.Second
-	// lastWait bounds the wait for the reader when the process ends.
-	lastWait = 200 * time.Millisecond
+	// maxQueuedLines limits the lines that wait for the reader. It holds a few seconds
+	// of a busy gateway's log, about 1 MB.
+	maxQueuedLines = 4096
+	// maxLinesPerSecond and maxBurstLines limit lines other than those of failures. A
+	// busy gateway writes some dozens per second; ten times that is a repeating fault.
+	maxLinesPerSecond = 400
+	maxBurstLines     = 2000
+	// dropReportInterval is the interval between reports of dropped lines.
+	dropReportInterval = time.Second
+	// maxStopWait limits the wait for the reader when the process stops.
+	maxStopWait = 200 * time.Millisecond
 )
 
-// Output takes lines and writes them from a goroutine of its own.
+// Output queues lines and writes them in its own goroutine.
 //
-// A pipe whose reader has stopped takes 64 KB and then blocks each write; every
-// request that logs a line would stand still behind it. Here a full ring drops
-// lines and counts them. Lines of failures are dropped last: they don't count
-// against the rate, only against the ring.
+// A pipe whose reader has stopped buffers 64 KB and then blocks each write, which
+// would block every request that logs a line. Output drops and counts lines
+// instead when its queue is full. Lines of failures are dropped last: the queue
+// limits them, the rate doesn't.
 type Output struct {
-	writer  io.Writer
-	lines   chan []byte
-	limiter *rate.Limiter
-	dropped atomic.Uint64
-	stopped chan struct{}
-	once    sync.Once
-	done    chan struct{}
+	writer        io.Writer
+	queue         chan []byte
+	limiter       *rate.Limiter
+	dropped       atomic.Uint64
+	stopRequested chan struct{}
+	stopOnce      sync.Once
+	done          chan struct{}
 }
 
 var _ io.Writer = &Output{}
 
-// NewOutput returns an output that writes to a writer.
+// NewOutput returns an output to writer. Its run method must be started.
 func NewOutput(writer io.Writer) *Output {
 	return &Output{
-		writer:  writer,
-		lines:   make(chan []byte, ringLines),
-		limiter: rate.NewLimiter(linesPerSecond, burstLines),
-		stopped: make(chan struct{}),
-		done:    make(chan struct{}),
+		writer:        writer,
+		queue:         make(chan []byte, maxQueuedLines),
+		limiter:       rate.NewLimiter(maxLinesPerSecond, maxBurstLines),
+		stopRequested: make(chan struct{}),
+		done:          make(chan struct{}),
 	}
 }
 
-// Start leads the lines of klog to an output that writes to a writer. Stop
-// writes what waits still, as far as the reader takes it at once.
+// Start redirects klog to an output to writer. stop writes the queued lines and
+// waits briefly for the reader to take them.
 func Start(writer io.Writer) (stop func(), err error) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
@@ -70,42 +70,42 @@
 		}
 	}
 	output := NewOutput(writer)
-	started.Store(output)
+	processOutput.Store(output)
 	klog.SetOutput(output)
 	go output.run()
 	return output.stop, nil
 }
 
-// Write takes one line. It never waits and never fails.
+// Write queues or drops one line. It never blocks and never fails.
 func (o *Output) Write(line []byte) (int, error) {
 	if !isFailure(line) && !o.limiter.Allow() {
 		o.dropped.Add(1)
 		return len(line), nil
 	}
 	select {
-	case o.lines <- bytes.Clone(line):
+	case o.queue <- bytes.Clone(line):
 	default:
 		o.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// started is the output of the process.
-var started atomic.Pointer[Output]
+// processOutput is the output of the process.
+var processOutput atomic.Pointer[Output]
 
-// Dropped returns the number of lines that the process's log has dropped.
+// Dropped returns the number of lines dropped so far by the output of this process.
 func Dropped() uint64 {
-	if output := started.Load(); output != nil {
+	if output := processOutput.Load(); output != nil {
 		return output.Dropped()
 	}
 	return 0
 }
 
-// Dropped returns the number of lines dropped so far.
+// Dropped returns the number of lines dropped so far by o.
 func (o *Output) Dropped() uint64 { return o.dropped.Load() }
 
-// isFailure reports whether a line tells of a failure: a warning, an error, or a
-// request that was refused.
+// isFailure reports whether a line is about a failure: a warning, an error, or a
+// refused request.
 func isFailure(line []byte) bool {
 	if len(line) == 0 {
 		return false
@@ -120,44 +120,44 @@
 
 func (o *Output) run() {
 	defer close(o.done)
-	ticker := time.NewTicker(reportInterval)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
-	var told uint64
+	var reported uint64
 	for {
 		select {
-		case line := <-o.lines:
-			o.print(line)
+		case line := <-o.queue:
+			o.writeLine(line)
 		case <-ticker.C:
-			if dropped := o.dropped.Load(); dropped > told {
-				o.print(fmt.Appendf(nil, "W log: %d lines were dropped, %d in all\n", dropped-told, dropped))
-				told = dropped
+			if dropped := o.dropped.Load(); dropped > reported {
+				o.writeLine(fmt.Appendf(nil, "W log: %d lines were dropped, %d in all\n", dropped-reported, dropped))
+				reported = dropped
 			}
-		case <-o.stopped:
-			o.printRest()
+		case <-o.stopRequested:
+			o.writeQueued()
 			return
 		}
 	}
 }
 
-func (o *Output) printRest() {
+func (o *Output) writeQueued() {
 	for {
 		select {
-		case line := <-o.lines:
-			o.print(line)
+		case line := <-o.queue:
+			o.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// print writes a line. There is nobody left to tell of a fault of the log's own writer.
-func (o *Output) print(line []byte) {
+// writeLine writes a line. It ignores errors: a failure of the log's own writer can't be logged.
+func (o *Output) writeLine(line []byte) {
 	_, _ = o.writer.Write(line)
 }
 
 func (o *Output) stop() {
-	o.once.Do(func() { close(o.stopped) })
-	ctx, cancel := context.WithTimeout(context.Background(), lastWait)
+	o.stopOnce.Do(func() { close(o.stopRequested) })
+	ctx, cancel := context.WithTimeout(context.Background(), maxStopWait)
 	defer cancel()
 	select {
 	case <-o.done:
--- a/internal/logging/output_test.go
+++ b/internal/logging/output_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/wait"
 )
 
-// safeBuffer is a buffer that is read while it is written.
+// safeBuffer is a buffer that is safe for concurrent use.
 type safeBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -31,28 +31,28 @@
 	return s.buffer.String()
 }
 
-// Whoever collects a gateway's log stops reading. The pipe fills, and each
-// request that logs a line would wait in its write for good.
+// Guards against requests that hang on logging: the collector of a gateway's log stops
+// reading, the pipe fills, and each write of a line blocks forever.
 func TestReaderThatStopped(t *testing.T) {
 	reader, writer := io.Pipe()
 	t.Cleanup(func() { _ = reader.Close() })
 	output := NewOutput(writer)
 	go output.run()
 	began := time.Now()
-	for i := range 2 * ringLines {
+	for i := range 2 * maxQueuedLines {
 		_, err := fmt.Fprintf(output, "E line %d\n", i)
 		must.NoError(t, err)
 	}
 	must.Less(t, time.Second, time.Since(began))
-	must.GreaterEq(t, uint64(ringLines-1), output.Dropped())
+	must.GreaterEq(t, uint64(maxQueuedLines-1), output.Dropped())
 }
 
-// A fault repeats itself thousands of times a second. Its lines are counted in
-// place of being written, and those of refused requests still come through.
+// A fault repeats thousands of times per second. Excess lines must be dropped and
+// counted, and lines of refused requests must still be written.
 func TestTooManyLines(t *testing.T) {
 	written := &safeBuffer{}
 	output := NewOutput(written)
-	for i := range burstLines + 500 {
+	for i := range maxBurstLines + 500 {
 		_, err := fmt.Fprintf(output, "I line %d\n", i)
 		must.NoError(t, err)
 	}
