--- a/internal/bramleyhatch/coldusers_test.go
+++ b/internal/bramleyhatch/coldlimiter_test.go
@@ -23,10 +23,10 @@
 	return store.Value{Key: batch.Prefix + "owner/" + id, Data: data, Deleted: process == ""}
 }
 
-// coldView is a configuration in which one pool is reached by batches, one by
-// callers too, and one takes all it gets.
+// coldView returns a configuration with one pool for batches only, one for batches
+// and callers, and one whose cold servers have no limit.
 func coldView() *table.View {
-	now := &table.Table{
+	current := &table.Table{
 		Version: 1,
 		Pools:   []table.Pool{{Name: "batches", ColdRate: 12, ColdTime: time.Second}, {Name: "both", ColdRate: 12}, {Name: "free"}},
 		Routes: []table.Route{
@@ -34,44 +34,44 @@
 			{Kind: table.Stream, Shares: []table.Share{{Pool: "both"}, {Pool: "free"}}},
 		},
 	}
-	now.Index()
+	current.Index()
 	view := &table.View{}
-	view.Take(now)
+	view.Take(current)
 	return view
 }
 
-// Guards against a share that counts gateways which don't send, or none that do.
+// Guards against a share computed from gateways that don't send, or without some that do.
 func TestColdUsers(t *testing.T) {
-	users := newColdUsers("g1", coldView())
+	limiter := newColdLimiter("g1", coldView())
 	now := clock.Now()
-	users.now = func() clock.Boot { return now }
-	take := func(changes ...store.Value) { users.take(changes) }
-	take(store.Value{Key: gateway.PrefixHost + "g1"}, store.Value{Key: gateway.PrefixHost + "g2"}, store.Value{Key: gateway.PrefixHost + "g3"})
-	take(ownerChange(t, "b1", "g1"), ownerChange(t, "b2", "g1"), ownerChange(t, "b3", "g2"))
+	limiter.now = func() clock.Boot { return now }
+	apply := func(changes ...store.Value) { limiter.apply(changes) }
+	apply(store.Value{Key: gateway.PrefixHost + "g1"}, store.Value{Key: gateway.PrefixHost + "g2"}, store.Value{Key: gateway.PrefixHost + "g3"})
+	apply(ownerChange(t, "b1", "g1"), ownerChange(t, "b2", "g1"), ownerChange(t, "b3", "g2"))
 	share := func(pool string, sender roster.Sender) int {
 		t.Helper()
-		most, isUnbounded := users.Share(pool, "s1", sender)
+		limit, isUnbounded := limiter.Share(pool, "s1", sender)
 		must.False(t, isUnbounded)
-		return most
+		return limit
 	}
 	t.Run("none just after a start", func(t *testing.T) {
-		users.heard()
+		limiter.markCurrent()
 		must.Eq(t, 0, share("batches", roster.ByBatch))
 	})
 	now = now.Add(time.Minute)
-	users.heard()
+	limiter.markCurrent()
 	t.Run("batches are sent by owners", func(t *testing.T) { must.Eq(t, 6, share("batches", roster.ByBatch)) })
 	t.Run("a rate for both is divided", func(t *testing.T) {
 		must.Eq(t, 3, share("both", roster.ByBatch))
 		must.Eq(t, 2, share("both", roster.ByCaller))
 	})
 	t.Run("a pool without a rate", func(t *testing.T) {
-		_, isUnbounded := users.Share("free", "s1", roster.ByCaller)
+		_, isUnbounded := limiter.Share("free", "s1", roster.ByCaller)
 		must.True(t, isUnbounded)
 	})
 	t.Run("an owner of nothing counts for a while", func(t *testing.T) {
-		take(ownerChange(t, "b3", ""))
+		apply(ownerChange(t, "b3", ""))
 		must.Eq(t, 6, share("batches", roster.ByBatch))
 	})
-	t.Run("how long a server is cold", func(t *testing.T) { must.Eq(t, time.Second, users.Length("batches")) })
+	t.Run("how long a server is cold", func(t *testing.T) { must.Eq(t, time.Second, limiter.Length("batches")) })
 }
--- a/internal/bramleyhatch/entrycallers.go
+++ b/internal/bramleyhatch/entrycallers.go
@@ -8,7 +8,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/sidecar"
 )
 
-// addCallers adds the callers' interface and the connections to sidecars.
+// addCallers adds the API for callers and the connections to sidecars.
 func (e *Entry) addCallers() {
 	e.pool.Metrics = e.Metrics
 	e.pool.Homes = &sidecar.FleetHomes{Members: e.members, Choose: claim.Home}
--- a/internal/bramleyhatch/entryduties.go
+++ b/internal/bramleyhatch/entryduties.go
@@ -16,15 +16,16 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/usage"
 )
 
-// addDuties adds the platform's client, duties under leases and usage.
+// addDuties adds usage accounting and the duties held under leases.
 func (e *Entry) addDuties() {
 	e.addLedger()
 	e.addReporter()
 	e.addZones()
 }
 
-// addLedger adds the counters that this entry holds for others. It hands them
-// on when it stops, since the processes that they came from may be gone.
+// addLedger adds the copies of usage counters that this entry holds for other
+// processes. It pushes them to its peers when it stops, since the processes that
+// they came from may be gone.
 func (e *Entry) addLedger() {
 	settings := e.Settings.GetUsage()
 	e.ledger = &usage.Ledger{}
@@ -61,8 +62,8 @@
 	return reporter
 }
 
-// newReporter returns a reporter with what the settings say of it. Its ways to
-// the platform and to other processes are still to be set.
+// newReporter returns a reporter with the values of the settings. The caller sets
+// its clients of the platform and of other processes.
 func (p *Process) newReporter(settings *settingspb.Usage, duties *settingspb.Duty) *usage.Reporter {
 	return &usage.Reporter{
 		Process:   p.Settings.GetName(),
@@ -77,7 +78,7 @@
 	}
 }
 
-// addZones adds one duty a zone, which orders its backend servers.
+// addZones adds one duty per zone; its holder orders the zone's backend servers.
 func (e *Entry) addZones() {
 	group := &duty.Group{
 		Names:    e.zoneDuties,
@@ -87,7 +88,7 @@
 	e.AddDuty("order", group.Start)
 }
 
-// zoneDuties returns the duties of all zones that the lists or a process name.
+// zoneDuties returns the duties of all zones that the lists or known processes name.
 func (e *Entry) zoneDuties() []string {
 	var names []string
 	for _, role := range []peerpb.Role{peerpb.Role_ROLE_ENTRY, peerpb.Role_ROLE_SIDECAR} {
@@ -135,7 +136,7 @@
 	return config.GetPools()
 }
 
-// keeper returns this entry's part in a duty.
+// keeper returns what acquires and renews the lease of a duty for this entry.
 func (e *Entry) keeper(name string) *duty.Keeper {
 	settings := e.Settings.GetDuty()
 	return &duty.Keeper{
@@ -150,7 +151,7 @@
 	}
 }
 
-// rank returns this entry's place among the live entries for a duty.
+// rank returns this entry's position among the live entries that may take a duty.
 func (e *Entry) rank(name string) int {
 	var candidates []string
 	for _, process := range e.members.Processes(peerpb.Role_ROLE_ENTRY) {
@@ -161,8 +162,8 @@
 	return duty.Rank(name, e.Process.Settings.GetName(), candidates)
 }
 
-// checkDuty refuses a margin that leaves no time between two renewals: every
-// term would end before its first renewal, and no duty would be held for long.
+// checkDuty rejects a margin that leaves no time between two renewals: every term
+// would end before its first renewal, and no duty would be held for long.
 func checkDuty(settings *settingspb.Duty) error {
 	lease, margin := settings.GetLease().AsDuration(), settings.GetMargin().AsDuration()
 	if margin > lease/2 {
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// DutyError says that the settings of leases don't go together.
+// DutyError reports that the lease and margin settings are inconsistent.
 type DutyError struct {
 	Lease  time.Duration
 	Margin time.Duration
--- a/internal/bramleyhatch/entryduties_test.go
+++ b/internal/bramleyhatch/entryduties_test.go
@@ -25,8 +25,8 @@
 				Lease:  durationpb.New(10 * time.Second),
 				Margin: durationpb.New(test.margin),
 			}.Build())
-			var fault *DutyError
-			must.Eq(t, !test.good, errors.As(err, &fault))
+			var dutyErr *DutyError
+			must.Eq(t, !test.good, errors.As(err, &dutyErr))
 		})
 	}
 }
--- a/internal/bramleyhatch/entryoperators.go
+++ b/internal/bramleyhatch/entryoperators.go
@@ -10,7 +10,7 @@
 // watcherCount is the number of entries of a zone that watch the store.
 const watcherCount = 2
 
-// addOperators adds the lists and the operators' interface.
+// addOperators adds the lists and the API for operators.
 func (e *Entry) addOperators() error {
 	tokens, err := operator.ParseTokens(e.Settings.GetOperator().GetTokens())
 	if err != nil {
@@ -33,13 +33,13 @@
 	return nil
 }
 
-// revision returns that of the configuration in force here.
+// revision returns the revision of the configuration in force here.
 func (e *Entry) revision() uint64 {
 	_, revision := e.view.Config()
 	return revision
 }
 
-// addWatchers adds the duties between the store and the other processes.
+// addWatchers adds the duties that carry changes between the store and the other processes.
 func (e *Entry) addWatchers(editor *lists.Editor) {
 	watches := func() bool { return e.members.InCharge("watch", watcherCount) }
 	for _, prefix := range []string{member.FactConfig, member.FactFleet} {
--- a/internal/bramleyhatch/entrytrainers.go
+++ b/internal/bramleyhatch/entrytrainers.go
@@ -22,28 +22,28 @@
 
 const (
 	percent = 100
-	// trainerPatience is how long a trainer's call waits while a duty changes hands.
-	trainerPatience = 20 * time.Second
+	// maxHandoverWait is how long a trainer's call waits while a duty moves to another holder.
+	maxHandoverWait = 20 * time.Second
 )
 
-// trainers is what an entry does for trainers.
-type trainers struct {
+// trainerService serves the trainers of an entry: it holds their steps and coordinates weights.
+type trainerService struct {
 	entry        *Entry
 	service      *rollout.Service
 	peers        *rollout.Peers
 	coordinators *weight.Coordinators
 	sidecars     *weight.Sidecars
 	metrics      *rollout.Metrics
-	// draining ends when the entry is to stop: it gives its duties up while it
-	// still serves, so that other entries take them before it is gone.
+	// draining ends when the entry is asked to stop: it releases its duties while it
+	// still serves, so that other entries take them over before it exits.
 	draining context.Context
 	drain    func(context.Context)
 }
 
-// addTrainers adds the trainers' interface, the steps that this entry holds and
-// the weights of samplers.
+// addTrainers adds the API for trainers, the steps that this entry holds and the
+// coordination of the samplers' weights.
 func (e *Entry) addTrainers() {
-	t := &trainers{entry: e, coordinators: &weight.Coordinators{}, metrics: rollout.NewMetrics(e.Metrics)}
+	t := &trainerService{entry: e, coordinators: &weight.Coordinators{}, metrics: rollout.NewMetrics(e.Metrics)}
 	t.sidecars = &weight.Sidecars{Directory: e.members, Credentials: e.credentials()}
 	draining, startDraining := context.WithCancel(context.Background())
 	t.draining = draining
@@ -56,18 +56,18 @@
 		Locate:   t.locate,
 		Process:  e.Process.Settings.GetName(),
 		Weights:  t.coordinators,
-		Wanted:   t.wanted,
+		Wanted:   t.isPlanned,
 	}
 	handler := &trainer.Handler{
 		Grants:       e.view,
-		Steps:        &rollout.Client{Locate: t.locate, Peers: t.peers, Patience: trainerPatience},
+		Steps:        &rollout.Client{Locate: t.locate, Peers: t.peers, Patience: maxHandoverWait},
 		MaxBodyBytes: e.Settings.GetCaller().GetMaxBodyBytes(),
 		Poll:         e.Settings.GetTrainer().GetPoll().AsDuration(),
 	}
 	e.AddRoutes(handler.Routes()...)
 	e.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterStepServer(registrar, t.service) })
 	e.AddDuty("step", t.service.Run)
-	group := &duty.Group{Names: t.names, Run: t.run, Interval: e.Settings.GetDuty().GetInterval().AsDuration()}
+	group := &duty.Group{Names: t.dutyNames, Run: t.runDuty, Interval: e.Settings.GetDuty().GetInterval().AsDuration()}
 	e.AddDuty("trainer", func(ctx context.Context) error {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
@@ -78,7 +78,7 @@
 }
 
 // newHolder returns the holder of a trainer's steps.
-func (t *trainers) newHolder(name string) *rollout.Holder {
+func (t *trainerService) newHolder(name string) *rollout.Holder {
 	settings := t.entry.Settings.GetTrainer()
 	holder := rollout.NewHolder(name, t.entry.platform)
 	holder.Process = t.entry.Process.Settings.GetName()
@@ -97,9 +97,9 @@
 	return holder
 }
 
-// capacity returns how many requests the live samplers of a model run at the
-// same time; samplers whose load isn't known count as the average one.
-func (t *trainers) capacity(model string) int {
+// capacity returns how many requests the live samplers of a model run concurrently;
+// a sampler of unknown load counts as the average of the others.
+func (t *trainerService) capacity(model string) int {
 	live, known, slots := 0, 0, 0
 	for _, process := range t.entry.members.Processes(peerpb.Role_ROLE_SIDECAR) {
 		if process.GetPool() != model || process.GetState() != peerpb.State_STATE_LIVE {
@@ -117,9 +117,9 @@
 	return slots * live / known
 }
 
-// names returns the duties wanted: one for each trainer of a plan, one for each
-// model of a plan with trainers.
-func (t *trainers) names() []string {
+// dutyNames returns the duties that the plans require: one for each trainer of a plan,
+// one for each model of a plan with trainers.
+func (t *trainerService) dutyNames() []string {
 	config, _ := t.entry.view.Config()
 	names := map[string]bool{}
 	for _, plan := range config.GetPlans() {
@@ -133,14 +133,14 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// wanted reports whether a plan lists the trainer; all are while no lists are known.
-func (t *trainers) wanted(name string) bool {
+// isPlanned reports whether a plan lists the trainer; it reports true while no lists are known.
+func (t *trainerService) isPlanned(name string) bool {
 	config, _ := t.entry.view.Config()
-	return config == nil || slices.Contains(t.names(), rollout.TrainerDuty(name))
+	return config == nil || slices.Contains(t.dutyNames(), rollout.TrainerDuty(name))
 }
 
-// run takes part in one duty.
-func (t *trainers) run(ctx context.Context, name string) error {
+// runDuty competes for the lease of one duty and performs the duty while it holds the lease.
+func (t *trainerService) runDuty(ctx context.Context, name string) error {
 	return t.entry.keeper(name).Run(ctx, func(ctx context.Context, term *duty.Term) error {
 		t.publish(name, term)
 		if model, ok := strings.CutPrefix(name, rollout.WeightDuty("")); ok {
@@ -150,9 +150,10 @@
 	})
 }
 
-// publish tells the other entries who holds a duty. The fencing number is a
-// revision of the store and grows with each holder, so the newest one wins.
-func (t *trainers) publish(name string, term *duty.Term) {
+// publish announces this process to the other entries as the holder of a duty. The
+// fencing token is a revision of the store and grows with each holder, so the newest
+// holder wins.
+func (t *trainerService) publish(name string, term *duty.Term) {
 	holder := statepb.Holder_builder{
 		Process: t.entry.Process.Settings.GetName(),
 		Address: t.entry.Addresses().Peer,
@@ -160,14 +161,14 @@
 	}.Build()
 	value, err := proto.Marshal(holder)
 	if err != nil {
-		klog.Errorf("duty: %s can't be published: %v", name, err)
+		klog.Errorf("duty: cannot publish the holder of %s: %v", name, err)
 		return
 	}
 	t.entry.members.Offer(peerpb.Fact_builder{Name: duty.Key(name), Revision: term.Fence(), Value: value}.Build())
 }
 
-// locate returns who is known to hold a duty.
-func (t *trainers) locate(name string) (*rollout.Location, bool) {
+// locate returns the known holder of a duty.
+func (t *trainerService) locate(name string) (*rollout.Location, bool) {
 	fact := t.entry.members.Fact(duty.Key(name))
 	holder := &statepb.Holder{}
 	if fact == nil || proto.Unmarshal(fact.GetValue(), holder) != nil {
@@ -176,8 +177,8 @@
 	return rollout.NewLocation(holder.GetProcess(), holder.GetAddress()), true
 }
 
-// coordinate orders the samplers of a model for one term.
-func (t *trainers) coordinate(ctx context.Context, model string, term *duty.Term) error {
+// coordinate orders the weight loads of a model's samplers for one term.
+func (t *trainerService) coordinate(ctx context.Context, model string, term *duty.Term) error {
 	settings := t.entry.Settings.GetTrainer()
 	coordinator := weight.NewCoordinator(model)
 	coordinator.Record = &record.Record{Store: t.entry.platform, Key: weight.Key(model)}
--- a/internal/bramleyhatch/gateway.go
+++ b/internal/bramleyhatch/gateway.go
@@ -36,44 +36,45 @@
 )
 
 const (
-	// idleConnection is how long an unused connection to a backend server is
-	// kept: less than the 10 s after which servers close theirs, since a request
-	// sent on one that is just being closed gets no answer.
-	idleConnection = 8 * time.Second
-	// registrationPause is the wait between two watches of registrations. Loads of
-	// weights change many of them within a second; some tenths of a second late they
-	// still count well within the time in which a draining server must be left.
-	registrationPause = 400 * time.Millisecond
-	// livePause is that wait for what gateways tell each other. A batch begins and
-	// ends with a handful of changes.
-	livePause = 100 * time.Millisecond
+	// idleConnTimeout is the idle timeout of connections to backend servers: less than
+	// the 10 s after which servers close theirs, since a request sent on a connection
+	// that is being closed gets no response.
+	idleConnTimeout = 8 * time.Second
+	// registrationWatchDelay is the wait between two watches of registrations, so that one
+	// watch carries many changes: weight loads change many registrations within a
+	// second. A delay of some tenths of a second is still well within the time in
+	// which a draining server must receive no more requests.
+	registrationWatchDelay = 400 * time.Millisecond
+	// liveWatchDelay is the same wait for the live keys, which gateways share through the
+	// store. A batch begins and ends with a handful of changes.
+	liveWatchDelay = 100 * time.Millisecond
 )
 
-// Gateway is the process on an entry host whose backend servers it reaches by itself.
+// Gateway is the process on an entry host that reaches backend servers without sidecars.
 // Exported fields are set before Run.
 type Gateway struct {
 	Settings *settingspb.Gateway
 
 	*Process
 
-	store     *platform.Store
-	caller    *detour.Caller
-	hosts     *gateway.Hosts
-	session   *gateway.Session
-	view      *table.View
-	roster    *roster.Roster
-	cold      *coldUsers
-	forwarder *forward.Forwarder
-	board     *batch.Board
-	wall      *clock.Wall
-	counter   *usage.Counter
-	steps     weight.Steps
-	holder    holder
-	// retirements are the hosts that are to be emptied.
+	store      *platform.Store
+	caller     *detour.Caller
+	hosts      *gateway.Hosts
+	session    *gateway.Session
+	view       *table.View
+	roster     *roster.Roster
+	cold       *coldLimiter
+	forwarder  *forward.Forwarder
+	board      *batch.Board
+	wall       *clock.Wall
+	counter    *usage.Counter
+	steps      weight.Steps
+	dutyHolder dutyHolder
+	// retirements are the hosts with disks that operators retire.
 	retirements retirements
-	// peerServer answers other gateways.
+	// peerServer serves the calls of other gateways.
 	peerServer *gateway.Server
-	// isDraining is true once the process was asked to stop.
+	// isDraining is true once the process is asked to stop.
 	isDraining atomic.Bool
 }
 
@@ -84,16 +85,16 @@
 	g.addServers()
 	g.addBatches()
 	g.addMirrors()
-	g.addDuty()
+	g.addControlDuty()
 	g.addCallers()
-	g.addReady()
+	g.addReadiness()
 	g.addGauges()
 	g.AddDrain(g.drain)
 	defer closeSession(g.session)
 	return g.run(ctx, settingspb.Caller_builder{Listen: g.Settings.GetFront().GetListen()}.Build())
 }
 
-// addStore adds the ways to the store and this process's lease.
+// addStore adds the client of the store and this process's lease.
 func (g *Gateway) addStore() {
 	settings := g.Settings.GetStore()
 	g.hosts = &gateway.Hosts{Name: g.Process.Settings.GetName()}
@@ -103,15 +104,15 @@
 	g.session = g.addSession(g.store, gateway.PrefixHost, settings.GetLease().AsDuration())
 }
 
-// addServers adds the knowledge of backend servers and the way to them.
+// addServers adds the roster of backend servers and the forwarder of requests to them.
 func (g *Gateway) addServers() {
 	g.view = &table.View{}
-	g.cold = newColdUsers(g.Process.Settings.GetName(), g.view)
+	g.cold = newColdLimiter(g.Process.Settings.GetName(), g.view)
 	g.roster = &roster.Roster{
 		Zone:   g.Process.Settings.GetZone(),
 		Region: g.Process.Settings.GetRegion(),
 		Wire:   platform.Wire{},
-		Idle:   idleConnection,
+		Idle:   idleConnTimeout,
 		Cold:   g.cold,
 		Back:   g.Settings.GetDirectory().GetBack().AsDuration(),
 	}
@@ -147,33 +148,33 @@
 	g.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterGatewayServer(registrar, g.peerServer) })
 }
 
-// addMirrors adds the copies of what the store holds.
+// addMirrors adds the local copies of the store's keys.
 func (g *Gateway) addMirrors() {
 	wait := g.Settings.GetStore().GetWatch().AsDuration()
-	operator := &mirror.Mirror{Store: g.store, Prefix: platform.PrefixOperator, Wait: wait, Take: g.takeOperator}
+	operator := &mirror.Mirror{Store: g.store, Prefix: platform.PrefixOperator, Wait: wait, Take: g.applyOperator}
 	servers := &mirror.Mirror{
-		Store: g.store, Prefix: platform.PrefixServer, Wait: wait, Take: g.takeServers, Pause: registrationPause,
+		Store: g.store, Prefix: platform.PrefixServer, Wait: wait, Take: g.applyServers, Pause: registrationWatchDelay,
 		Listed: g.roster.Listed, Lost: g.roster.Lost, Regained: g.roster.Regained,
 	}
-	live := &mirror.Mirror{Store: g.store, Prefix: batch.Prefix, Wait: wait, Take: g.takeLive, Pause: livePause, Heard: g.cold.heard}
-	for name, one := range map[string]*mirror.Mirror{"operator": operator, "servers": servers, "live": live} {
-		one.Follow, one.IsWatcher = g.hosts.Follow, g.hosts.IsWatcher
-		g.peerServer.Mirrors[one.Prefix] = one
-		g.AddDuty(name, one.Run)
+	live := &mirror.Mirror{Store: g.store, Prefix: batch.Prefix, Wait: wait, Take: g.applyLive, Pause: liveWatchDelay, Heard: g.cold.markCurrent}
+	for name, m := range map[string]*mirror.Mirror{"operator": operator, "servers": servers, "live": live} {
+		m.Follow, m.IsWatcher = g.hosts.Follow, g.hosts.IsWatcher
+		g.peerServer.Mirrors[m.Prefix] = m
+		g.AddDuty(name, m.Run)
 	}
 }
 
-// takeLive takes changes of what gateways tell each other through the store.
-func (g *Gateway) takeLive(changes []store.Value) {
+// applyLive applies changes of the live keys, which gateways share through the store.
+func (g *Gateway) applyLive(changes []store.Value) {
 	g.hosts.Take(changes)
-	g.holder.take(changes)
+	g.dutyHolder.apply(changes)
 	g.board.Take(changes)
-	g.cold.take(changes)
-	takeSteps(&g.steps, changes)
+	g.cold.apply(changes)
+	applySteps(&g.steps, changes)
 }
 
-// takeSteps takes changes of the keys of open batches.
-func takeSteps(steps *weight.Steps, changes []store.Value) {
+// applySteps applies changes of the keys of open batches.
+func applySteps(steps *weight.Steps, changes []store.Value) {
 	for _, change := range changes {
 		id, isOpen := strings.CutPrefix(change.Key, batch.PrefixOpen)
 		if !isOpen {
@@ -185,21 +186,21 @@
 		}
 		open := &statepb.Open{}
 		if err := proto.Unmarshal(change.Data, open); err != nil {
-			klog.ErrorS(err, "weight: an open batch can't be read", "key", change.Key)
+			klog.ErrorS(err, "weight: cannot parse an open batch", "key", change.Key)
 			continue
 		}
 		steps.Open(id, weight.Step{Model: open.GetModel(), Oldest: open.GetOldest(), Runs: int(open.GetItems())})
 	}
 }
 
-func (g *Gateway) takeOperator(changes []store.Value) {
+func (g *Gateway) applyOperator(changes []store.Value) {
 	for _, change := range changes {
 		if platform.IsRetirement(change.Key) {
-			g.retirements.take(change)
+			g.retirements.apply(change)
 			continue
 		}
 		if zone, isDrain := platform.DrainedZone(change.Key); isDrain {
-			g.takeDrain(zone, change.Deleted)
+			g.applyDrain(zone, change.Deleted)
 			continue
 		}
 		if change.Deleted {
@@ -207,11 +208,11 @@
 		}
 		if model, version, ok, err := platform.ReadVersion(change.Key, change.Data); ok {
 			if err != nil {
-				klog.ErrorS(err, "weight: a named version can't be read", "revision", change.Revision)
+				klog.ErrorS(err, "weight: cannot parse the version that an operator named", "revision", change.Revision)
 				continue
 			}
 			if g.steps.Name(model, version) {
-				klog.InfoS("weight: named", "model", model, "version", version)
+				klog.InfoS("weight: an operator named a version", "model", model, "version", version)
 			}
 			continue
 		}
@@ -220,15 +221,15 @@
 		}
 		next, err := platform.ReadTable(change.Data)
 		if err != nil {
-			klog.ErrorS(err, "table: a version can't be read, the one in force stays", "revision", change.Revision)
+			klog.ErrorS(err, "table: cannot parse a version of the configuration; the one in force stays", "revision", change.Revision)
 			continue
 		}
 		g.view.Take(next)
 	}
 }
 
-// takeDrain takes an operator's word on a zone's servers.
-func (g *Gateway) takeDrain(zone string, isOver bool) {
+// applyDrain applies an operator's order to drain a zone's servers, or its end.
+func (g *Gateway) applyDrain(zone string, isOver bool) {
 	if isOver {
 		g.roster.RestoreZone(zone)
 		return
@@ -236,7 +237,7 @@
 	g.roster.DrainZone(zone)
 }
 
-func (g *Gateway) takeServers(changes []store.Value) {
+func (g *Gateway) applyServers(changes []store.Value) {
 	for _, change := range changes {
 		if change.Deleted {
 			g.roster.Remove(platform.ServerID(change.Key))
@@ -244,7 +245,7 @@
 		}
 		entry, err := platform.ReadServer(change.Key, change.Data)
 		if err != nil {
-			klog.InfoS("roster: an entry names no server to use", "key", change.Key, "err", err.Error())
+			klog.InfoS("roster: cannot use the registration of a server", "key", change.Key, "err", err.Error())
 			g.roster.Remove(platform.ServerID(change.Key))
 			continue
 		}
@@ -252,7 +253,7 @@
 	}
 }
 
-// addCallers adds the interface for callers and trainers.
+// addCallers adds the API for callers and trainers.
 func (g *Gateway) addCallers() {
 	handler := &gateway.Handler{
 		Wire:      platform.Wire{},
@@ -262,13 +263,13 @@
 		Board:     g.board,
 		Hosts:     g.hosts,
 		Unknown:   g.Settings.GetFront().GetUnknown().AsDuration(),
-		Count:     g.count,
+		Count:     g.countRequest,
 		Metrics:   g.Metrics,
 	}
-	g.notFound = g.closing(handler)
+	g.notFound = g.closeIfDraining(handler)
 }
 
-// addGauges adds what this process knows of the others and of what is in force.
+// addGauges adds the gauges of membership, configuration, drains and the log.
 func (g *Gateway) addGauges() {
 	g.Metrics.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -305,15 +306,15 @@
 }
 
 func (g *Gateway) tableVersion() float64 {
-	if now := g.view.Current(); now != nil {
-		return float64(now.Version)
+	if current := g.view.Current(); current != nil {
+		return float64(current.Version)
 	}
 	return 0
 }
 
-// closing tells callers to open no more requests on their connection once the
-// process was asked to stop.
-func (g *Gateway) closing(next http.Handler) http.Handler {
+// closeIfDraining asks callers to send no more requests on their connection once the
+// process is asked to stop.
+func (g *Gateway) closeIfDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if g.isDraining.Load() {
 			w.Header().Set("Connection", "close")
@@ -322,8 +323,8 @@
 	})
 }
 
-// addReady adds the balancer's question and the metrics, on addresses of their own.
-func (g *Gateway) addReady() {
+// addReadiness adds the load balancer's readiness check and the metrics, each on an address of its own.
+func (g *Gateway) addReadiness() {
 	ready := rest.Route{Method: http.MethodGet, Path: platform.PathReady, Handler: g.answerReady}
 	g.addListener("ready", g.Settings.GetFront().GetReady(), ready)
 	if address := g.Settings.GetFront().GetMetrics(); address != "" {
@@ -338,15 +339,15 @@
 }
 
 func (g *Gateway) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if reason := g.notReady(); reason != "" {
+	if reason := g.unreadyReason(); reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// notReady returns why no callers should come here; "" if they should.
-func (g *Gateway) notReady() string {
+// unreadyReason returns why the load balancer should send no callers here; "" if it should.
+func (g *Gateway) unreadyReason() string {
 	switch {
 	case g.isDraining.Load():
 		return "draining"
@@ -359,14 +360,14 @@
 	}
 }
 
-// drain says that no more callers should come, hands the batches over, and
-// serves on until the balancer has noticed.
+// drain reports this process as not ready, hands its batches over, and goes on
+// serving until the load balancer has noticed.
 func (g *Gateway) drain(ctx context.Context) {
 	g.isDraining.Store(true)
-	began := time.Now()
-	var told sync.WaitGroup
-	told.Go(func() { g.session.Leave(ctx) })
+	started := time.Now()
+	var leaving sync.WaitGroup
+	leaving.Go(func() { g.session.Leave(ctx) })
 	g.board.Drain(ctx)
-	told.Wait()
-	pause.For(ctx, g.Settings.GetFront().GetLinger().AsDuration()-time.Since(began))
+	leaving.Wait()
+	pause.For(ctx, g.Settings.GetFront().GetLinger().AsDuration()-time.Since(started))
 }
--- a/internal/bramleyhatch/gatewayduties.go
+++ b/internal/bramleyhatch/gatewayduties.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// dutyName is the one duty of gateways: its holder reports usage and orders
-	// samplers. Two leases would cost twice the calls and gain nothing.
+	// dutyName is the only duty of gateways: its holder reports usage and orders the
+	// weight loads of samplers. A second lease would double the calls to the store
+	// without a benefit.
 	dutyName = "control"
-	// dutyLook is the wait between two looks whether the duty is free; they cost
-	// no call of the store.
-	dutyLook = 200 * time.Millisecond
-	// loadsAtOnce is the greatest share of a pool's samplers that load weights at
-	// the same time, so that one half goes on serving whatever is named; how many it
-	// is worth is learned from the time that loads take.
-	loadsAtOnce = 0.5
+	// dutyCheckInterval is the interval of checks whether the duty is free; they need no call
+	// to the store.
+	dutyCheckInterval = 200 * time.Millisecond
+	// maxLoadingShare bounds the share of a pool's samplers that load weights concurrently,
+	// so that one half goes on serving whatever version is named. Within the bound, the
+	// measured duration of loads decides the number.
+	maxLoadingShare = 0.5
 )
 
-// holderStore is what the holder of the duty speaks to.
+// holderStore combines the store with the calls that only the holder of the duty makes.
 type holderStore struct {
 	*platform.Store
 	*platform.Duties
 }
 
-// addDuty adds the duty that one gateway has at a time, and the counters for it.
-func (g *Gateway) addDuty() {
+// addControlDuty adds the duty that one gateway holds at a time, and the usage counters.
+func (g *Gateway) addControlDuty() {
 	settings := g.Settings.GetDuty()
 	g.wall = clock.NewWall()
 	g.counter = &usage.Counter{
@@ -61,45 +62,45 @@
 		Process: g.Process.Settings.GetName(),
 		Address: g.Process.Settings.GetPeer(),
 		Prefix:  holderPrefix,
-		Free:    g.holder.free,
+		Free:    g.dutyHolder.free,
 		Left: func() duty.Left {
-			return g.holder.leftBy(g.Process.Settings.GetName(), g.Process.Settings.GetPeer())
+			return g.dutyHolder.heldBy(g.Process.Settings.GetName(), g.Process.Settings.GetPeer())
 		},
-		Look:      dutyLook,
+		Look:      dutyCheckInterval,
 		Lease:     settings.GetLease().AsDuration(),
 		Margin:    settings.GetMargin().AsDuration(),
 		Rank:      func() int { return duty.Place(g.Process.Settings.GetName(), g.hosts.Order(dutyName)) },
 		Decisions: g.Decisions,
 	}
-	g.AddDuty("control", func(ctx context.Context) error { return keeper.Run(ctx, g.hold) })
+	g.AddDuty("control", func(ctx context.Context) error { return keeper.Run(ctx, g.runControlDuty) })
 }
 
-// count counts a request that a backend server has begun.
-func (g *Gateway) count(account, route string) {
+// countRequest counts a request that a backend server has started.
+func (g *Gateway) countRequest(account, route string) {
 	g.counter.Add(account, route, g.wall.Now(), 0, 0)
 }
 
-// hold does the duty until the term ends.
-func (g *Gateway) hold(ctx context.Context, term *duty.Term) error {
+// runControlDuty performs the duty until the term ends.
+func (g *Gateway) runControlDuty(ctx context.Context, term *duty.Term) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	works := []func(context.Context) error{
+	jobs := []func(context.Context) error{
 		func(ctx context.Context) error { return g.newSteering().Run(ctx, term) },
-		func(ctx context.Context) error { return g.retire(ctx, term) },
+		func(ctx context.Context) error { return g.reportRetired(ctx, term) },
 	}
 	if g.Settings.GetStore().GetOrders() != "" {
 		duties := g.newDuties()
-		works = append(works,
+		jobs = append(jobs,
 			func(ctx context.Context) error { return g.newReporter(duties).Run(ctx, term) },
-			func(ctx context.Context) error { return g.countServers(ctx, term, duties) },
+			func(ctx context.Context) error { return g.scalePools(ctx, term, duties) },
 		)
 	}
-	ended := make(chan error, len(works))
-	for _, work := range works {
-		go func() { ended <- work(ctx) }()
+	ended := make(chan error, len(jobs))
+	for _, job := range jobs {
+		go func() { ended <- job(ctx) }()
 	}
 	var first error
-	for range works {
+	for range jobs {
 		if err := <-ended; err != nil && first == nil {
 			first = err
 		}
@@ -108,7 +109,7 @@
 	return first
 }
 
-// newDuties returns the way to what only the holder of the duty may tell the platform.
+// newDuties returns the client for the platform calls that only the duty's holder may make.
 func (g *Gateway) newDuties() *platform.Duties {
 	return &platform.Duties{
 		Address: g.Settings.GetStore().GetOrders(),
@@ -117,9 +118,9 @@
 	}
 }
 
-func (g *Gateway) newReporter(way *platform.Duties) *usage.Reporter {
+func (g *Gateway) newReporter(duties *platform.Duties) *usage.Reporter {
 	reporter := g.Process.newReporter(g.Settings.GetUsage(), g.Settings.GetDuty())
-	reporter.Platform = holderStore{Store: g.store, Duties: way}
+	reporter.Platform = holderStore{Store: g.store, Duties: duties}
 	reporter.Collector = &usage.Collector{Directory: g.hosts, Peers: &usage.GRPCPeers{}}
 	reporter.Offer = func(*peerpb.Fact) bool { return true }
 	reporter.Fenced = g.Settings.GetDuty().GetFenced()
@@ -129,16 +130,16 @@
 
 func (g *Gateway) newSteering() *weight.Steering {
 	return &weight.Steering{
-		Samplers:  &platform.Samplers{Holder: g.Process.Settings.GetName(), Timeout: g.Settings.GetStore().GetTimeout().AsDuration(), Idle: idleConnection},
+		Samplers:  &platform.Samplers{Holder: g.Process.Settings.GetName(), Timeout: g.Settings.GetStore().GetTimeout().AsDuration(), Idle: idleConnTimeout},
 		Pools:     g.samplerPools,
-		Loaded:    g.loaded,
+		Loaded:    g.recordLoad,
 		Decisions: g.Decisions,
-		Share:     loadsAtOnce,
+		Share:     maxLoadingShare,
 	}
 }
 
-// loaded notes that a sampler has a version.
-func (g *Gateway) loaded(sampler, model string, version uint64) {
+// recordLoad records that a sampler has loaded a version.
+func (g *Gateway) recordLoad(sampler, model string, version uint64) {
 	if server := g.roster.Find(sampler); server != nil {
 		g.roster.Show(server, model, version)
 	}
@@ -146,37 +147,38 @@
 
 // samplerPools returns the pools whose samplers have models.
 func (g *Gateway) samplerPools() []weight.Pool {
-	now := g.view.Current()
-	if now == nil {
+	current := g.view.Current()
+	if current == nil {
 		return nil
 	}
 	var pools []weight.Pool
-	for i := range now.Pools {
-		if len(now.Pools[i].Models) > 0 {
-			pools = append(pools, g.samplerPool(now, &now.Pools[i]))
+	for i := range current.Pools {
+		if len(current.Pools[i].Models) > 0 {
+			pools = append(pools, g.samplerPool(current, &current.Pools[i]))
 		}
 	}
 	return pools
 }
 
-// asksWhole reports whether a route to a pool asks for texts that one version made:
-// its samplers end what runs before they load. Routes to other pools don't count.
-func asksWhole(now *table.Table, pool string) bool {
-	return slices.ContainsFunc(now.Routes, func(route table.Route) bool {
+// needsSingleVersion reports whether a route to a pool requires each text to come from a
+// single version: its samplers finish all runs before they load. Routes to other
+// pools don't count.
+func needsSingleVersion(current *table.Table, pool string) bool {
+	return slices.ContainsFunc(current.Routes, func(route table.Route) bool {
 		isTo := func(share table.Share) bool { return share.Pool == pool }
 		return route.SingleVersion && slices.ContainsFunc(route.Shares, isTo)
 	})
 }
 
-func (g *Gateway) samplerPool(now *table.Table, pool *table.Pool) weight.Pool {
-	next := weight.Pool{Name: pool.Name, Targets: map[string]weight.Target{}}
+func (g *Gateway) samplerPool(current *table.Table, pool *table.Pool) weight.Pool {
+	samplers := weight.Pool{Name: pool.Name, Targets: map[string]weight.Target{}}
 	for _, model := range pool.Models {
-		next.Work = append(next.Work, g.steps.Work(model))
+		samplers.Work = append(samplers.Work, g.steps.Work(model))
 	}
-	next.Whole = asksWhole(now, pool.Name)
+	samplers.Whole = needsSingleVersion(current, pool.Name)
 	for _, entry := range g.roster.Seats(pool.Name) {
-		next.Seats = append(next.Seats, weight.Seat{ID: entry.ID, Zone: entry.Zone, Born: entry.Born, Slots: entry.Slots, Versions: entry.Versions})
-		next.Targets[entry.ID] = weight.Target{ID: entry.ID, Address: entry.Address, Born: entry.Born}
+		samplers.Seats = append(samplers.Seats, weight.Seat{ID: entry.ID, Zone: entry.Zone, Born: entry.Born, Slots: entry.Slots, Versions: entry.Versions})
+		samplers.Targets[entry.ID] = weight.Target{ID: entry.ID, Address: entry.Address, Born: entry.Born}
 	}
-	return next
+	return samplers
 }
--- a/internal/bramleyhatch/gatewayduties_test.go
+++ b/internal/bramleyhatch/gatewayduties_test.go
@@ -8,14 +8,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/table"
 )
 
-// One pool's trainer asks for texts of a single version. The samplers of another
-// pool, whose trainers don't, went on only after all their runs had ended, each
-// time they loaded weights.
+// Guards against a route to one pool that makes the samplers of another pool, whose
+// routes don't require a single version, finish all runs before each weight load.
 func TestAsksWhole(t *testing.T) {
-	now := &table.Table{Routes: []table.Route{
+	current := &table.Table{Routes: []table.Route{
 		{SingleVersion: true, Shares: []table.Share{{Pool: "a"}}},
 		{Shares: []table.Share{{Pool: "b"}}},
 	}}
-	must.True(t, asksWhole(now, "a"))
-	must.False(t, asksWhole(now, "b"))
+	must.True(t, needsSingleVersion(current, "a"))
+	must.False(t, needsSingleVersion(current, "b"))
 }
--- a/internal/bramleyhatch/health.go
+++ b/internal/bramleyhatch/health.go
@@ -10,7 +10,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// healthRoutes returns the routes for the platform's balancer and for Prometheus.
+// healthRoutes returns the routes for the platform's load balancer and for Prometheus.
 func (e *Entry) healthRoutes() []rest.Route {
 	metrics := promhttp.HandlerFor(e.Metrics, promhttp.HandlerOpts{})
 	return []rest.Route{
@@ -24,17 +24,17 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// answerReady tells the balancer whether to send callers here.
+// answerReady answers the load balancer's readiness check.
 func (e *Entry) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if reason := e.notReady(time.Now()); reason != "" {
+	if reason := e.unreadyReason(time.Now()); reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// notReady returns why no callers should come here; "" if they should.
-func (e *Entry) notReady(now time.Time) string {
+// unreadyReason returns why the load balancer should send no callers here; "" if it should.
+func (e *Entry) unreadyReason(now time.Time) string {
 	config, _ := e.view.Config()
 	switch {
 	case e.members.Self().GetState() != peerpb.State_STATE_LIVE:
@@ -42,7 +42,7 @@
 	case config == nil:
 		return "no configuration yet"
 	case e.members.Replaced():
-		return "a later process has this process's name"
+		return "another process has this process's name and a higher incarnation"
 	case e.members.Isolated(now):
 		return "isolated: neither the store nor most processes of the region answer"
 	default:
--- a/internal/bramleyhatch/identity.go
+++ b/internal/bramleyhatch/identity.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// credentials returns what connections between processes use; nil is no TLS.
+// credentials returns the transport credentials between processes; nil means no TLS.
 func (p *Process) credentials() credentials.TransportCredentials {
 	if p.identity == nil {
 		return nil
--- a/internal/bramleyhatch/members.go
+++ b/internal/bramleyhatch/members.go
@@ -45,7 +45,7 @@
 		p.members.SetAddress(p.advertised())
 		return exchanger.Run(ctx)
 	})
-	p.AddDrain(func(ctx context.Context) { p.announce(ctx, settings.GetAnnounce().AsDuration()) })
+	p.AddDrain(func(ctx context.Context) { p.announceDraining(ctx, settings.GetAnnounce().AsDuration()) })
 	if role == peerpb.Role_ROLE_SIDECAR {
 		settler := &lists.Settler{Members: p.members}
 		p.AddDuty("settle", settler.Run)
@@ -53,7 +53,7 @@
 	p.addMemberMetrics()
 }
 
-// addMemberMetrics adds what an alert needs to see of membership.
+// addMemberMetrics adds the gauges of membership that alerts use.
 func (p *Process) addMemberMetrics() {
 	p.Metrics.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -94,12 +94,12 @@
 	return p.Addresses().Peer
 }
 
-// announce tells the balancer and the other processes that this one drains and
-// goes on serving for a while.
+// announceDraining reports this process as draining to the load balancer and the other
+// processes, and goes on serving for a while.
 //
-// The balancer and the others learn of it a little later than this process. If
-// it closed its listeners at once, requests on their way would be cut off.
-func (p *Process) announce(ctx context.Context, length time.Duration) {
+// They notice the new state with a delay. If the process closed its listeners at
+// once, requests sent in the meantime would be cut off.
+func (p *Process) announceDraining(ctx context.Context, length time.Duration) {
 	p.members.SetState(peerpb.State_STATE_DRAINING)
 	pause.For(ctx, length)
 }
--- a/internal/bramleyhatch/process.go
+++ b/internal/bramleyhatch/process.go
@@ -1,6 +1,7 @@
-// Package bramleyhatch assembles the two kinds of process: the entry, which
-// serves callers, trainers and operators, and the sidecar beside each backend
-// server. It is free of the command line.
+// Package bramleyhatch assembles the processes: the entry, which serves callers,
+// trainers and operators, the sidecar beside each backend server, the gateway, which
+// reaches backend servers without sidecars, and the keeper on a host with a disk.
+// It does not depend on the command line.
 package bramleyhatch
 
 import (
@@ -26,21 +27,21 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/secure"
 )
 
-// Duty is one thing that a process does until its context ends.
-// Each runs in a goroutine of its own.
+// Duty is a background task of a process, which runs in its own goroutine until its
+// context ends.
 type Duty struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
 
-// Process holds what the parts of one process share.
+// Process holds the state that all kinds of process share.
 type Process struct {
 	Settings  *settingspb.Process
 	Secure    *settingspb.Secure
 	Decisions *decision.Log
 	Metrics   *prometheus.Registry
 
-	// Incarnation is the start of the process in nanoseconds since 1970 UTC.
+	// Incarnation is the start time of the process in nanoseconds since 1970 UTC.
 	Incarnation uint64
 
 	members *member.Members
@@ -56,7 +57,7 @@
 
 	addresses Addresses
 
-	// identity is nil where processes speak without TLS.
+	// identity is nil where processes connect without TLS.
 	identity *secure.Identity
 	// callerTLS is nil where callers are served plain HTTP.
 	callerTLS *tls.Config
@@ -69,7 +70,7 @@
 	Caller string `json:"caller,omitempty"`
 }
 
-// newProcess returns a process without parts.
+// newProcess returns a process without routes, services or duties.
 func newProcess(process *settingspb.Process, secure *settingspb.Secure) *Process {
 	return &Process{
 		Settings:    process,
@@ -85,13 +86,13 @@
 	return p.addresses
 }
 
-// AddDrain adds a function that is called once the process is asked to stop,
-// before its servers shut down. It returns when its part has finished.
+// AddDrain adds a function that is called once the process is asked to stop, before
+// its servers shut down. The function returns when its work is drained.
 func (p *Process) AddDrain(drain func(ctx context.Context)) {
 	p.drains = append(p.drains, drain)
 }
 
-// AddDuty adds a goroutine of the process.
+// AddDuty adds a background task, which runs in its own goroutine.
 func (p *Process) AddDuty(name string, run func(ctx context.Context) error) {
 	p.duties = append(p.duties, Duty{Name: name, Run: run})
 }
@@ -106,7 +107,7 @@
 	p.services = append(p.services, register)
 }
 
-// Grace is the longest wait for running requests when the process stops.
+// Grace returns how long a stopping process waits for running requests at most.
 func (p *Process) Grace() time.Duration {
 	return p.Settings.GetGrace().AsDuration()
 }
@@ -148,7 +149,7 @@
 	return eris.Wrap(err, duty.Name)
 }
 
-// runDrains calls all drains at the same time and waits for them up to the grace.
+// runDrains calls all drains concurrently and waits for them up to the grace period.
 func (p *Process) runDrains() {
 	ctx, cancel := context.WithTimeout(context.Background(), p.Grace())
 	defer cancel()
@@ -180,21 +181,21 @@
 	}
 }
 
-// run starts the servers, then the duties, and ends when the context does or a
-// server or duty fails: first the drains, then the servers, then the duties.
+// run starts the servers, then the duties, until the context ends or a server or duty
+// fails. It then runs the drains, stops the servers and, last, the duties.
 func (p *Process) run(ctx context.Context, caller *settingspb.Caller) error {
-	serving, stopServing := context.WithCancel(context.Background())
-	defer stopServing()
+	serverCtx, stopServers := context.WithCancel(context.Background())
+	defer stopServers()
 	stopped := make(chan error, 2)
-	servers, err := p.listen(serving, caller, stopped)
+	servers, err := p.startServers(serverCtx, caller, stopped)
 	if err != nil {
 		return err
 	}
 	klog.Infof("process: %s listens for processes on %s, for callers on %q", p.addresses.Name, p.addresses.Peer, p.addresses.Caller)
-	working, stopWorking := context.WithCancel(context.Background())
-	defer stopWorking()
+	dutyCtx, stopDuties := context.WithCancel(context.Background())
+	defer stopDuties()
 	finished := make(chan error, 1)
-	go func() { finished <- p.runDuties(working) }()
+	go func() { finished <- p.runDuties(dutyCtx) }()
 	select {
 	case <-ctx.Done():
 		klog.Info("process: asked to stop, draining")
@@ -202,24 +203,24 @@
 	case err = <-stopped:
 		servers--
 	case err = <-finished:
-		// A process that serves on without its duties renews no lease and hears of no
-		// change; one that ends is started anew.
+		// A process that went on serving without its duties would renew no lease and
+		// receive no changes; one that exits is restarted.
 		klog.InfoS("process: a duty failed, draining", "err", err)
 		finished <- nil
 		p.runDrains()
 	}
-	stopServing()
+	stopServers()
 	for range servers {
 		err = errors.Join(err, <-stopped)
 	}
-	stopWorking()
+	stopDuties()
 	err = errors.Join(err, <-finished)
 	klog.InfoS("process: stopped", "name", p.addresses.Name, "err", err)
 	return err
 }
 
-// listen starts the servers, returns their number and writes the ready file.
-func (p *Process) listen(ctx context.Context, caller *settingspb.Caller, stopped chan<- error) (int, error) {
+// startServers starts the servers, returns their number and writes the ready file.
+func (p *Process) startServers(ctx context.Context, caller *settingspb.Caller, stopped chan<- error) (int, error) {
 	p.addresses.Name = p.Settings.GetName()
 	peers := make(chan string, 1)
 	peerServer := &listen.GRPC{
@@ -263,7 +264,7 @@
 	return writeReady(p.Settings.GetReady(), p.addresses)
 }
 
-// writeReady writes the file whole: a reader never sees a part of it.
+// writeReady writes the file atomically: a reader never sees a part of it.
 func writeReady(file string, addresses Addresses) error {
 	text, err := json.Marshal(addresses)
 	if err != nil {
--- a/internal/bramleyhatch/process_test.go
+++ b/internal/bramleyhatch/process_test.go
@@ -14,7 +14,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/settingspb"
 )
 
-// mustEndWithin runs a process and checks that it ends by itself, and returns its error.
+// mustEndWithin runs a process, checks that it ends by itself within the limit and returns its error.
 func mustEndWithin(t *testing.T, process *Process, limit time.Duration) error {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -23,7 +23,7 @@
 	case err := <-ended:
 		return err
 	case <-time.After(limit):
-		t.Fatal("the process goes on")
+		t.Fatal("the process is still running")
 		return nil
 	}
 }
@@ -34,17 +34,17 @@
 	}.Build(), &settingspb.Secure{})
 }
 
-// The address for readiness is taken when a gateway starts. All its duties end,
-// so that it renews no lease and hears of no change, but it goes on serving as it
-// stands: nobody starts it anew, since the process lives.
+// Guards against a process that goes on serving after a duty has failed, for example
+// because the address for readiness is in use when a gateway starts: it renews no
+// lease and receives no changes, and is not restarted since the process is alive.
 func TestFailedDutyEndsProcess(t *testing.T) {
 	t.Run("a duty fails", func(t *testing.T) {
-		process, broken := newTestProcess(), errors.New("broken")
+		process, errBroken := newTestProcess(), errors.New("broken")
 		drained := false
 		process.AddDrain(func(context.Context) { drained = true })
-		process.AddDuty("bad", func(context.Context) error { return broken })
+		process.AddDuty("bad", func(context.Context) error { return errBroken })
 		process.AddDuty("good", func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() })
-		must.ErrorIs(t, mustEndWithin(t, process, 5*time.Second), broken)
+		must.ErrorIs(t, mustEndWithin(t, process, 5*time.Second), errBroken)
 		must.True(t, drained)
 	})
 	t.Run("an address is taken", func(t *testing.T) {
@@ -54,13 +54,13 @@
 				return (&listen.HTTP{Address: address}).Run(ctx, time.Second)
 			})
 		}
-		var fault *listen.AddressError
-		must.True(t, errors.As(mustEndWithin(t, process, 5*time.Second), &fault))
-		must.Eq(t, address, fault.Address)
+		var addressErr *listen.AddressError
+		must.True(t, errors.As(mustEndWithin(t, process, 5*time.Second), &addressErr))
+		must.Eq(t, address, addressErr.Address)
 	})
 }
 
-// A process whose duties have nothing left to do serves on until it is stopped.
+// A process whose duties have all returned goes on serving until it is stopped.
 func TestDoneDutiesLeaveProcess(t *testing.T) {
 	process := newTestProcess()
 	process.AddDuty("short", func(context.Context) error { return nil })
--- a/internal/bramleyhatch/retirement.go
+++ b/internal/bramleyhatch/retirement.go
@@ -13,71 +13,71 @@
 	"github.com/bramleyhatch/bramleyhatch/platform"
 )
 
-// retireInterval is the time between two looks at hosts that are to be emptied.
+// retireInterval is the interval of checks for hosts that are to be reported as empty.
 const retireInterval = 200 * time.Millisecond
 
-// retirements holds the hosts with disks that operators want emptied. Its zero
-// value holds none. It is safe for concurrent use.
+// retirements holds the hosts with disks that operators retire. Its zero value holds
+// none. It is safe for concurrent use.
 type retirements struct {
-	mutex sync.Mutex
-	open  map[string]bool
+	mutex   sync.Mutex
+	pending map[string]bool
 }
 
-// take takes a change of the store's keys.
-func (r *retirements) take(change store.Value) {
+// apply applies a change of the store's keys.
+func (r *retirements) apply(change store.Value) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.open == nil {
-		r.open = map[string]bool{}
+	if r.pending == nil {
+		r.pending = map[string]bool{}
 	}
 	host := platform.RetiredHost(change.Key)
 	if change.Deleted {
-		delete(r.open, host)
+		delete(r.pending, host)
 		return
 	}
-	if _, known := r.open[host]; !known {
-		klog.InfoS("keeper: an operator wants a host emptied", "host", host)
-		r.open[host] = true
+	if _, known := r.pending[host]; !known {
+		klog.InfoS("keeper: an operator retires a host", "host", host)
+		r.pending[host] = true
 	}
 }
 
-// wanted returns the hosts that are not reported as empty yet.
-func (r *retirements) wanted() []string {
+// pendingHosts returns the hosts that are not reported as empty yet.
+func (r *retirements) pendingHosts() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var hosts []string
-	for host, isOpen := range r.open {
-		if isOpen {
+	for host, isPending := range r.pending {
+		if isPending {
 			hosts = append(hosts, host)
 		}
 	}
 	return hosts
 }
 
-func (r *retirements) done(host string) {
+func (r *retirements) markReported(host string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.open[host] {
-		r.open[host] = false
+	if r.pending[host] {
+		r.pending[host] = false
 	}
 }
 
-// has reports whether a host is to be emptied, or is empty already.
+// has reports whether a host is to be emptied, or already reported as empty.
 func (r *retirements) has(host string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_, known := r.open[host]
+	_, known := r.pending[host]
 	return known
 }
 
-// retire reports hosts as empty until the term ends.
+// reportRetired reports hosts as empty until the term ends.
 //
-// A keeper holds nothing that must last: batches and outcomes are in the store,
-// and a text that is lost is made again. So nothing has to be moved first; from
-// its retirement on no gateway gives texts to it.
-func (g *Gateway) retire(ctx context.Context, term *duty.Term) error {
+// A keeper holds nothing durable: batches and outcomes are in the store, and a lost
+// text is generated again. So nothing has to be moved first; once a host is retired,
+// no gateway stores texts on it.
+func (g *Gateway) reportRetired(ctx context.Context, term *duty.Term) error {
 	for pause.For(ctx, retireInterval) {
-		for _, host := range g.retirements.wanted() {
+		for _, host := range g.retirements.pendingHosts() {
 			if !term.Valid(time.Now()) {
 				return nil
 			}
@@ -86,11 +86,11 @@
 				return err
 			}
 			if _, err := g.store.Commit(ctx, commit); err != nil {
-				klog.InfoS("keeper: not reported as empty", "host", host, "err", err.Error())
+				klog.InfoS("keeper: cannot report a host as empty, retrying", "host", host, "err", err.Error())
 				continue
 			}
 			g.Decisions.Record(host, "keeper", "reported as empty, term %d", term.Fence())
-			g.retirements.done(host)
+			g.retirements.markReported(host)
 		}
 	}
 	return nil
--- a/internal/bramleyhatch/counting.go
+++ b/internal/bramleyhatch/scaling.go
@@ -10,14 +10,14 @@
 	"github.com/bramleyhatch/bramleyhatch/platform"
 )
 
-// countServers orders how many servers the pools have until the term ends, where
-// the configuration leaves their number to the system.
-func (g *Gateway) countServers(ctx context.Context, term *duty.Term, duties *platform.Duties) error {
+// scalePools orders the number of servers of each pool until the term ends, where
+// the configuration leaves that number to the system.
+func (g *Gateway) scalePools(ctx context.Context, term *duty.Term, duties *platform.Duties) error {
 	settings := g.Settings.GetDuty()
 	demands := &gateway.Demands{Hosts: g.hosts, Own: g.peerServer}
 	counter := &fleet.Counter{
 		Platform:  duties,
-		Pools:     func(ctx context.Context) []fleet.CountedPool { return g.countedPools(ctx, demands) },
+		Pools:     func(ctx context.Context) []fleet.CountedPool { return g.scaledPools(ctx, demands) },
 		Decisions: g.Decisions,
 		Target:    settings.GetTarget(),
 		Slack:     settings.GetSlack(),
@@ -29,19 +29,19 @@
 	return counter.Run(ctx, term)
 }
 
-// countedPools returns the pools whose servers are ordered by number. Where there
-// are none, no other process is asked.
-func (g *Gateway) countedPools(ctx context.Context, demands *gateway.Demands) []fleet.CountedPool {
-	now := g.view.Current()
-	if now == nil {
+// scaledPools returns the pools whose number of servers is ordered. It queries the
+// other processes only if there are any.
+func (g *Gateway) scaledPools(ctx context.Context, demands *gateway.Demands) []fleet.CountedPool {
+	current := g.view.Current()
+	if current == nil {
 		return nil
 	}
 	var scaled []*table.Pool
 	var names []string
-	for i := range now.Pools {
-		if now.Pools[i].Scale != nil {
-			scaled = append(scaled, &now.Pools[i])
-			names = append(names, now.Pools[i].Name)
+	for i := range current.Pools {
+		if current.Pools[i].Scale != nil {
+			scaled = append(scaled, &current.Pools[i])
+			names = append(names, current.Pools[i].Name)
 		}
 	}
 	if len(scaled) == 0 {
--- a/internal/bramleyhatch/session.go
+++ b/internal/bramleyhatch/session.go
@@ -8,12 +8,12 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// closeTime bounds the wait for the store when a process that ends gives its
-// lease up; without that it lapses by itself.
-const closeTime = time.Second
+// closeTimeout bounds the release of the lease when a process stops; a lease that isn't
+// released expires by itself.
+const closeTimeout = time.Second
 
-// addSession adds the duty that keeps this process known to the others under a
-// prefix of the store's keys.
+// addSession adds the duty that registers this process for the others, under a lease
+// and a prefix of the store's keys.
 func (p *Process) addSession(store gateway.SessionStore, prefix string, length time.Duration) *gateway.Session {
 	session := &gateway.Session{
 		Store:  store,
@@ -32,9 +32,9 @@
 	return session
 }
 
-// closeSession gives the process's lease up.
+// closeSession releases the process's lease.
 func closeSession(session *gateway.Session) {
-	closing, cancel := context.WithTimeout(context.Background(), closeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	session.Close(closing)
+	session.Close(ctx)
 }
--- a/internal/bramleyhatch/sidecar.go
+++ b/internal/bramleyhatch/sidecar.go
@@ -37,7 +37,7 @@
 	return s.run(ctx, s.metricsListener())
 }
 
-// metricsListener returns where health and metrics are served; nil serves none.
+// metricsListener returns the settings of the listener for health and metrics; nil means none.
 func (s *Sidecar) metricsListener() *settingspb.Caller {
 	address := s.Settings.GetBackend().GetMetrics()
 	if address == "" {
--- a/internal/bramleyhatch/sidecarbackend.go
+++ b/internal/bramleyhatch/sidecarbackend.go
@@ -55,14 +55,14 @@
 		s.AddDuty("engine", engine.Watch)
 		return engine
 	}
-	known := &keys{}
-	s.members.OnFact(member.FactConfig, known.take)
-	plain := &backend.Plain{Keys: known}
+	hashes := &callerKeys{}
+	s.members.OnFact(member.FactConfig, hashes.apply)
+	plain := &backend.Plain{Keys: hashes}
 	plain.Address, plain.Name, plain.Silence = address, name, silence
 	return plain
 }
 
-// setDraining tells the other processes that this one takes no new work, or does again.
+// setDraining tells the other processes whether this one accepts new work.
 func (s *Sidecar) setDraining(draining bool) {
 	if draining {
 		s.members.SetState(peerpb.State_STATE_DRAINING)
@@ -71,7 +71,7 @@
 	s.members.SetState(peerpb.State_STATE_LIVE)
 }
 
-// newClaims returns what keeps the claims of idempotency keys.
+// newClaims returns the claims of idempotency keys.
 func (s *Sidecar) newClaims() *entry.Claims {
 	settings := s.Settings.GetBackend()
 	return &entry.Claims{
@@ -85,7 +85,7 @@
 	}
 }
 
-// membership is what claims need to know of the pool.
+// membership provides claims with the servers and sidecars of the pool.
 type membership struct {
 	*member.Members
 }
@@ -100,7 +100,7 @@
 	}
 	fleet := &statepb.Fleet{}
 	if err := proto.Unmarshal(fact.GetValue(), fleet); err != nil {
-		klog.Errorf("backend: fact %s can't be read: %v", fact.GetName(), err)
+		klog.Errorf("backend: cannot parse fact %s: %v", fact.GetName(), err)
 		return nil
 	}
 	return fleet
--- a/internal/bramleyhatch/sidecarkeys.go
+++ b/internal/bramleyhatch/sidecarkeys.go
@@ -11,24 +11,24 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// keys are the hashes of all callers' keys in the newest configuration.
-type keys struct {
+// callerKeys holds the hashes of all callers' keys in the newest configuration.
+type callerKeys struct {
 	hashes atomic.Pointer[map[string]bool]
 }
 
-var _ backend.Keys = &keys{}
+var _ backend.Keys = &callerKeys{}
 
-// IsKey reports whether a hash is that of a key, granted or withdrawn.
-func (k *keys) IsKey(hash string) bool {
+// IsKey reports whether a hash belongs to a key, granted or withdrawn.
+func (k *callerKeys) IsKey(hash string) bool {
 	hashes := k.hashes.Load()
 	return hashes != nil && (*hashes)[hash]
 }
 
-// take reads the keys of a newer configuration.
-func (k *keys) take(fact *peerpb.Fact) {
+// apply applies the keys of a newer configuration.
+func (k *callerKeys) apply(fact *peerpb.Fact) {
 	config := &listpb.Config{}
 	if err := proto.Unmarshal(fact.GetValue(), config); err != nil {
-		klog.Errorf("key: fact %s can't be read: %v", fact.GetName(), err)
+		klog.Errorf("key: cannot parse fact %s: %v", fact.GetName(), err)
 		return
 	}
 	hashes := map[string]bool{}
