--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,8 +1,8 @@
 // Package decision keeps the newest decisions of a process, so that operators
-// can ask why something was done.
+// can look up why something was done.
 //
 // Every routing or placement decision is logged on one line and kept in a
-// bounded ring under the identity that it concerns: a request, a sample, an
+// ring buffer under the identity that it concerns: a request, a sample, an
 // order or a usage window.
 package decision
 
