--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd holds the command line; one file a command.
+// Package cmd implements the command line, one file per command.
 package cmd
 
 import (
@@ -12,13 +12,13 @@
 
 // Exit codes of the program.
 const (
-	exitDone   = 0
+	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// config carries what commands need.
-type config struct {
+// streams carries the output streams of commands.
+type streams struct {
 	stdout io.Writer
 	stderr io.Writer
 }
@@ -27,7 +27,7 @@
 type commands struct {
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 	Entry    entryCmd         `cmd:"" help:"Run the process of an entry host."`
-	Gateway  gatewayCmd       `cmd:"" help:"Run the process of an entry host that reaches backend servers by itself."`
+	Gateway  gatewayCmd       `cmd:"" help:"Run the process of an entry host that reaches backend servers without sidecars."`
 	Keeper   keeperCmd        `cmd:"" help:"Run the process of a host with a disk."`
 	Sidecar  sidecarCmd       `cmd:"" help:"Run the process beside a backend server."`
 	Settings settingsCmd      `cmd:"" help:"Check settings files."`
@@ -39,24 +39,24 @@
 	Usage    usageCmd         `cmd:"" help:"Show the figures of closed usage windows."`
 }
 
-// UsageError says that a command was called with wrong arguments.
+// UsageError reports that a command was called with wrong arguments.
 type UsageError struct {
 	Problem string
 }
 
-// Error names what is wrong.
+// Error describes the wrong argument.
 func (e *UsageError) Error() string { return e.Problem }
 
-// exited carries the exit code that kong asks for through its panics.
-type exited int
+// exitRequest is the panic value that carries the exit code requested by kong.
+type exitRequest int
 
 // Main runs the program with its arguments and returns the exit code.
 func Main(arguments []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			status, ok := fault.(exited)
+		if value := recover(); value != nil {
+			status, ok := value.(exitRequest)
 			if !ok {
-				panic(fault)
+				panic(value)
 			}
 			code = int(status)
 		}
@@ -70,10 +70,10 @@
 		fail(stderr, err)
 		return exitUsage
 	}
-	if err := parsed.Run(&config{stdout: stdout, stderr: stderr}); err != nil {
+	if err := parsed.Run(&streams{stdout: stdout, stderr: stderr}); err != nil {
 		return fail(stderr, err)
 	}
-	return exitDone
+	return exitOK
 }
 
 func newParser(stdout, stderr io.Writer) (*kong.Kong, error) {
@@ -83,7 +83,7 @@
 		kong.UsageOnError(),
 		kong.Writers(stdout, stderr),
 		kong.Vars{"version": version()},
-		kong.Exit(func(code int) { panic(exited(code)) }),
+		kong.Exit(func(code int) { panic(exitRequest(code)) }),
 	)
 }
 
@@ -99,7 +99,7 @@
 // release is the version of the project; it is raised with each release.
 const release = "0.1.0"
 
-// version names the release and, where the build knows it, the commit.
+// version returns the release and, if the build information has it, the commit.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/cmd/configapplycmd.go
+++ b/internal/cmd/configapplycmd.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	applyTries = 3
-	forcePause = 200 * time.Millisecond
+	maxApplyAttempts    = 3
+	inForcePollInterval = 200 * time.Millisecond
 )
 
 // configApplyCmd replaces both lists.
@@ -26,18 +26,18 @@
 	entryFlags
 	listFiles
 	outputFlag
-	Base uint64        `required:"" help:"Number of the lists that the edit began from, as config show and config diff print it; 0 for the first."`
+	Base uint64        `required:"" help:"Number of the lists that the edit is based on, as config show and config diff print it; 0 for the first."`
 	Wait time.Duration `default:"15s" help:"Longest wait until the lists are in force at every entry."`
 }
 
-// NotInForceError says that accepted lists are not in force everywhere yet.
+// NotInForceError reports that accepted lists are not in force at every entry yet.
 type NotInForceError struct {
 	Revision uint64
-	// Missing is the number of entries without it.
+	// Missing is the number of entries without the revision.
 	Missing int
 }
 
-// Error names the revision and the number of entries.
+// Error gives the revision and the number of entries.
 func (e *NotInForceError) Error() string {
 	return fmt.Sprintf("revision %d is accepted, but not yet in force at %d entries", e.Revision, e.Missing)
 }
@@ -45,12 +45,12 @@
 // Help gives an example.
 func (configApplyCmd) Help() string {
 	return "Example:\n  bramleyhatch config apply --base 12\n\n" +
-		"If someone else changed the lists since, nothing is changed and the\n" +
-		"differences to the present lists are printed."
+		"If the lists have changed since, nothing is applied and the differences\n" +
+		"to the current lists are printed."
 }
 
-// Run applies the lists and prints where they are in force and where not yet.
-func (c *configApplyCmd) Run(config *config) error {
+// Run applies the lists and prints at which entries they are in force.
+func (c *configApplyCmd) Run(out *streams) error {
 	wanted, err := c.read()
 	if err != nil {
 		return err
@@ -62,13 +62,13 @@
 	reply, err := c.put(client, wanted)
 	var refused *operator.Error
 	if errors.As(err, &refused) && refused.Status == http.StatusConflict {
-		printStale(config.stderr, refused.Problem, wanted)
+		printConflict(out.stderr, refused.Problem, wanted)
 	}
 	if err != nil {
 		return err
 	}
-	force, missing := waitInForce(client, reply.GetRevision(), c.Wait)
-	if err := c.print(config.stdout, reply, force); err != nil {
+	entries, missing := waitInForce(client, reply.GetRevision(), c.Wait)
+	if err := c.print(out.stdout, reply, entries); err != nil {
 		return err
 	}
 	if missing > 0 {
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// put sends the edit again if no answer came: the edit's identity keeps it
-// from being applied twice.
+// put retries the edit if its outcome is unknown: the edit's identity keeps it from
+// being applied twice.
 func (c *configApplyCmd) put(client *operator.Client, wanted *listpb.Config) (*operatorpb.ChangeReply, error) {
 	request := operatorpb.PutRequest_builder{
 		Base:     c.Base,
@@ -89,7 +89,7 @@
 	}.Build()
 	var reply *operatorpb.ChangeReply
 	var err error
-	for range applyTries {
+	for range maxApplyAttempts {
 		reply, err = client.Put(context.Background(), request)
 		if !isUncertain(err) {
 			break
@@ -98,12 +98,12 @@
 	return reply, err
 }
 
-func (c *configApplyCmd) print(w io.Writer, reply *operatorpb.ChangeReply, force []*operatorpb.Force) error {
+func (c *configApplyCmd) print(w io.Writer, reply *operatorpb.ChangeReply, entries []*operatorpb.Force) error {
 	if c.isJSON() {
-		return printMessage(w, operatorpb.StatusReply_builder{Force: force}.Build())
+		return printMessage(w, operatorpb.StatusReply_builder{Force: entries}.Build())
 	}
 	fmt.Fprintf(w, "lists %d accepted at revision %d\n", reply.GetLists(), reply.GetRevision())
-	return printForce(w, force, reply.GetRevision())
+	return printInForce(w, entries, reply.GetRevision())
 }
 
 func isUncertain(err error) bool {
@@ -115,7 +115,7 @@
 	return errors.As(err, &refused) && refused.Status == http.StatusGatewayTimeout
 }
 
-// waitInForce asks until every entry has the revision, or the wait is over.
+// waitInForce polls the entries until each has the revision, or the wait is over.
 func waitInForce(client *operator.Client, revision uint64, wait time.Duration) ([]*operatorpb.Force, int) {
 	deadline := time.Now().Add(wait)
 	for {
@@ -127,39 +127,39 @@
 		if missing == 0 || time.Now().After(deadline) {
 			return reply.GetProcesses(), missing
 		}
-		time.Sleep(forcePause)
+		time.Sleep(inForcePollInterval)
 	}
 }
 
-func countMissing(force []*operatorpb.Force, revision uint64) int {
+func countMissing(entries []*operatorpb.Force, revision uint64) int {
 	missing := 0
-	for _, one := range force {
-		if one.GetRevision() < revision {
+	for _, entry := range entries {
+		if entry.GetRevision() < revision {
 			missing++
 		}
 	}
 	return missing
 }
 
-func printForce(w io.Writer, force []*operatorpb.Force, revision uint64) error {
+func printInForce(w io.Writer, entries []*operatorpb.Force, revision uint64) error {
 	var rows []row
-	for _, one := range force {
+	for _, entry := range entries {
 		state := "in force"
-		if one.GetRevision() < revision {
+		if entry.GetRevision() < revision {
 			state = "not yet"
 		}
-		if one.GetProblem() != "" {
-			state = "no answer: " + one.GetProblem()
+		if entry.GetProblem() != "" {
+			state = "no answer: " + entry.GetProblem()
 		}
-		rows = append(rows, row{one.GetProcess(), one.GetZone(), strconv.FormatUint(one.GetRevision(), 10), state})
+		rows = append(rows, row{entry.GetProcess(), entry.GetZone(), strconv.FormatUint(entry.GetRevision(), 10), state})
 	}
 	return printTable(w, row{"ENTRY", "ZONE", "REVISION", "STATE"}, rows)
 }
 
-func printStale(w io.Writer, problem *operatorpb.Problem, wanted *listpb.Config) {
-	present := problem.GetPresent()
-	fmt.Fprintf(w, "lists %d (revision %d) are accepted now; your files differ from them by:\n", present.GetLists(), problem.GetRevision())
-	for _, one := range lists.Diff(present, wanted) {
-		fmt.Fprintln(w, one)
+func printConflict(w io.Writer, problem *operatorpb.Problem, wanted *listpb.Config) {
+	current := problem.GetPresent()
+	fmt.Fprintf(w, "lists %d (revision %d) are accepted now; your files differ from them by:\n", current.GetLists(), problem.GetRevision())
+	for _, change := range lists.Diff(current, wanted) {
+		fmt.Fprintln(w, change)
 	}
 }
--- a/internal/cmd/configcmd.go
+++ b/internal/cmd/configcmd.go
@@ -39,13 +39,13 @@
 }
 
 // Run prints each fault with file, section and key.
-func (c *configCheckCmd) Run(config *config) error {
-	read, err := c.read()
+func (c *configCheckCmd) Run(out *streams) error {
+	checked, err := c.read()
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(config.stdout, "no faults: %d accounts, %d plans, %d pools\n",
-		len(read.GetAccounts()), len(read.GetPlans()), len(read.GetPools()))
+	fmt.Fprintf(out.stdout, "no faults: %d accounts, %d plans, %d pools\n",
+		len(checked.GetAccounts()), len(checked.GetPlans()), len(checked.GetPools()))
 	return nil
 }
 
@@ -61,14 +61,14 @@
 	return "Example:\n  bramleyhatch config diff --entry 10.0.0.1:8080"
 }
 
-// difference is what config diff prints as JSON.
+// difference is the JSON output of config diff.
 type difference struct {
 	Base        uint64             `json:"base"`
 	Differences []lists.Difference `json:"differences"`
 }
 
 // Run prints the differences and the number to give as --base.
-func (c *configDiffCmd) Run(config *config) error {
+func (c *configDiffCmd) Run(out *streams) error {
 	wanted, err := c.read()
 	if err != nil {
 		return err
@@ -77,19 +77,19 @@
 	if err != nil {
 		return err
 	}
-	present, err := client.Config(context.Background())
+	current, err := client.Config(context.Background())
 	if err != nil {
 		return err
 	}
-	found := lists.Diff(present.GetConfig(), wanted)
-	base := present.GetConfig().GetLists()
+	changes := lists.Diff(current.GetConfig(), wanted)
+	base := current.GetConfig().GetLists()
 	if c.isJSON() {
-		return printJSON(config.stdout, difference{Base: base, Differences: found})
+		return printJSON(out.stdout, difference{Base: base, Differences: changes})
 	}
-	for _, one := range found {
-		fmt.Fprintln(config.stdout, one)
+	for _, change := range changes {
+		fmt.Fprintln(out.stdout, change)
 	}
-	fmt.Fprintf(config.stdout, "%d differences to lists %d; apply with --base %d\n", len(found), base, base)
+	fmt.Fprintf(out.stdout, "%d differences to lists %d; apply with --base %d\n", len(changes), base, base)
 	return nil
 }
 
@@ -106,7 +106,7 @@
 }
 
 // Run prints the lists, or writes them to files.
-func (c *configShowCmd) Run(config *config) error {
+func (c *configShowCmd) Run(out *streams) error {
 	client, err := c.client()
 	if err != nil {
 		return err
@@ -120,13 +120,13 @@
 		if err := lists.WriteFiles(c.Write, accepted); err != nil {
 			return err
 		}
-		fmt.Fprintf(config.stdout, "wrote lists %d; apply with --base %d\n", accepted.GetLists(), accepted.GetLists())
+		fmt.Fprintf(out.stdout, "wrote lists %d; apply with --base %d\n", accepted.GetLists(), accepted.GetLists())
 		return nil
 	}
 	if c.isJSON() {
-		return printMessage(config.stdout, reply)
+		return printMessage(out.stdout, reply)
 	}
-	fmt.Fprintf(config.stdout, "# lists %d, revision %d\n\n%s\n%s",
+	fmt.Fprintf(out.stdout, "# lists %d, revision %d\n\n%s\n%s",
 		accepted.GetLists(), reply.GetRevision(), lists.FormatAccounts(accepted), lists.FormatPlans(accepted))
 	return nil
 }
@@ -143,7 +143,7 @@
 }
 
 // Run prints the newest changes, oldest first.
-func (c *configHistoryCmd) Run(config *config) error {
+func (c *configHistoryCmd) Run(out *streams) error {
 	client, err := c.client()
 	if err != nil {
 		return err
@@ -154,12 +154,12 @@
 	}
 	changes := reply.GetConfig().GetChanges()
 	if c.isJSON() {
-		return printMessage(config.stdout, listpb.Config_builder{Changes: changes}.Build())
+		return printMessage(out.stdout, listpb.Config_builder{Changes: changes}.Build())
 	}
 	var rows []row
 	for _, change := range changes {
 		number := strconv.FormatUint(change.GetLists(), 10)
 		rows = append(rows, row{formatTime(change.GetTime()), number, change.GetOperator(), change.GetSummary()})
 	}
-	return printTable(config.stdout, row{"TIME", "LISTS", "OPERATOR", "CHANGE"}, rows)
+	return printTable(out.stdout, row{"TIME", "LISTS", "OPERATOR", "CHANGE"}, rows)
 }
--- a/internal/cmd/draincmd.go
+++ b/internal/cmd/draincmd.go
@@ -10,11 +10,11 @@
 // drainCmd drains a backend server or an entry.
 type drainCmd struct {
 	entryFlags
-	Name   string `arg:"" help:"Backend server, or process."`
-	Resume bool   `help:"Take work again."`
+	Name   string `arg:"" help:"Name of a backend server or process."`
+	Resume bool   `help:"Accept new work again."`
 }
 
-// RefusedError says that a process refused what an operator asked.
+// RefusedError reports that a process refused an operator's request.
 type RefusedError struct {
 	Process string
 	Reason  string
@@ -28,8 +28,8 @@
 	return "Example:\n  bramleyhatch drain sampler-3\n  bramleyhatch drain sampler-3 --resume"
 }
 
-// Run tells the process.
-func (d *drainCmd) Run(c *config) error {
+// Run asks the process to drain, or to accept new work again.
+func (d *drainCmd) Run(out *streams) error {
 	request := operatorpb.DrainRequest_builder{Name: d.Name, Resume: d.Resume}.Build()
 	client, err := d.client()
 	if err != nil {
@@ -46,6 +46,6 @@
 	if d.Resume {
 		state = "takes work again"
 	}
-	fmt.Fprintf(c.stdout, "%s %s\n", reply.GetProcess(), state)
+	fmt.Fprintf(out.stdout, "%s %s\n", reply.GetProcess(), state)
 	return nil
 }
--- a/internal/cmd/entrycmd.go
+++ b/internal/cmd/entrycmd.go
@@ -16,8 +16,8 @@
 }
 
 // Run serves until SIGTERM or SIGINT, then drains.
-func (e *entryCmd) Run(c *config) error {
+func (e *entryCmd) Run(out *streams) error {
 	var loaded settingspb.Entry
 	process := &bramleyhatch.Entry{Settings: &loaded}
-	return runProcess(c, e.Settings, &loaded, process.Run)
+	return runProcess(out, e.Settings, &loaded, process.Run)
 }
--- a/internal/cmd/entryflags.go
+++ b/internal/cmd/entryflags.go
@@ -7,12 +7,12 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/secure"
 )
 
-// entryFlags name the entry that a command speaks to and the operator's token.
+// entryFlags name the entry that a command connects to and the operator's token.
 type entryFlags struct {
-	Entry     string        `required:"" env:"BRAMLEYHATCH_ENTRY" placeholder:"ADDRESS" help:"Callers' address of any entry."`
-	Token     string        `required:"" env:"BRAMLEYHATCH_TOKEN" help:"Operator's token; better given by the environment, since others can read arguments."`
+	Entry     string        `required:"" env:"BRAMLEYHATCH_ENTRY" placeholder:"ADDRESS" help:"Address on which any entry serves callers."`
+	Token     string        `required:"" env:"BRAMLEYHATCH_TOKEN" help:"Operator's token; prefer the environment variable, since other users can read arguments."`
 	Authority string        `type:"existingfile" env:"BRAMLEYHATCH_AUTHORITY" help:"PEM file of the authority that signed the entry's certificate for callers; the system's authorities if not given."`
-	Timeout   time.Duration `default:"15s" help:"Longest wait for an answer of the entry."`
+	Timeout   time.Duration `default:"15s" help:"Timeout of a request to the entry."`
 }
 
 func (f *entryFlags) client() (*operator.Client, error) {
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -19,8 +19,8 @@
 	return "Example:\n  bramleyhatch explain req-7f3a"
 }
 
-// Run prints the decisions, oldest first, and the processes that did not answer.
-func (e *explainCmd) Run(c *config) error {
+// Run prints the decisions, oldest first, and the processes that didn't answer.
+func (e *explainCmd) Run(out *streams) error {
 	client, err := e.client()
 	if err != nil {
 		return err
@@ -30,7 +30,7 @@
 		return err
 	}
 	if e.isJSON() {
-		return printMessage(c.stdout, reply)
+		return printMessage(out.stdout, reply)
 	}
 	var rows []row
 	for _, decision := range reply.GetDecisions() {
@@ -38,7 +38,7 @@
 		rows = append(rows, row{at, decision.GetProcess(), decision.GetPart(), decision.GetText()})
 	}
 	if len(reply.GetSilent()) > 0 {
-		fmt.Fprintf(c.stderr, "no answer from %s\n", strings.Join(reply.GetSilent(), ", "))
+		fmt.Fprintf(out.stderr, "no answer from %s\n", strings.Join(reply.GetSilent(), ", "))
 	}
-	return printTable(c.stdout, row{"TIME", "PROCESS", "PART", "DECISION"}, rows)
+	return printTable(out.stdout, row{"TIME", "PROCESS", "PART", "DECISION"}, rows)
 }
--- a/internal/cmd/gatewaycmd.go
+++ b/internal/cmd/gatewaycmd.go
@@ -16,8 +16,8 @@
 }
 
 // Run serves until SIGTERM or SIGINT, then drains.
-func (g *gatewayCmd) Run(c *config) error {
+func (g *gatewayCmd) Run(out *streams) error {
 	var loaded settingspb.Gateway
 	process := &bramleyhatch.Gateway{Settings: &loaded}
-	return runProcess(c, g.Settings, &loaded, process.Run)
+	return runProcess(out, g.Settings, &loaded, process.Run)
 }
--- a/internal/cmd/keepercmd.go
+++ b/internal/cmd/keepercmd.go
@@ -16,8 +16,8 @@
 }
 
 // Run serves until SIGTERM or SIGINT.
-func (k *keeperCmd) Run(c *config) error {
+func (k *keeperCmd) Run(out *streams) error {
 	var loaded settingspb.Keeper
 	process := &bramleyhatch.Keeper{Settings: &loaded}
-	return runProcess(c, k.Settings, &loaded, process.Run)
+	return runProcess(out, k.Settings, &loaded, process.Run)
 }
--- a/internal/cmd/keycmd.go
+++ b/internal/cmd/keycmd.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	keyPrefix  = "bh-"
-	shownHash  = 12
-	grantTries = 3
+	keyPrefix        = "bh-"
+	shownHashDigits  = 12
+	maxGrantAttempts = 3
 )
 
 // keyCmd groups the commands for keys.
 type keyCmd struct {
 	Grant    keyGrantCmd    `cmd:"" help:"Grant a new key to a client account and print it once."`
-	Withdraw keyWithdrawCmd `cmd:"" help:"Withdraw a key; also while the store is away."`
+	Withdraw keyWithdrawCmd `cmd:"" help:"Withdraw a key, even while the store is unavailable."`
 	List     keyListCmd     `cmd:"" help:"List keys by the start of their hashes."`
 }
 
@@ -35,19 +35,19 @@
 // Help gives an example.
 func (keyGrantCmd) Help() string {
 	return "Example:\n  bramleyhatch key grant saryarka-branches\n\n" +
-		"The key is made here and printed once. Only its hash is sent and stored."
+		"The key is generated locally and printed once. Only its hash is sent and stored."
 }
 
-// grantedKey is what key grant prints as JSON.
+// grantedKey is the JSON output of key grant.
 type grantedKey struct {
 	Account string `json:"account"`
 	Key     string `json:"key"`
 	Hash    string `json:"hash"`
 }
 
-// Run makes a random key and has its hash granted. A repeated grant of one hash
-// is the same grant, so a lost answer is asked for again.
-func (k *keyGrantCmd) Run(c *config) error {
+// Run generates a random key and has its hash granted. It retries if the outcome is
+// unknown: granting the same hash again is idempotent.
+func (k *keyGrantCmd) Run(out *streams) error {
 	key := keyPrefix + rand.Text()
 	request := operatorpb.GrantRequest_builder{Account: k.Account, Hash: lists.HashKey(key)}.Build()
 	client, err := k.client()
@@ -55,7 +55,7 @@
 		return err
 	}
 	var reply *operatorpb.ChangeReply
-	for range grantTries {
+	for range maxGrantAttempts {
 		reply, err = client.Grant(context.Background(), request)
 		if !isUncertain(err) {
 			break
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	if err := k.print(c, key, request.GetHash()); err != nil {
+	if err := k.print(out, key, request.GetHash()); err != nil {
 		return err
 	}
 	_, missing := waitInForce(client, reply.GetRevision(), k.Wait)
@@ -74,12 +74,12 @@
 	return nil
 }
 
-func (k *keyGrantCmd) print(c *config, key, hash string) error {
+func (k *keyGrantCmd) print(out *streams, key, hash string) error {
 	if k.isJSON() {
-		return printJSON(c.stdout, grantedKey{Account: k.Account, Key: key, Hash: hash})
+		return printJSON(out.stdout, grantedKey{Account: k.Account, Key: key, Hash: hash})
 	}
-	fmt.Fprintln(c.stdout, key)
-	fmt.Fprintf(c.stderr, "granted to %s; hash %s\n", k.Account, hash[:shownHash])
+	fmt.Fprintln(out.stdout, key)
+	fmt.Fprintf(out.stderr, "granted to %s; hash %s\n", k.Account, hash[:shownHashDigits])
 	return nil
 }
 
@@ -87,18 +87,18 @@
 type keyWithdrawCmd struct {
 	entryFlags
 	Hash string `arg:"" optional:"" help:"Hash of the key, or at least its first 8 digits."`
-	Key  string `env:"BRAMLEYHATCH_KEY" help:"The key itself, if its hash is not known; better given by the environment."`
+	Key  string `env:"BRAMLEYHATCH_KEY" help:"The key itself, if its hash is not known; prefer the environment variable."`
 }
 
 // Help gives an example.
 func (keyWithdrawCmd) Help() string {
 	return "Example:\n  bramleyhatch key withdraw 3f9a0c1122d4\n\n" +
-		"The key stops working at every entry within seconds, also while the store\n" +
-		"is away; the store is told afterwards."
+		"The key stops working at every entry within seconds, even while the store\n" +
+		"is unavailable; the withdrawal is stored afterwards."
 }
 
 // Run withdraws the key.
-func (k *keyWithdrawCmd) Run(c *config) error {
+func (k *keyWithdrawCmd) Run(out *streams) error {
 	hash := k.Hash
 	if k.Key != "" {
 		hash = lists.HashKey(k.Key)
@@ -115,10 +115,10 @@
 		return err
 	}
 	if reply.GetStored() {
-		fmt.Fprintf(c.stdout, "withdrawn; stored at revision %d\n", reply.GetRevision())
+		fmt.Fprintf(out.stdout, "withdrawn; stored at revision %d\n", reply.GetRevision())
 		return nil
 	}
-	fmt.Fprintln(c.stdout, "withdrawn; the store is away and is told once it answers")
+	fmt.Fprintln(out.stdout, "withdrawn; the store is unavailable, the withdrawal is stored once it answers")
 	return nil
 }
 
@@ -135,7 +135,7 @@
 }
 
 // Run prints account, hash, time and state of each key.
-func (k *keyListCmd) Run(c *config) error {
+func (k *keyListCmd) Run(out *streams) error {
 	client, err := k.client()
 	if err != nil {
 		return err
@@ -151,13 +151,13 @@
 		}
 	}
 	if k.isJSON() {
-		return printMessage(c.stdout, listpb.Config_builder{Keys: keys}.Build())
+		return printMessage(out.stdout, listpb.Config_builder{Keys: keys}.Build())
 	}
 	var rows []row
 	for _, key := range keys {
-		rows = append(rows, row{key.GetAccount(), key.GetHash()[:min(shownHash, len(key.GetHash()))], formatTime(key.GetTime()), keyState(key)})
+		rows = append(rows, row{key.GetAccount(), key.GetHash()[:min(shownHashDigits, len(key.GetHash()))], formatTime(key.GetTime()), keyState(key)})
 	}
-	return printTable(c.stdout, row{"ACCOUNT", "HASH", "GRANTED", "STATE"}, rows)
+	return printTable(out.stdout, row{"ACCOUNT", "HASH", "GRANTED", "STATE"}, rows)
 }
 
 func keyState(key *listpb.Key) string {
--- a/internal/cmd/output.go
+++ b/internal/cmd/output.go
@@ -40,7 +40,8 @@
 	return eris.Wrap(encoder.Encode(value), "print JSON")
 }
 
-// printMessage prints a message as JSON; json.Indent makes its spaces the same each time.
+// printMessage prints a message as JSON. protojson varies its white space; printJSON
+// indents it anew, so that the output is stable.
 func printMessage(w io.Writer, message proto.Message) error {
 	text, err := protojson.Marshal(message)
 	if err != nil {
--- a/internal/cmd/process.go
+++ b/internal/cmd/process.go
@@ -11,32 +11,32 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/settings"
 )
 
-// runProcess fills the settings from a file, leads the log to standard output
-// and runs a process until SIGTERM or SIGINT.
-func runProcess(c *config, file string, loaded proto.Message, run func(ctx context.Context) error) error {
+// runProcess loads the settings from a file, directs the log to standard output and
+// runs a process until SIGTERM or SIGINT.
+func runProcess(out *streams, file string, loaded proto.Message, run func(ctx context.Context) error) error {
 	if err := settings.Load(file, loaded); err != nil {
 		return err
 	}
-	stopLog, err := logging.Start(c.stdout)
+	stopLog, err := logging.Start(out.stdout)
 	if err != nil {
 		return err
 	}
 	defer stopLog()
-	limitGarbage()
+	setGCPercent()
 	ctx, end := stopContext()
 	defer end()
 	go watchSettings(ctx, file, loaded)
 	return run(ctx)
 }
 
-// garbagePercent is how far the heap may grow, in percent of what lives, before
-// it is collected. Hosts are billed for the memory of a process and less so for
-// its processor time, so garbage is collected sooner than the runtime's default.
-const garbagePercent = 40
+// gcPercent is the default for GOGC: how far the heap may grow before a garbage
+// collection, in percent of the live heap. It is below the runtime's default, since
+// hosts are billed more for the memory of a process than for its CPU time.
+const gcPercent = 40
 
-// limitGarbage sets garbagePercent, unless the operator has set the runtime's own variable.
-func limitGarbage() {
+// setGCPercent applies garbagePercent unless the operator has set GOGC.
+func setGCPercent() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(garbagePercent)
+		debug.SetGCPercent(gcPercent)
 	}
 }
--- a/internal/cmd/reload.go
+++ b/internal/cmd/reload.go
@@ -12,12 +12,12 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/settings"
 )
 
-// watchSettings reads the settings file anew on SIGHUP, until the context ends.
+// watchSettings checks the settings file on each SIGHUP until the context ends.
 //
-// A process that did not take the signal would be ended by it, with all its open
-// requests. Settings name addresses and lengths of leases that can't change under
-// a running process, so a changed file is checked and told, and is in force from
-// the next start; a file that can't be read changes nothing.
+// SIGHUP would otherwise terminate the process with all its open requests. Settings
+// hold addresses and lease durations that can't change while a process runs, so a
+// changed file is checked and logged, and applies from the next start; a file that
+// cannot be loaded changes nothing.
 func watchSettings(ctx context.Context, file string, inForce proto.Message) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -37,10 +37,10 @@
 	err := settings.Load(file, next)
 	switch {
 	case err != nil:
-		klog.ErrorS(err, "settings: the changed file can't be read, the ones in force stay", "file", file)
+		klog.ErrorS(err, "settings: cannot load the changed file; the settings in force stay", "file", file)
 	case proto.Equal(next, inForce):
-		klog.InfoS("settings: read anew, nothing has changed", "file", file)
+		klog.InfoS("settings: checked, nothing has changed", "file", file)
 	default:
-		klog.InfoS("settings: read anew, the changes are in force from the next start", "file", file)
+		klog.InfoS("settings: checked, the changes apply from the next start", "file", file)
 	}
 }
--- a/internal/cmd/settingscmd.go
+++ b/internal/cmd/settingscmd.go
@@ -12,7 +12,7 @@
 // settingsCmd groups the commands for settings files.
 type settingsCmd struct {
 	Check     settingsCheckCmd     `cmd:"" help:"Check a settings file without running anything."`
-	Reference settingsReferenceCmd `cmd:"" help:"Print the page of all settings."`
+	Reference settingsReferenceCmd `cmd:"" help:"Print the reference page of all settings."`
 }
 
 // settingsCheckCmd checks one settings file.
@@ -27,7 +27,7 @@
 }
 
 // Run prints each fault with file, section and key.
-func (s *settingsCheckCmd) Run(c *config) error {
+func (s *settingsCheckCmd) Run(out *streams) error {
 	message := map[string]proto.Message{
 		"entry":   &settingspb.Entry{},
 		"sidecar": &settingspb.Sidecar{},
@@ -37,7 +37,7 @@
 	if err := settings.Load(s.File, message); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.stdout, "%s: no faults\n", s.File)
+	fmt.Fprintf(out.stdout, "%s: no faults\n", s.File)
 	return nil
 }
 
@@ -50,11 +50,11 @@
 }
 
 // Run prints the page in Markdown.
-func (settingsReferenceCmd) Run(c *config) error {
-	fmt.Fprint(c.stdout, "# Settings\n\nGenerated from the schema by `bramleyhatch settings reference`.\n\n")
-	fmt.Fprint(c.stdout, settings.Reference("Entry", &settingspb.Entry{}))
-	fmt.Fprint(c.stdout, "\n"+settings.Reference("Sidecar", &settingspb.Sidecar{}))
-	fmt.Fprint(c.stdout, "\n"+settings.Reference("Gateway", &settingspb.Gateway{}))
-	fmt.Fprint(c.stdout, "\n"+settings.Reference("Keeper", &settingspb.Keeper{}))
+func (settingsReferenceCmd) Run(out *streams) error {
+	fmt.Fprint(out.stdout, "# Settings\n\nGenerated from the schema by `bramleyhatch settings reference`.\n\n")
+	fmt.Fprint(out.stdout, settings.Reference("Entry", &settingspb.Entry{}))
+	fmt.Fprint(out.stdout, "\n"+settings.Reference("Sidecar", &settingspb.Sidecar{}))
+	fmt.Fprint(out.stdout, "\n"+settings.Reference("Gateway", &settingspb.Gateway{}))
+	fmt.Fprint(out.stdout, "\n"+settings.Reference("Keeper", &settingspb.Keeper{}))
 	return nil
 }
--- a/internal/cmd/sidecarcmd.go
+++ b/internal/cmd/sidecarcmd.go
@@ -16,8 +16,8 @@
 }
 
 // Run serves until SIGTERM or SIGINT, then drains.
-func (s *sidecarCmd) Run(c *config) error {
+func (s *sidecarCmd) Run(out *streams) error {
 	var loaded settingspb.Sidecar
 	process := &bramleyhatch.Sidecar{Settings: &loaded}
-	return runProcess(c, s.Settings, &loaded, process.Run)
+	return runProcess(out, s.Settings, &loaded, process.Run)
 }
--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -13,7 +13,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// statusCmd shows what an entry knows of the system.
+// statusCmd shows the state of the system as an entry knows it.
 type statusCmd struct {
 	entryFlags
 	outputFlag
@@ -25,7 +25,7 @@
 }
 
 // Run prints processes, revisions in force and holders of duties.
-func (s *statusCmd) Run(c *config) error {
+func (s *statusCmd) Run(out *streams) error {
 	client, err := s.client()
 	if err != nil {
 		return err
@@ -35,9 +35,9 @@
 		return err
 	}
 	if s.isJSON() {
-		return printMessage(c.stdout, reply)
+		return printMessage(out.stdout, reply)
 	}
-	return printStatus(c.stdout, reply)
+	return printStatus(out.stdout, reply)
 }
 
 func printStatus(w io.Writer, reply *operatorpb.StatusReply) error {
@@ -54,7 +54,7 @@
 		return err
 	}
 	fmt.Fprintln(w)
-	if err := printForce(w, reply.GetForce(), newest(reply.GetForce())); err != nil {
+	if err := printInForce(w, reply.GetForce(), newestRevision(reply.GetForce())); err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
@@ -74,8 +74,8 @@
 	return row{
 		process.GetRegion() + "/" + process.GetZone(),
 		process.GetName(),
-		plainName(process.GetRole().String(), "ROLE_"),
-		plainName(process.GetState().String(), "STATE_"),
+		enumName(process.GetRole().String(), "ROLE_"),
+		enumName(process.GetState().String(), "STATE_"),
 		stateReason(process),
 		process.GetServer(),
 		process.GetPool(),
@@ -83,15 +83,15 @@
 	}
 }
 
-// stateReason says why a process is in its state.
+// stateReason returns why a process is in its state.
 func stateReason(process *peerpb.Process) string {
 	switch process.GetState() {
 	case peerpb.State_STATE_SUSPECT:
-		return "gives no answer"
+		return "does not answer"
 	case peerpb.State_STATE_FAILED:
-		return "gave no answer until " + formatTime(process.GetEnded())
+		return "did not answer by " + formatTime(process.GetEnded())
 	case peerpb.State_STATE_LEFT:
-		return "stopped in good order at " + formatTime(process.GetEnded())
+		return "shut down cleanly at " + formatTime(process.GetEnded())
 	case peerpb.State_STATE_DRAINING:
 		return "asked to drain"
 	default:
@@ -108,14 +108,14 @@
 	return printTable(w, row{"ZONE", "SERVER", "POOL", "STATE", "SINCE"}, rows)
 }
 
-func plainName(name, prefix string) string {
+func enumName(name, prefix string) string {
 	return strings.ToLower(strings.TrimPrefix(name, prefix))
 }
 
-func newest(force []*operatorpb.Force) uint64 {
+func newestRevision(entries []*operatorpb.Force) uint64 {
 	var revision uint64
-	for _, one := range force {
-		revision = max(revision, one.GetRevision())
+	for _, entry := range entries {
+		revision = max(revision, entry.GetRevision())
 	}
 	return revision
 }
--- a/internal/cmd/stop.go
+++ b/internal/cmd/stop.go
@@ -8,10 +8,10 @@
 
 // stopContext returns a context that ends with SIGTERM or SIGINT.
 //
-// Whoever stops a process may say so again while it drains. Were the signals'
-// default restored at the end, a repeated SIGTERM between that moment and the
-// exit would kill the process, and its good end would be reported as a failure.
-// So from then on they are ignored.
+// A supervisor may repeat its signal while the process drains. If end restored the
+// signals' default action, a SIGTERM between that moment and the exit would kill the
+// process, and its clean shutdown would be reported as a failure. So end makes the
+// process ignore both signals.
 func stopContext() (ctx context.Context, end func()) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	return ctx, func() {
--- a/internal/cmd/usagecmd.go
+++ b/internal/cmd/usagecmd.go
@@ -13,7 +13,7 @@
 type usageCmd struct {
 	entryFlags
 	outputFlag
-	Window string `help:"Start of a window, seconds since 1970 UTC or as 2026-01-31T12:00:00Z; none shows all windows."`
+	Window string `help:"Start of a window, in seconds since 1970 UTC or as 2026-01-31T12:00:00Z; all windows if not given."`
 }
 
 // Help gives an example.
@@ -21,8 +21,8 @@
 	return "Example:\n  bramleyhatch usage --entry 10.0.0.1:8080 --window 2026-01-31T12:00:00Z --output json"
 }
 
-// Run prints the figures that the store holds, which are those that are reported.
-func (u *usageCmd) Run(c *config) error {
+// Run prints the figures in the store, which are the reported ones.
+func (u *usageCmd) Run(out *streams) error {
 	start, err := parseWindow(u.Window)
 	if err != nil {
 		return err
@@ -36,9 +36,9 @@
 		return err
 	}
 	if u.isJSON() {
-		return printMessage(c.stdout, reply)
+		return printMessage(out.stdout, reply)
 	}
-	return printTable(c.stdout,
+	return printTable(out.stdout,
 		row{"WINDOW", "STATE", "ACCOUNT", "POOL", "REQUESTS", "PROMPT", "OUTPUT", "LATE FROM"}, usageRows(reply))
 }
 
