--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,8 +1,7 @@
-// Package client speaks to bramleyhatch for callers and trainers.
+// Package client is the Go client of bramleyhatch for callers and trainers.
 //
-// It never repeats a request by itself: a *RefusedError says whether the request
-// ran, and a caller decides. A posting that carries an idempotency key may be
-// sent again with the same key.
+// It never retries a request: a *RefusedError says whether the request ran, and the
+// caller decides. A POST with an idempotency key may be sent again with the same key.
 package client
 
 import (
@@ -18,21 +17,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxAnswerBytes bounds an answer that is read whole.
+// maxAnswerBytes bounds a response, which is read into memory as a whole.
 const maxAnswerBytes = 64 << 20
 
-// Outcome is what is known of a request that was not answered.
+// Outcome says whether a refused request ran.
 type Outcome string
 
 // Outcomes that a refusal names.
 const (
-	// NotRun is proved: the request may be sent again.
+	// NotRun means that the request certainly didn't run and may be sent again.
 	NotRun Outcome = "not-run"
 	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
 )
 
-// RefusedError says that a request was not answered.
+// RefusedError reports that a request was refused.
 type RefusedError struct {
 	// Status is the HTTP status.
 	Status int
@@ -40,7 +39,7 @@
 	Code    string
 	Message string
 	Outcome Outcome
-	// Retry is when to come back; 0 if the system didn't say.
+	// Retry is how long to wait before a retry; 0 if the response has no Retry-After.
 	Retry time.Duration
 }
 
@@ -49,14 +48,14 @@
 	return fmt.Sprintf("refused with status %d, %s: %s (%s)", e.Status, e.Code, e.Message, e.Outcome)
 }
 
-// Client speaks to one entry, or to the balancer before several.
+// Client sends requests to one entry, or to the load balancer in front of several.
 // Exported fields are set before the first call.
 type Client struct {
 	// Address is the base URL.
 	Address string
 	// Key is the client account's key.
 	Key string
-	// HTTP sends the requests; nil takes http.DefaultClient.
+	// HTTP sends the requests; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
@@ -66,8 +65,8 @@
 	Content string `json:"content"`
 }
 
-// Chat asks a model to go on with a chat and returns its whole answer.
-// Tokens bounds the answer; 0 leaves it to the model engine.
+// Chat asks a model to continue a chat and returns its complete answer. Tokens
+// bounds the answer; 0 leaves the bound to the model engine.
 func (c *Client) Chat(ctx context.Context, model string, messages []Message, tokens int) (string, error) {
 	request := map[string]any{"model": model, "messages": messages}
 	if tokens > 0 {
@@ -82,19 +81,18 @@
 		return "", err
 	}
 	if len(reply.Choices) == 0 {
-		return "", eris.New("chat: the answer has no choice")
+		return "", eris.New("chat: the response has no choices")
 	}
 	return reply.Choices[0].Message.Content, nil
 }
 
-// Get reads from a plain service; path is below the service's own prefix.
+// Get reads from a plain service; path is relative to the service's prefix.
 func (c *Client) Get(ctx context.Context, service, path string, reply any) error {
 	return c.call(ctx, http.MethodGet, "/services/"+service+path, "", nil, reply)
 }
 
-// Post sends a request to a plain service. It runs at most once for an
-// idempotency key, however often it is sent; an empty key runs at most once for
-// each call.
+// Post sends a request to a plain service. The request runs at most once per
+// idempotency key, however often it is sent; without a key, at most once per call.
 func (c *Client) Post(ctx context.Context, service, path, idempotencyKey string, body, reply any) error {
 	return c.call(ctx, http.MethodPost, "/services/"+service+path, idempotencyKey, body, reply)
 }
@@ -115,15 +113,15 @@
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return eris.Wrapf(err, "read answer of %s %s", method, path)
+		return eris.Wrapf(err, "read response to %s %s", method, path)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return refused(response, text)
+		return newRefusedError(response, text)
 	}
 	if reply == nil {
 		return nil
 	}
-	return eris.Wrapf(json.Unmarshal(text, reply), "answer of %s %s", method, path)
+	return eris.Wrapf(json.Unmarshal(text, reply), "parse response to %s %s", method, path)
 }
 
 func (c *Client) request(ctx context.Context, method, path, idempotencyKey string, body any) (*http.Request, error) {
@@ -149,7 +147,7 @@
 	return request, nil
 }
 
-func refused(response *http.Response, text []byte) error {
+func newRefusedError(response *http.Response, text []byte) error {
 	var body struct {
 		Error struct {
 			Code    string  `json:"code"`
--- a/pkg/client/trainer.go
+++ b/pkg/client/trainer.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// Trainer speaks for one trainer of the client account.
-// Exported fields are set before the first call. Each call may be repeated: a
-// step is opened once, and a pull of the same place gets the same samples.
+// Trainer sends the requests of one trainer of the client account.
+// Exported fields are set before the first call. All calls are idempotent: a step
+// is opened once, and a pull from the same place returns the same samples.
 type Trainer struct {
 	Client
-	// Name of the trainer, as in the plan.
+	// Name is the trainer's name in the plan.
 	Name string
 
-	// newest is the newest version announced here.
+	// newest is the newest version announced through this Trainer.
 	newest atomic.Uint64
 }
 
-// Group is the samples wanted of one prompt.
+// Group requests samples of one prompt.
 type Group struct {
 	Prompt  string `json:"prompt"`
 	Samples int    `json:"samples"`
 }
 
-// Step is what a trainer wants generated.
+// Step requests the samples of one training step.
 type Step struct {
 	Number uint64 `json:"step"`
 	Model  string `json:"model"`
-	// Staleness is how many versions a sample may lag behind the newest announced.
+	// Staleness is how many versions a sample may lag behind the newest announced one.
 	Staleness   uint64  `json:"staleness"`
 	MaxTokens   int     `json:"max_tokens"`
 	Temperature float64 `json:"temperature"`
@@ -41,7 +41,7 @@
 
 // Sample is one finished rollout.
 type Sample struct {
-	// Place in the trainer's stream.
+	// Place is the position in the trainer's stream.
 	Place    uint64    `json:"place"`
 	Step     uint64    `json:"step"`
 	Slot     uint32    `json:"slot"`
@@ -50,7 +50,7 @@
 	Text     string    `json:"text"`
 	Tokens   []int32   `json:"tokens"`
 	Logprobs []float32 `json:"logprobs"`
-	// Versions cover all tokens, in order.
+	// Versions covers all tokens, in order.
 	Versions []Range `json:"versions"`
 	Finish   string  `json:"finish"`
 	Score    float64 `json:"score"`
@@ -63,19 +63,19 @@
 	Version uint64 `json:"version"`
 }
 
-// Pulled is the answer of a pull.
+// Pulled is the result of Trainer.Pull.
 type Pulled struct {
 	Samples []Sample `json:"samples"`
-	// Next is the place to pull from next, which acknowledges all before it.
+	// Next is the place of the next pull, which acknowledges all samples before it.
 	Next uint64 `json:"next"`
-	// Done is true once all samples of the step were handed over.
+	// Done is true once all samples of the step are delivered.
 	Done bool `json:"done"`
 }
 
-// Announce tells that a weight version is in the weight store. Later pulls name
-// it, so that a process which hasn't heard of it hands over no sample too old.
+// Announce reports that a weight version is in the weight store. Later pulls send the
+// version, so that a process which doesn't know it yet delivers no sample too old.
 func (t *Trainer) Announce(ctx context.Context, model string, version uint64) error {
-	t.raise(version)
+	t.raiseNewest(version)
 	body := map[string]any{"model": model, "version": version}
 	return t.call(ctx, http.MethodPost, t.path("weights"), "", body, nil)
 }
@@ -89,12 +89,12 @@
 	return reply.Place, err
 }
 
-// Pull returns up to most samples from a place on, waiting up to wait for the
+// Pull returns up to limit samples from a place on, waiting up to wait for the
 // first. It acknowledges all samples before the place.
-func (t *Trainer) Pull(ctx context.Context, place uint64, most int, wait time.Duration) (Pulled, error) {
+func (t *Trainer) Pull(ctx context.Context, place uint64, limit int, wait time.Duration) (Pulled, error) {
 	query := url.Values{
 		"place": {strconv.FormatUint(place, 10)},
-		"max":   {strconv.Itoa(most)},
+		"max":   {strconv.Itoa(limit)},
 		"wait":  {wait.String()},
 	}
 	if newest := t.newest.Load(); newest > 0 {
@@ -105,7 +105,7 @@
 	return pulled, err
 }
 
-func (t *Trainer) raise(version uint64) {
+func (t *Trainer) raiseNewest(version uint64) {
 	for known := t.newest.Load(); known < version; known = t.newest.Load() {
 		if t.newest.CompareAndSwap(known, version) {
 			return
--- a/pkg/client/trainer_test.go
+++ b/pkg/client/trainer_test.go
@@ -10,8 +10,8 @@
 	"github.com/bramleyhatch/bramleyhatch/pkg/client"
 )
 
-// A trainer announces new weights and pulls at once, through a process that has
-// not heard of them. Without the version in the pull it hands over old samples.
+// Guards against stale samples: a trainer announces new weights and pulls at once,
+// through a process that doesn't know them yet. The pull must send the version.
 func TestPullNamesVersion(t *testing.T) {
 	var versions []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
