--- a/internal/bramleyhatch/entryduties.go
+++ b/internal/bramleyhatch/entryduties.go
@@ -25,7 +25,7 @@
 
 // addLedger adds the copies of usage counters that this entry holds for other
 // processes. It pushes them to its peers when it stops, since the processes that
-// they came from may be gone.
+// they came from may have exited.
 func (e *Entry) addLedger() {
 	settings := e.Settings.GetUsage()
 	e.ledger = &usage.Ledger{}
--- a/internal/bramleyhatch/gateway.go
+++ b/internal/bramleyhatch/gateway.go
@@ -323,7 +323,8 @@
 	})
 }
 
-// addReadiness adds the load balancer's readiness check and the metrics, each on an address of its own.
+// addReadiness adds the load balancer's readiness check and the metrics, each on its
+// own address.
 func (g *Gateway) addReadiness() {
 	ready := rest.Route{Method: http.MethodGet, Path: platform.PathReady, Handler: g.answerReady}
 	g.addListener("ready", g.Settings.GetFront().GetReady(), ready)
--- a/internal/cmd/draincmd.go
+++ b/internal/cmd/draincmd.go
@@ -44,7 +44,7 @@
 	}
 	state := "drains"
 	if d.Resume {
-		state = "takes work again"
+		state = "accepts new work again"
 	}
 	fmt.Fprintf(out.stdout, "%s %s\n", reply.GetProcess(), state)
 	return nil
--- a/internal/cmd/process.go
+++ b/internal/cmd/process.go
@@ -34,7 +34,7 @@
 // hosts are billed more for the memory of a process than for its CPU time.
 const gcPercent = 40
 
-// setGCPercent applies garbagePercent unless the operator has set GOGC.
+// setGCPercent applies gcPercent unless the operator has set GOGC.
 func setGCPercent() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
