--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -9,41 +9,41 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/fair"
 )
 
-// Sizes of the fairness experiment: one engine, eight client accounts of equal weight.
+// Parameters of the fairness experiment: one engine, eight client accounts of equal weight.
 const (
-	fairnessLength  = 600.0 // seconds
-	fairnessSlots   = 16
-	fairnessSpeed   = 50.0 // tokens a second in a slot
-	fairnessQueue   = 256
-	fairnessSmall   = 6
-	fairnessPatient = 120.0 // seconds that a request may wait
+	fairnessDuration      = 600.0 // seconds
+	fairnessSlots         = 16
+	fairnessTokenRate     = 50.0 // tokens a second in a slot
+	fairnessQueueSize     = 256
+	fairnessSmallAccounts = 6
+	fairnessTimeout       = 120.0 // seconds that a request may wait in the queue
 
 	accountGreedy = 0
 	accountBursty = 1
-	accountCount  = 2 + fairnessSmall
+	accountCount  = 2 + fairnessSmallAccounts
 )
 
 // job is one request of the experiment.
 type job struct {
 	account int
-	// declared is the expected cost, actual what it turns out to be, in tokens.
-	declared float64
-	actual   float64
-	arrival  float64
+	// estimatedCost is known on arrival, actualCost once the job has ended; both in tokens.
+	estimatedCost float64
+	actualCost    float64
+	arrival       float64
 }
 
-// discipline is the order in which a queue is served.
+// discipline decides the order in which queued jobs run.
 type discipline interface {
-	// push adds a job and returns those that are refused.
+	// push adds a job and returns the jobs refused because of it.
 	push(job job, now float64) []job
-	// pop returns the next job, and those that were given up before it.
+	// pop returns the next job to run and the jobs whose wait timed out before it.
 	pop(now float64) (next *job, refused []job)
-	// settle tells the true cost of a job that has ended.
+	// settle charges the actual cost of a job that has ended.
 	settle(job job)
 }
 
 // Fairness compares weighted fair queueing at a sidecar with first come first
-// served and with strict priority, for a greedy account, a bursty one and six small ones.
+// served and with strict priority, for a greedy, a bursty and six small accounts.
 func Fairness() Experiment {
 	return Experiment{Name: "fairness", Run: runFairness}
 }
@@ -55,9 +55,9 @@
 		queue discipline
 	}{
 		{"weighted fair queueing", newFairDiscipline()},
-		{"first come first served", &fifo{}},
-		{"strict priority, large first", &priority{rank: func(account int) int { return account }}},
-		{"strict priority, small first", &priority{rank: func(account int) int { return -account }}},
+		{"first come first served", &fifoDiscipline{}},
+		{"strict priority, large first", &priorityDiscipline{rank: func(account int) int { return account }}},
+		{"strict priority, small first", &priorityDiscipline{rank: func(account int) int { return -account }}},
 	}
 	var results []Result
 	for _, policy := range policies {
@@ -68,19 +68,19 @@
 	return results
 }
 
-// fairnessJobs returns the arrivals in order: the greedy account asks for twice
-// the capacity, the bursty one for half of it in bursts of 80, each small one
-// for a third of its share. Answers end before the length that was declared.
+// fairnessJobs returns the jobs in order of arrival: the greedy account offers
+// twice the capacity, the bursty one half of it in bursts of 80, each small one
+// a third of its share. Jobs cost less than estimated.
 func fairnessJobs(random *rand.Rand) []job {
 	var jobs []job
 	add := func(account int, at float64) {
-		declared := 100 + 300*random.Float64()
-		jobs = append(jobs, job{account: account, declared: declared, actual: declared * (0.3 + 0.7*random.Float64()), arrival: at})
+		estimated := 100 + 300*random.Float64()
+		jobs = append(jobs, job{account: account, estimatedCost: estimated, actualCost: estimated * (0.3 + 0.7*random.Float64()), arrival: at})
 	}
-	capacity := fairnessSlots * fairnessSpeed
+	capacity := fairnessSlots * fairnessTokenRate
 	mean := 250 * 0.65
 	poisson := func(account int, rate float64, count int) {
-		for at := random.ExpFloat64() / rate; at < fairnessLength; at += random.ExpFloat64() / rate {
+		for at := random.ExpFloat64() / rate; at < fairnessDuration; at += random.ExpFloat64() / rate {
 			for range count {
 				add(account, at)
 			}
@@ -88,17 +88,17 @@
 	}
 	poisson(accountGreedy, 2*capacity/mean, 1)
 	poisson(accountBursty, capacity/mean/2/80, 80)
-	for i := range fairnessSmall {
+	for i := range fairnessSmallAccounts {
 		poisson(2+i, capacity/accountCount/mean/3, 1)
 	}
 	slices.SortStableFunc(jobs, func(a, b job) int { return compareFloat(a.arrival, b.arrival) })
 	return jobs
 }
 
-// fairnessRun serves jobs by one discipline.
+// fairnessRun simulates one queueing discipline.
 type fairnessRun struct {
 	queue   discipline
-	running endings
+	running completions
 	served  [accountCount]float64
 	refused [accountCount]int
 	waits   [accountCount][]float64
@@ -107,87 +107,87 @@
 func (r *fairnessRun) serve(jobs []job) {
 	for _, job := range jobs {
 		r.advance(job.arrival)
-		r.refuse(r.queue.push(job, job.arrival))
-		r.fill(job.arrival)
+		r.countRefused(r.queue.push(job, job.arrival))
+		r.startQueued(job.arrival)
 	}
-	r.advance(fairnessLength)
+	r.advance(fairnessDuration)
 }
 
-// advance ends what ends before now and starts what waits.
+// advance completes the jobs that end by now and starts queued ones in their place.
 func (r *fairnessRun) advance(now float64) {
 	for len(r.running) > 0 && r.running[0].at <= now {
-		ended, ok := heap.Pop(&r.running).(ending)
+		ended, ok := heap.Pop(&r.running).(completion)
 		if !ok {
 			return
 		}
-		r.served[ended.job.account] += ended.job.actual
+		r.served[ended.job.account] += ended.job.actualCost
 		r.queue.settle(ended.job)
-		r.fill(ended.at)
+		r.startQueued(ended.at)
 	}
 }
 
-func (r *fairnessRun) fill(now float64) {
+func (r *fairnessRun) startQueued(now float64) {
 	for len(r.running) < fairnessSlots {
 		next, refused := r.queue.pop(now)
-		r.refuse(refused)
+		r.countRefused(refused)
 		if next == nil {
 			return
 		}
 		r.waits[next.account] = append(r.waits[next.account], now-next.arrival)
-		heap.Push(&r.running, ending{job: *next, at: now + next.actual/fairnessSpeed})
+		heap.Push(&r.running, completion{job: *next, at: now + next.actualCost/fairnessTokenRate})
 	}
 }
 
-func (r *fairnessRun) refuse(jobs []job) {
+func (r *fairnessRun) countRefused(jobs []job) {
 	for _, job := range jobs {
 		r.refused[job.account]++
 	}
 }
 
-// figures are those of the worst account: its served share of what is due to
-// it, and the worst waits; the greedy account's own wait counts for nothing,
-// since it asks for more than there is.
+// figures returns the smallest share of its max-min fair share that an account got,
+// and the worst waits and refusals. The wait of the greedy account is left out, since
+// it asks for more than the capacity.
 func (r *fairnessRun) figures(jobs []job) []Figure {
-	var asked [accountCount]float64
+	var demand [accountCount]float64
 	var sent [accountCount]int
 	for _, job := range jobs {
-		asked[job.account] += job.actual
+		demand[job.account] += job.actualCost
 		sent[job.account]++
 	}
-	due := dueShares(asked[:], fairnessLength*fairnessSlots*fairnessSpeed)
-	least, total, wait, refused := 1.0, 0.0, 0.0, 0.0
+	due := maxMinShares(demand[:], fairnessDuration*fairnessSlots*fairnessTokenRate)
+	worstShare, total, maxWait, maxRefused := 1.0, 0.0, 0.0, 0.0
 	for account := range accountCount {
-		least = min(least, r.served[account]/due[account])
+		worstShare = min(worstShare, r.served[account]/due[account])
 		total += r.served[account]
 		if account >= 2 {
-			wait = max(wait, percentile(r.waits[account], 0.99))
-			refused = max(refused, float64(r.refused[account])/float64(sent[account]))
+			maxWait = max(maxWait, percentile(r.waits[account], 0.99))
+			maxRefused = max(maxRefused, float64(r.refused[account])/float64(sent[account]))
 		}
 	}
 	return []Figure{
-		{Name: "worst share of due", Value: least},
-		{Name: "worst small p99 wait s", Value: wait},
-		{Name: "worst small refused", Value: refused},
+		{Name: "worst share of due", Value: worstShare},
+		{Name: "worst small p99 wait s", Value: maxWait},
+		{Name: "worst small refused", Value: maxRefused},
 		{Name: "bursty p99 wait s", Value: percentile(r.waits[accountBursty], 0.99)},
-		{Name: "capacity used", Value: total / (fairnessLength * fairnessSlots * fairnessSpeed)},
+		{Name: "capacity used", Value: total / (fairnessDuration * fairnessSlots * fairnessTokenRate)},
 	}
 }
 
-// dueShares divides a capacity max-min fairly: who asks for less than an equal
-// share gets all of it, the others share what is left.
-func dueShares(asked []float64, capacity float64) []float64 {
-	due := make([]float64, len(asked))
-	order := make([]int, len(asked))
+// maxMinShares divides a capacity max-min fairly: an account that asks for less
+// than an equal share gets all it asks for, the others share the rest equally.
+func maxMinShares(demand []float64, capacity float64) []float64 {
+	shares := make([]float64, len(demand))
+	order := make([]int, len(demand))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(a, b int) int { return compareFloat(asked[a], asked[b]) })
+	slices.SortFunc(order, func(a, b int) int { return compareFloat(demand[a], demand[b]) })
 	for i, account := range order {
 		share := capacity / float64(len(order)-i)
-		due[account] = min(asked[account], share)
-		capacity -= due[account]
+		shares[account] = min(demand[account], share)
+		capacity -= shares[account]
 	}
-	return due
+	return shares
 }
 
 func compareFloat(a, b float64) int {
@@ -201,52 +201,52 @@
 	}
 }
 
-func percentile(values []float64, part float64) float64 {
+func percentile(values []float64, fraction float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return sorted[int(part*float64(len(sorted)-1))]
+	return sorted[int(fraction*float64(len(sorted)-1))]
 }
 
-// ending is a running job and when it ends.
-type ending struct {
+// completion is the end of a running job.
+type completion struct {
 	job job
 	at  float64
 }
 
-// endings is a heap of running jobs, the first to end first.
-type endings []ending
+// completions is a min-heap of running jobs by end time.
+type completions []completion
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (c completions) Len() int           { return len(c) }
+func (c completions) Less(i, j int) bool { return c[i].at < c[j].at }
+func (c completions) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
 
-// Push is called by container/heap.
-func (e *endings) Push(value any) {
-	if added, ok := value.(ending); ok {
-		*e = append(*e, added)
+// Push implements heap.Interface.
+func (c *completions) Push(value any) {
+	if added, ok := value.(completion); ok {
+		*c = append(*c, added)
 	}
 }
 
-// Pop is called by container/heap.
-func (e *endings) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+// Pop implements heap.Interface.
+func (c *completions) Pop() any {
+	last := (*c)[len(*c)-1]
+	*c = (*c)[:len(*c)-1]
 	return last
 }
 
-// fairDiscipline feeds the sidecar's own queue.
+// fairDiscipline uses the sidecar's weighted fair queue.
 type fairDiscipline struct {
 	queue fair.Queue[job]
 }
 
 func newFairDiscipline() *fairDiscipline {
-	return &fairDiscipline{queue: fair.Queue[job]{Size: fairnessQueue}}
+	return &fairDiscipline{queue: fair.Queue[job]{Size: fairnessQueueSize}}
 }
 
 func (d *fairDiscipline) push(added job, now float64) []job {
-	evicted, err := d.queue.Push(shareOf(added), added, clock(now))
+	evicted, err := d.queue.Push(queueRequest(added), added, timeAt(now))
 	switch {
 	case err != nil:
 		return []job{added}
@@ -258,52 +258,52 @@
 }
 
 func (d *fairDiscipline) pop(now float64) (next *job, refused []job) {
-	item, late := d.queue.Pop(clock(now))
-	for _, missed := range late {
-		refused = append(refused, missed.Value())
+	item, late := d.queue.Pop(timeAt(now))
+	for _, expired := range late {
+		refused = append(refused, expired.Value())
 	}
 	if item == nil {
 		return nil, refused
 	}
-	found := item.Value()
-	return &found, refused
+	value := item.Value()
+	return &value, refused
 }
 
 func (d *fairDiscipline) settle(job job) {
-	d.queue.Settle(shareOf(job), job.actual)
+	d.queue.Settle(queueRequest(job), job.actualCost)
 }
 
-func shareOf(job job) fair.Request {
+func queueRequest(job job) fair.Request {
 	return fair.Request{
 		Account:  string(rune('a' + job.account)),
 		Weight:   1,
-		Cost:     job.declared,
-		Deadline: clock(job.arrival + fairnessPatient),
+		Cost:     job.estimatedCost,
+		Deadline: timeAt(job.arrival + fairnessTimeout),
 	}
 }
 
-func clock(now float64) time.Time {
+func timeAt(now float64) time.Time {
 	return time.Unix(1_000_000, 0).Add(time.Duration(now * float64(time.Second)))
 }
 
-// fifo serves first what came first.
-type fifo struct {
+// fifoDiscipline serves jobs in order of arrival.
+type fifoDiscipline struct {
 	jobs []job
 }
 
-func (f *fifo) push(added job, _ float64) []job {
-	if len(f.jobs) >= fairnessQueue {
+func (f *fifoDiscipline) push(added job, _ float64) []job {
+	if len(f.jobs) >= fairnessQueueSize {
 		return []job{added}
 	}
 	f.jobs = append(f.jobs, added)
 	return nil
 }
 
-func (f *fifo) pop(now float64) (next *job, refused []job) {
+func (f *fifoDiscipline) pop(now float64) (next *job, refused []job) {
 	for len(f.jobs) > 0 {
 		first := f.jobs[0]
 		f.jobs = f.jobs[1:]
-		if now-first.arrival < fairnessPatient {
+		if now-first.arrival < fairnessTimeout {
 			return &first, refused
 		}
 		refused = append(refused, first)
@@ -311,17 +311,17 @@
 	return nil, refused
 }
 
-func (f *fifo) settle(job) {}
+func (f *fifoDiscipline) settle(job) {}
 
-// priority serves the account of the lowest rank first.
-type priority struct {
-	fifo
+// priorityDiscipline serves accounts in ascending order of rank.
+type priorityDiscipline struct {
+	fifoDiscipline
 
 	rank func(account int) int
 }
 
-func (p *priority) push(added job, now float64) []job {
-	refused := p.fifo.push(added, now)
+func (p *priorityDiscipline) push(added job, now float64) []job {
+	refused := p.fifoDiscipline.push(added, now)
 	slices.SortStableFunc(p.jobs, func(a, b job) int { return p.rank(a.account) - p.rank(b.account) })
 	return refused
 }
--- a/internal/measure/fairness_test.go
+++ b/internal/measure/fairness_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestDueShares(t *testing.T) {
-	must.Eq(t, []float64{45, 45, 10}, dueShares([]float64{500, 50, 10}, 100))
-	must.Eq(t, []float64{20, 10}, dueShares([]float64{20, 10}, 100))
+	must.Eq(t, []float64{45, 45, 10}, maxMinShares([]float64{500, 50, 10}, 100))
+	must.Eq(t, []float64{20, 10}, maxMinShares([]float64{20, 10}, 100))
 }
 
 func TestFairnessIsRepeatable(t *testing.T) {
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	fleetStep      = 10 * time.Second
-	fleetDay       = 24 * time.Hour
-	fleetStart     = 3 * time.Minute
-	fleetDrain     = time.Minute
-	fleetService   = 20 * time.Second
-	fleetSlots     = 16
-	fleetQueue     = 4
-	fleetLag       = 3
-	fleetPeak      = 800.0
-	fleetMin       = 7
-	fleetMax       = 120
-	fleetLossFrom  = 12 * time.Hour
-	fleetLossUntil = 13 * time.Hour
+	fleetStep        = 10 * time.Second
+	fleetDay         = 24 * time.Hour
+	fleetStartupTime = 3 * time.Minute
+	fleetDrainTime   = time.Minute
+	fleetServiceTime = 20 * time.Second
+	fleetSlots       = 16
+	fleetQueueSize   = 4
+	fleetReportLag   = 3
+	fleetPeakRunning = 800.0
+	fleetMin         = 7
+	fleetMax         = 120
+	fleetOutageStart = 12 * time.Hour
+	fleetOutageEnd   = 13 * time.Hour
 )
 
 var fleetZones = []string{"a", "b", "c", "d", "e", "f", "g"}
 
-// Fleet measures the size of a pool's fleet over a day with a zone lost at the peak.
+// Fleet compares policies for the size of a pool over a day with a zone outage at the peak.
 func Fleet() Experiment {
 	return Experiment{Name: "fleet size: one pool, 7 zones, a day, a zone lost at the peak", Run: func(seed uint64) []Result {
 		return []Result{
@@ -34,66 +34,66 @@
 			runFleet("sizer, target 0.7", seed, newSizerPolicy(0.7, 10*time.Minute, 0.3)),
 			runFleet("sizer, no slack", seed, newSizerPolicy(0.75, 10*time.Minute, 0)),
 			runFleet("sizer, calm 1m", seed, newSizerPolicy(0.75, time.Minute, 0.3)),
-			runFleet("fixed for the peak", seed, fixedPolicy(int(math.Ceil(fleetPeak*1.2/fleetSlots)))),
-			runFleet("fixed, one zone spare", seed, fixedPolicy(int(math.Ceil(fleetPeak*1.2/fleetSlots*7/6)))),
+			runFleet("fixed for the peak", seed, fixedPolicy(int(math.Ceil(fleetPeakRunning*1.2/fleetSlots)))),
+			runFleet("fixed, one zone spare", seed, fixedPolicy(int(math.Ceil(fleetPeakRunning*1.2/fleetSlots*7/6)))),
 			runFleet("threshold", seed, thresholdPolicy()),
 		}
 	}}
 }
 
-// sizePolicy returns the servers wanted, given those that are live or starting.
-type sizePolicy func(now time.Time, need fleet.Need, present int) int
+// sizingPolicy returns the number of servers wanted; provisioned are live or starting.
+type sizingPolicy func(now time.Time, need fleet.Need, provisioned int) int
 
-func newSizerPolicy(target float64, calm time.Duration, slack float64) sizePolicy {
+func newSizerPolicy(target float64, calm time.Duration, slack float64) sizingPolicy {
 	sizer := &fleet.Sizer{Min: fleetMin, Max: fleetMax, Target: target, Calm: calm, Slack: slack}
 	return func(now time.Time, need fleet.Need, _ int) int { return sizer.Decide(now, need) }
 }
 
-func fixedPolicy(servers int) sizePolicy {
+func fixedPolicy(servers int) sizingPolicy {
 	return func(time.Time, fleet.Need, int) int { return servers }
 }
 
-// thresholdPolicy adds a tenth above four fifths of the slots and gives up a tenth below a half.
-func thresholdPolicy() sizePolicy {
-	return func(_ time.Time, need fleet.Need, present int) int {
-		use := (need.Running + need.Queued) / (float64(max(present, 1)) * need.Slots)
-		change := max(present/10, 1)
+// thresholdPolicy adds a tenth above four fifths of the slots and removes a tenth below a half.
+func thresholdPolicy() sizingPolicy {
+	return func(_ time.Time, need fleet.Need, provisioned int) int {
+		utilization := (need.Running + need.Queued) / (float64(max(provisioned, 1)) * need.Slots)
+		change := max(provisioned/10, 1)
 		switch {
-		case use > 0.8:
-			return min(present+change, fleetMax)
-		case use < 0.5:
-			return max(present-change, fleetMin)
+		case utilization > 0.8:
+			return min(provisioned+change, fleetMax)
+		case utilization < 0.5:
+			return max(provisioned-change, fleetMin)
 		default:
-			return present
+			return provisioned
 		}
 	}
 }
 
-// demand is the requests a second through a day.
-type demand struct {
+// arrivals models the requests a second over a day.
+type arrivals struct {
 	random *rand.Rand
 	burst  float64
 }
 
-func (d *demand) at(elapsed time.Duration) float64 {
-	day := 0.5 - 0.45*math.Cos(2*math.Pi*elapsed.Hours()/24)
-	d.burst *= math.Exp(-fleetStep.Minutes() / 5)
-	if d.random.Float64() < fleetStep.Hours()*2 {
-		d.burst += 0.2 + 0.5*d.random.Float64()
+func (a *arrivals) rate(elapsed time.Duration) float64 {
+	daily := 0.5 - 0.45*math.Cos(2*math.Pi*elapsed.Hours()/24)
+	a.burst *= math.Exp(-fleetStep.Minutes() / 5)
+	if a.random.Float64() < fleetStep.Hours()*2 {
+		a.burst += 0.2 + 0.5*a.random.Float64()
 	}
-	noise := 1 + 0.05*d.random.NormFloat64()
-	return max(0, (day+d.burst*day)*noise) * fleetPeak / fleetService.Seconds()
+	noise := 1 + 0.05*a.random.NormFloat64()
+	return max(0, (daily+a.burst*daily)*noise) * fleetPeakRunning / fleetServiceTime.Seconds()
 }
 
-// zoneFleet is the servers of one zone: live, and when the starting and draining ones end.
+// zoneFleet counts a zone's live servers and holds when starting and draining ones are done.
 type zoneFleet struct {
 	live     int
 	starting []time.Time
 	draining []time.Time
-	lost     bool
+	isDown   bool
 }
 
-func (z *zoneFleet) present() int { return z.live + len(z.starting) }
+func (z *zoneFleet) provisioned() int { return z.live + len(z.starting) }
 
 func (z *zoneFleet) advance(now time.Time) {
 	for len(z.starting) > 0 && !now.Before(z.starting[0]) {
@@ -105,109 +105,109 @@
 	}
 }
 
-// resize starts or drains servers and returns how many orders that took.
+// resize starts or drains servers and returns their number.
 func (z *zoneFleet) resize(now time.Time, wanted int) int {
 	orders := 0
-	for ; z.present() < wanted; orders++ {
-		z.starting = append(z.starting, now.Add(fleetStart))
+	for ; z.provisioned() < wanted; orders++ {
+		z.starting = append(z.starting, now.Add(fleetStartupTime))
 	}
-	for ; z.present() > wanted && z.live > 0; orders++ {
+	for ; z.provisioned() > wanted && z.live > 0; orders++ {
 		z.live--
-		z.draining = append(z.draining, now.Add(fleetDrain))
+		z.draining = append(z.draining, now.Add(fleetDrainTime))
 	}
 	return orders
 }
 
-// fleetRun is one day under one policy.
+// fleetRun simulates one day under one policy.
 type fleetRun struct {
-	zones   map[string]*zoneFleet
-	system  float64
-	arrived float64
-	refused float64
-	paid    float64
-	least   float64
-	orders  int
-	waiting float64
-	// needs are the newest needs; the policy sees the oldest of them.
+	zones          map[string]*zoneFleet
+	inSystem       float64
+	arrived        float64
+	refused        float64
+	serverHours    float64
+	minServerHours float64
+	orders         int
+	waitSeconds    float64
+	// needs holds the last fleetReportLag needs; the policy sees the oldest of them.
 	needs []fleet.Need
 }
 
-func runFleet(name string, seed uint64, policy sizePolicy) Result {
-	demand := &demand{random: rand.New(rand.NewPCG(seed, 5))}
+func runFleet(name string, seed uint64, policy sizingPolicy) Result {
+	arrivals := &arrivals{random: rand.New(rand.NewPCG(seed, 5))}
 	run := &fleetRun{zones: map[string]*zoneFleet{}}
 	for _, zone := range fleetZones {
 		run.zones[zone] = &zoneFleet{live: 2}
 	}
 	for elapsed := time.Duration(0); elapsed < fleetDay; elapsed += fleetStep {
-		run.step(time.Unix(0, 0).Add(elapsed), elapsed, demand.at(elapsed), policy)
+		run.step(time.Unix(0, 0).Add(elapsed), elapsed, arrivals.rate(elapsed), policy)
 	}
 	return Result{Policy: name, Figures: []Figure{
-		{Name: "hours/least", Value: run.paid / run.least},
+		{Name: "hours/least", Value: run.serverHours / run.minServerHours},
 		{Name: "refused %", Value: 100 * run.refused / run.arrived},
 		{Name: "starts+stops/h", Value: float64(run.orders) / fleetDay.Hours()},
-		{Name: "mean wait s", Value: run.waiting / run.arrived},
+		{Name: "mean wait s", Value: run.waitSeconds / run.arrived},
 	}}
 }
 
-func (r *fleetRun) step(now time.Time, elapsed time.Duration, rate float64, policy sizePolicy) {
-	r.lose(elapsed)
+func (r *fleetRun) step(now time.Time, elapsed time.Duration, rate float64, policy sizingPolicy) {
+	r.updateOutage(elapsed)
 	live := 0
 	for _, zone := range r.zones {
 		zone.advance(now)
 		live += zone.live
 	}
 	r.serve(rate, float64(live))
-	r.pay(rate)
+	r.countServerHours(rate)
 	r.resize(now, policy)
 }
 
-// lose takes a zone away and gives it back empty.
-func (r *fleetRun) lose(elapsed time.Duration) {
+// updateOutage takes a zone down and brings it back without servers.
+func (r *fleetRun) updateOutage(elapsed time.Duration) {
 	zone := r.zones[fleetZones[0]]
-	if elapsed == fleetLossFrom {
-		*zone = zoneFleet{lost: true}
+	if elapsed == fleetOutageStart {
+		*zone = zoneFleet{isDown: true}
 	}
-	if elapsed == fleetLossUntil {
-		zone.lost = false
+	if elapsed == fleetOutageEnd {
+		zone.isDown = false
 	}
 }
 
 func (r *fleetRun) serve(rate, live float64) {
 	seconds := fleetStep.Seconds()
 	arrived := rate * seconds
-	running := min(r.system, live*fleetSlots)
-	r.waiting += (r.system - running) * seconds
-	r.system += arrived - running*seconds/fleetService.Seconds()
-	over := max(0, r.system-live*(fleetSlots+fleetQueue))
-	r.system -= over
+	running := min(r.inSystem, live*fleetSlots)
+	r.waitSeconds += (r.inSystem - running) * seconds
+	r.inSystem += arrived - running*seconds/fleetServiceTime.Seconds()
+	excess := max(0, r.inSystem-live*(fleetSlots+fleetQueueSize))
+	r.inSystem -= excess
 	r.arrived += arrived
-	r.refused += over
+	r.refused += excess
 }
 
-func (r *fleetRun) pay(rate float64) {
+func (r *fleetRun) countServerHours(rate float64) {
 	for _, zone := range r.zones {
-		r.paid += float64(zone.present()+len(zone.draining)) * fleetStep.Hours()
+		r.serverHours += float64(zone.provisioned()+len(zone.draining)) * fleetStep.Hours()
 	}
-	r.least += math.Ceil(rate*fleetService.Seconds()/fleetSlots) * fleetStep.Hours()
+	r.minServerHours += math.Ceil(rate*fleetServiceTime.Seconds()/fleetSlots) * fleetStep.Hours()
 }
 
-func (r *fleetRun) resize(now time.Time, policy sizePolicy) {
-	present, total, live := map[string]int{}, 0, 0
+func (r *fleetRun) resize(now time.Time, policy sizingPolicy) {
+	provisioned, total, live := map[string]int{}, 0, 0
 	for name, zone := range r.zones {
-		if zone.lost {
+		if zone.isDown {
 			continue
 		}
-		present[name] = zone.present()
-		total += zone.present()
+		provisioned[name] = zone.provisioned()
+		total += zone.provisioned()
 		live += zone.live
 	}
-	running := min(r.system, float64(live)*fleetSlots)
-	need := fleet.Need{Running: running, Queued: r.system - running, Slots: fleetSlots}
+	running := min(r.inSystem, float64(live)*fleetSlots)
+	need := fleet.Need{Running: running, Queued: r.inSystem - running, Slots: fleetSlots}
 	r.needs = append(r.needs, need)
-	if len(r.needs) > fleetLag {
+	if len(r.needs) > fleetReportLag {
 		r.needs = r.needs[1:]
 	}
-	shares := fleet.Spread(policy(now, r.needs[0], total), present)
+	shares := fleet.Spread(policy(now, r.needs[0], total), provisioned)
 	for name, wanted := range shares {
 		r.orders += r.zones[name].resize(now, wanted)
 	}
--- a/internal/measure/limits.go
+++ b/internal/measure/limits.go
@@ -10,72 +10,72 @@
 )
 
 const (
-	limitStep   = 100 * time.Millisecond
-	limitLength = 120 * time.Second
-	limitWindow = 50
-	limitTell   = 500 * time.Millisecond
-	limitRate   = 60.0
+	limitStep         = 100 * time.Millisecond
+	limitDuration     = 120 * time.Second
+	limitWindowSteps  = 50
+	limitSendInterval = 500 * time.Millisecond
+	limitRate         = 60.0
 )
 
-// limitsSize is the input of a measurement of limits.
-type limitsSize struct {
+// limitsParams are the parameters of a limits experiment.
+type limitsParams struct {
 	name    string
 	entries int
-	// lag is how long a demand takes to another entry, at most.
+	// lag is the maximum delay of a demand message between entries.
 	lag time.Duration
-	// settle is the time over which a rise comes to count.
+	// settle is the time over which an increase in demand takes effect.
 	settle time.Duration
 }
 
-// LimitsToday measures how a plan's rate is kept over today's few entries.
+// LimitsToday measures how a plan's rate limit is enforced across the 3 entries in use today.
 func LimitsToday() Experiment {
-	return limitsOf(limitsSize{name: "limits, 3 entries", entries: 3, lag: 2 * time.Second, settle: 1500 * time.Millisecond})
+	return limitsExperiment(limitsParams{name: "limits, 3 entries", entries: 3, lag: 2 * time.Second, settle: 1500 * time.Millisecond})
 }
 
-// Limits measures how a plan's rate is kept over many entries.
+// Limits measures how a plan's rate limit is enforced across many entries.
 func Limits() Experiment {
-	return limitsOf(limitsSize{name: "limits, 40 entries", entries: 40, lag: 4 * time.Second, settle: 2500 * time.Millisecond})
+	return limitsExperiment(limitsParams{name: "limits, 40 entries", entries: 40, lag: 4 * time.Second, settle: 2500 * time.Millisecond})
 }
 
-func limitsOf(size limitsSize) Experiment {
-	return Experiment{Name: size.name, Run: func(seed uint64) []Result {
+func limitsExperiment(params limitsParams) Experiment {
+	return Experiment{Name: params.name, Run: func(seed uint64) []Result {
 		var results []Result
-		for _, policy := range limitPolicies(size) {
-			results = append(results, newLimitsRun(size, policy, seed).measure())
+		for _, policy := range limitPolicies(params) {
+			results = append(results, newLimitsRun(params, policy, seed).run())
 		}
 		return results
 	}}
 }
 
-// admitter decides at one entry.
+// admitter enforces the limit at one entry.
 type admitter interface {
 	admit(account string, now time.Time) bool
-	// tell returns what the entry tells the others, learn takes it.
-	tell(now time.Time) []*peerpb.Demand
-	learn(demands []*peerpb.Demand, now time.Time)
+	// demands returns what the entry sends to the others, which pass it to mergeDemands.
+	demands(now time.Time) []*peerpb.Demand
+	mergeDemands(demands []*peerpb.Demand, now time.Time)
 }
 
 type limitPolicy struct {
-	name string
-	make func(entry int) admitter
+	name        string
+	newAdmitter func(entry int) admitter
 }
 
-func limitPolicies(size limitsSize) []limitPolicy {
-	shared := func(name string, settle time.Duration) limitPolicy {
-		return limitPolicy{name: name, make: func(entry int) admitter {
-			return &sharedLimit{Limiter: limit.Limiter{Self: fmt.Sprint("e", entry), Entries: size.entries, Settle: settle}}
+func limitPolicies(params limitsParams) []limitPolicy {
+	sharedPolicy := func(name string, settle time.Duration) limitPolicy {
+		return limitPolicy{name: name, newAdmitter: func(entry int) admitter {
+			return &sharedLimit{Limiter: limit.Limiter{Self: fmt.Sprint("e", entry), Entries: params.entries, Settle: settle}}
 		}}
 	}
 	return []limitPolicy{
-		shared("shared by demand (chosen)", size.settle),
-		shared("shared, rises counted slowly", 2*size.settle),
-		shared("shared, rises not awaited", time.Nanosecond),
-		{name: "divided evenly", make: func(int) admitter { return &fixedLimit{rate: limitRate / float64(size.entries)} }},
-		{name: "whole limit at each entry", make: func(int) admitter { return &fixedLimit{rate: limitRate} }},
+		sharedPolicy("shared by demand (chosen)", params.settle),
+		sharedPolicy("shared, rises counted slowly", 2*params.settle),
+		sharedPolicy("shared, rises not awaited", time.Nanosecond),
+		{name: "divided evenly", newAdmitter: func(int) admitter { return &fixedLimit{rate: limitRate / float64(params.entries)} }},
+		{name: "whole limit at each entry", newAdmitter: func(int) admitter { return &fixedLimit{rate: limitRate} }},
 	}
 }
 
-// sharedLimit is the decision of the product.
+// sharedLimit is the limiter used in production.
 type sharedLimit struct {
 	limit.Limiter
 }
@@ -88,10 +88,10 @@
 	return true
 }
 
-func (s *sharedLimit) learn(demands []*peerpb.Demand, now time.Time) { s.Learn(demands, now) }
-func (s *sharedLimit) tell(now time.Time) []*peerpb.Demand           { return s.Demands(now) }
+func (s *sharedLimit) mergeDemands(demands []*peerpb.Demand, now time.Time) { s.Learn(demands, now) }
+func (s *sharedLimit) demands(now time.Time) []*peerpb.Demand               { return s.Demands(now) }
 
-// fixedLimit is a token bucket for each account, with one second's burst.
+// fixedLimit is a token bucket for each account with a burst of one second.
 type fixedLimit struct {
 	rate   float64
 	levels map[string]float64
@@ -116,26 +116,26 @@
 	return true
 }
 
-func (*fixedLimit) learn([]*peerpb.Demand, time.Time) {}
-func (*fixedLimit) tell(time.Time) []*peerpb.Demand   { return nil }
+func (*fixedLimit) mergeDemands([]*peerpb.Demand, time.Time) {}
+func (*fixedLimit) demands(time.Time) []*peerpb.Demand       { return nil }
 
-// source is where an account's requests come from.
-type source struct {
+// trafficSource generates the requests of one account.
+type trafficSource struct {
 	account string
 	// rate returns the requests a second at an entry.
 	rate func(entry int, seconds float64) float64
 }
 
-// limitSources are a greedy account through one entry, a bursty one that comes
-// through other entries each time, one rush at all entries at once, and a small one.
-func limitSources(entries int) []source {
-	part := func(total float64) float64 { return total / float64(entries) }
-	return []source{
+// trafficSources returns a greedy account mostly at one entry, a bursty one at another
+// entry for each burst, one with bursts at all entries at once, and a small one.
+func trafficSources(entries int) []trafficSource {
+	perEntry := func(total float64) float64 { return total / float64(entries) }
+	return []trafficSource{
 		{account: "greedy", rate: func(entry int, _ float64) float64 {
 			if entry == 0 {
 				return 5 * limitRate
 			}
-			return part(0.1 * limitRate)
+			return perEntry(0.1 * limitRate)
 		}},
 		{account: "bursty", rate: func(entry int, seconds float64) float64 {
 			if int(seconds)%30 < 10 && entry == int(seconds)/30%entries {
@@ -145,64 +145,64 @@
 		}},
 		{account: "rush", rate: func(_ int, seconds float64) float64 {
 			if int(seconds)%40 < 20 {
-				return part(3 * limitRate)
+				return perEntry(3 * limitRate)
 			}
 			return 0
 		}},
-		{account: "small", rate: func(int, float64) float64 { return part(0.2 * limitRate) }},
+		{account: "small", rate: func(int, float64) float64 { return perEntry(0.2 * limitRate) }},
 	}
 }
 
-// told is a message between entries.
-type toldDemands struct {
-	demands []*peerpb.Demand
-	to      int
-	at      time.Time
+// demandMessage carries demands from one entry to another.
+type demandMessage struct {
+	demands   []*peerpb.Demand
+	to        int
+	deliverAt time.Time
 }
 
 type limitsRun struct {
-	limitsSize
+	limitsParams
 
-	policy  limitPolicy
-	random  *rand.Rand
-	entries []admitter
-	sent    []toldDemands
-	now     time.Time
+	policy   limitPolicy
+	random   *rand.Rand
+	entries  []admitter
+	inFlight []demandMessage
+	now      time.Time
 }
 
-func newLimitsRun(size limitsSize, policy limitPolicy, seed uint64) *limitsRun {
-	r := &limitsRun{limitsSize: size, policy: policy, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0)}
-	for i := range size.entries {
-		r.entries = append(r.entries, policy.make(i))
+func newLimitsRun(params limitsParams, policy limitPolicy, seed uint64) *limitsRun {
+	r := &limitsRun{limitsParams: params, policy: policy, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0)}
+	for i := range params.entries {
+		r.entries = append(r.entries, policy.newAdmitter(i))
 	}
 	return r
 }
 
-// served counts one account in a step.
-type served struct {
+// requestCounts counts the requests of one account in a step or window.
+type requestCounts struct {
 	wanted, admitted float64
 }
 
-func (r *limitsRun) measure() Result {
-	sources := limitSources(r.limitsSize.entries)
-	counts := make([][]served, len(sources))
+func (r *limitsRun) run() Result {
+	sources := trafficSources(r.limitsParams.entries)
+	counts := make([][]requestCounts, len(sources))
 	began := r.now
-	for step := 0; r.now.Sub(began) < limitLength; step++ {
+	for step := 0; r.now.Sub(began) < limitDuration; step++ {
 		seconds := r.now.Sub(began).Seconds()
 		for i, source := range sources {
-			counts[i] = append(counts[i], r.offer(source, seconds))
+			counts[i] = append(counts[i], r.sendRequests(source, seconds))
 		}
-		if r.now.Sub(began)%limitTell == 0 {
-			r.tell()
+		if r.now.Sub(began)%limitSendInterval == 0 {
+			r.sendDemands()
 		}
-		r.deliver()
+		r.deliverDemands()
 		r.now = r.now.Add(limitStep)
 	}
 	return r.result(counts)
 }
 
-func (r *limitsRun) offer(source source, seconds float64) served {
-	var count served
+func (r *limitsRun) sendRequests(source trafficSource, seconds float64) requestCounts {
+	var count requestCounts
 	for i, entry := range r.entries {
 		for range r.poisson(source.rate(i, seconds) * limitStep.Seconds()) {
 			count.wanted++
@@ -214,7 +214,7 @@
 	return count
 }
 
-// poisson draws a number of arrivals.
+// poisson draws a Poisson-distributed number of arrivals.
 func (r *limitsRun) poisson(expected float64) int {
 	count := 0
 	for at := r.random.ExpFloat64(); at < expected; at += r.random.ExpFloat64() {
@@ -223,40 +223,40 @@
 	return count
 }
 
-func (r *limitsRun) tell() {
+func (r *limitsRun) sendDemands() {
 	for i, entry := range r.entries {
-		demands := entry.tell(r.now)
+		demands := entry.demands(r.now)
 		if len(demands) == 0 {
 			continue
 		}
 		for other := range r.entries {
 			if other != i {
 				lag := time.Duration(r.random.Float64() * float64(r.lag))
-				r.sent = append(r.sent, toldDemands{demands: demands, to: other, at: r.now.Add(lag)})
+				r.inFlight = append(r.inFlight, demandMessage{demands: demands, to: other, deliverAt: r.now.Add(lag)})
 			}
 		}
 	}
 }
 
-func (r *limitsRun) deliver() {
-	kept := r.sent[:0]
-	for _, one := range r.sent {
-		if one.at.After(r.now) {
-			kept = append(kept, one)
+func (r *limitsRun) deliverDemands() {
+	kept := r.inFlight[:0]
+	for _, message := range r.inFlight {
+		if message.deliverAt.After(r.now) {
+			kept = append(kept, message)
 			continue
 		}
-		r.entries[one.to].learn(one.demands, r.now)
+		r.entries[message.to].mergeDemands(message.demands, r.now)
 	}
-	r.sent = kept
+	r.inFlight = kept
 }
 
-func (r *limitsRun) result(counts [][]served) Result {
+func (r *limitsRun) result(counts [][]requestCounts) Result {
 	overshoot, unused, worst := 0.0, 0.0, 1.0
 	for _, steps := range counts {
-		over, idle, share := account(steps)
-		overshoot = max(overshoot, over)
-		unused = max(unused, idle)
-		worst = min(worst, share)
+		accountOvershoot, accountUnused, accountShare := accountFigures(steps)
+		overshoot = max(overshoot, accountOvershoot)
+		unused = max(unused, accountUnused)
+		worst = min(worst, accountShare)
 	}
 	return Result{Policy: r.policy.name, Figures: []Figure{
 		{Name: "worst overshoot in 5 s", Value: overshoot},
@@ -265,23 +265,23 @@
 	}}
 }
 
-// account returns, over windows of 5 s: by how much the admitted exceed the
-// limit at worst, which part of the limit went unused while requests were
-// refused, and which part of its due an account got.
-func account(steps []served) (overshoot, unused, share float64) {
-	due, got, idle, windows := 0.0, 0.0, 0.0, 0.0
-	allowed := limitRate * limitWindow * limitStep.Seconds()
-	for at := 0; at+limitWindow <= len(steps); at += limitWindow {
-		var window served
-		for _, step := range steps[at : at+limitWindow] {
+// accountFigures returns three shares over windows of 5 s: the worst excess of the
+// admitted requests over the limit, the part of the limit left unused while requests
+// were refused, and the part of its entitlement that the account got.
+func accountFigures(steps []requestCounts) (overshoot, unused, share float64) {
+	due, served, unusedSum, windows := 0.0, 0.0, 0.0, 0.0
+	allowed := limitRate * limitWindowSteps * limitStep.Seconds()
+	for at := 0; at+limitWindowSteps <= len(steps); at += limitWindowSteps {
+		var window requestCounts
+		for _, step := range steps[at : at+limitWindowSteps] {
 			window.wanted += step.wanted
 			window.admitted += step.admitted
 		}
 		overshoot = max(overshoot, window.admitted/allowed-1)
-		idle += max(0, min(window.wanted, allowed)-window.admitted) / allowed
+		unusedSum += max(0, min(window.wanted, allowed)-window.admitted) / allowed
 		due += min(window.wanted, allowed)
-		got += min(window.admitted, allowed)
+		served += min(window.admitted, allowed)
 		windows++
 	}
-	return overshoot, idle / windows, got / max(1, due)
+	return overshoot, unusedSum / windows, served / max(1, due)
 }
--- a/internal/measure/loads.go
+++ b/internal/measure/loads.go
@@ -11,43 +11,43 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/weight"
 )
 
-// Sizes of the loads' experiments that all of them share.
+// Parameters shared by all experiments on weight loads.
 const (
 	loadsTick = 50 * time.Millisecond
-	// loadsPeriod is how often a trainer asks a step, loadsDue when it is late.
-	loadsPeriod = 4 * time.Second
-	loadsDue    = 7500 * time.Millisecond
-	loadsTrain  = 500 * time.Millisecond
-	loadsSteps  = 12
-	// loadsWanted is the share of a step's generations that its trainer waits for.
-	loadsWanted = 0.9
-	// loadsMedian and loadsSpread are of the time of a generation, log-normal.
-	loadsMedian = 0.7
-	loadsSpread = 0.9
-	loadsMost   = 6.0
-	// loadsGuess is the spread of the estimates about the lengths.
-	loadsGuess  = 0.5
-	loadsGiveUp = 12 * time.Second
+	// A trainer opens a step every loadsStepInterval; the step is late after loadsStepDeadline.
+	loadsStepInterval = 4 * time.Second
+	loadsStepDeadline = 7500 * time.Millisecond
+	loadsTrainTime    = 500 * time.Millisecond
+	loadsSteps        = 12
+	// loadsRequiredShare is the share of a step's generations that its trainer waits for.
+	loadsRequiredShare = 0.9
+	// Generation times are log-normal, capped at loadsMaxSeconds.
+	loadsMedianSeconds = 0.7
+	loadsLengthSigma   = 0.9
+	loadsMaxSeconds    = 6.0
+	// loadsEstimateSigma is the log-normal error of the trainer's estimates of generation times.
+	loadsEstimateSigma = 0.5
+	loadsStepTimeout   = 12 * time.Second
 )
 
-// LoadsSite is a pool of samplers and the trainers that share it.
+// LoadsSite is a deployment: a pool of samplers and the trainers that share it.
 type LoadsSite struct {
 	Name     string
 	Samplers int
 	Slots    int
-	// Steps are the numbers of generations of each trainer's steps.
+	// Steps holds, for each trainer, the number of generations in a step.
 	Steps []int
-	// Load is the time of a load, AtOnce how many go on at full speed.
+	// Load is the time of one load; up to AtOnce loads run at full speed.
 	Load   time.Duration
 	AtOnce int
 	// Slow is the share of samplers that take four times as long to load.
 	Slow float64
-	// Late is how late the end of a load may be seen.
+	// Late is the maximum delay until the end of a load is observed.
 	Late time.Duration
 }
 
-// LoadsSites are the deployments on which loads are measured: they differ in all
-// that the decision must not depend on.
+// LoadsSites returns the deployments on which loads are measured: they vary
+// everything that the decision must not depend on.
 func LoadsSites() []LoadsSite {
 	return []LoadsSite{
 		{Name: "3 models", Samplers: 11, Slots: 12, Steps: []int{70, 70, 70}, Load: 900 * time.Millisecond, AtOnce: 2},
@@ -66,15 +66,15 @@
 	}
 }
 
-// Loads measures which sampler loads which version next, on one deployment.
+// Loads compares policies for which sampler loads which version next, on one deployment.
 func Loads(site LoadsSite) Experiment {
 	return Experiment{Name: "Loads, " + site.Name, Run: func(seed uint64) []Result {
 		var results []Result
 		for _, policy := range []loadsPolicy{
-			{name: "by lack", decide: decideByLack},
-			{name: "equal parts in order", decide: decideInParts},
-			{name: "all everywhere", decide: decideEverywhere},
-			{name: "no loads needed", isFree: true, decide: func(*loadsRun) {}},
+			{name: "by lack", decide: decideBySchedule},
+			{name: "equal parts in order", decide: decideByPartition},
+			{name: "all everywhere", decide: decideReplicateAll},
+			{name: "no loads needed", hasAllVersions: true, decide: func(*loadsRun) {}},
 		} {
 			results = append(results, newLoadsRun(site, policy, seed).run())
 		}
@@ -86,60 +86,59 @@
 type loadsSampler struct {
 	weight.Seat
 
-	slow float64
-	// left is the time of a load that is left at full speed; 0 while none is under way.
-	left    time.Duration
-	model   string
-	version uint64
-	// seen is when the end of a load will be seen; zero while there is none to be seen.
-	seen    time.Time
-	running []*loadsItem
+	slowdown float64
+	// remaining is the time that a load still needs at full speed; 0 while none runs.
+	remaining time.Duration
+	model     string
+	version   uint64
+	// reportAt is when the end of a load will be observed; zero while none is pending.
+	reportAt time.Time
+	running  []*loadsGeneration
 }
 
-// loadsItem is a generation.
-type loadsItem struct {
-	step *loadsStep
-	left time.Duration
-	// guess is the trainer's estimate of its length, right at the median only.
-	guess float64
+type loadsGeneration struct {
+	step      *loadsStep
+	remaining time.Duration
+	// estimate is the trainer's estimate of the length, correct only in the median.
+	estimate float64
 }
 
-// loadsStep is an open step.
+// loadsStep is an open training step.
 type loadsStep struct {
-	trainer *loadsTrainer
-	number  int
-	began   time.Time
-	waiting []*loadsItem
-	done    int
-	items   int
+	trainer     *loadsTrainer
+	number      int
+	openedAt    time.Time
+	waiting     []*loadsGeneration
+	done        int
+	generations int
 }
 
-// loadsTrainer asks steps: step k once version k is named, and with versions from
-// k - 1 on; training on step k makes version k + 2.
+// loadsTrainer opens step k once version k is announced; the step accepts versions
+// from k - 1 on, and training on it makes version k + 2.
 type loadsTrainer struct {
-	model string
-	size  int
-	named uint64
-	next  int
-	open  []*loadsStep
-	// trained is when each version will be named.
-	trained []time.Time
-	times   []float64
-	late    int
+	model    string
+	stepSize int
+	newest   uint64
+	nextStep int
+	open     []*loadsStep
+	// announceTimes holds when each trained version will be announced.
+	announceTimes []time.Time
+	durations     []float64
+	lateSteps     int
 }
 
-// loadsRun is one seed of one policy.
+// loadsRun simulates one policy with one seed.
 type loadsRun struct {
-	site     LoadsSite
-	policy   loadsPolicy
-	random   *rand.Rand
-	now      time.Time
-	start    time.Time
-	samplers []*loadsSampler
-	trainers []*loadsTrainer
-	steps    weight.Steps
-	schedule weight.Schedule
-	loads    int
+	site      LoadsSite
+	policy    loadsPolicy
+	random    *rand.Rand
+	now       time.Time
+	start     time.Time
+	samplers  []*loadsSampler
+	trainers  []*loadsTrainer
+	steps     weight.Steps
+	schedule  weight.Schedule
+	loadCount int
 }
 
 func newLoadsRun(site LoadsSite, policy loadsPolicy, seed uint64) *loadsRun {
@@ -149,29 +148,29 @@
 		schedule: weight.Schedule{Share: 0.5, Lag: weight.DefaultLag},
 	}
 	for i := range site.Samplers {
-		one := &loadsSampler{slow: 1, Seat: weight.Seat{
+		sampler := &loadsSampler{slowdown: 1, Seat: weight.Seat{
 			ID: fmt.Sprintf("s%03d", i), Zone: fmt.Sprintf("z%d", i%3), Slots: site.Slots, Versions: map[string]uint64{},
 		}}
 		if run.random.Float64() < site.Slow {
-			one.slow = 4
+			sampler.slowdown = 4
 		}
-		run.samplers = append(run.samplers, one)
+		run.samplers = append(run.samplers, sampler)
 	}
 	for i, size := range site.Steps {
-		run.trainers = append(run.trainers, &loadsTrainer{model: fmt.Sprintf("m%d", i), size: size, named: 1})
+		run.trainers = append(run.trainers, &loadsTrainer{model: fmt.Sprintf("m%d", i), stepSize: size, newest: 1})
 	}
 	return run
 }
 
 func (r *loadsRun) run() Result {
-	isOver := func(t *loadsTrainer) bool { return t.next >= loadsSteps && len(t.open) == 0 }
-	for slices.ContainsFunc(r.trainers, func(t *loadsTrainer) bool { return !isOver(t) }) {
+	isDone := func(t *loadsTrainer) bool { return t.nextStep >= loadsSteps && len(t.open) == 0 }
+	for slices.ContainsFunc(r.trainers, func(t *loadsTrainer) bool { return !isDone(t) }) {
 		r.now = r.now.Add(loadsTick)
 		for _, trainer := range r.trainers {
-			r.train(trainer)
+			r.advanceTrainer(trainer)
 		}
 		r.policy.decide(r)
-		r.load()
+		r.advanceLoads()
 		r.generate()
 	}
 	return r.result()
@@ -181,113 +180,111 @@
 	var all []float64
 	worst, late, count, versions := 0.0, 0, 0, 0
 	for _, trainer := range r.trainers {
-		all = append(all, trainer.times...)
-		worst = max(worst, quantileOf(trainer.times, 0.9))
-		late += trainer.late
-		count += len(trainer.times)
-		versions += int(trainer.named) - 1
+		all = append(all, trainer.durations...)
+		worst = max(worst, quantile(trainer.durations, 0.9))
+		late += trainer.lateSteps
+		count += len(trainer.durations)
+		versions += int(trainer.newest) - 1
 	}
 	return Result{Policy: r.policy.name, Figures: []Figure{
-		{Name: "step p50 s", Value: quantileOf(all, 0.5)},
-		{Name: "step p90 s", Value: quantileOf(all, 0.9)},
+		{Name: "step p50 s", Value: quantile(all, 0.5)},
+		{Name: "step p90 s", Value: quantile(all, 0.9)},
 		{Name: "worst model p90 s", Value: worst},
 		{Name: "late share", Value: float64(late) / float64(count)},
-		{Name: "loads a version", Value: float64(r.loads) / float64(versions)},
+		{Name: "loads a version", Value: float64(r.loadCount) / float64(versions)},
 	}}
 }
 
-// train names versions, asks steps and ends them.
-func (r *loadsRun) train(t *loadsTrainer) {
-	for len(t.trained) > 0 && !r.now.Before(t.trained[0]) {
-		t.trained = t.trained[1:]
-		t.named++
-		r.steps.Name(t.model, t.named)
+// advanceTrainer announces versions, opens steps and closes them.
+func (r *loadsRun) advanceTrainer(t *loadsTrainer) {
+	for len(t.announceTimes) > 0 && !r.now.Before(t.announceTimes[0]) {
+		t.announceTimes = t.announceTimes[1:]
+		t.newest++
+		r.steps.Name(t.model, t.newest)
 	}
-	due := r.start.Add(time.Duration(t.next) * loadsPeriod)
-	if t.next < loadsSteps && !r.now.Before(due) && t.named >= uint64(max(1, t.next)) {
-		r.ask(t)
+	due := r.start.Add(time.Duration(t.nextStep) * loadsStepInterval)
+	if t.nextStep < loadsSteps && !r.now.Before(due) && t.newest >= uint64(max(1, t.nextStep)) {
+		r.openStep(t)
 	}
 	t.open = slices.DeleteFunc(t.open, func(step *loadsStep) bool {
-		took := r.now.Sub(step.began)
-		if step.done < int(math.Ceil(loadsWanted*float64(step.items))) && took < loadsGiveUp {
+		duration := r.now.Sub(step.openedAt)
+		if step.done < int(math.Ceil(loadsRequiredShare*float64(step.generations))) && duration < loadsStepTimeout {
 			return false
 		}
-		t.times = append(t.times, took.Seconds())
-		if took > loadsDue {
-			t.late++
+		t.durations = append(t.durations, duration.Seconds())
+		if duration > loadsStepDeadline {
+			t.lateSteps++
 		}
-		t.trained = append(t.trained, r.now.Add(loadsTrain))
+		t.announceTimes = append(t.announceTimes, r.now.Add(loadsTrainTime))
 		r.steps.Close(fmt.Sprint(t.model, step.number))
 		return true
 	})
 }
 
-func (r *loadsRun) ask(t *loadsTrainer) {
-	step := &loadsStep{trainer: t, number: t.next, began: r.now, items: t.size}
-	t.next++
-	for range t.size {
-		length := min(loadsMost, loadsMedian*math.Exp(loadsSpread*r.random.NormFloat64()))
-		item := &loadsItem{
-			step: step, left: time.Duration(length * float64(time.Second)),
-			guess: length * math.Exp(loadsGuess*r.random.NormFloat64()),
+func (r *loadsRun) openStep(t *loadsTrainer) {
+	step := &loadsStep{trainer: t, number: t.nextStep, openedAt: r.now, generations: t.stepSize}
+	t.nextStep++
+	for range t.stepSize {
+		length := min(loadsMaxSeconds, loadsMedianSeconds*math.Exp(loadsLengthSigma*r.random.NormFloat64()))
+		generation := &loadsGeneration{
+			step: step, remaining: time.Duration(length * float64(time.Second)),
+			estimate: length * math.Exp(loadsEstimateSigma*r.random.NormFloat64()),
 		}
-		step.waiting = append(step.waiting, item)
+		step.waiting = append(step.waiting, generation)
 	}
-	slices.SortFunc(step.waiting, func(a, b *loadsItem) int { return cmp.Compare(b.guess, a.guess) })
+	slices.SortFunc(step.waiting, func(a, b *loadsGeneration) int { return cmp.Compare(b.estimate, a.estimate) })
 	t.open = append(t.open, step)
-	r.steps.Open(fmt.Sprint(t.model, step.number), weight.Step{Model: t.model, Oldest: oldest(step.number), Runs: t.size})
+	r.steps.Open(fmt.Sprint(t.model, step.number), weight.Step{Model: t.model, Oldest: oldestVersion(step.number), Runs: t.stepSize})
 }
 
-// oldest returns the oldest version that a step takes.
-func oldest(step int) uint64 { return uint64(max(1, step-1)) }
+// oldestVersion returns the oldest version that a step accepts.
+func oldestVersion(step int) uint64 { return uint64(max(1, step-1)) }
 
-// begin starts a load at a sampler.
-func (r *loadsRun) begin(sampler *loadsSampler, model string, version uint64) {
-	sampler.left = time.Duration(sampler.slow * float64(r.site.Load))
+func (r *loadsRun) startLoad(sampler *loadsSampler, model string, version uint64) {
+	sampler.remaining = time.Duration(sampler.slowdown * float64(r.site.Load))
 	sampler.model, sampler.version = model, version
-	r.loads++
+	r.loadCount++
 }
 
-// load lets the loads under way go on; they share what the store carries.
-func (r *loadsRun) load() {
-	under := r.loading()
-	speed := min(1, float64(r.site.AtOnce)/float64(max(1, under)))
+// advanceLoads advances the running loads, which share the capacity of the weight store.
+func (r *loadsRun) advanceLoads() {
+	active := r.activeLoads()
+	speed := min(1, float64(r.site.AtOnce)/float64(max(1, active)))
 	for _, sampler := range r.samplers {
-		if sampler.left > 0 {
-			r.goOn(sampler, speed)
+		if sampler.remaining > 0 {
+			r.advanceLoad(sampler, speed)
 		}
-		if !sampler.seen.IsZero() && !r.now.Before(sampler.seen) {
-			sampler.seen = time.Time{}
+		if !sampler.reportAt.IsZero() && !r.now.Before(sampler.reportAt) {
+			sampler.reportAt = time.Time{}
 			r.schedule.Done(sampler.ID, sampler.version, r.now)
 		}
 	}
 }
 
-// goOn lets a load go on at a speed.
-func (r *loadsRun) goOn(sampler *loadsSampler, speed float64) {
-	sampler.left -= time.Duration(speed * float64(loadsTick))
-	if sampler.left > 0 {
+func (r *loadsRun) advanceLoad(sampler *loadsSampler, speed float64) {
+	sampler.remaining -= time.Duration(speed * float64(loadsTick))
+	if sampler.remaining > 0 {
 		return
 	}
 	sampler.Versions[sampler.model] = sampler.version
-	sampler.seen = r.now
+	sampler.reportAt = r.now
 	if r.site.Late > 0 {
-		sampler.seen = r.now.Add(time.Duration(r.random.Int64N(int64(r.site.Late))))
+		sampler.reportAt = r.now.Add(time.Duration(r.random.Int64N(int64(r.site.Late))))
 	}
 }
 
-func (r *loadsRun) loading() int {
-	under := 0
+func (r *loadsRun) activeLoads() int {
+	active := 0
 	for _, sampler := range r.samplers {
-		if sampler.left > 0 {
-			under++
+		if sampler.remaining > 0 {
+			active++
 		}
 	}
-	return under
+	return active
 }
 
-// generate places generations, the older step of a model and the longer ones
-// first, and lets those that run go on.
+// generate places generations, older steps of a model and longer generations
+// first, and advances the running ones.
 func (r *loadsRun) generate() {
 	for _, trainer := range r.trainers {
 		for _, step := range trainer.open {
@@ -298,24 +295,24 @@
 		}
 	}
 	for _, sampler := range r.samplers {
-		sampler.running = slices.DeleteFunc(sampler.running, func(item *loadsItem) bool {
-			item.left -= loadsTick
-			if item.left > 0 {
+		sampler.running = slices.DeleteFunc(sampler.running, func(generation *loadsGeneration) bool {
+			generation.remaining -= loadsTick
+			if generation.remaining > 0 {
 				return false
 			}
-			item.step.done++
+			generation.step.done++
 			return true
 		})
 	}
 }
 
-// place gives a step's generations to the samplers with the most room that have
-// weights it takes.
+// place assigns a step's generations to the samplers with the fewest running ones
+// among those with a version that the step accepts.
 func (r *loadsRun) place(step *loadsStep) {
 	for len(step.waiting) > 0 {
 		var best *loadsSampler
 		for _, sampler := range r.samplers {
-			isUsable := r.policy.isFree || max(1, sampler.Versions[step.trainer.model]) >= oldest(step.number)
+			isUsable := r.policy.hasAllVersions || max(1, sampler.Versions[step.trainer.model]) >= oldestVersion(step.number)
 			if isUsable && len(sampler.running) < sampler.Slots && (best == nil || len(sampler.running) < len(best.running)) {
 				best = sampler
 			}
--- a/internal/measure/loads_test.go
+++ b/internal/measure/loads_test.go
@@ -6,33 +6,33 @@
 	"github.com/shoenig/test/must"
 )
 
-// figure returns the median over seeds of a figure of a policy.
-func figure(t *testing.T, table Table, policy, column string) float64 {
+// medianFigure returns the median of a policy's figure over all seeds.
+func medianFigure(t *testing.T, table Table, policy, column string) float64 {
 	t.Helper()
 	for row := range table.Policies {
-		for at := range table.Columns {
-			if table.Policies[row] == policy && table.Columns[at] == column {
-				return table.Cells[row][at].Median
+		for index := range table.Columns {
+			if table.Policies[row] == policy && table.Columns[index] == column {
+				return table.Cells[row][index].Median
 			}
 		}
 	}
-	t.Fatalf("no %s of %s", column, policy)
+	t.Fatalf("table has no figure %q of policy %q", column, policy)
 	return 0
 }
 
-// Trainers share samplers on deployments that differ in the number of models and
-// samplers, in the sizes of steps and in the time of loads. Wherever it is, a step
-// loses at most the time of one load against samplers that need none, and no more
-// steps are late than under any of the simple ways.
+// Guards against a load schedule that suits only some deployments: they differ in
+// the number of models and samplers, step sizes and load times. On each of them, a
+// step takes at most the time of one load longer than with samplers that need none,
+// and no more steps are late than under any baseline.
 func TestLoadsOnManyDeployments(t *testing.T) {
 	const worst, late = "worst model p90 s", "late share"
 	for _, site := range LoadsSites() {
 		t.Run(site.Name, func(t *testing.T) {
 			table := Run(Loads(site), 3)
-			bound := figure(t, table, "no loads needed", worst) + site.Load.Seconds()
-			must.LessEq(t, bound, figure(t, table, "by lack", worst))
+			bound := medianFigure(t, table, "no loads needed", worst) + site.Load.Seconds()
+			must.LessEq(t, bound, medianFigure(t, table, "by lack", worst))
 			for _, baseline := range []string{"equal parts in order", "all everywhere"} {
-				must.LessEq(t, figure(t, table, baseline, late), figure(t, table, "by lack", late))
+				must.LessEq(t, medianFigure(t, table, baseline, late), medianFigure(t, table, "by lack", late))
 			}
 		})
 	}
--- a/internal/measure/loadspolicy.go
+++ b/internal/measure/loadspolicy.go
@@ -6,16 +6,16 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/weight"
 )
 
-// loadsPolicy orders loads at each tick.
+// loadsPolicy starts loads at each tick.
 type loadsPolicy struct {
 	name   string
 	decide func(*loadsRun)
-	// isFree gives every sampler every version: no policy can be better.
-	isFree bool
+	// hasAllVersions gives every sampler every version: an upper bound for all policies.
+	hasAllVersions bool
 }
 
-// decideByLack orders what weight.Schedule says.
-func decideByLack(r *loadsRun) {
+// decideBySchedule starts the loads that weight.Schedule returns.
+func decideBySchedule(r *loadsRun) {
 	var work []weight.Work
 	for _, trainer := range r.trainers {
 		work = append(work, r.steps.Work(trainer.model))
@@ -27,48 +27,48 @@
 	r.schedule.Want(work)
 	r.schedule.Observe(seats, r.now)
 	for _, change := range r.schedule.Next(r.now) {
-		at := slices.IndexFunc(r.samplers, func(one *loadsSampler) bool { return one.ID == change.Seat })
-		r.begin(r.samplers[at], change.Model, change.Version)
+		index := slices.IndexFunc(r.samplers, func(sampler *loadsSampler) bool { return sampler.ID == change.Seat })
+		r.startLoad(r.samplers[index], change.Model, change.Version)
 	}
 }
 
-// decideInParts gives each model a part of its own and goes through the models in
-// order, at most a third of the samplers at a time.
-func decideInParts(r *loadsRun) {
-	room := max(1, len(r.samplers)/3) - r.loading()
+// decideByPartition gives each model a fixed part of the samplers and updates one model
+// after the other, at most a third of the samplers at a time.
+func decideByPartition(r *loadsRun) {
+	free := max(1, len(r.samplers)/3) - r.activeLoads()
 	for m, trainer := range r.trainers {
 		for i, sampler := range r.samplers {
-			if i%len(r.trainers) != m || sampler.left > 0 || sampler.Versions[trainer.model] >= trainer.named {
+			if i%len(r.trainers) != m || sampler.remaining > 0 || sampler.Versions[trainer.model] >= trainer.newest {
 				continue
 			}
-			if room <= 0 {
+			if free <= 0 {
 				return
 			}
-			room--
-			r.begin(sampler, trainer.model, trainer.named)
+			free--
+			r.startLoad(sampler, trainer.model, trainer.newest)
 		}
 	}
 }
 
-// decideEverywhere brings every version to every sampler, the one that is furthest
-// behind first, as many at a time as the store carries.
-func decideEverywhere(r *loadsRun) {
-	for r.loading() < r.site.AtOnce {
+// decideReplicateAll loads every version on every sampler, the one furthest behind
+// first, with as many loads at a time as the store serves at full speed.
+func decideReplicateAll(r *loadsRun) {
+	for r.activeLoads() < r.site.AtOnce {
 		var best *loadsSampler
-		var of *loadsTrainer
+		var bestTrainer *loadsTrainer
 		for _, sampler := range r.samplers {
 			for _, trainer := range r.trainers {
-				if sampler.left > 0 || sampler.Versions[trainer.model] >= trainer.named {
+				if sampler.remaining > 0 || sampler.Versions[trainer.model] >= trainer.newest {
 					continue
 				}
-				if best == nil || trainer.named-sampler.Versions[trainer.model] > of.named-best.Versions[of.model] {
-					best, of = sampler, trainer
+				if best == nil || trainer.newest-sampler.Versions[trainer.model] > bestTrainer.newest-best.Versions[bestTrainer.model] {
+					best, bestTrainer = sampler, trainer
 				}
 			}
 		}
 		if best == nil {
 			return
 		}
-		r.begin(best, of.model, of.named)
+		r.startLoad(best, bestTrainer.model, bestTrainer.newest)
 	}
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure runs decisions beside their baselines on the same seeds and
-// gathers the figures. Each experiment feeds arrivals, service times and faults
-// to one decision with a clock of its own; nothing crosses a process.
+// Package measure simulates decision policies and their baselines with the same
+// seeds and collects their figures. Each experiment feeds arrivals, service times and
+// faults to one decision with a simulated clock, all within one process.
 package measure
 
 import (
@@ -20,20 +20,20 @@
 	Value float64
 }
 
-// Result is what one policy reached with one seed.
+// Result holds the figures of one policy with one seed.
 type Result struct {
 	Policy  string
 	Figures []Figure
 }
 
-// Experiment measures one decision: Run returns the results of the chosen
-// policy and of its baselines, in the same order for every seed.
+// Experiment measures one decision: Run returns the results of the policy used in
+// production and of its baselines, in the same order for every seed.
 type Experiment struct {
 	Name string
 	Run  func(seed uint64) []Result
 }
 
-// Spread is a figure over all seeds.
+// Spread is the range and median of a figure over all seeds.
 type Spread struct {
 	Least    float64
 	Median   float64
@@ -45,11 +45,11 @@
 	Name     string
 	Columns  []string
 	Policies []string
-	// Cells are by policy, then by column.
+	// Cells is indexed by policy, then by column.
 	Cells [][]Spread
 }
 
-// Run runs an experiment with the seeds 1 to seeds.
+// Run runs an experiment with the seeds from 1 to seeds.
 func Run(experiment Experiment, seeds int) Table {
 	runs := make([][]Result, seeds)
 	for i := range runs {
@@ -79,7 +79,7 @@
 	return Spread{Least: values[0], Median: values[len(values)/2], Greatest: values[len(values)-1]}
 }
 
-// Print writes the table as text: the median, then least and greatest in brackets.
+// Print writes the table as text: the median, then minimum and maximum in brackets.
 func (t Table) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%s\n", t.Name)
 	writer := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -98,12 +98,12 @@
 	return eris.Wrap(writer.Flush(), "print table")
 }
 
-// WriteCSV writes the table as lines of experiment, policy, figure, least, median, greatest.
+// WriteCSV writes lines of experiment, policy, figure, minimum, median and maximum.
 func (t Table) WriteCSV(w io.Writer) error {
 	writer := csv.NewWriter(w)
 	for row, policy := range t.Policies {
 		for column, cell := range t.Cells[row] {
-			record := []string{t.Name, policy, t.Columns[column], format(cell.Least), format(cell.Median), format(cell.Greatest)}
+			record := []string{t.Name, policy, t.Columns[column], formatFloat(cell.Least), formatFloat(cell.Median), formatFloat(cell.Greatest)}
 			if err := writer.Write(record); err != nil {
 				return eris.Wrap(err, "write table")
 			}
@@ -113,6 +113,6 @@
 	return eris.Wrap(writer.Error(), "write table")
 }
 
-func format(value float64) string {
+func formatFloat(value float64) string {
 	return strconv.FormatFloat(value, 'g', 6, 64)
 }
--- a/internal/measure/routing.go
+++ b/internal/measure/routing.go
@@ -14,15 +14,15 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// routingSize is the input of a routing measurement.
-type routingSize struct {
+// routingParams are the parameters of a routing experiment.
+type routingParams struct {
 	name     string
 	servers  int
 	zones    int
 	entries  int
 	rate     float64
 	prefixes int
-	// interval and lag of load reports.
+	// interval and lag are those of load reports.
 	interval time.Duration
 	lag      time.Duration
 	// length of a run, of which skip is not measured: entries know no prefixes then.
@@ -31,45 +31,45 @@
 }
 
 const (
-	routingSlots   = 24
-	routingCache   = 8
-	prefixTokens   = 2000
-	ownTokens      = 200
-	prefillPerTick = 4000.0
-	decodeSeconds  = 0.0125
-	outputTokens   = 300.0
-	zoneSeconds    = 0.001
-	// reportsPerSecond numbers reports by their time.
-	reportsPerSecond = 1_000_000
+	routingSlots           = 24
+	routingCachePrefixes   = 8
+	prefixTokens           = 2000
+	uniqueTokens           = 200
+	prefillTokensPerSecond = 4000.0
+	decodeSecondsPerToken  = 0.0125
+	outputTokens           = 300.0
+	crossZoneSeconds       = 0.001
+	// reportSeqPerSecond converts the time of a report to its sequence number.
+	reportSeqPerSecond = 1_000_000
 )
 
-// RoutingToday measures the choice of a server at today's size: 9 samplers in 4 zones.
+// RoutingToday compares policies for choosing a server at today's size: 9 samplers in 4 zones.
 func RoutingToday() Experiment {
-	return routingOf(routingSize{
+	return routingExperiment(routingParams{
 		name: "routing, 9 samplers in 4 zones, 3 entries", servers: 9, zones: 4, entries: 3, rate: 40, prefixes: 40,
 		interval: time.Second, lag: time.Second, length: 200 * time.Second, skip: 20 * time.Second,
 	})
 }
 
-// Routing measures the choice of a server at the size to design for: 930 samplers.
+// Routing compares policies for choosing a server at the design size: 930 samplers.
 func Routing() Experiment {
-	return routingOf(routingSize{
+	return routingExperiment(routingParams{
 		name: "routing, 930 samplers in 7 zones, 100 entries", servers: 930, zones: 7, entries: 100, rate: 4000, prefixes: 2000,
 		interval: 5 * time.Second, lag: 3 * time.Second, length: 12 * time.Second, skip: 6 * time.Second,
 	})
 }
 
-func routingOf(size routingSize) Experiment {
-	return Experiment{Name: size.name, Run: func(seed uint64) []Result {
+func routingExperiment(params routingParams) Experiment {
+	return Experiment{Name: params.name, Run: func(seed uint64) []Result {
 		var results []Result
 		for _, policy := range routingPolicies() {
-			results = append(results, newRoutingRun(size, policy, seed).measure())
+			results = append(results, newRoutingRun(params, policy, seed).run())
 		}
 		return results
 	}}
 }
 
-// routingPolicy chooses among an entry's servers.
+// routingPolicy chooses one of an entry's servers; reports says whether it uses load reports.
 type routingPolicy struct {
 	name    string
 	reports bool
@@ -77,15 +77,15 @@
 }
 
 func routingPolicies() []routingPolicy {
-	spread := func(name string, spread float64) routingPolicy {
+	prefixPolicy := func(name string, spread float64) routingPolicy {
 		return routingPolicy{name: name, reports: true, choose: func(entry *routingEntry, prefix uint64) *route.Server {
 			entry.chooser.Spread = spread
 			return entry.chooser.Choose(entry.servers, route.Request{Prefix: prefix, Now: entry.now}).Server
 		}}
 	}
 	return []routingPolicy{
-		spread("prefix by popularity (chosen)", route.DefaultSpread),
-		spread("prefix on two servers", 1e-9),
+		prefixPolicy("prefix by popularity (chosen)", route.DefaultSpread),
+		prefixPolicy("prefix on two servers", 1e-9),
 		{name: "two random choices", reports: true, choose: func(entry *routingEntry, _ uint64) *route.Server {
 			return entry.chooser.Choose(entry.servers, route.Request{Now: entry.now}).Server
 		}},
@@ -102,88 +102,87 @@
 	}
 }
 
-// routingEntry is what one entry knows.
+// routingEntry is the state of one entry.
 type routingEntry struct {
-	servers []*route.Server
-	chooser *route.Chooser
-	random  *rand.Rand
-	next    int
-	zone    int
-	taken   int
-	now     time.Time
+	servers    []*route.Server
+	chooser    *route.Chooser
+	random     *rand.Rand
+	next       int
+	zone       int
+	nextReport int
+	now        time.Time
 }
 
-// sampler is an engine with slots, a queue and a prefix cache.
-type sampler struct {
+// routingSampler is an engine with slots, a queue and an LRU prefix cache.
+type routingSampler struct {
 	index   int
 	zone    int
 	running int
-	queue   []*routed
+	queue   []*routingRequest
 	cache   []int
-	// told are the loads at each interval.
-	told []route.Report
+	// reports holds the load report of each interval.
+	reports []route.Report
 }
 
-// routed is one request.
-type routed struct {
-	entry   int
-	server  int
-	prefix  int
-	arrived float64
-	begun   bool
+type routingRequest struct {
+	entry     int
+	server    int
+	prefix    int
+	arrivedAt float64
+	isStarted bool
 }
 
-// routingEvent is the end of a request.
-type routingEvent struct {
+// routingCompletion is the end of a request.
+type routingCompletion struct {
 	at      float64
-	request *routed
+	request *routingRequest
 }
 
-type routingEvents []routingEvent
+type routingCompletions []routingCompletion
 
-func (e routingEvents) Len() int           { return len(e) }
-func (e routingEvents) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e routingEvents) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (c routingCompletions) Len() int           { return len(c) }
+func (c routingCompletions) Less(i, j int) bool { return c[i].at < c[j].at }
+func (c routingCompletions) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
 
-// Push adds an event for container/heap.
-func (e *routingEvents) Push(x any) { *e = append(*e, x.(routingEvent)) }
+// Push implements heap.Interface.
+func (c *routingCompletions) Push(x any) { *c = append(*c, x.(routingCompletion)) }
 
-// Pop removes the last event for container/heap.
-func (e *routingEvents) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+// Pop implements heap.Interface.
+func (c *routingCompletions) Pop() any {
+	last := (*c)[len(*c)-1]
+	*c = (*c)[:len(*c)-1]
 	return last
 }
 
-// routingRun is one policy with one seed.
+// routingRun simulates one policy with one seed.
 type routingRun struct {
-	routingSize
-
-	policy   routingPolicy
-	random   *rand.Rand
-	popular  *rand.Zipf
-	entries  []*routingEntry
-	samplers []*sampler
-	events   routingEvents
-	now      float64
-	waits    []float64
-	begun    int
-	hits     int
-	longest  int
-	reports  int
+	routingParams
+
+	policy      routingPolicy
+	random      *rand.Rand
+	popularity  *rand.Zipf
+	entries     []*routingEntry
+	samplers    []*routingSampler
+	completions routingCompletions
+	now         float64
+	waits       []float64
+	started     int
+	hits        int
+	maxQueue    int
+	reports     int
 }
 
-func newRoutingRun(size routingSize, policy routingPolicy, seed uint64) *routingRun {
-	r := &routingRun{routingSize: size, policy: policy, random: rand.New(rand.NewPCG(seed, 1))}
-	r.popular = rand.NewZipf(r.random, 1.2, 4, uint64(size.prefixes-1))
-	for i := range size.servers {
-		r.samplers = append(r.samplers, &sampler{index: i, zone: i % size.zones})
+func newRoutingRun(params routingParams, policy routingPolicy, seed uint64) *routingRun {
+	r := &routingRun{routingParams: params, policy: policy, random: rand.New(rand.NewPCG(seed, 1))}
+	r.popularity = rand.NewZipf(r.random, 1.2, 4, uint64(params.prefixes-1))
+	for i := range params.servers {
+		r.samplers = append(r.samplers, &routingSampler{index: i, zone: i % params.zones})
 	}
-	for i := range size.entries {
+	for i := range params.entries {
 		random := rand.New(rand.NewPCG(seed, uint64(i+2)))
-		entry := &routingEntry{chooser: &route.Chooser{Random: random}, random: random, zone: i % size.zones}
-		for j := range size.servers {
-			entry.servers = append(entry.servers, route.NewServer(fmt.Sprintf("%d", j), "", fmt.Sprintf("z%d", j%size.zones)))
+		entry := &routingEntry{chooser: &route.Chooser{Random: random}, random: random, zone: i % params.zones}
+		for j := range params.servers {
+			entry.servers = append(entry.servers, route.NewServer(fmt.Sprintf("%d", j), "", fmt.Sprintf("z%d", j%params.zones)))
 		}
 		entry.next = i * 7
 		r.entries = append(r.entries, entry)
@@ -191,19 +190,19 @@
 	return r
 }
 
-func (r *routingRun) measure() Result {
-	r.warm()
+func (r *routingRun) run() Result {
+	r.warmUp()
 	next := 0.0
-	told := 0
+	nextReport := 0
 	for end := r.length.Seconds(); r.now < end; {
-		for float64(told)*r.interval.Seconds() <= r.now {
-			r.tell(told)
-			told++
+		for float64(nextReport)*r.interval.Seconds() <= r.now {
+			r.recordReports(nextReport)
+			nextReport++
 		}
-		if len(r.events) > 0 && r.events[0].at < next {
-			event := heap.Pop(&r.events).(routingEvent)
-			r.now = event.at
-			r.finish(event.request)
+		if len(r.completions) > 0 && r.completions[0].at < next {
+			completion := heap.Pop(&r.completions).(routingCompletion)
+			r.now = completion.at
+			r.finish(completion.request)
 			continue
 		}
 		r.now = next
@@ -217,41 +216,41 @@
 	return time.Unix(1_000_000, int64(seconds*1e9))
 }
 
-// warm starts with requests in the middle of their answers, which end one by one.
-func (r *routingRun) warm() {
-	for _, one := range r.samplers {
+// warmUp fills 7 of 10 slots with requests that are already generating and end at random times.
+func (r *routingRun) warmUp() {
+	for _, sampler := range r.samplers {
 		for range routingSlots * 7 / 10 {
-			one.running++
-			request := &routed{entry: -1, server: one.index, begun: true}
-			heap.Push(&r.events, routingEvent{at: r.random.Float64() * outputTokens * decodeSeconds, request: request})
+			sampler.running++
+			request := &routingRequest{entry: -1, server: sampler.index, isStarted: true}
+			heap.Push(&r.completions, routingCompletion{at: r.random.Float64() * outputTokens * decodeSecondsPerToken, request: request})
 		}
 	}
 }
 
-// tell notes the load of each sampler, which entries learn after the lag.
-func (r *routingRun) tell(seq int) {
-	at := uint64(float64(seq) * r.interval.Seconds() * reportsPerSecond)
-	for _, one := range r.samplers {
-		one.told = append(one.told, one.report(at))
+// recordReports records the load of each sampler; entries receive it after the lag.
+func (r *routingRun) recordReports(seq int) {
+	at := uint64(float64(seq) * r.interval.Seconds() * reportSeqPerSecond)
+	for _, sampler := range r.samplers {
+		sampler.reports = append(sampler.reports, sampler.report(at))
 	}
 }
 
-func (s *sampler) report(seq uint64) route.Report {
+func (s *routingSampler) report(seq uint64) route.Report {
 	return route.Report{Seq: seq + 1, Running: int64(s.running), Queued: int64(len(s.queue)), Slots: routingSlots}
 }
 
-// learn gives an entry the newest reports whose lag has passed.
-func (r *routingRun) learn(entry *routingEntry) {
+// applyReports passes an entry the newest reports whose lag has elapsed.
+func (r *routingRun) applyReports(entry *routingEntry) {
 	if !r.policy.reports {
 		return
 	}
 	newest := int((r.now - r.lag.Seconds()) / r.interval.Seconds())
-	if newest < entry.taken || r.now < r.lag.Seconds() {
+	if newest < entry.nextReport || r.now < r.lag.Seconds() {
 		return
 	}
-	entry.taken = newest + 1
+	entry.nextReport = newest + 1
 	for i, server := range entry.servers {
-		report := r.samplers[i].told[newest]
+		report := r.samplers[i].reports[newest]
 		report.Time = r.time(float64(newest)*r.interval.Seconds() + r.lag.Seconds())
 		server.TakeReport(report)
 		r.reports++
@@ -262,67 +261,67 @@
 	index := r.random.IntN(len(r.entries))
 	entry := r.entries[index]
 	entry.now = r.time(r.now)
-	r.learn(entry)
-	prefix := int(r.popular.Uint64())
+	r.applyReports(entry)
+	prefix := int(r.popularity.Uint64())
 	chosen := r.policy.choose(entry, route.Hash(fmt.Appendf(nil, "prefix %d", prefix)))
 	chosen.Begin()
 	server, _ := strconv.Atoi(chosen.Name())
-	one := r.samplers[server]
-	one.queue = append(one.queue, &routed{entry: index, server: server, prefix: prefix, arrived: r.now})
-	r.begin(one)
+	sampler := r.samplers[server]
+	sampler.queue = append(sampler.queue, &routingRequest{entry: index, server: server, prefix: prefix, arrivedAt: r.now})
+	r.startQueued(sampler)
 	if r.now >= r.skip.Seconds() {
-		r.longest = max(r.longest, len(one.queue))
+		r.maxQueue = max(r.maxQueue, len(sampler.queue))
 	}
 }
 
-// begin starts waiting requests in free slots.
-func (r *routingRun) begin(one *sampler) {
-	for one.running < routingSlots && len(one.queue) > 0 {
-		request := one.queue[0]
-		one.queue = one.queue[1:]
-		one.running++
-		tokens := float64(ownTokens)
-		isHit := one.take(request.prefix)
+// startQueued starts queued requests in free slots.
+func (r *routingRun) startQueued(sampler *routingSampler) {
+	for sampler.running < routingSlots && len(sampler.queue) > 0 {
+		request := sampler.queue[0]
+		sampler.queue = sampler.queue[1:]
+		sampler.running++
+		tokens := float64(uniqueTokens)
+		isHit := sampler.usePrefix(request.prefix)
 		if !isHit {
 			tokens += prefixTokens
 		}
-		first := r.now + tokens/prefillPerTick
-		wait := first - request.arrived
-		if one.zone != r.entries[request.entry].zone {
-			wait += zoneSeconds
+		first := r.now + tokens/prefillTokensPerSecond
+		wait := first - request.arrivedAt
+		if sampler.zone != r.entries[request.entry].zone {
+			wait += crossZoneSeconds
 		}
-		if request.arrived >= r.skip.Seconds() {
+		if request.arrivedAt >= r.skip.Seconds() {
 			r.waits = append(r.waits, wait)
-			r.begun++
+			r.started++
 			r.hits += map[bool]int{true: 1}[isHit]
 		}
-		length := outputTokens * decodeSeconds * (0.5 + r.random.Float64())
-		heap.Push(&r.events, routingEvent{at: first + length, request: request})
+		length := outputTokens * decodeSecondsPerToken * (0.5 + r.random.Float64())
+		heap.Push(&r.completions, routingCompletion{at: first + length, request: request})
 	}
 }
 
-// take uses a prefix and reports whether it was cached.
-func (s *sampler) take(prefix int) bool {
-	at := slices.Index(s.cache, prefix)
-	if at >= 0 {
-		s.cache = slices.Delete(s.cache, at, at+1)
-	} else if len(s.cache) >= routingCache {
+// usePrefix moves a prefix to the front of the cache and reports whether it was cached.
+func (s *routingSampler) usePrefix(prefix int) bool {
+	index := slices.Index(s.cache, prefix)
+	if index >= 0 {
+		s.cache = slices.Delete(s.cache, index, index+1)
+	} else if len(s.cache) >= routingCachePrefixes {
 		s.cache = s.cache[:len(s.cache)-1]
 	}
 	s.cache = slices.Insert(s.cache, 0, prefix)
-	return at >= 0
+	return index >= 0
 }
 
-func (r *routingRun) finish(request *routed) {
-	one := r.samplers[request.server]
-	one.running--
+func (r *routingRun) finish(request *routingRequest) {
+	sampler := r.samplers[request.server]
+	sampler.running--
 	if request.entry >= 0 {
 		r.entries[request.entry].servers[request.server].Finish()
 	}
-	r.begin(one)
+	r.startQueued(sampler)
 	if request.entry >= 0 && r.policy.reports {
-		// The end of an answer carries the load.
-		report := one.report(uint64(r.now * reportsPerSecond))
+		// The end of an answer carries a load report.
+		report := sampler.report(uint64(r.now * reportSeqPerSecond))
 		report.Time = r.time(r.now)
 		r.entries[request.entry].servers[request.server].TakeReport(report)
 		r.reports++
@@ -330,25 +329,25 @@
 }
 
 func (r *routingRun) result() Result {
-	for _, one := range r.samplers {
-		for _, request := range one.queue {
-			r.waits = append(r.waits, r.now-request.arrived)
+	for _, sampler := range r.samplers {
+		for _, request := range sampler.queue {
+			r.waits = append(r.waits, r.now-request.arrivedAt)
 		}
 	}
 	slices.Sort(r.waits)
 	seconds := r.length.Seconds()
 	bytes := float64(r.reports*reportBytes()) / float64(len(r.entries)) / seconds
 	return Result{Policy: r.policy.name, Figures: []Figure{
-		{Name: "prefix hits", Value: float64(r.hits) / float64(r.begun)},
+		{Name: "prefix hits", Value: float64(r.hits) / float64(r.started)},
 		{Name: "first token p50 s", Value: percentile(r.waits, 0.5)},
 		{Name: "first token mean s", Value: mean(r.waits)},
 		{Name: "first token p99 s", Value: percentile(r.waits, 0.99)},
-		{Name: "longest queue", Value: float64(r.longest)},
+		{Name: "longest queue", Value: float64(r.maxQueue)},
 		{Name: "load bytes/s an entry", Value: bytes},
 	}}
 }
 
-// reportBytes is the size of a load report between processes.
+// reportBytes returns the encoded size of a load report.
 func reportBytes() int {
 	return proto.Size(peerpb.Load_builder{Server: "sampler-0123", Running: 20, Queued: 3, Slots: 24, Version: 100, Seq: 100_000}.Build())
 }
--- a/internal/measure/routing_test.go
+++ b/internal/measure/routing_test.go
@@ -8,7 +8,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/measure"
 )
 
-// figures returns the figures of a policy by name.
+// figures returns the figures of a policy, keyed by name.
 func figures(t *testing.T, results []measure.Result, policy string) map[string]float64 {
 	t.Helper()
 	for _, result := range results {
@@ -21,17 +21,17 @@
 		}
 		return found
 	}
-	t.Fatalf("no policy %q", policy)
+	t.Fatalf("results have no policy %q", policy)
 	return nil
 }
 
 func TestRoutingKeepsPrefixes(t *testing.T) {
 	results := measure.RoutingToday().Run(1)
 	chosen := figures(t, results, "prefix by popularity (chosen)")
-	drawn := figures(t, results, "two random choices")
-	must.Greater(t, 2*drawn["prefix hits"], chosen["prefix hits"])
-	must.Less(t, drawn["first token mean s"]/2, chosen["first token mean s"])
-	must.LessEq(t, 1.1*drawn["first token p99 s"], chosen["first token p99 s"])
+	random := figures(t, results, "two random choices")
+	must.Greater(t, 2*random["prefix hits"], chosen["prefix hits"])
+	must.Less(t, random["first token mean s"]/2, chosen["first token mean s"])
+	must.LessEq(t, 1.1*random["first token p99 s"], chosen["first token p99 s"])
 }
 
 func TestLimitsAreKeptAndUsed(t *testing.T) {
--- a/internal/measure/staleness.go
+++ b/internal/measure/staleness.go
@@ -7,15 +7,15 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/rollout"
 )
 
-// announceEvery is the time between two versions in the staleness experiment.
-const announceEvery = 70 * time.Second
+// announceInterval is the time between versions in the staleness experiment.
+const announceInterval = 70 * time.Second
 
-// Staleness measures stopping attempts that are doomed, with weights that
-// change every announceEvery, whatever the trainer does.
+// Staleness compares stopping attempts once their samples would be stale with checking at the
+// end. Weights change every announceInterval, independent of the trainer.
 func Staleness() Experiment {
 	policies := []stragglerPolicy{
-		{name: "stopped once doomed", every: announceEvery},
-		{name: "checked at the end", every: announceEvery, late: true},
+		{name: "stopped once doomed", announceInterval: announceInterval},
+		{name: "checked at the end", announceInterval: announceInterval, checksAtEnd: true},
 	}
 	return Experiment{Name: "Staleness", Run: func(seed uint64) []Result {
 		var results []Result
@@ -26,7 +26,7 @@
 	}}
 }
 
-// isDoomed tells an attempt that is stopped as stale from one whose slot is filled.
-func isDoomed(one *stragglerAttempt) bool {
-	return slices.ContainsFunc(one.step.Doomed(), func(doomed rollout.Attempt) bool { return doomed.ID() == one.attempt.ID() })
+// isStale reports whether an attempt was stopped as stale, not because its slot is filled.
+func isStale(running *stragglerAttempt) bool {
+	return slices.ContainsFunc(running.step.Doomed(), func(doomed rollout.Attempt) bool { return doomed.ID() == running.attempt.ID() })
 }
--- a/internal/measure/stragglers.go
+++ b/internal/measure/stragglers.go
@@ -10,36 +10,36 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/rollout"
 )
 
-// Sizes of the stragglers' experiment.
+// Parameters of the stragglers experiment.
 const (
-	stragglerSamplers = 24
-	stragglerSlots    = 8
-	stragglerGroups   = 64
-	stragglerGroup    = 8
-	stragglerSteps    = 8
-	stragglerTick     = 200 * time.Millisecond
-	stragglerTrain    = 60 * time.Second
-	stragglerBound    = 1
-	tokensPerSecond   = 40.0
-	medianTokens      = 600.0
-	spreadTokens      = 0.6
-	mostTokens        = 4096
-	slowShare         = 0.15
-	crashAfter        = 20 * time.Second
-	crashFor          = 30 * time.Second
-	silenceAfter      = 5 * time.Second
-	swapMost          = 10 * time.Second
-	fixedRetries      = 3
-	fixedTimeout      = 40 * time.Second
+	stragglerSamplers     = 24
+	stragglerSlots        = 8
+	stragglerGroups       = 64
+	stragglerGroupSize    = 8
+	stragglerSteps        = 8
+	stragglerTick         = 200 * time.Millisecond
+	stragglerTrainTime    = 60 * time.Second
+	stragglerMaxStaleness = 1
+	tokensPerSecond       = 40.0
+	medianTokens          = 600.0
+	tokensSigma           = 0.6
+	maxTokens             = 4096
+	slowSpeed             = 0.15
+	crashAfter            = 20 * time.Second
+	crashDuration         = 30 * time.Second
+	silenceTimeout        = 5 * time.Second
+	maxSwapDelay          = 10 * time.Second
+	maxRetries            = 3
+	retryTimeout          = 40 * time.Second
 )
 
-// Stragglers measures second runs of slow attempts, with one sampler slow
-// throughout and one that crashes in each step.
+// Stragglers compares policies for second runs of slow attempts, with one sampler
+// that is always slow and one that crashes in each step.
 func Stragglers() Experiment {
 	policies := []stragglerPolicy{
 		{name: "second run when it pays"},
-		{name: "no second run", without: true},
-		{name: "fixed retries", without: true, fixed: true},
+		{name: "no second run", noSecondRuns: true},
+		{name: "fixed retries", noSecondRuns: true, retriesOnTimeout: true},
 	}
 	return Experiment{Name: "Stragglers", Run: func(seed uint64) []Result {
 		var results []Result
@@ -50,25 +50,25 @@
 	}}
 }
 
-// stragglerPolicy starts second runs and stops attempts.
+// stragglerPolicy says when second runs start and when stale attempts stop.
 type stragglerPolicy struct {
-	name    string
-	without bool
-	// fixed runs an attempt again that takes longer than fixedTimeout, up to fixedRetries.
-	fixed bool
-	// every is the time between two versions; 0 announces after each training.
-	every time.Duration
-	// late lets doomed attempts run to their end.
-	late bool
+	name         string
+	noSecondRuns bool
+	// retriesOnTimeout retries an attempt that takes longer than retryTimeout, up to maxRetries times.
+	retriesOnTimeout bool
+	// announceInterval is the time between versions; 0 announces one after each training.
+	announceInterval time.Duration
+	// checksAtEnd lets attempts run to their end although their samples will be stale.
+	checksAtEnd bool
 }
 
-// stragglerSampler is a sampler with a pace of its own.
+// stragglerSampler is a sampler with its own speed relative to tokensPerSecond.
 type stragglerSampler struct {
-	pace    float64
+	speed   float64
 	running int
 	version uint64
-	// awayUntil is when it has restarted after a crash.
-	awayUntil time.Time
+	// downUntil is when its restart after a crash is complete.
+	downUntil time.Time
 	swapAt    time.Time
 }
 
@@ -85,30 +85,30 @@
 	answer   rollout.Answer
 }
 
-// stragglerRun is one seed of one policy.
+// stragglerRun simulates one policy with one seed.
 type stragglerRun struct {
-	policy   stragglerPolicy
-	random   *rand.Rand
-	seed     uint64
-	now      time.Time
-	samplers []*stragglerSampler
-	running  []*stragglerAttempt
-	step     *rollout.Step
-	opened   time.Time
-	whole    bool
-	crashAt  time.Time
-	next     uint64
-	newest   uint64
-	trainEnd time.Time
+	policy     stragglerPolicy
+	random     *rand.Rand
+	seed       uint64
+	now        time.Time
+	samplers   []*stragglerSampler
+	running    []*stragglerAttempt
+	step       *rollout.Step
+	openedAt   time.Time
+	isComplete bool
+	crashAt    time.Time
+	next       uint64
+	newest     uint64
+	trainEnd   time.Time
 	// announcedAt is when the newest version was announced.
-	announcedAt time.Time
-	idle        time.Duration
-	tokens      float64
-	useful      float64
-	stale       uint64
-	times       []float64
-	leasts      []float64
-	lags        []float64
+	announcedAt     time.Time
+	idle            time.Duration
+	generatedTokens float64
+	usefulTokens    float64
+	staleSamples    uint64
+	stepTimes       []float64
+	minStepTimes    []float64
+	staleness       []float64
 }
 
 func newStragglerRun(policy stragglerPolicy, seed uint64) *stragglerRun {
@@ -121,51 +121,51 @@
 	}
 	run.announcedAt = run.now
 	for range stragglerSamplers {
-		run.samplers = append(run.samplers, &stragglerSampler{pace: 0.9 + 0.2*run.random.Float64(), version: 1})
+		run.samplers = append(run.samplers, &stragglerSampler{speed: 0.9 + 0.2*run.random.Float64(), version: 1})
 	}
-	run.samplers[0].pace = slowShare
+	run.samplers[0].speed = slowSpeed
 	return run
 }
 
 func (r *stragglerRun) run() Result {
 	r.open(1)
-	begin := r.now
-	for len(r.times) < stragglerSteps {
+	start := r.now
+	for len(r.stepTimes) < stragglerSteps {
 		r.now = r.now.Add(stragglerTick)
-		r.swap()
+		r.swapAndCrash()
 		r.advance()
 		r.dispatch()
 		r.deliver()
 	}
 	return Result{Policy: r.policy.name, Figures: []Figure{
-		{Name: "trainer idle share", Value: r.idle.Seconds() / r.now.Sub(begin).Seconds()},
-		{Name: "step p50 s", Value: quantileOf(r.times, 0.5)},
-		{Name: "least p50 s", Value: quantileOf(r.leasts, 0.5)},
-		{Name: "step p99 s", Value: quantileOf(r.times, 0.99)},
-		{Name: "added work share", Value: r.tokens/r.useful - 1},
-		{Name: "dropped as stale", Value: float64(r.stale)},
-		{Name: "staleness p50", Value: quantileOf(r.lags, 0.5)},
-		{Name: "staleness p99", Value: quantileOf(r.lags, 0.99)},
+		{Name: "trainer idle share", Value: r.idle.Seconds() / r.now.Sub(start).Seconds()},
+		{Name: "step p50 s", Value: quantile(r.stepTimes, 0.5)},
+		{Name: "least p50 s", Value: quantile(r.minStepTimes, 0.5)},
+		{Name: "step p99 s", Value: quantile(r.stepTimes, 0.99)},
+		{Name: "added work share", Value: r.generatedTokens/r.usefulTokens - 1},
+		{Name: "dropped as stale", Value: float64(r.staleSamples)},
+		{Name: "staleness p50", Value: quantile(r.staleness, 0.5)},
+		{Name: "staleness p99", Value: quantile(r.staleness, 0.99)},
 	}}
 }
 
 func (r *stragglerRun) open(number uint64) {
-	request := peerpb.OpenRequest_builder{Trainer: "t", Step: number, Model: "m", Staleness: stragglerBound}.Build()
+	request := peerpb.OpenRequest_builder{Trainer: "t", Step: number, Model: "m", Staleness: stragglerMaxStaleness}.Build()
 	for range stragglerGroups {
-		request.SetPrompts(append(request.GetPrompts(), peerpb.Prompt_builder{Samples: stragglerGroup}.Build()))
+		request.SetPrompts(append(request.GetPrompts(), peerpb.Prompt_builder{Samples: stragglerGroupSize}.Build()))
 	}
 	r.step = rollout.NewStep(request, r.next, 1, r.newest)
-	if r.policy.without {
+	if r.policy.noSecondRuns {
 		r.step.WithoutSeconds()
 	}
-	r.leasts = append(r.leasts, r.least())
-	r.opened, r.whole = r.now, false
+	r.minStepTimes = append(r.minStepTimes, r.minStepTime())
+	r.openedAt, r.isComplete = r.now, false
 	r.crashAt = r.now.Add(crashAfter)
 }
 
-// least is the time that no policy can beat: that of the longest answer at the
-// usual pace, or of all tokens on all samplers.
-func (r *stragglerRun) least() float64 {
+// minStepTime returns a lower bound of the step's time: that of the longest answer at
+// tokensPerSecond, or of all tokens spread over all samplers.
+func (r *stragglerRun) minStepTime() float64 {
 	longest, sum := 0.0, 0.0
 	for slot := range r.step.Slots() {
 		length := r.length(uint32(slot))
@@ -175,8 +175,8 @@
 	return max(longest/tokensPerSecond, sum/tokensPerSecond/stragglerSamplers/stragglerSlots)
 }
 
-// swap gives each sampler the newest version at its own time, and crashes one.
-func (r *stragglerRun) swap() {
+// swapAndCrash swaps in the newest version where due, and crashes one sampler in each step.
+func (r *stragglerRun) swapAndCrash() {
 	for _, sampler := range r.samplers {
 		if !sampler.swapAt.IsZero() && !r.now.Before(sampler.swapAt) {
 			sampler.version, sampler.swapAt = r.newest, time.Time{}
@@ -187,10 +187,10 @@
 	}
 	r.crashAt = time.Time{}
 	crashed := r.samplers[1+r.random.IntN(stragglerSamplers-1)]
-	crashed.awayUntil = r.now.Add(crashFor)
-	for _, one := range r.running {
-		if one.sampler == crashed {
-			one.failsAt = r.now.Add(silenceAfter)
+	crashed.downUntil = r.now.Add(crashDuration)
+	for _, running := range r.running {
+		if running.sampler == crashed {
+			running.failsAt = r.now.Add(silenceTimeout)
 		}
 	}
 }
@@ -198,78 +198,78 @@
 // advance generates tokens on all samplers.
 func (r *stragglerRun) advance() {
 	kept := r.running[:0]
-	for _, one := range r.running {
-		if r.continues(one) {
-			kept = append(kept, one)
+	for _, running := range r.running {
+		if r.advanceAttempt(running) {
+			kept = append(kept, running)
 			continue
 		}
-		one.sampler.running--
+		running.sampler.running--
 	}
 	r.running = kept
 }
 
-func (r *stragglerRun) continues(one *stragglerAttempt) bool {
-	if !one.failsAt.IsZero() {
-		if r.now.Before(one.failsAt) {
+func (r *stragglerRun) advanceAttempt(running *stragglerAttempt) bool {
+	if !running.failsAt.IsZero() {
+		if r.now.Before(running.failsAt) {
 			return true
 		}
-		one.step.Fail(one.attempt, 0, r.now)
+		running.step.Fail(running.attempt, 0, r.now)
 		return false
 	}
-	before := one.tokens
-	one.tokens = min(one.length, one.tokens+tokensPerSecond*one.sampler.pace*stragglerTick.Seconds())
-	r.tokens += one.tokens - before
-	count := int(one.tokens) - one.reported
-	one.reported += count
-	if !r.report(one, count) {
-		one.step.Fail(one.attempt, 0, r.now)
+	before := running.tokens
+	running.tokens = min(running.length, running.tokens+tokensPerSecond*running.sampler.speed*stragglerTick.Seconds())
+	r.generatedTokens += running.tokens - before
+	count := int(running.tokens) - running.reported
+	running.reported += count
+	if !r.reportProgress(running, count) {
+		running.step.Fail(running.attempt, 0, r.now)
 		return false
 	}
-	if one.tokens < one.length {
+	if running.tokens < running.length {
 		return true
 	}
-	r.finish(one)
+	r.finish(running)
 	return false
 }
 
-func (r *stragglerRun) report(one *stragglerAttempt, count int) bool {
+func (r *stragglerRun) reportProgress(running *stragglerAttempt, count int) bool {
 	if count == 0 {
 		return true
 	}
-	chunk := peerpb.Chunk_builder{Tokens: make([]int32, count), Version: one.sampler.version}.Build()
-	if one.answer.Add(one.attempt.ID(), chunk) != nil {
+	chunk := peerpb.Chunk_builder{Tokens: make([]int32, count), Version: running.sampler.version}.Build()
+	if running.answer.Add(running.attempt.ID(), chunk) != nil {
 		return false
 	}
-	return one.step.Progress(one.attempt, count, one.sampler.version, r.now) || r.policy.late && isDoomed(one)
+	return running.step.Progress(running.attempt, count, running.sampler.version, r.now) || r.policy.checksAtEnd && isStale(running)
 }
 
-func (r *stragglerRun) finish(one *stragglerAttempt) {
-	end := peerpb.End_builder{OutputTokens: uint64(one.reported)}.Build()
-	sample, err := one.answer.Sample(one.attempt, &peerpb.OpenRequest{}, end)
+func (r *stragglerRun) finish(running *stragglerAttempt) {
+	end := peerpb.End_builder{OutputTokens: uint64(running.reported)}.Build()
+	sample, err := running.answer.Sample(running.attempt, &peerpb.OpenRequest{}, end)
 	if err != nil {
-		one.step.Fail(one.attempt, 0, r.now)
+		running.step.Fail(running.attempt, 0, r.now)
 		return
 	}
-	if one.step.Finish(one.attempt, sample, r.now) {
-		r.useful += one.length
-		one.step.Kept(one.attempt, []string{"a", "b"})
+	if running.step.Finish(running.attempt, sample, r.now) {
+		r.usefulTokens += running.length
+		running.step.Kept(running.attempt, []string{"a", "b"})
 	}
 }
 
-// dispatch starts attempts on the samplers with the fewest running.
+// dispatch starts attempts on the samplers with the fewest running ones.
 func (r *stragglerRun) dispatch() {
 	for {
-		if r.free(0) == nil {
+		if r.leastBusy(0) == nil {
 			return
 		}
 		attempt, ok := r.step.Next(r.now)
 		if !ok {
-			attempt, ok = r.again()
+			attempt, ok = r.retryTimedOut()
 		}
 		if !ok {
 			return
 		}
-		sampler := r.free(attempt.Oldest())
+		sampler := r.leastBusy(attempt.Oldest())
 		if sampler == nil {
 			r.step.Refuse(attempt, 0, r.now)
 			continue
@@ -281,33 +281,33 @@
 	}
 }
 
-// again is the baseline with a fixed count of retries.
-func (r *stragglerRun) again() (rollout.Attempt, bool) {
-	if !r.policy.fixed {
+// retryTimedOut starts a retry under the baseline with a fixed number of retries.
+func (r *stragglerRun) retryTimedOut() (rollout.Attempt, bool) {
+	if !r.policy.retriesOnTimeout {
 		return rollout.Attempt{}, false
 	}
-	for _, one := range r.running {
-		late := r.now.Sub(one.start) > fixedTimeout*time.Duration(one.attempt.Number())
-		if one.step == r.step && late && one.attempt.Number() <= fixedRetries && !r.hasLater(one) {
-			return r.step.Second(one.attempt.Slot(), r.now)
+	for _, running := range r.running {
+		isLate := r.now.Sub(running.start) > retryTimeout*time.Duration(running.attempt.Number())
+		if running.step == r.step && isLate && running.attempt.Number() <= maxRetries && !r.hasLaterAttempt(running) {
+			return r.step.Second(running.attempt.Slot(), r.now)
 		}
 	}
 	return rollout.Attempt{}, false
 }
 
-func (r *stragglerRun) hasLater(one *stragglerAttempt) bool {
+func (r *stragglerRun) hasLaterAttempt(running *stragglerAttempt) bool {
 	return slices.ContainsFunc(r.running, func(other *stragglerAttempt) bool {
-		return other.attempt.Slot() == one.attempt.Slot() && other.step == one.step && other.attempt.Number() > one.attempt.Number()
+		return other.attempt.Slot() == running.attempt.Slot() && other.step == running.step && other.attempt.Number() > running.attempt.Number()
 	})
 }
 
-// free returns the sampler with the fewest running that shows at least a version.
-func (r *stragglerRun) free(oldest uint64) *stragglerSampler {
+// leastBusy returns the available sampler with the fewest attempts, at least at version oldest.
+func (r *stragglerRun) leastBusy(oldest uint64) *stragglerSampler {
 	var best *stragglerSampler
 	offset := r.random.IntN(len(r.samplers))
 	for i := range r.samplers {
 		sampler := r.samplers[(i+offset)%len(r.samplers)]
-		if sampler.version < oldest || sampler.running >= stragglerSlots || r.now.Before(sampler.awayUntil) {
+		if sampler.version < oldest || sampler.running >= stragglerSlots || r.now.Before(sampler.downUntil) {
 			continue
 		}
 		if best == nil || sampler.running < best.running {
@@ -317,20 +317,20 @@
 	return best
 }
 
-// length is that of the slot's answer, the same for each attempt: second runs
-// use the same seed.
+// length returns the token count of the slot's answer, which is the same for each
+// attempt: second runs use the same seed.
 func (r *stragglerRun) length(slot uint32) float64 {
 	random := rand.New(rand.NewPCG(r.seed*1e6+r.step.Number(), uint64(slot)))
-	return math.Ceil(min(mostTokens, medianTokens*math.Exp(spreadTokens*random.NormFloat64())))
+	return math.Ceil(min(maxTokens, medianTokens*math.Exp(tokensSigma*random.NormFloat64())))
 }
 
-// deliver hands over what is whole, and lets the trainer train.
+// deliver passes finished samples to the trainer and advances its training.
 func (r *stragglerRun) deliver() {
 	if r.step.Propose() != nil {
 		r.step.Commit()
 	}
 	training := r.now.Before(r.trainEnd)
-	if r.isAnnounced(training) {
+	if r.isAnnouncementDue(training) {
 		r.announce()
 	}
 	pulled, err := r.step.Pull(r.next, rollout.MaxSlots, 0)
@@ -338,46 +338,48 @@
 		return
 	}
 	for _, sample := range pulled.Samples() {
-		r.lags = append(r.lags, float64(r.newest-min(r.newest, rollout.OldestVersion(sample))))
+		r.staleness = append(r.staleness, float64(r.newest-min(r.newest, rollout.OldestVersion(sample))))
 	}
 	r.next = pulled.Next()
 	if !training {
 		r.idle += stragglerTick
 	}
-	if pulled.Done() && !r.whole {
-		r.whole = true
-		r.times = append(r.times, r.now.Sub(r.opened).Seconds())
+	if pulled.Done() && !r.isComplete {
+		r.isComplete = true
+		r.stepTimes = append(r.stepTimes, r.now.Sub(r.openedAt).Seconds())
 	}
-	if r.whole && !training {
-		r.stale += r.step.Counts().Stale()
-		r.trainEnd = r.now.Add(stragglerTrain)
+	if r.isComplete && !training {
+		r.staleSamples += r.step.Counts().Stale()
+		r.trainEnd = r.now.Add(stragglerTrainTime)
 		r.open(r.step.Number() + 1)
 	}
 }
 
-// isAnnounced reports whether new weights are due.
-func (r *stragglerRun) isAnnounced(training bool) bool {
-	if r.policy.every > 0 {
-		return r.now.Sub(r.announcedAt) >= r.policy.every
+// isAnnouncementDue reports whether new weights are due.
+func (r *stragglerRun) isAnnouncementDue(training bool) bool {
+	if r.policy.announceInterval > 0 {
+		return r.now.Sub(r.announcedAt) >= r.policy.announceInterval
 	}
 	return !training && !r.trainEnd.IsZero()
 }
 
-// announce ends a training: the samplers swap within swapMost.
+// announce announces a new version; the samplers swap to it within maxSwapDelay. It ends
+// the training unless versions follow announceInterval.
 func (r *stragglerRun) announce() {
-	if r.policy.every == 0 {
+	if r.policy.announceInterval == 0 {
 		r.trainEnd = time.Time{}
 	}
 	r.announcedAt = r.now
 	r.newest++
 	r.step.Announce(r.newest)
 	for _, sampler := range r.samplers {
-		sampler.swapAt = r.now.Add(time.Duration(r.random.Int64N(int64(swapMost))))
+		sampler.swapAt = r.now.Add(time.Duration(r.random.Int64N(int64(maxSwapDelay))))
 	}
 }
 
-// quantileOf returns the value below which a share of the values lies.
-func quantileOf(values []float64, share float64) float64 {
+// quantile returns the value below which a share of the values lies, rounded to the
+// nearest value; percentile rounds down.
+func quantile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
--- a/internal/measure/weights.go
+++ b/internal/measure/weights.go
@@ -9,27 +9,27 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/weight"
 )
 
-// Sizes of the weights' experiment: the letter's samplers, and a weight store
-// that carries weightsRate full-speed fetches at the same time.
+// Parameters of the weights experiment: samplers of the design size, and a weight
+// store that serves weightsStoreFetches concurrent fetches at full speed.
 const (
-	weightsSamplers = 930
-	weightsZones    = 7
-	weightsTick     = 50 * time.Millisecond
-	weightsRate     = 120.0
-	weightsFetch    = 1.5
-	weightsLoad     = 0.5
-	weightsFails    = 0.02
-	weightsLimit    = 5 * time.Minute
-	weightsShare    = 0.34
-	weightsLag      = time.Second
+	weightsSamplers     = 930
+	weightsZones        = 7
+	weightsTick         = 50 * time.Millisecond
+	weightsStoreFetches = 120.0
+	weightsFetchSeconds = 1.5
+	weightsLoadSeconds  = 0.5
+	weightsFailureShare = 0.02
+	weightsTimeout      = 5 * time.Minute
+	weightsShare        = 0.34
+	weightsReportLag    = time.Second
 )
 
-// Weights measures how new weights reach all samplers of a model.
+// Weights compares policies for rolling out new weights to all samplers of a model.
 func Weights() Experiment {
 	policies := []weightsPolicy{
 		{name: "waves", share: weightsShare},
-		{name: "all at once", share: 1, fixed: weightsSamplers},
-		{name: "one at a time", share: 1, fixed: 1},
+		{name: "all at once", share: 1, parallel: weightsSamplers},
+		{name: "one at a time", share: 1, parallel: 1},
 	}
 	return Experiment{Name: "Weights", Run: func(seed uint64) []Result {
 		var results []Result
@@ -43,20 +43,20 @@
 type weightsPolicy struct {
 	name  string
 	share float64
-	// fixed orders that many at a time instead of what the wave says.
-	fixed int
+	// parallel changes that many samplers at a time instead of following weight.Wave; 0 follows it.
+	parallel int
 }
 
-// weightsSampler fetches and then loads.
+// weightsSampler changes versions by fetching and then loading the weights.
 type weightsSampler struct {
 	server  string
 	zone    string
 	version uint64
-	// left is the fetch time still needed at full speed, then the load time.
-	left    float64
-	loading bool
-	busy    bool
-	fails   bool
+	// remaining is the time that the fetch still needs at full speed, then that of the load.
+	remaining float64
+	loading   bool
+	changing  bool
+	willFail  bool
 }
 
 type weightsRun struct {
@@ -66,29 +66,29 @@
 	start    time.Time
 	wave     *weight.Wave
 	samplers []*weightsSampler
-	// zones counts the samplers of each zone.
-	zones  map[string]int
-	done   []float64
-	least  float64
-	lost   float64
-	worst  float64
-	orders int
+	// zoneSizes counts the samplers of each zone.
+	zoneSizes       map[string]int
+	doneTimes       []float64
+	minCapacity     float64
+	lostSeconds     float64
+	minZoneCapacity float64
+	orders          int
 }
 
 func newWeightsRun(policy weightsPolicy, seed uint64) *weightsRun {
 	run := &weightsRun{
-		policy: policy,
-		random: rand.New(rand.NewPCG(seed, 2)),
-		now:    time.Unix(1000, 0),
-		start:  time.Unix(1000, 0),
-		wave:   &weight.Wave{Schedule: weight.Schedule{Share: policy.share, Lag: weightsLag}},
-		zones:  map[string]int{},
-		least:  1,
-		worst:  1,
+		policy:          policy,
+		random:          rand.New(rand.NewPCG(seed, 2)),
+		now:             time.Unix(1000, 0),
+		start:           time.Unix(1000, 0),
+		wave:            &weight.Wave{Schedule: weight.Schedule{Share: policy.share, Lag: weightsReportLag}},
+		zoneSizes:       map[string]int{},
+		minCapacity:     1,
+		minZoneCapacity: 1,
 	}
 	for i := range weightsSamplers {
 		zone := fmt.Sprintf("z%d", i%weightsZones)
-		run.zones[zone]++
+		run.zoneSizes[zone]++
 		run.samplers = append(run.samplers, &weightsSampler{server: fmt.Sprintf("s%04d", i), zone: zone, version: 1})
 	}
 	return run
@@ -96,113 +96,113 @@
 
 func (r *weightsRun) run() Result {
 	r.wave.Announce(2)
-	for len(r.done) < weightsSamplers && r.now.Sub(r.start) < weightsLimit {
+	for len(r.doneTimes) < weightsSamplers && r.now.Sub(r.start) < weightsTimeout {
 		r.observe()
-		r.order()
+		r.startChanges()
 		r.advance()
 		r.now = r.now.Add(weightsTick)
-		r.measure()
+		r.recordCapacity()
 	}
 	return Result{Policy: r.policy.name, Figures: []Figure{
 		{Name: "s until all", Value: r.now.Sub(r.start).Seconds()},
-		{Name: "s until half", Value: quantileOf(r.done, 0.5)},
-		{Name: "samplers left", Value: float64(weightsSamplers - len(r.done))},
-		{Name: "least capacity share", Value: r.least},
-		{Name: "least of a zone", Value: r.worst},
-		{Name: "sampler seconds lost", Value: r.lost},
+		{Name: "s until half", Value: quantile(r.doneTimes, 0.5)},
+		{Name: "samplers left", Value: float64(weightsSamplers - len(r.doneTimes))},
+		{Name: "least capacity share", Value: r.minCapacity},
+		{Name: "least of a zone", Value: r.minZoneCapacity},
+		{Name: "sampler seconds lost", Value: r.lostSeconds},
 		{Name: "orders", Value: float64(r.orders)},
 	}}
 }
 
 func (r *weightsRun) observe() {
 	live := make([]weight.Sampler, 0, len(r.samplers))
-	for _, one := range r.samplers {
-		live = append(live, weight.Sampler{Server: one.server, Zone: one.zone, Version: one.version})
+	for _, sampler := range r.samplers {
+		live = append(live, weight.Sampler{Server: sampler.server, Zone: sampler.zone, Version: sampler.version})
 	}
 	r.wave.Observe(live, r.now)
 }
 
-// order starts changes, as the wave says or a fixed number at a time.
-func (r *weightsRun) order() {
-	busy := 0
-	for _, one := range r.samplers {
-		if one.busy {
-			busy++
+// startChanges starts changes as weight.Wave says, or a fixed number at a time.
+func (r *weightsRun) startChanges() {
+	changing := 0
+	for _, sampler := range r.samplers {
+		if sampler.changing {
+			changing++
 		}
 	}
-	if r.policy.fixed == 0 {
+	if r.policy.parallel == 0 {
 		for _, server := range r.wave.Next(r.now) {
-			at := slices.IndexFunc(r.samplers, func(one *weightsSampler) bool { return one.server == server })
-			r.begin(r.samplers[at])
+			index := slices.IndexFunc(r.samplers, func(sampler *weightsSampler) bool { return sampler.server == server })
+			r.startChange(r.samplers[index])
 		}
 		return
 	}
-	for _, one := range r.samplers {
-		if busy < r.policy.fixed && !one.busy && one.version < 2 {
-			r.begin(one)
-			busy++
+	for _, sampler := range r.samplers {
+		if changing < r.policy.parallel && !sampler.changing && sampler.version < 2 {
+			r.startChange(sampler)
+			changing++
 		}
 	}
 }
 
-func (r *weightsRun) begin(one *weightsSampler) {
-	one.busy, one.loading = true, false
-	one.left = weightsFetch
-	one.fails = r.random.Float64() < weightsFails
+func (r *weightsRun) startChange(sampler *weightsSampler) {
+	sampler.changing, sampler.loading = true, false
+	sampler.remaining = weightsFetchSeconds
+	sampler.willFail = r.random.Float64() < weightsFailureShare
 	r.orders++
 }
 
-// advance shares the weight store's rate among the fetches.
+// advance advances all changes; fetches share the rate of the weight store.
 func (r *weightsRun) advance() {
 	fetching := 0
-	for _, one := range r.samplers {
-		if one.busy && !one.loading {
+	for _, sampler := range r.samplers {
+		if sampler.changing && !sampler.loading {
 			fetching++
 		}
 	}
-	speed := min(1, weightsRate/float64(max(1, fetching)))
-	for _, one := range r.samplers {
-		if one.busy {
-			r.change(one, speed)
+	speed := min(1, weightsStoreFetches/float64(max(1, fetching)))
+	for _, sampler := range r.samplers {
+		if sampler.changing {
+			r.advanceChange(sampler, speed)
 		}
 	}
 }
 
-func (r *weightsRun) change(one *weightsSampler, speed float64) {
-	if one.loading {
+func (r *weightsRun) advanceChange(sampler *weightsSampler, speed float64) {
+	if sampler.loading {
 		speed = 1
 	}
-	one.left -= speed * weightsTick.Seconds()
-	if one.left > 0 {
+	sampler.remaining -= speed * weightsTick.Seconds()
+	if sampler.remaining > 0 {
 		return
 	}
-	if !one.loading {
-		one.loading, one.left = true, weightsLoad
+	if !sampler.loading {
+		sampler.loading, sampler.remaining = true, weightsLoadSeconds
 		return
 	}
-	one.busy = false
-	if one.fails {
-		r.wave.Failed(one.server, r.now)
+	sampler.changing = false
+	if sampler.willFail {
+		r.wave.Failed(sampler.server, r.now)
 		return
 	}
-	one.version = 2
-	r.wave.Done(one.server, 2, r.now)
-	r.done = append(r.done, r.now.Sub(r.start).Seconds())
+	sampler.version = 2
+	r.wave.Done(sampler.server, 2, r.now)
+	r.doneTimes = append(r.doneTimes, r.now.Sub(r.start).Seconds())
 }
 
-// measure notes the capacity that is left: a sampler that changes counts as out.
-func (r *weightsRun) measure() {
-	busy := 0
+// recordCapacity records the remaining capacity; a sampler that changes has none.
+func (r *weightsRun) recordCapacity() {
+	changing := 0
 	zones := map[string]int{}
-	for _, one := range r.samplers {
-		if one.busy {
-			busy++
-			zones[one.zone]++
+	for _, sampler := range r.samplers {
+		if sampler.changing {
+			changing++
+			zones[sampler.zone]++
 		}
 	}
-	r.lost += float64(busy) * weightsTick.Seconds()
-	r.least = min(r.least, 1-float64(busy)/weightsSamplers)
+	r.lostSeconds += float64(changing) * weightsTick.Seconds()
+	r.minCapacity = min(r.minCapacity, 1-float64(changing)/weightsSamplers)
 	for zone, count := range zones {
-		r.worst = min(r.worst, 1-float64(count)/float64(r.zones[zone]))
+		r.minZoneCapacity = min(r.minZoneCapacity, 1-float64(count)/float64(r.zoneSizes[zone]))
 	}
 }
