--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure prints the tables of docs/MEASUREMENTS.md: each decision
-// beside its baselines on the same seeds.
+// Command measure prints the tables of docs/MEASUREMENTS.md, which compare each
+// decision with its baselines on the same seeds.
 package main
 
 import (
@@ -12,36 +12,36 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/measure"
 )
 
-// flags are the command line.
+// flags defines the command line.
 type flags struct {
 	Tables   tablesCmd   `cmd:"" default:"withargs" help:"Run experiments and print their tables."`
-	Overhead overheadCmd `cmd:"" help:"Compare requests through entry and sidecar with direct ones."`
-	Steps    stepsCmd    `cmd:"" help:"Tell from the logs of gateways where the time of trainers' steps went."`
+	Overhead overheadCmd `cmd:"" help:"Compare the latency of requests through entry and sidecar with direct requests."`
+	Steps    stepsCmd    `cmd:"" help:"Break down the time of trainers' steps from the logs of gateways."`
 }
 
-// tablesCmd prints the tables of experiments.
+// tablesCmd runs experiments and prints their tables.
 type tablesCmd struct {
-	Experiments []string `arg:"" optional:"" help:"Experiments to run; none runs all."`
-	Seeds       int      `default:"5" help:"Seeds of each experiment."`
-	CSV         string   `help:"File to which the tables are written too."`
-	List        bool     `help:"Only print the names of the experiments."`
+	Experiments []string `arg:"" optional:"" help:"Prefixes of the names of experiments to run; all by default."`
+	Seeds       int      `default:"5" help:"Number of seeds for each experiment."`
+	CSV         string   `help:"Also write the tables to this CSV file."`
+	List        bool     `help:"Print the names of the experiments without running them."`
 }
 
-// Help gives an example.
+// Help returns an example.
 func (tablesCmd) Help() string {
 	return "Example:\n  go run ./cmd/measure routing --seeds 5 --csv routing.csv"
 }
 
 func main() {
 	var options flags
-	parsed := kong.Parse(&options, kong.Name("measure"), kong.Description("Measures decisions beside their baselines, and what processes cost."))
-	if err := parsed.Run(); err != nil {
+	command := kong.Parse(&options, kong.Name("measure"), kong.Description("Compares decisions with their baselines and measures the overhead of the processes."))
+	if err := command.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", err)
 		os.Exit(1)
 	}
 }
 
-// Run prints the tables and writes them as CSV if asked.
+// Run prints the tables and writes them to the CSV file, if any.
 func (t *tablesCmd) Run() error {
 	tables, err := tables(*t)
 	if err != nil {
--- a/cmd/measure/overheadcmd.go
+++ b/cmd/measure/overheadcmd.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	longestRequest    = 10 * time.Second
+	maxRequestTime    = 10 * time.Second
 	significantDigits = 3
-	median            = 50
-	highest           = 99
+	medianPercentile  = 50
+	tailPercentile    = 99
 )
 
-// overheadCmd compares requests through entry and sidecar with direct ones.
+// overheadCmd compares the latency of requests through entry and sidecar with direct requests.
 type overheadCmd struct {
-	Programs string        `required:"" type:"existingdir" help:"Folder with the built programs bramleyhatch and standin."`
-	Callers  []int         `default:"1,16,64" help:"Numbers of callers that send one request after the other."`
-	Time     time.Duration `default:"5s" help:"Time of each measurement."`
+	Programs string        `required:"" type:"existingdir" help:"Folder with the binaries bramleyhatch and standin."`
+	Callers  []int         `default:"1,16,64" help:"Numbers of concurrent callers, each with one request at a time."`
+	Time     time.Duration `default:"5s" help:"Duration of each measurement."`
 }
 
-// Help gives an example.
+// Help returns an example.
 func (overheadCmd) Help() string {
 	return "Example:\n  go build -o bin/ . ./cmd/standin && go run ./cmd/measure overhead --programs bin"
 }
 
-// load is one measurement.
-type load struct {
-	address string
-	key     string
-	callers int
-	length  time.Duration
+// benchmark holds the parameters of one measurement.
+type benchmark struct {
+	address  string
+	key      string
+	callers  int
+	duration time.Duration
 }
 
-// Run prints a line for each way and number of callers.
+// Run prints a line for each target and number of callers.
 func (o *overheadCmd) Run() error {
 	folder, err := os.MkdirTemp("", "bramleyhatch-overhead-")
 	if err != nil {
@@ -62,11 +62,11 @@
 	writer := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(writer, "way\tcallers\trequests/s\tp50 ms\tp99 ms\tfailed")
 	for _, callers := range o.Callers {
-		for _, way := range []struct{ name, address string }{{"direct", direct}, {"entry and sidecar", through}} {
-			run := load{address: way.address, key: accountKey, callers: callers, length: o.Time}
+		for _, target := range []struct{ name, address string }{{"direct", direct}, {"entry and sidecar", through}} {
+			run := benchmark{address: target.address, key: accountKey, callers: callers, duration: o.Time}
 			times, failed := run.run(ctx)
-			fmt.Fprintf(writer, "%s\t%d\t%.0f\t%.3f\t%.3f\t%d\n", way.name, callers, float64(times.TotalCount())/o.Time.Seconds(),
-				milliseconds(times.ValueAtQuantile(median)), milliseconds(times.ValueAtQuantile(highest)), failed)
+			fmt.Fprintf(writer, "%s\t%d\t%.0f\t%.3f\t%.3f\t%d\n", target.name, callers, float64(times.TotalCount())/o.Time.Seconds(),
+				milliseconds(times.ValueAtQuantile(medianPercentile)), milliseconds(times.ValueAtQuantile(tailPercentile)), failed)
 		}
 	}
 	return writer.Flush()
@@ -76,18 +76,18 @@
 	return float64(microseconds) / 1000
 }
 
-// startLedger starts an entry, and a plain service with its sidecar; it returns
-// the address of a record directly and through both.
+// startLedger starts an entry, and a plain service with its sidecar. It returns the
+// URLs of a record: directly at the service, and through entry and sidecar.
 func (p *processes) startLedger(ctx context.Context) (direct, through string, err error) {
-	standin, err := p.runStandin(ctx, "platform", "platform")
+	standin, err := p.startStandin(ctx, "platform", "platform")
 	if err != nil {
 		return "", "", err
 	}
-	p.platform = "http://" + standin["address"]
-	if err := p.change(ctx, 1); err != nil {
+	p.platformURL = "http://" + standin["address"]
+	if err := p.writeConfig(ctx, 1); err != nil {
 		return "", "", err
 	}
-	ledger, err := p.runStandin(ctx, "ledger", "ledger")
+	ledger, err := p.startStandin(ctx, "ledger", "ledger")
 	if err != nil {
 		return "", "", err
 	}
@@ -97,39 +97,39 @@
 	if err := p.startSidecar(ctx, 1, "plain", "ledger", ledger["address"]); err != nil {
 		return "", "", err
 	}
-	through = "http://" + p.caller + "/services/ledger/records/1"
+	through = "http://" + p.callerAddress + "/services/ledger/records/1"
 	client := listen.Client("overhead")
-	for began := time.Now(); time.Since(began) < readyBound; time.Sleep(pollPause) {
+	for began := time.Now(); time.Since(began) < readyTimeout; time.Sleep(pollInterval) {
 		if status, err := fetch(ctx, client, through, accountKey); err == nil && status == http.StatusOK {
 			return "http://" + ledger["address"] + "/records/1", through, nil
 		}
 	}
-	return "", "", fmt.Errorf("the entry did not serve within %v", readyBound)
+	return "", "", fmt.Errorf("entry did not serve the ledger within %v", readyTimeout)
 }
 
-// run sends requests from all callers and returns their times in microseconds.
-func (l load) run(ctx context.Context) (times *hdrhistogram.Histogram, failed int64) {
-	times = hdrhistogram.New(1, longestRequest.Microseconds(), significantDigits)
+// run sends requests from all callers and returns their latencies in microseconds.
+func (b benchmark) run(ctx context.Context) (times *hdrhistogram.Histogram, failed int64) {
+	times = hdrhistogram.New(1, maxRequestTime.Microseconds(), significantDigits)
 	var mutex sync.Mutex
 	var failures atomic.Int64
 	client := listen.Client("overhead")
-	end := time.Now().Add(l.length)
+	end := time.Now().Add(b.duration)
 	var group sync.WaitGroup
-	for range l.callers {
+	for range b.callers {
 		group.Go(func() {
-			own := hdrhistogram.New(1, longestRequest.Microseconds(), significantDigits)
+			callerTimes := hdrhistogram.New(1, maxRequestTime.Microseconds(), significantDigits)
 			for time.Now().Before(end) {
 				began := time.Now()
-				status, err := fetch(ctx, client, l.address, l.key)
+				status, err := fetch(ctx, client, b.address, b.key)
 				if err != nil || status != http.StatusOK {
 					failures.Add(1)
 					continue
 				}
-				_ = own.RecordValue(time.Since(began).Microseconds())
+				_ = callerTimes.RecordValue(time.Since(began).Microseconds())
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			times.Merge(own)
+			times.Merge(callerTimes)
 		})
 	}
 	group.Wait()
--- a/cmd/measure/stepscmd.go
+++ b/cmd/measure/stepscmd.go
@@ -10,19 +10,19 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/steplog"
 )
 
-// stepsCmd tells where the time of trainers' steps went.
+// stepsCmd breaks down the time of trainers' steps.
 type stepsCmd struct {
-	Logs []string      `arg:"" optional:"" type:"existingfile" help:"Logs of gateways, of all that may have owned a step; standard input if none is named."`
+	Logs []string      `arg:"" optional:"" type:"existingfile" help:"Logs of all gateways that may have owned a step; standard input by default."`
 	Due  time.Duration `default:"0s" help:"Print only steps that took at least this long."`
-	Plot string        `help:"File into which the steps are drawn; svg, png or pdf by its name."`
+	Plot string        `help:"File to draw the steps to; its extension selects svg, png or pdf."`
 }
 
-// Help gives an example.
+// Help returns an example.
 func (stepsCmd) Help() string {
 	return "Example:\n  go run ./cmd/measure steps gateway-*.log --due 7.5s --plot steps.svg"
 }
 
-// Run prints the table, and draws the plot if asked.
+// Run prints the table and draws the plot, if any.
 func (s *stepsCmd) Run() error {
 	var logs []io.Reader
 	if len(s.Logs) == 0 {
