--- a/cmd/standin/cmd/callcmd.go
+++ b/cmd/standin/cmd/callcmd.go
@@ -12,23 +12,23 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/listen"
 )
 
-// callCmd sends one HTTP request.
+// callCmd sends HTTP requests and prints the responses.
 type callCmd struct {
-	Address []string      `arg:"" help:"Address of the request; several are called in turn."`
-	Method  string        `short:"X" default:"GET" help:"Method of the request."`
-	Body    string        `short:"d" help:"Body of the request."`
-	Header  []string      `short:"H" sep:"none" help:"Header as NAME: VALUE; may be repeated."`
+	Address []string      `arg:"" help:"URL to request; several are requested in turn."`
+	Method  string        `short:"X" default:"GET" help:"HTTP method."`
+	Body    string        `short:"d" help:"Request body."`
+	Header  []string      `short:"H" sep:"none" help:"Request header as NAME: VALUE; may be repeated."`
 	Key     string        `help:"Key of a client account."`
-	Timeout time.Duration `default:"20s" help:"Longest wait."`
-	Quiet   bool          `help:"Leave the headers out."`
+	Timeout time.Duration `default:"20s" help:"Timeout of all requests together."`
+	Quiet   bool          `help:"Omit the response headers."`
 }
 
-// Help gives an example.
 func (callCmd) Help() string {
 	return "Example:\n  standin call http://127.0.0.1:8000/v1/models --key K"
 }
 
-// Run prints status, headers and body as they come; an answer that is cut is an error.
+// Run prints status, headers and body of each response as they arrive; it fails
+// if a response is truncated.
 func (r *callCmd) Run(c *config) error {
 	ctx, cancel := context.WithTimeout(context.Background(), r.Timeout)
 	defer cancel()
--- a/cmd/standin/cmd/cmd.go
+++ b/cmd/standin/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd holds the command line of the stand-ins; one file a command.
+// Package cmd implements the command line of the stand-ins.
 package cmd
 
 import (
@@ -19,42 +19,42 @@
 
 const stopGrace = time.Second
 
-// config carries what commands need.
+// config is passed to the Run method of each command.
 type config struct {
 	stdout io.Writer
 }
 
 type commands struct {
-	Platform     platformCmd     `cmd:"" help:"Run the platform: key-value service, orders, usage reports, host list."`
+	Platform     platformCmd     `cmd:"" help:"Run the platform: key-value service, server orders, usage reports, host list."`
 	Engine       engineCmd       `cmd:"" help:"Run a model engine."`
-	Ledger       ledgerCmd       `cmd:"" help:"Run a plain service with records and hour postings."`
+	Ledger       ledgerCmd       `cmd:"" help:"Run a plain HTTP service with records and hour postings."`
 	Weights      weightsCmd      `cmd:"" help:"Run a weight store."`
 	Scorer       scorerCmd       `cmd:"" help:"Run a service that scores samples."`
-	Trainer      trainerCmd      `cmd:"" help:"Run a trainer through steps."`
-	Orders       ordersCmd       `cmd:"" help:"Check the orders that a platform got."`
-	Windows      windowsCmd      `cmd:"" help:"Check the usage reports that a platform got."`
-	Certificates certificatesCmd `cmd:"" help:"Write an authority and certificates for trials."`
-	Call         callCmd         `cmd:"" help:"Send one HTTP request and print the answer."`
-	Relay        relayCmd        `cmd:"" help:"Run a relay of TCP connections that can be cut or silenced."`
-	Demo         demoCmd         `cmd:"" help:"Run the whole path on loopback and print what happened."`
+	Trainer      trainerCmd      `cmd:"" help:"Run a trainer for a number of steps."`
+	Orders       ordersCmd       `cmd:"" help:"Check the server orders that a platform received."`
+	Windows      windowsCmd      `cmd:"" help:"Check the usage reports that a platform received."`
+	Certificates certificatesCmd `cmd:"" help:"Write a certificate authority and certificates for tests and trials."`
+	Call         callCmd         `cmd:"" help:"Send HTTP requests and print the responses."`
+	Relay        relayCmd        `cmd:"" help:"Run a TCP relay that can cut connections or silently drop their data."`
+	Demo         demoCmd         `cmd:"" help:"Run an end-to-end demo on loopback and print the results."`
 }
 
-// exited carries the exit code that kong asks for.
-type exited int
+// exitCode is the panic value that carries kong's exit code to Main.
+type exitCode int
 
-// Main runs the program with its arguments and returns the exit code.
+// Main parses the arguments, runs the command and returns the exit code.
 func Main(arguments []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			status, ok := fault.(exited)
+		if recovered := recover(); recovered != nil {
+			exit, ok := recovered.(exitCode)
 			if !ok {
-				panic(fault)
+				panic(recovered)
 			}
-			code = int(status)
+			code = int(exit)
 		}
 	}()
 	parser, err := kong.New(&commands{}, kong.Name("standin"), kong.Writers(stdout, stderr),
-		kong.Exit(func(code int) { panic(exited(code)) }))
+		kong.Exit(func(code int) { panic(exitCode(code)) }))
 	if err != nil {
 		fmt.Fprintln(stderr, "standin:", err)
 		return 1
@@ -71,26 +71,25 @@
 	return 0
 }
 
-// server are the flags of each stand-in that listens.
-type server struct {
-	Listen string `default:"127.0.0.1:0" help:"IP address and port; port 0 lets the system choose."`
-	Ready  string `help:"File to which the chosen address is written."`
+// serverFlags are the flags shared by all stand-ins that serve HTTP.
+type serverFlags struct {
+	Listen string `default:"127.0.0.1:0" help:"IP address and port; port 0 picks a free port."`
+	Ready  string `help:"File to write the listening address to."`
 }
 
-// Help gives an example.
-func (server) Help() string {
+func (serverFlags) Help() string {
 	return "Example:\n  standin platform --listen 127.0.0.1:7000"
 }
 
-// run serves routes until SIGTERM.
-func (s *server) run(routes []rest.Route) error {
+// serve serves the routes until SIGTERM or SIGINT.
+func (s *serverFlags) serve(routes []rest.Route) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	http := &listen.HTTP{Address: s.Listen, Routes: routes, Listening: s.writeReady}
-	return http.Run(ctx, stopGrace)
+	server := &listen.HTTP{Address: s.Listen, Routes: routes, Listening: s.writeReady}
+	return server.Run(ctx, stopGrace)
 }
 
-func (s *server) writeReady(address string) {
+func (s *serverFlags) writeReady(address string) {
 	if s.Ready == "" {
 		fmt.Println("listening on", address)
 		return
--- a/cmd/standin/cmd/democmd.go
+++ b/cmd/standin/cmd/democmd.go
@@ -8,13 +8,13 @@
 	"github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/demo"
 )
 
-// demoCmd runs the whole path on loopback in one process.
+// demoCmd runs the end-to-end demo on loopback in one process.
 type demoCmd struct {
-	Timeout time.Duration `default:"2m" help:"Longest time for the whole demo."`
-	Verbose bool          `help:"Print the log of all parts too."`
+	Timeout time.Duration `default:"2m" help:"Timeout of the whole demo."`
+	Verbose bool          `help:"Also print the log of all components."`
 }
 
-// Run prints progress and a table; it fails if any figure is wrong.
+// Run prints progress and a table of results; it fails if a count is wrong.
 func (d *demoCmd) Run(c *config) error {
 	folder, err := os.MkdirTemp("", "bramleyhatch-demo-")
 	if err != nil {
--- a/cmd/standin/cmd/enginecmd.go
+++ b/cmd/standin/cmd/enginecmd.go
@@ -8,21 +8,20 @@
 
 // engineCmd runs a model engine.
 type engineCmd struct {
-	server
-	Model       string        `required:"" help:"Model that it serves."`
-	Slots       int           `default:"16" help:"Requests that run at the same time."`
-	Queue       int           `default:"64" help:"Requests that wait."`
-	TokenTime   time.Duration `default:"5ms" help:"Time of one token."`
-	PrefillTime time.Duration `default:"100us" help:"Time of one prompt token that is not cached."`
-	SwapTime    time.Duration `default:"200ms" help:"Time to load a weight version."`
-	LoadLag     time.Duration `default:"500ms" help:"Age that a reported load may have."`
-	CacheBlocks int           `default:"4096" help:"Blocks of prompt prefixes that are cached."`
-	Weights     string        `help:"Base URL of the weight store; empty fetches nothing."`
+	serverFlags
+	Model       string        `required:"" help:"Model to serve."`
+	Slots       int           `default:"16" help:"Maximum number of running requests."`
+	Queue       int           `default:"64" help:"Maximum number of queued requests."`
+	TokenTime   time.Duration `default:"5ms" help:"Time to generate one token."`
+	PrefillTime time.Duration `default:"100us" help:"Time to process one prompt token that is not cached."`
+	SwapTime    time.Duration `default:"200ms" help:"Time to load a weight version, after its download."`
+	LoadLag     time.Duration `default:"500ms" help:"Maximum age of the reported load."`
+	CacheBlocks int           `default:"4096" help:"Capacity of the prefix cache, blocks."`
+	Weights     string        `help:"Base URL of the weight store; empty skips the download."`
 }
 
-// Run serves until SIGTERM.
 func (e *engineCmd) Run() error {
-	stand := &engine.Engine{
+	standIn := &engine.Engine{
 		Model:       e.Model,
 		Slots:       e.Slots,
 		Queue:       e.Queue,
@@ -33,5 +32,5 @@
 		CacheBlocks: e.CacheBlocks,
 		Weights:     e.Weights,
 	}
-	return e.run(stand.Routes())
+	return e.serve(standIn.Routes())
 }
--- a/cmd/standin/cmd/ledgercmd.go
+++ b/cmd/standin/cmd/ledgercmd.go
@@ -2,12 +2,11 @@
 
 import "github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/ledger"
 
-// ledgerCmd runs a plain service.
+// ledgerCmd runs a plain HTTP service.
 type ledgerCmd struct {
-	server
+	serverFlags
 }
 
-// Run serves until SIGTERM.
 func (l *ledgerCmd) Run() error {
-	return l.run((&ledger.Ledger{}).Routes())
+	return l.serve((&ledger.Ledger{}).Routes())
 }
--- a/cmd/standin/cmd/platformcmd.go
+++ b/cmd/standin/cmd/platformcmd.go
@@ -8,13 +8,12 @@
 
 // platformCmd runs the platform.
 type platformCmd struct {
-	server
-	StartTime time.Duration `default:"1s" help:"Time until an ordered backend server is live."`
+	serverFlags
+	StartTime time.Duration `default:"1s" help:"Time from a start order until the backend server is live."`
 }
 
-// Run serves until SIGTERM.
 func (p *platformCmd) Run() error {
-	stand := platform.New()
-	stand.StartTime = p.StartTime
-	return p.run(stand.Routes())
+	standIn := platform.New()
+	standIn.StartTime = p.StartTime
+	return p.serve(standIn.Routes())
 }
--- a/cmd/standin/cmd/recordcmd.go
+++ b/cmd/standin/cmd/recordcmd.go
@@ -9,45 +9,45 @@
 	"reflect"
 	"slices"
 
-	standplatform "github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/platform"
+	standinplatform "github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/platform"
 	"github.com/bramleyhatch/bramleyhatch/internal/listen"
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// ordersCmd checks the orders that a platform got.
+// ordersCmd checks the server orders that a platform received.
 type ordersCmd struct {
 	Platform string `arg:"" help:"Base URL of the platform."`
 }
 
-// Run prints how many servers were started and stopped, and each order that came
-// from a holder after one with a higher fencing number.
+// Run prints how many servers were ordered to start and to stop, and each order
+// that the platform accepted after one with a higher fencing token.
 func (o *ordersCmd) Run(c *config) error {
 	record, err := readRecord(o.Platform)
 	if err != nil {
 		return err
 	}
-	actions := map[string]map[string]bool{"start": {}, "stop": {}}
+	servers := map[string]map[string]bool{"start": {}, "stop": {}}
 	fences := map[string]uint64{}
 	for _, order := range append(record.Orders, record.Refused...) {
-		actions[order.Action][order.Server] = true
+		servers[order.Action][order.Server] = true
 	}
 	for _, order := range record.Orders {
 		if order.Fence < fences[order.Zone] {
-			fmt.Fprintf(c.stdout, "out of order: %s %s from %s with fence %d after %d\n", order.Action, order.Server, order.From, order.Fence, fences[order.Zone])
+			fmt.Fprintf(c.stdout, "out of order: %s %s from %s with fencing token %d after %d\n", order.Action, order.Server, order.From, order.Fence, fences[order.Zone])
 		}
 		fences[order.Zone] = max(fences[order.Zone], order.Fence)
 	}
-	fmt.Fprintf(c.stdout, "start %d\nstop %d\nrefused %d\n", len(actions["start"]), len(actions["stop"]), len(record.Refused))
+	fmt.Fprintf(c.stdout, "start %d\nstop %d\nrefused %d\n", len(servers["start"]), len(servers["stop"]), len(record.Refused))
 	return nil
 }
 
-// windowsCmd checks the usage reports that a platform got.
+// windowsCmd checks the usage reports that a platform received.
 type windowsCmd struct {
 	Platform string `arg:"" help:"Base URL of the platform."`
 }
 
-// Run prints the requests of each account over all windows, and each window that
-// was reported with different figures.
+// Run prints the number of requests of each account over all windows, and each
+// window that was reported more than once with different usage.
 func (w *windowsCmd) Run(c *config) error {
 	record, err := readRecord(w.Platform)
 	if err != nil {
@@ -82,8 +82,8 @@
 	}
 }
 
-func readRecord(base string) (standplatform.Record, error) {
-	var record standplatform.Record
+func readRecord(base string) (standinplatform.Record, error) {
+	var record standinplatform.Record
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, base+"/control/record", http.NoBody)
 	if err != nil {
 		return record, err
--- a/cmd/standin/cmd/relaycmd.go
+++ b/cmd/standin/cmd/relaycmd.go
@@ -4,18 +4,18 @@
 	"github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/relay"
 )
 
-// relayCmd runs a relay.
+// relayCmd runs a TCP relay.
 type relayCmd struct {
-	server
-	From string `default:"127.0.0.1:0" help:"IP address and port to relay from."`
-	To   string `help:"IP address and port to relay to; may be set later by the control endpoint."`
+	serverFlags
+	From string `default:"127.0.0.1:0" help:"IP address and port to accept connections on."`
+	To   string `help:"IP address and port to relay to; can be changed by the control endpoint."`
 }
 
-// Run relays until SIGTERM; the control endpoint tells where it listens.
+// Run relays until SIGTERM; GET /control/address returns the relay's own address.
 func (r *relayCmd) Run() error {
-	stand := &relay.Relay{From: r.From, To: r.To}
-	if err := stand.Start(); err != nil {
+	standIn := &relay.Relay{From: r.From, To: r.To}
+	if err := standIn.Start(); err != nil {
 		return err
 	}
-	return r.run(stand.Routes())
+	return r.serve(standIn.Routes())
 }
--- a/cmd/standin/cmd/scorercmd.go
+++ b/cmd/standin/cmd/scorercmd.go
@@ -4,10 +4,9 @@
 
 // scorerCmd runs a service that scores samples.
 type scorerCmd struct {
-	server
+	serverFlags
 }
 
-// Run serves until SIGTERM.
 func (s *scorerCmd) Run() error {
-	return s.run(scorer.Routes())
+	return s.serve(scorer.Routes())
 }
--- a/cmd/standin/cmd/trainercmd.go
+++ b/cmd/standin/cmd/trainercmd.go
@@ -9,27 +9,27 @@
 
 // trainerCmd runs a trainer.
 type trainerCmd struct {
-	Entry     []string      `required:"" help:"Base URLs of entries, tried in turn."`
+	Entry     []string      `required:"" help:"Base URLs of the entries, called in rotation."`
 	Key       string        `required:"" help:"Key of the trainer's client account."`
 	Trainer   string        `required:"" help:"Name of the trainer."`
-	Model     string        `required:"" help:"Model that it trains."`
-	Steps     int           `default:"1" help:"Steps to run."`
+	Model     string        `required:"" help:"Model to train."`
+	Steps     int           `default:"1" help:"Number of steps."`
 	First     uint64        `default:"1" help:"Number of the first step."`
-	Groups    int           `default:"8" help:"Groups of samples in a step."`
-	Samples   int           `default:"8" help:"Samples in a group."`
-	MaxTokens int           `default:"32" help:"Tokens of a sample."`
-	Staleness uint64        `default:"1" help:"Versions that a sample may lag behind."`
-	Announce  int           `default:"0" help:"Announce new weights after this many samples of each step; 0 never does."`
-	Version   uint64        `default:"1" help:"Version of the weights at the start."`
-	Timeout   time.Duration `default:"2m" help:"Longest time for all steps."`
+	Groups    int           `default:"8" help:"Groups of samples per step."`
+	Samples   int           `default:"8" help:"Samples per group."`
+	MaxTokens int           `default:"32" help:"Tokens per sample."`
+	Staleness uint64        `default:"1" help:"Maximum number of weight versions that a sample may lag behind."`
+	Announce  int           `default:"0" help:"Announce new weights once, after this many samples of a step; 0 never does."`
+	Version   uint64        `default:"1" help:"Initial weight version."`
+	Timeout   time.Duration `default:"2m" help:"Timeout of all steps together."`
 }
 
-// Run runs the steps and prints what was delivered; it fails if a sample is
-// missing, repeated, stale or without versions.
+// Run runs the steps and prints a summary of the samples; it fails if a sample is
+// missing, repeated, stale or without weight versions.
 func (t *trainerCmd) Run(c *config) error {
 	ctx, cancel := context.WithTimeout(context.Background(), t.Timeout)
 	defer cancel()
-	stand := &trainer.Trainer{
+	standIn := &trainer.Trainer{
 		Entries:   t.Entry,
 		Key:       t.Key,
 		Name:      t.Trainer,
@@ -42,10 +42,10 @@
 		Version:   t.Version,
 	}
 	for step := range t.Steps {
-		if err := stand.Step(ctx, t.First+uint64(step)); err != nil {
+		if err := standIn.Step(ctx, t.First+uint64(step)); err != nil {
 			return err
 		}
 	}
-	stand.Print(c.stdout)
-	return stand.Check(t.Steps * t.Groups * t.Samples)
+	standIn.Print(c.stdout)
+	return standIn.Check(t.Steps * t.Groups * t.Samples)
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs small stand-ins for the systems outside of bramleyhatch,
-// and a demo of the whole path on loopback.
+// Command standin runs stand-ins for the systems that bramleyhatch talks to, and
+// an end-to-end demo on loopback.
 package main
 
 import (
