--- a/cmd/standin/internal/answer/answer.go
+++ b/cmd/standin/internal/answer/answer.go
@@ -1,4 +1,4 @@
-// Package answer reads and writes the JSON bodies of the stand-ins.
+// Package answer reads JSON requests and writes JSON responses for the stand-ins.
 package answer
 
 import (
@@ -9,19 +9,19 @@
 
 const maxBodyBytes = 32 << 20
 
-// Error answers with a status and a message.
+// Error responds with a status and an error message.
 func Error(w http.ResponseWriter, status int, message string) {
 	JSON(w, status, map[string]string{"error": message})
 }
 
-// JSON answers with a status and a value.
+// JSON responds with a status and a JSON value.
 func JSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// Read fills value from the body; it answers 400 and returns false if it can't.
+// Read decodes the request body into value; on error it responds with 400 and returns false.
 func Read(w http.ResponseWriter, r *http.Request, value any) bool {
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(value); err != nil {
 		Error(w, http.StatusBadRequest, err.Error())
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Cut closes the caller's connection without an answer.
+// Cut closes the caller's connection without completing the response.
 func Cut(w http.ResponseWriter) {
 	connection, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/cmd/standin/internal/authority/authority.go
+++ b/cmd/standin/internal/authority/authority.go
@@ -1,4 +1,4 @@
-// Package authority is a small stand-in for an operator's certificate authority.
+// Package authority is a stand-in for an operator's certificate authority.
 package authority
 
 import (
@@ -20,13 +20,13 @@
 const (
 	lifetime  = 24 * time.Hour
 	clockSkew = time.Hour
-	// file is the authority's certificate in its folder.
-	file = "authority.pem"
+	// authorityFile is the name of the authority's certificate file.
+	authorityFile = "authority.pem"
 )
 
 // Authority signs certificates. Exported fields are set before Start.
 type Authority struct {
-	// Folder takes authority.pem and NAME.pem and NAME.key of each process.
+	// Folder receives authority.pem, and NAME.pem and NAME.key of each process.
 	Folder string
 
 	certificate *x509.Certificate
@@ -59,7 +59,7 @@
 	return a.write(name+".key", "PRIVATE KEY", private)
 }
 
-// Start makes the authority's own key and writes its certificate.
+// Start generates the authority's key and writes its certificate.
 func (a *Authority) Start() error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -77,7 +77,7 @@
 	if a.certificate, err = x509.ParseCertificate(der); err != nil {
 		return err
 	}
-	return a.write(file, "CERTIFICATE", der)
+	return a.write(authorityFile, "CERTIFICATE", der)
 }
 
 func (a *Authority) template(name string) *x509.Certificate {
@@ -90,6 +90,6 @@
 	}
 }
 
-func (a *Authority) write(name, kind string, der []byte) error {
-	return os.WriteFile(filepath.Join(a.Folder, name), pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600)
+func (a *Authority) write(name, blockType string, der []byte) error {
+	return os.WriteFile(filepath.Join(a.Folder, name), pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}), 0o600)
 }
--- a/cmd/standin/internal/demo/demo.go
+++ b/cmd/standin/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs the whole path in one process on loopback: stand-ins, two
-// entries, sidecars for three engines and a plain service, a trainer, members
-// who ask and post. It checks its own figures.
+// Package demo runs an end-to-end deployment in one process on loopback: stand-ins,
+// two entries, sidecars for three engines and a plain service, a trainer, and users
+// who chat and post hours. It checks the resulting counts.
 package demo
 
 import (
@@ -20,7 +20,7 @@
 
 	"github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/engine"
 	"github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/ledger"
-	standplatform "github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/platform"
+	standinplatform "github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/platform"
 	"github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/trainer"
 	"github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/weights"
 	"github.com/bramleyhatch/bramleyhatch/internal/bramleyhatch"
@@ -33,64 +33,64 @@
 )
 
 const (
-	engines      = 3
-	entries      = 2
-	groups       = 8
-	groupSamples = 8
-	postings     = 12
-	chats        = 8
-	readyPause   = 20 * time.Millisecond
-	stopGrace    = time.Second
-	model        = "assistant"
-	service      = "ledger"
-	trainerKey   = "demo-trainer-key"
-	memberKey    = "demo-member-key"
+	engines         = 3
+	entries         = 2
+	groups          = 8
+	samplesPerGroup = 8
+	postings        = 12
+	chats           = 8
+	retryInterval   = 20 * time.Millisecond
+	stopGrace       = time.Second
+	model           = "assistant"
+	service         = "ledger"
+	trainerKey      = "demo-trainer-key"
+	memberKey       = "demo-member-key"
 )
 
-// Demo is one run. Exported fields are set before Run.
+// Demo is one run of the demo. Exported fields are set before Run.
 type Demo struct {
-	// Folder holds the settings files.
+	// Folder holds the settings and ready files.
 	Folder string
-	// Out takes progress and the table.
+	// Out receives progress messages and the table of results.
 	Out io.Writer
-	// Verbose prints the log too.
+	// Verbose also prints the log.
 	Verbose bool
 
-	failed   chan error
+	exits    chan error
 	platform string
 	entries  []string
 	ledger   *ledger.Ledger
 }
 
-// Run starts all parts, runs the work and prints what happened.
+// Run starts all components, runs the workload and prints the results.
 func (d *Demo) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d.failed = make(chan error, 32)
-	d.quiet()
+	d.exits = make(chan error, 32)
+	d.silenceLog()
 	if err := d.start(ctx); err != nil {
 		return err
 	}
-	trained := &trainer.Trainer{
+	trainerStandIn := &trainer.Trainer{
 		Entries:   d.entries,
 		Key:       trainerKey,
 		Name:      "drafter",
 		Model:     model,
 		Groups:    groups,
-		Samples:   groupSamples,
+		Samples:   samplesPerGroup,
 		MaxTokens: 32,
 		Staleness: 1,
-		Announce:  groups * groupSamples / 2,
+		Announce:  groups * samplesPerGroup / 2,
 		Version:   1,
 	}
-	members := &members{entries: d.entries, key: memberKey}
-	if err := d.work(ctx, trained, members); err != nil {
+	load := &workload{entries: d.entries, key: memberKey}
+	if err := d.runWorkload(ctx, trainerStandIn, load); err != nil {
 		return err
 	}
-	return d.report(ctx, trained, members)
+	return d.report(ctx, trainerStandIn, load)
 }
 
-func (d *Demo) quiet() {
+func (d *Demo) silenceLog() {
 	if d.Verbose {
 		return
 	}
@@ -101,17 +101,17 @@
 	klog.SetOutput(io.Discard)
 }
 
-func (d *Demo) progress(format string, arguments ...any) {
+func (d *Demo) printProgress(format string, arguments ...any) {
 	fmt.Fprintf(d.Out, "demo: "+format+"\n", arguments...)
 }
 
 func (d *Demo) start(ctx context.Context) error {
 	var err error
-	if d.platform, err = d.serve(ctx, standplatform.New().Routes()); err != nil {
+	if d.platform, err = d.serve(ctx, standinplatform.New().Routes()); err != nil {
 		return err
 	}
-	d.progress("platform on %s", d.platform)
-	if err := d.configure(ctx); err != nil {
+	d.printProgress("platform on %s", d.platform)
+	if err := d.writeLists(ctx); err != nil {
 		return err
 	}
 	for i := range entries {
@@ -119,16 +119,16 @@
 			return err
 		}
 	}
-	d.progress("%d entries on %v", entries, d.entries)
+	d.printProgress("%d entries on %v", entries, d.entries)
 	if err := d.startServers(ctx); err != nil {
 		return err
 	}
-	d.progress("%d engines and a plain service, each with its sidecar", engines)
+	d.printProgress("%d engines and a plain service, each with its sidecar", engines)
 	return nil
 }
 
-// configure writes the lists and keys to the platform's store.
-func (d *Demo) configure(ctx context.Context) error {
+// writeLists writes plans, accounts and keys to the platform's store.
+func (d *Demo) writeLists(ctx context.Context) error {
 	config := listpb.Config_builder{
 		Lists: 1,
 		Plans: []*listpb.Plan{
@@ -152,15 +152,15 @@
 	return err
 }
 
-// serve runs a stand-in and returns its base URL.
+// serve starts serving the routes of a stand-in and returns its base URL.
 func (d *Demo) serve(ctx context.Context, routes []rest.Route) (string, error) {
 	listening := make(chan string, 1)
 	server := &listen.HTTP{Address: "127.0.0.1:0", Routes: routes, Listening: func(address string) { listening <- address }}
-	go func() { d.failed <- server.Run(ctx, stopGrace) }()
+	go func() { d.exits <- server.Run(ctx, stopGrace) }()
 	select {
 	case address := <-listening:
 		return "http://" + address, nil
-	case err := <-d.failed:
+	case err := <-d.exits:
 		return "", err
 	case <-ctx.Done():
 		return "", ctx.Err()
@@ -169,19 +169,19 @@
 
 func (d *Demo) startEntry(ctx context.Context, i int) error {
 	name := fmt.Sprintf("entry%d", i+1)
-	text := d.common(name, i) + "[caller]\nlisten = 127.0.0.1:0\n[usage]\nwindow = 2s\nsettle = 1s\n[duty]\nlease = 2s\nmargin = 500ms\ninterval = 100ms\n"
+	text := d.commonSettings(name, i) + "[caller]\nlisten = 127.0.0.1:0\n[usage]\nwindow = 2s\nsettle = 1s\n[duty]\nlease = 2s\nmargin = 500ms\ninterval = 100ms\n"
 	loaded := &settingspb.Entry{}
-	if err := d.load(name, text, loaded); err != nil {
+	if err := d.loadSettings(name, text, loaded); err != nil {
 		return err
 	}
 	entry := &bramleyhatch.Entry{Settings: loaded}
-	go func() { d.failed <- entry.Run(ctx) }()
-	addresses, err := d.await(ctx, name)
+	go func() { d.exits <- entry.Run(ctx) }()
+	addresses, err := d.awaitReady(ctx, name)
 	if err != nil {
 		return err
 	}
 	d.entries = append(d.entries, "http://"+addresses.Caller)
-	return d.announce(ctx, name, "entry", addresses.Peer, i)
+	return d.registerHost(ctx, name, "entry", addresses.Peer, i)
 }
 
 func (d *Demo) startServers(ctx context.Context) error {
@@ -190,11 +190,11 @@
 		return err
 	}
 	for i := range engines {
-		stand := &engine.Engine{
+		standIn := &engine.Engine{
 			Model: model, Slots: 4, Queue: 64, TokenTime: 8 * time.Millisecond, PrefillTime: 50 * time.Microsecond,
 			SwapTime: 100 * time.Millisecond, LoadLag: 200 * time.Millisecond, CacheBlocks: 1024, Weights: store,
 		}
-		if err := d.startSidecar(ctx, i, "engine", model, stand.Routes()); err != nil {
+		if err := d.startSidecar(ctx, i, "engine", model, standIn.Routes()); err != nil {
 			return err
 		}
 	}
@@ -209,61 +209,61 @@
 	}
 	server := fmt.Sprintf("server%d", i+1)
 	name := fmt.Sprintf("sidecar%d", i+1)
-	text := d.common(name, i) + fmt.Sprintf("[backend]\nserver = %s\naddress = %s\nkind = %s\npool = %s\n[usage]\nwindow = 2s\nsettle = 1s\n", server, address, kind, pool)
+	text := d.commonSettings(name, i) + fmt.Sprintf("[backend]\nserver = %s\naddress = %s\nkind = %s\npool = %s\n[usage]\nwindow = 2s\nsettle = 1s\n", server, address, kind, pool)
 	loaded := &settingspb.Sidecar{}
-	if err := d.load(name, text, loaded); err != nil {
+	if err := d.loadSettings(name, text, loaded); err != nil {
 		return err
 	}
 	sidecar := &bramleyhatch.Sidecar{Settings: loaded}
-	go func() { d.failed <- sidecar.Run(ctx) }()
-	addresses, err := d.await(ctx, name)
+	go func() { d.exits <- sidecar.Run(ctx) }()
+	addresses, err := d.awaitReady(ctx, name)
 	if err != nil {
 		return err
 	}
-	record := platform.Server{ID: server, Pool: pool, Kind: kind, Zone: zone(i), State: "live"}
+	record := platform.Server{ID: server, Pool: pool, Kind: kind, Zone: zoneName(i), State: "live"}
 	if err := listen.Post(ctx, "control", d.platform+"/control/servers", record); err != nil {
 		return err
 	}
-	return d.announce(ctx, name, "sidecar", addresses.Peer, i)
+	return d.registerHost(ctx, name, "sidecar", addresses.Peer, i)
 }
 
-func zone(i int) string { return fmt.Sprintf("zone%d", i%2+1) }
+func zoneName(i int) string { return fmt.Sprintf("zone%d", i%2+1) }
 
-func (d *Demo) common(name string, i int) string {
+func (d *Demo) commonSettings(name string, i int) string {
 	return fmt.Sprintf("[process]\nname = %s\nregion = demo\nzone = %s\npeer = 127.0.0.1:0\nready = %s\ngrace = 1s\n[platform]\naddress = %s\n[member]\ninterval = 100ms\n",
-		name, zone(i), d.ready(name), d.platform)
+		name, zoneName(i), d.readyFile(name), d.platform)
 }
 
-func (d *Demo) ready(name string) string { return filepath.Join(d.Folder, name+".ready") }
+func (d *Demo) readyFile(name string) string { return filepath.Join(d.Folder, name+".ready") }
 
-// load writes a settings file and reads it back as the programs do.
-func (d *Demo) load(name, text string, into proto.Message) error {
+// loadSettings writes a settings file and loads it in the way that the programs do.
+func (d *Demo) loadSettings(name, text string, message proto.Message) error {
 	file := filepath.Join(d.Folder, name+".ini")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	return settings.Load(file, into)
+	return settings.Load(file, message)
 }
 
-// await waits until a process has written its ready file.
-func (d *Demo) await(ctx context.Context, name string) (bramleyhatch.Addresses, error) {
+// awaitReady waits for the ready file of an entry or sidecar.
+func (d *Demo) awaitReady(ctx context.Context, name string) (bramleyhatch.Addresses, error) {
 	var addresses bramleyhatch.Addresses
 	for {
-		text, err := os.ReadFile(d.ready(name))
+		text, err := os.ReadFile(d.readyFile(name))
 		if err == nil {
 			return addresses, json.Unmarshal(text, &addresses)
 		}
 		select {
-		case err := <-d.failed:
-			return addresses, errors.Join(fmt.Errorf("%s has not started", name), err)
+		case err := <-d.exits:
+			return addresses, errors.Join(fmt.Errorf("%s did not start", name), err)
 		case <-ctx.Done():
 			return addresses, ctx.Err()
-		case <-time.After(readyPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-func (d *Demo) announce(ctx context.Context, name, role, address string, i int) error {
-	host := platform.Host{Name: name, Address: address, Zone: zone(i), Role: role, State: "live"}
+func (d *Demo) registerHost(ctx context.Context, name, role, address string, i int) error {
+	host := platform.Host{Name: name, Address: address, Zone: zoneName(i), Role: role, State: "live"}
 	return listen.Post(ctx, "control", d.platform+"/control/hosts", host)
 }
--- a/cmd/standin/internal/demo/report.go
+++ b/cmd/standin/internal/demo/report.go
@@ -15,62 +15,62 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/listen"
 )
 
-// work runs the trainer's step, the chats and the postings at the same time.
-func (d *Demo) work(ctx context.Context, trained *trainer.Trainer, members *members) error {
-	d.progress("waiting until a member is served and a posting runs")
-	if err := until(ctx, func() error { return members.chat(ctx, 0) }); err != nil {
+// runWorkload runs the trainer's step while it sends chats and postings.
+func (d *Demo) runWorkload(ctx context.Context, trainerStandIn *trainer.Trainer, load *workload) error {
+	d.printProgress("waiting for the first chat and the first posting to succeed")
+	if err := retry(ctx, func() error { return load.chat(ctx, 0) }); err != nil {
 		return err
 	}
-	if err := until(ctx, func() error { return members.post(ctx, 0) }); err != nil {
+	if err := retry(ctx, func() error { return load.post(ctx, 0) }); err != nil {
 		return err
 	}
-	members.refused = 0
+	load.refused = 0
 	stepped := make(chan error, 1)
-	go func() { stepped <- trained.Step(ctx, 1) }()
-	d.progress("a step of %d samples runs, with a weight change in the middle", groups*groupSamples)
+	go func() { stepped <- trainerStandIn.Step(ctx, 1) }()
+	d.printProgress("running a step of %d samples, with new weights announced halfway", groups*samplesPerGroup)
 	for i := 1; i < chats; i++ {
-		if err := members.chat(ctx, i); err != nil {
+		if err := load.chat(ctx, i); err != nil {
 			return err
 		}
 	}
 	for i := 1; i < postings; i++ {
-		if err := members.post(ctx, i); err != nil {
+		if err := load.post(ctx, i); err != nil {
 			return err
 		}
 	}
-	d.progress("%d chats and %d postings done, each posting sent twice", members.answered, members.posted)
+	d.printProgress("%d chats and %d postings done, each posting sent twice", load.answered, load.posted)
 	return <-stepped
 }
 
-// report prints the table and fails if a figure is wrong.
-func (d *Demo) report(ctx context.Context, trained *trainer.Trainer, members *members) error {
-	usage, err := d.awaitUsage(ctx, uint64(chats+groups*groupSamples+members.posted))
-	trained.Print(d.Out)
-	d.table(members, usage)
-	faults := []error{err, trained.Check(groups * groupSamples)}
-	if ran := d.ledger.Record().Total; ran != members.posted {
-		faults = append(faults, fmt.Errorf("%d postings ran, %d were posted", ran, members.posted))
+// report prints the results and fails if a count is wrong.
+func (d *Demo) report(ctx context.Context, trainerStandIn *trainer.Trainer, load *workload) error {
+	usage, err := d.awaitUsage(ctx, uint64(chats+groups*samplesPerGroup+load.posted))
+	trainerStandIn.Print(d.Out)
+	d.printTable(load, usage)
+	faults := []error{err, trainerStandIn.Check(groups * samplesPerGroup)}
+	if ran := d.ledger.Record().Total; ran != load.posted {
+		faults = append(faults, fmt.Errorf("%d postings ran, want %d", ran, load.posted))
 	}
-	if members.refused > 0 {
-		faults = append(faults, fmt.Errorf("%d requests were refused", members.refused))
+	if load.refused > 0 {
+		faults = append(faults, fmt.Errorf("%d requests were refused", load.refused))
 	}
 	if err := errors.Join(faults...); err != nil {
 		return err
 	}
-	d.progress("all figures are right")
+	d.printProgress("all counts are correct")
 	return nil
 }
 
-type account struct {
+type accountUsage struct {
 	requests uint64
 	tokens   uint64
 }
 
-func (d *Demo) table(members *members, usage map[string]account) {
+func (d *Demo) printTable(load *workload, usage map[string]accountUsage) {
 	writer := tabwriter.NewWriter(d.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(writer, "chats answered\t%d\n", members.answered)
-	fmt.Fprintf(writer, "requests refused\t%d\n", members.refused)
-	fmt.Fprintf(writer, "postings sent\t%d\n", members.posted+members.repeated)
+	fmt.Fprintf(writer, "chats answered\t%d\n", load.answered)
+	fmt.Fprintf(writer, "requests refused\t%d\n", load.refused)
+	fmt.Fprintf(writer, "postings sent\t%d\n", load.posted+load.repeated)
 	fmt.Fprintf(writer, "postings run\t%d\n", d.ledger.Record().Total)
 	for _, name := range []string{"franchise", "editors"} {
 		fmt.Fprintf(writer, "usage of %s\t%d requests, %d tokens\n", name, usage[name].requests, usage[name].tokens)
@@ -79,16 +79,16 @@
 }
 
 // awaitUsage waits until the usage reports cover all requests.
-func (d *Demo) awaitUsage(ctx context.Context, requests uint64) (map[string]account, error) {
-	d.progress("waiting for the usage reports")
-	var usage map[string]account
-	err := until(ctx, func() error {
-		record, err := d.record(ctx)
+func (d *Demo) awaitUsage(ctx context.Context, requests uint64) (map[string]accountUsage, error) {
+	d.printProgress("waiting for the usage reports")
+	var usage map[string]accountUsage
+	err := retry(ctx, func() error {
+		record, err := d.fetchRecord(ctx)
 		if err != nil {
 			return err
 		}
 		var total uint64
-		usage, total = sum(record)
+		usage, total = sumUsage(record)
 		if total < requests {
 			return fmt.Errorf("usage reports cover %d of %d requests", total, requests)
 		}
@@ -100,8 +100,8 @@
 	return usage, err
 }
 
-func sum(record platform.Record) (map[string]account, uint64) {
-	usage := map[string]account{}
+func sumUsage(record platform.Record) (map[string]accountUsage, uint64) {
+	usage := map[string]accountUsage{}
 	reported := map[int64]bool{}
 	var total uint64
 	for _, window := range record.Usage {
@@ -110,17 +110,17 @@
 		}
 		reported[window.Start] = true
 		for _, figure := range window.Figures {
-			one := usage[figure.Account]
-			one.requests += figure.Requests
-			one.tokens += figure.PromptTokens + figure.OutputTokens
-			usage[figure.Account] = one
+			sums := usage[figure.Account]
+			sums.requests += figure.Requests
+			sums.tokens += figure.PromptTokens + figure.OutputTokens
+			usage[figure.Account] = sums
 			total += figure.Requests
 		}
 	}
 	return usage, total
 }
 
-func (d *Demo) record(ctx context.Context) (platform.Record, error) {
+func (d *Demo) fetchRecord(ctx context.Context) (platform.Record, error) {
 	var record platform.Record
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/cmd/standin/internal/demo/members.go
+++ b/cmd/standin/internal/demo/workload.go
@@ -12,8 +12,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/listen"
 )
 
-// members ask the assistant and post hours.
-type members struct {
+// workload sends chat completions and hour postings and counts the results.
+type workload struct {
 	entries []string
 	key     string
 
@@ -23,67 +23,67 @@
 	repeated int
 }
 
-// chat sends a chat completion; every other one is streamed.
-func (m *members) chat(ctx context.Context, i int) error {
+// chat sends a chat completion; every second one is streamed.
+func (w *workload) chat(ctx context.Context, i int) error {
 	body := map[string]any{
 		"model":      "assistant",
 		"messages":   []map[string]string{{"role": "user", "content": fmt.Sprintf("draft a dispute note, number %d", i)}},
 		"max_tokens": 12,
 		"stream":     i%2 == 1,
 	}
-	status, text, err := m.send(ctx, i, "/v1/chat/completions", "", body)
+	status, text, err := w.send(ctx, i, "/v1/chat/completions", "", body)
 	if err != nil {
 		return err
 	}
-	whole := bytes.Contains(text, []byte("finish_reason"))
+	complete := bytes.Contains(text, []byte("finish_reason"))
 	if i%2 == 1 {
-		whole = bytes.HasSuffix(bytes.TrimSpace(text), []byte("data: [DONE]"))
+		complete = bytes.HasSuffix(bytes.TrimSpace(text), []byte("data: [DONE]"))
 	}
-	if status != http.StatusOK || !whole {
-		m.refused++
+	if status != http.StatusOK || !complete {
+		w.refused++
 		return fmt.Errorf("chat %d: status %d: %s", i, status, text)
 	}
-	m.answered++
+	w.answered++
 	return nil
 }
 
 // post sends an hour posting twice under the same idempotency key, through two entries.
-func (m *members) post(ctx context.Context, i int) error {
+func (w *workload) post(ctx context.Context, i int) error {
 	body := map[string]any{"member": fmt.Sprintf("member%d", i), "hours": 1}
 	key := fmt.Sprintf("posting-%d", i)
 	var first []byte
 	for attempt := range 2 {
-		status, text, err := m.send(ctx, i+attempt, "/services/ledger/postings", key, body)
+		status, text, err := w.send(ctx, i+attempt, "/services/ledger/postings", key, body)
 		if err != nil {
 			return err
 		}
 		if status != http.StatusCreated {
-			m.refused++
+			w.refused++
 			return fmt.Errorf("posting %d: status %d: %s", i, status, text)
 		}
 		if attempt == 0 {
 			first = text
-			m.posted++
+			w.posted++
 			continue
 		}
 		if !bytes.Equal(first, text) {
-			return fmt.Errorf("posting %d: the repeated answer differs: %s, then %s", i, first, text)
+			return fmt.Errorf("posting %d: the response to the repeated request differs: %s, then %s", i, first, text)
 		}
-		m.repeated++
+		w.repeated++
 	}
 	return nil
 }
 
-func (m *members) send(ctx context.Context, i int, path, idempotency string, body any) (int, []byte, error) {
+func (w *workload) send(ctx context.Context, i int, path, idempotency string, body any) (int, []byte, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return 0, nil, err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, m.entries[i%len(m.entries)]+path, bytes.NewReader(text))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, w.entries[i%len(w.entries)]+path, bytes.NewReader(text))
 	if err != nil {
 		return 0, nil, err
 	}
-	request.Header.Set("Authorization", "Bearer "+m.key)
+	request.Header.Set("Authorization", "Bearer "+w.key)
 	if idempotency != "" {
 		request.Header.Set("Idempotency-Key", idempotency)
 	}
@@ -96,8 +96,8 @@
 	return response.StatusCode, answer, err
 }
 
-// until repeats a call until it succeeds; the parts need a moment to find each other.
-func until(ctx context.Context, call func() error) error {
+// retry repeats a call until it succeeds: the components take a moment to discover each other.
+func retry(ctx context.Context, call func() error) error {
 	for {
 		err := call()
 		if err == nil {
@@ -106,7 +106,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%w, last: %w", ctx.Err(), err)
-		case <-time.After(readyPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/cmd/standin/internal/engine/cache.go
+++ b/cmd/standin/internal/engine/cache.go
@@ -4,20 +4,20 @@
 	"hash/fnv"
 )
 
-// blockTokens is how many prompt tokens a block of the prefix cache holds.
+// blockTokens is the number of prompt tokens per block of the prefix cache.
 const blockTokens = 16
 
-// cache keeps prompt prefixes by blocks; the oldest leave first.
+// cache holds hashed prompt prefixes by block, with first-in, first-out eviction.
 type cache struct {
-	size   int
-	known  map[uint64]bool
-	oldest []uint64
+	maxBlocks int
+	blocks    map[uint64]bool
+	byAge     []uint64
 }
 
-// use returns how many tokens of the prompt were cached, and caches the prompt.
-func (c *cache) use(prompt []string) int {
-	if c.known == nil {
-		c.known = map[uint64]bool{}
+// lookupAndAdd caches the prompt and returns how many leading tokens were cached before.
+func (c *cache) lookupAndAdd(prompt []string) int {
+	if c.blocks == nil {
+		c.blocks = map[uint64]bool{}
 	}
 	cached := 0
 	hash := fnv.New64a()
@@ -27,7 +27,7 @@
 			_, _ = hash.Write([]byte(token))
 		}
 		block := hash.Sum64()
-		hit = hit && c.known[block]
+		hit = hit && c.blocks[block]
 		if hit {
 			cached += blockTokens
 			continue
@@ -38,13 +38,13 @@
 }
 
 func (c *cache) add(block uint64) {
-	if c.size <= 0 || c.known[block] {
+	if c.maxBlocks <= 0 || c.blocks[block] {
 		return
 	}
-	c.known[block] = true
-	c.oldest = append(c.oldest, block)
-	if len(c.oldest) > c.size {
-		delete(c.known, c.oldest[0])
-		c.oldest = c.oldest[1:]
+	c.blocks[block] = true
+	c.byAge = append(c.byAge, block)
+	if len(c.byAge) > c.maxBlocks {
+		delete(c.blocks, c.byAge[0])
+		c.byAge = c.byAge[1:]
 	}
 }
--- a/cmd/standin/internal/engine/engine.go
+++ b/cmd/standin/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a small stand-in for a model engine: continuous batching
-// with a token rate and a queue, a prefix cache in limited memory, weight
-// versions that are swapped while requests run, and faults on demand.
+// Package engine is a stand-in for a model engine with continuous batching, a
+// queue, a prefix cache of limited size, weight versions that are swapped while
+// requests run, and fault injection.
 package engine
 
 import (
@@ -14,57 +14,57 @@
 	"github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/answer"
 )
 
-// Faults are what the engine is told to do wrong.
+// Faults are the faults that the engine injects.
 type Faults struct {
 	// Hang stops all output without closing connections.
 	Hang bool `json:"hang"`
-	// Slow multiplies the time of each token; 0 is 1.
+	// Slow multiplies the time of prefill and of each token; 0 means 1.
 	Slow float64 `json:"slow"`
-	// Cut closes each answer after this many tokens; 0 never does.
+	// Cut closes the connection of each response after this many tokens; 0 never does.
 	Cut int `json:"cut"`
-	// FailSwaps is how many swaps of weights fail.
+	// FailSwaps is how many further weight swaps fail.
 	FailSwaps int `json:"fail_swaps"`
-	// IgnoreFences takes orders with an old fencing number.
+	// IgnoreFences accepts orders with a stale fencing token.
 	IgnoreFences bool `json:"ignore_fences"`
-	// Refuse answers every request with 503.
+	// Refuse rejects every completion request with 503.
 	Refuse bool `json:"refuse"`
-	// Version restarts the engine on this version; 0 leaves it.
+	// Version sets the weight version, as a restart would; 0 keeps the current one.
 	Version uint64 `json:"version"`
 }
 
 // Engine is the stand-in. Exported fields are set before Routes is called.
 type Engine struct {
 	Model string
-	// Slots is how many requests run at the same time.
+	// Slots is the maximum number of running requests.
 	Slots int
-	// Queue is how many wait.
+	// Queue is the maximum number of queued requests.
 	Queue int
-	// TokenTime is the time of one token of one request while others run too.
+	// TokenTime is the time to generate one token of a request, whatever else runs.
 	TokenTime time.Duration
-	// PrefillTime is the time of one prompt token that is not in the cache.
+	// PrefillTime is the time to process one prompt token that is not cached.
 	PrefillTime time.Duration
-	// SwapTime is the time that loading a weight version takes.
+	// SwapTime is the time to load a weight version, after its download.
 	SwapTime time.Duration
-	// LoadLag is how old a reported load may be.
+	// LoadLag is the maximum age of the reported load.
 	LoadLag time.Duration
-	// CacheBlocks is how many blocks of prompt prefixes are cached.
+	// CacheBlocks is the capacity of the prefix cache.
 	CacheBlocks int
-	// Weights is the base URL of the weight store; empty fetches nothing.
+	// Weights is the base URL of the weight store; empty skips the download.
 	Weights string
 
-	mutex    sync.Mutex
-	faults   Faults
-	version  uint64
-	fence    uint64
-	running  int
-	waiting  []*waiter
-	cache    cache
-	reported load
-	at       time.Time
-	requests int
+	mutex        sync.Mutex
+	faults       Faults
+	version      uint64
+	fence        uint64
+	running      int
+	waiting      []*waiter
+	cache        cache
+	reportedLoad loadReport
+	reportedAt   time.Time
+	requests     int
 }
 
-type load struct {
+type loadReport struct {
 	Running int    `json:"running"`
 	Queued  int    `json:"queued"`
 	Slots   int    `json:"slots"`
@@ -77,10 +77,10 @@
 	ready    chan struct{}
 }
 
-// Routes returns the engine's interface and the control endpoints of tests.
+// Routes returns the engine's endpoints and the control endpoints for tests.
 func (e *Engine) Routes() []rest.Route {
 	e.version = max(e.version, 1)
-	e.cache.size = e.CacheBlocks
+	e.cache.maxBlocks = e.CacheBlocks
 	return []rest.Route{
 		{Method: http.MethodPost, Path: "/v1/completions", Handler: e.handleCompletion},
 		{Method: http.MethodPost, Path: "/v1/chat/completions", Handler: e.handleCompletion},
@@ -92,8 +92,8 @@
 	}
 }
 
-// enter waits for a slot; it returns false if the queue is full or the caller left.
-func (e *Engine) enter(ctx context.Context, priority int) bool {
+// acquireSlot waits for a slot; it returns false if the queue is full or ctx is done.
+func (e *Engine) acquireSlot(ctx context.Context, priority int) bool {
 	e.mutex.Lock()
 	if e.running < e.Slots {
 		e.running++
@@ -111,12 +111,12 @@
 	case <-w.ready:
 		return true
 	case <-ctx.Done():
-		return e.leaveQueue(w)
+		return e.cancelWait(w)
 	}
 }
 
-// leaveQueue takes a waiter out; one that got its slot meanwhile keeps it.
-func (e *Engine) leaveQueue(w *waiter) bool {
+// cancelWait removes a queued waiter; it returns true if the waiter already holds a slot.
+func (e *Engine) cancelWait(w *waiter) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for i, other := range e.waiting {
@@ -128,8 +128,8 @@
 	return true
 }
 
-// leave gives the slot to the first waiter of the lowest priority number.
-func (e *Engine) leave() {
+// releaseSlot passes the slot to the longest waiter of the lowest priority number.
+func (e *Engine) releaseSlot() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if len(e.waiting) == 0 {
@@ -147,7 +147,7 @@
 	close(next.ready)
 }
 
-func (e *Engine) now() (Faults, uint64) {
+func (e *Engine) state() (Faults, uint64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.faults, e.version
@@ -156,11 +156,11 @@
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if time.Since(e.at) >= e.LoadLag {
-		e.at = time.Now()
-		e.reported = load{Running: e.running, Queued: len(e.waiting), Slots: e.Slots, Version: e.version, Model: e.Model}
+	if time.Since(e.reportedAt) >= e.LoadLag {
+		e.reportedAt = time.Now()
+		e.reportedLoad = loadReport{Running: e.running, Queued: len(e.waiting), Slots: e.Slots, Version: e.version, Model: e.Model}
 	}
-	answer.JSON(w, http.StatusOK, e.reported)
+	answer.JSON(w, http.StatusOK, e.reportedLoad)
 }
 
 func (e *Engine) handleFaults(w http.ResponseWriter, r *http.Request) {
--- a/cmd/standin/internal/engine/generate.go
+++ b/cmd/standin/internal/engine/generate.go
@@ -14,7 +14,7 @@
 
 const defaultTokens = 16
 
-var words = []string{"hour", "ledger", "branch", "offer", "note", "match", "record", "study", "impact", "fund", "swap", "draft"}
+var vocabulary = []string{"hour", "ledger", "branch", "offer", "note", "match", "record", "study", "impact", "fund", "swap", "draft"}
 
 type message struct {
 	Role    string `json:"role"`
@@ -31,8 +31,8 @@
 	ResumeTokens []int32   `json:"resume_tokens"`
 }
 
-// text returns the whole prompt.
-func (c completionRequest) text() string {
+// promptText returns the prompt, or the messages joined to one.
+func (c completionRequest) promptText() string {
 	if len(c.Messages) == 0 {
 		return c.Prompt
 	}
@@ -69,28 +69,28 @@
 	if !answer.Read(w, r, &request) {
 		return
 	}
-	faults, _ := e.now()
+	faults, _ := e.state()
 	if faults.Refuse || request.Model != e.Model {
 		answer.Error(w, http.StatusServiceUnavailable, "refused")
 		return
 	}
-	if !e.enter(r.Context(), request.Priority) {
+	if !e.acquireSlot(r.Context(), request.Priority) {
 		answer.Error(w, http.StatusServiceUnavailable, "full")
 		return
 	}
-	defer e.leave()
+	defer e.releaseSlot()
 	e.mutex.Lock()
 	e.requests++
-	prompt := strings.Fields(request.text())
-	cached := e.cache.use(prompt)
+	prompt := strings.Fields(request.promptText())
+	cached := e.cache.lookupAndAdd(prompt)
 	e.mutex.Unlock()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	run := &generation{engine: e, request: request, prompt: prompt, cached: cached, w: w, chat: strings.HasSuffix(r.URL.Path, "chat/completions")}
-	run.run(r.Context())
+	g := &generation{engine: e, request: request, prompt: prompt, cached: cached, w: w, chat: strings.HasSuffix(r.URL.Path, "chat/completions")}
+	g.run(r.Context())
 }
 
-// generation is one request that runs.
+// generation is a running request.
 type generation struct {
 	engine  *Engine
 	request completionRequest
@@ -112,28 +112,28 @@
 		if !g.wait(ctx, g.engine.TokenTime) {
 			return
 		}
-		faults, version := g.engine.now()
+		faults, version := g.engine.state()
 		if faults.Cut > 0 && i >= faults.Cut {
 			answer.Cut(g.w)
 			return
 		}
-		g.send(event{Choices: []choice{g.choice(i)}, Version: version})
+		g.sendEvent(event{Choices: []choice{g.choice(i)}, Version: version})
 	}
 	finish := "length"
-	_, version := g.engine.now()
-	last := g.empty()
+	_, version := g.engine.state()
+	last := g.emptyChoice()
 	last.Finish = &finish
-	g.send(event{Choices: []choice{last}, Version: version, Usage: &usage{Prompt: len(g.prompt), Cached: g.cached, Output: tokens}})
-	g.write("data: [DONE]\n\n")
+	g.sendEvent(event{Choices: []choice{last}, Version: version, Usage: &usage{Prompt: len(g.prompt), Cached: g.cached, Output: tokens}})
+	g.writeAndFlush("data: [DONE]\n\n")
 }
 
-// wait waits for a step of the generation; a hanging engine waits on.
-func (g *generation) wait(ctx context.Context, length time.Duration) bool {
-	faults, _ := g.engine.now()
+// wait waits for the duration and while Hang is set; it returns false if the caller left.
+func (g *generation) wait(ctx context.Context, duration time.Duration) bool {
+	faults, _ := g.engine.state()
 	if faults.Slow > 0 {
-		length = time.Duration(float64(length) * faults.Slow)
+		duration = time.Duration(float64(duration) * faults.Slow)
 	}
-	timer := time.NewTimer(length)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -141,7 +141,7 @@
 	case <-timer.C:
 	}
 	for {
-		faults, _ := g.engine.now()
+		faults, _ := g.engine.state()
 		if !faults.Hang {
 			return true
 		}
@@ -153,40 +153,40 @@
 	}
 }
 
-// choice returns token i: always the same for the same prompt, seed and place.
+// choice returns token i, which is always the same for the same prompt, seed and i.
 func (g *generation) choice(i int) choice {
 	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%s %d %d", g.request.text(), g.request.Seed, i)
-	token := int32(hash.Sum64() % uint64(len(words)))
-	next := g.empty()
-	next.Tokens = []int32{token}
-	next.Logprobs = []float32{-1}
-	text := words[token] + " "
+	_, _ = fmt.Fprintf(hash, "%s %d %d", g.request.promptText(), g.request.Seed, i)
+	index := int32(hash.Sum64() % uint64(len(vocabulary)))
+	token := g.emptyChoice()
+	token.Tokens = []int32{index}
+	token.Logprobs = []float32{-1}
+	text := vocabulary[index] + " "
 	if g.chat {
-		next.Delta["content"] = text
+		token.Delta["content"] = text
 	} else {
-		next.Text = text
+		token.Text = text
 	}
-	return next
+	return token
 }
 
-func (g *generation) empty() choice {
-	next := choice{Tokens: []int32{}, Logprobs: []float32{}}
+func (g *generation) emptyChoice() choice {
+	empty := choice{Tokens: []int32{}, Logprobs: []float32{}}
 	if g.chat {
-		next.Delta = map[string]string{}
+		empty.Delta = map[string]string{}
 	}
-	return next
+	return empty
 }
 
-func (g *generation) send(event event) {
+func (g *generation) sendEvent(event event) {
 	text, err := json.Marshal(event)
 	if err != nil {
 		return
 	}
-	g.write("data: " + string(text) + "\n\n")
+	g.writeAndFlush("data: " + string(text) + "\n\n")
 }
 
-func (g *generation) write(text string) {
+func (g *generation) writeAndFlush(text string) {
 	_, _ = g.w.Write([]byte(text))
 	_ = http.NewResponseController(g.w).Flush()
 }
--- a/cmd/standin/internal/engine/order.go
+++ b/cmd/standin/internal/engine/order.go
@@ -23,11 +23,11 @@
 	if !answer.Read(w, r, &order) {
 		return
 	}
-	if fence, ok := e.takeFence(order.Fence); !ok {
+	if fence, ok := e.acceptFence(order.Fence); !ok {
 		answer.JSON(w, http.StatusConflict, map[string]uint64{"fence": fence})
 		return
 	}
-	if err := e.load(r.Context(), order); err != nil {
+	if err := e.loadWeights(r.Context(), order); err != nil {
 		answer.Error(w, http.StatusInternalServerError, err.Error())
 		return
 	}
@@ -42,8 +42,8 @@
 	answer.JSON(w, http.StatusOK, map[string]uint64{"version": e.version})
 }
 
-// takeFence keeps the highest fencing number; a lower one is refused unless ignored.
-func (e *Engine) takeFence(fence uint64) (uint64, bool) {
+// acceptFence keeps the highest fencing token; it rejects a lower one unless IgnoreFences is set.
+func (e *Engine) acceptFence(fence uint64) (uint64, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if fence < e.fence && !e.faults.IgnoreFences {
@@ -53,10 +53,10 @@
 	return e.fence, true
 }
 
-// load fetches the weights and waits for the swap.
-func (e *Engine) load(ctx context.Context, order orderRequest) error {
+// loadWeights downloads the weights and waits for the swap time.
+func (e *Engine) loadWeights(ctx context.Context, order orderRequest) error {
 	if e.Weights != "" {
-		if err := e.fetch(ctx, order); err != nil {
+		if err := e.fetchWeights(ctx, order); err != nil {
 			return err
 		}
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-func (e *Engine) fetch(ctx context.Context, order orderRequest) error {
+func (e *Engine) fetchWeights(ctx context.Context, order orderRequest) error {
 	address := fmt.Sprintf("%s/weights/%s/%d", e.Weights, order.Model, order.Version)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, http.NoBody)
 	if err != nil {
--- a/cmd/standin/internal/ledger/ledger.go
+++ b/cmd/standin/internal/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger is a small stand-in for a plain service: records that can be
-// read again, and hour postings that must not be repeated.
+// Package ledger is a stand-in for a plain HTTP service: records, whose reads may be
+// repeated, and hour postings, which must not run twice.
 package ledger
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/bramleyhatch/bramleyhatch/cmd/standin/internal/answer"
 )
 
-// Faults are what the service is told to do wrong.
+// Faults are the faults that the service injects.
 type Faults struct {
-	// Hang runs requests but doesn't answer until it ends.
+	// Hang runs requests but never responds to them.
 	Hang bool `json:"hang"`
-	// Slow is added to each request, milliseconds.
+	// Slow delays each response, milliseconds.
 	Slow int64 `json:"slow"`
 }
 
@@ -27,11 +27,11 @@
 	Hours  float64 `json:"hours"`
 }
 
-// Record is what the service has run, and what it has seen of its callers.
+// Record counts the postings run and the request headers seen.
 type Record struct {
 	// Runs counts the postings of each member.
 	Runs map[string]int `json:"runs"`
-	// Headers are the names of all headers seen.
+	// Headers counts the requests by the names of their headers.
 	Headers map[string]int `json:"headers"`
 	Total   int            `json:"total"`
 }
@@ -43,18 +43,18 @@
 	record Record
 }
 
-// Routes returns the service's interface and the control endpoints of tests.
+// Routes returns the service's endpoints and the control endpoints for tests.
 func (l *Ledger) Routes() []rest.Route {
 	l.record = Record{Runs: map[string]int{}, Headers: map[string]int{}}
 	return []rest.Route{
 		{Method: http.MethodGet, Path: "/records/:id", Handler: l.handleRecord},
 		{Method: http.MethodPost, Path: "/postings", Handler: l.handlePosting},
 		{Method: http.MethodPost, Path: "/control/faults", Handler: l.handleFaults},
-		{Method: http.MethodGet, Path: "/control/record", Handler: l.handleControl},
+		{Method: http.MethodGet, Path: "/control/record", Handler: l.handleControlRecord},
 	}
 }
 
-// Record returns what the service has run.
+// Record returns the postings run and headers seen so far.
 func (l *Ledger) Record() Record {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -62,14 +62,14 @@
 }
 
 func (l *Ledger) handleRecord(w http.ResponseWriter, r *http.Request) {
-	l.see(r)
+	l.countHeaders(r)
 	if l.wait(r) {
 		answer.JSON(w, http.StatusOK, map[string]any{"id": pathvar.Vars(r)["id"], "hours": 1})
 	}
 }
 
 func (l *Ledger) handlePosting(w http.ResponseWriter, r *http.Request) {
-	l.see(r)
+	l.countHeaders(r)
 	var posting Posting
 	if !answer.Read(w, r, &posting) {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-func (l *Ledger) see(r *http.Request) {
+func (l *Ledger) countHeaders(r *http.Request) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for name := range r.Header {
@@ -92,7 +92,7 @@
 	}
 }
 
-// wait delays the answer as told; it returns false if the caller left.
+// wait delays the response as the faults say; it returns false if the caller left.
 func (l *Ledger) wait(r *http.Request) bool {
 	l.mutex.Lock()
 	faults := l.faults
@@ -120,7 +120,7 @@
 	answer.JSON(w, http.StatusOK, faults)
 }
 
-func (l *Ledger) handleControl(w http.ResponseWriter, _ *http.Request) {
+func (l *Ledger) handleControlRecord(w http.ResponseWriter, _ *http.Request) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	answer.JSON(w, http.StatusOK, l.record)
--- a/cmd/standin/internal/platform/control.go
+++ b/cmd/standin/internal/platform/control.go
@@ -11,29 +11,29 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Rates of the key-value service.
+// Rate limits of the key-value service.
 const (
-	writesPerSecond = 400
-	readsPerSecond  = 2000
+	maxWritesPerSecond = 400
+	maxReadsPerSecond  = 2000
 )
 
-// Faults are what the platform is told to do wrong.
+// Faults are the faults that the platform injects.
 type Faults struct {
-	// Outage refuses all calls of the key-value service.
+	// Outage rejects all calls of the key-value service with 503.
 	Outage bool `json:"outage"`
-	// Latency is added to each call, milliseconds.
+	// Latency delays each call of the key-value service, milliseconds.
 	Latency int64 `json:"latency"`
-	// LoseAnswers is how many changes take effect without an answer.
+	// LoseAnswers is how many further changes take effect without a response.
 	LoseAnswers int `json:"lose_answers"`
-	// SilentWatches lets watches wait without ever answering.
+	// SilentWatches keeps watches open without ever responding.
 	SilentWatches bool `json:"silent_watches"`
-	// OldWatches lets watches answer with values that have been replaced since.
+	// OldWatches makes watches return the oldest event of their prefix.
 	OldWatches bool `json:"old_watches"`
-	// IgnoreFences takes orders with an old fencing number.
+	// IgnoreFences accepts orders with a stale fencing token or a passed deadline.
 	IgnoreFences bool `json:"ignore_fences"`
 }
 
-// Record is what the platform has been asked to do.
+// Record holds the orders and usage reports received, and counts the calls.
 type Record struct {
 	Orders  []platform.Order `json:"orders"`
 	Refused []platform.Order `json:"refused"`
@@ -44,7 +44,7 @@
 	Limited int              `json:"limited"`
 }
 
-// control holds faults and the record, and limits the rates.
+// control holds the faults and the record, and limits the rate of calls.
 type control struct {
 	mutex  sync.Mutex
 	faults Faults
@@ -55,12 +55,12 @@
 
 func newControl() *control {
 	return &control{
-		reads:  rate.NewLimiter(readsPerSecond, readsPerSecond),
-		writes: rate.NewLimiter(writesPerSecond, writesPerSecond),
+		reads:  rate.NewLimiter(maxReadsPerSecond, maxReadsPerSecond),
+		writes: rate.NewLimiter(maxWritesPerSecond, maxWritesPerSecond),
 	}
 }
 
-// admit counts a call of the key-value service and answers it if it is refused.
+// admit counts a call of the key-value service; if it rejects the call, it responds itself.
 func (c *control) admit(w http.ResponseWriter, r *http.Request, isWrite bool) bool {
 	c.mutex.Lock()
 	faults := c.faults
@@ -90,8 +90,8 @@
 	return r.Context().Err() == nil
 }
 
-// losesAnswer reports whether the answer of this change is to be lost.
-func (c *control) losesAnswer() bool {
+// consumeLostAnswer reports whether to drop this response, and decrements LoseAnswers if so.
+func (c *control) consumeLostAnswer() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.faults.LoseAnswers == 0 {
@@ -101,7 +101,7 @@
 	return true
 }
 
-func (c *control) now() Faults {
+func (c *control) currentFaults() Faults {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.faults
--- a/cmd/standin/internal/platform/fleet.go
+++ b/cmd/standin/internal/platform/fleet.go
@@ -35,19 +35,19 @@
 		return
 	}
 	p.fences[order.Zone] = max(p.fences[order.Zone], order.Fence)
-	if !p.ordered[order.ID] {
-		p.ordered[order.ID] = true
-		p.apply(order)
+	if !p.applied[order.ID] {
+		p.applied[order.ID] = true
+		p.applyOrder(order)
 	}
 	answer.JSON(w, http.StatusOK, struct{}{})
 }
 
 func (p *Platform) refusesOrder(order platform.Order) bool {
-	if p.control.now().IgnoreFences {
+	if p.control.currentFaults().IgnoreFences {
 		return false
 	}
-	late := order.NotAfter != 0 && time.Now().UnixMilli() > order.NotAfter
-	return late || order.Fence < p.fences[order.Zone]
+	expired := order.NotAfter != 0 && time.Now().UnixMilli() > order.NotAfter
+	return expired || order.Fence < p.fences[order.Zone]
 }
 
 func (p *Platform) recordOrder(order platform.Order, refused bool) {
@@ -60,16 +60,16 @@
 	p.control.record.Orders = append(p.control.record.Orders, order)
 }
 
-func (p *Platform) apply(order platform.Order) {
+func (p *Platform) applyOrder(order platform.Order) {
 	if order.Action == "stop" {
 		delete(p.servers, order.Server)
 		return
 	}
 	p.servers[order.Server] = platform.Server{ID: order.Server, Pool: order.Pool, Zone: order.Zone, State: "starting"}
-	time.AfterFunc(p.StartTime, func() { p.start(order.Server) })
+	time.AfterFunc(p.StartTime, func() { p.markLive(order.Server) })
 }
 
-func (p *Platform) start(id string) {
+func (p *Platform) markLive(id string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if server, ok := p.servers[id]; ok {
@@ -99,7 +99,7 @@
 	answer.JSON(w, http.StatusOK, hosts)
 }
 
-// handleSetServer adds a backend server, or removes it if its state is gone.
+// handleSetServer adds a backend server, or removes it if its state is "gone".
 func (p *Platform) handleSetServer(w http.ResponseWriter, r *http.Request) {
 	var server platform.Server
 	if !answer.Read(w, r, &server) {
@@ -114,7 +114,7 @@
 	answer.JSON(w, http.StatusOK, server)
 }
 
-// handleSetHost adds a host, or removes it if its state is gone.
+// handleSetHost adds a host, or removes it if its state is "gone".
 func (p *Platform) handleSetHost(w http.ResponseWriter, r *http.Request) {
 	var host platform.Host
 	if !answer.Read(w, r, &host) {
--- a/cmd/standin/internal/platform/platform.go
+++ b/cmd/standin/internal/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a small stand-in for the platform: its key-value service,
+// Package platform is a stand-in for the platform: its key-value service,
 // orders of backend servers, usage reports and the host list.
 package platform
 
@@ -16,7 +16,7 @@
 
 // Platform is the stand-in. Exported fields are set before Routes is called.
 type Platform struct {
-	// StartTime is how long a backend server takes to start after its order.
+	// StartTime is the time from a start order until the backend server is live.
 	StartTime time.Duration
 
 	store   *store
@@ -26,7 +26,7 @@
 	servers map[string]platform.Server
 	hosts   map[string]platform.Host
 	fences  map[string]uint64
-	ordered map[string]bool
+	applied map[string]bool
 }
 
 // New returns an empty platform.
@@ -37,11 +37,11 @@
 		servers: map[string]platform.Server{},
 		hosts:   map[string]platform.Host{},
 		fences:  map[string]uint64{},
-		ordered: map[string]bool{},
+		applied: map[string]bool{},
 	}
 }
 
-// Routes returns the platform's interface and the control endpoints of tests.
+// Routes returns the platform's endpoints and the control endpoints for tests.
 func (p *Platform) Routes() []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodGet, Path: platform.PathValue, Handler: p.handleGet},
@@ -88,7 +88,7 @@
 		return
 	}
 	revision, ok := p.store.swap(request, time.Now())
-	p.answerChange(w, revision, ok)
+	p.respondChange(w, revision, ok)
 }
 
 func (p *Platform) handleDelete(w http.ResponseWriter, r *http.Request) {
@@ -101,11 +101,11 @@
 		return
 	}
 	revision, ok := p.store.remove(r.URL.Query().Get("key"), expect, time.Now())
-	p.answerChange(w, revision, ok)
+	p.respondChange(w, revision, ok)
 }
 
-func (p *Platform) answerChange(w http.ResponseWriter, revision uint64, ok bool) {
-	if p.control.losesAnswer() {
+func (p *Platform) respondChange(w http.ResponseWriter, revision uint64, ok bool) {
+	if p.control.consumeLostAnswer() {
 		answer.Cut(w)
 		return
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	renewed := p.store.renew(request.ID, time.Duration(request.Length)*time.Millisecond, time.Now())
-	if p.control.losesAnswer() {
+	if p.control.consumeLostAnswer() {
 		answer.Cut(w)
 		return
 	}
@@ -149,14 +149,14 @@
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	wait, _ := time.ParseDuration(query.Get("wait"))
-	if p.control.now().OldWatches {
+	if p.control.currentFaults().OldWatches {
 		after = 0
 	}
 	deadline := time.After(wait)
 	for {
-		reply, changed := p.store.after(query.Get("prefix"), after, time.Now())
-		if len(reply.Values) > 0 && !p.control.now().SilentWatches {
-			answer.JSON(w, http.StatusOK, p.aged(reply))
+		reply, changed := p.store.eventsAfter(query.Get("prefix"), after, time.Now())
+		if len(reply.Values) > 0 && !p.control.currentFaults().SilentWatches {
+			answer.JSON(w, http.StatusOK, p.onlyOldest(reply))
 			return
 		}
 		select {
@@ -164,7 +164,7 @@
 		case <-r.Context().Done():
 			return
 		case <-deadline:
-			if p.control.now().SilentWatches {
+			if p.control.currentFaults().SilentWatches {
 				<-r.Context().Done()
 				return
 			}
@@ -174,9 +174,9 @@
 	}
 }
 
-// aged leaves only the oldest value of a key where watches are to answer with old ones.
-func (p *Platform) aged(reply platform.ListReply) platform.ListReply {
-	if !p.control.now().OldWatches || len(reply.Values) == 0 {
+// onlyOldest drops all but the oldest event if OldWatches is set.
+func (p *Platform) onlyOldest(reply platform.ListReply) platform.ListReply {
+	if !p.control.currentFaults().OldWatches || len(reply.Values) == 0 {
 		return reply
 	}
 	reply.Values = reply.Values[:1]
--- a/cmd/standin/internal/platform/store.go
+++ b/cmd/standin/internal/platform/store.go
@@ -10,50 +10,50 @@
 
 const (
 	maxValueBytes = 1 << 20
-	eventsKept    = 10000
+	maxEvents     = 10000
 )
 
-// store is the key-value service: compare-and-swap, leases and watches.
+// store is a key-value store with compare-and-swap, leases and watches.
 type store struct {
-	mutex    sync.Mutex
-	revision uint64
-	values   map[string]platform.Value
-	leases   map[uint64]time.Time
-	next     uint64
-	events   []platform.Value
-	changed  chan struct{}
+	mutex     sync.Mutex
+	revision  uint64
+	values    map[string]platform.Value
+	leases    map[uint64]time.Time
+	lastLease uint64
+	events    []platform.Value
+	changed   chan struct{}
 }
 
 func newStore() *store {
 	return &store{values: map[string]platform.Value{}, leases: map[uint64]time.Time{}, changed: make(chan struct{})}
 }
 
-// swap writes a value if the key has the expected revision.
+// swap writes a value if the key has the expected revision and its lease, if any, is valid.
 func (s *store) swap(request platform.SwapRequest, now time.Time) (uint64, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire(now)
-	present := s.values[request.Key].Revision
-	if present != request.Expect {
-		return present, false
+	current := s.values[request.Key].Revision
+	if current != request.Expect {
+		return current, false
 	}
 	if request.Lease != 0 && s.leases[request.Lease].IsZero() {
-		return present, false
+		return current, false
 	}
-	s.record(platform.Value{Key: request.Key, Data: request.Data, Lease: request.Lease})
+	s.apply(platform.Value{Key: request.Key, Data: request.Data, Lease: request.Lease})
 	return s.revision, true
 }
 
-// remove deletes a key that has the expected revision.
+// remove deletes a key that exists and has the expected revision.
 func (s *store) remove(key string, expect uint64, now time.Time) (uint64, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire(now)
-	present := s.values[key].Revision
-	if present != expect || present == 0 {
-		return present, false
+	current := s.values[key].Revision
+	if current != expect || current == 0 {
+		return current, false
 	}
-	s.record(platform.Value{Key: key, Deleted: true})
+	s.apply(platform.Value{Key: key, Deleted: true})
 	return s.revision, true
 }
 
@@ -78,9 +78,9 @@
 	return reply
 }
 
-// after returns the events of a prefix after a revision and a channel that is
-// closed with the next change.
-func (s *store) after(prefix string, revision uint64, now time.Time) (platform.ListReply, <-chan struct{}) {
+// eventsAfter returns the events of a prefix after a revision, and a channel that is
+// closed on the next change of any key.
+func (s *store) eventsAfter(prefix string, revision uint64, now time.Time) (platform.ListReply, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire(now)
@@ -93,41 +93,41 @@
 	return reply, s.changed
 }
 
-func (s *store) grant(length time.Duration, now time.Time) uint64 {
+func (s *store) grant(duration time.Duration, now time.Time) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.next++
-	s.leases[s.next] = now.Add(length)
-	return s.next
+	s.lastLease++
+	s.leases[s.lastLease] = now.Add(duration)
+	return s.lastLease
 }
 
-func (s *store) renew(lease uint64, length time.Duration, now time.Time) bool {
+func (s *store) renew(lease uint64, duration time.Duration, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire(now)
 	if s.leases[lease].IsZero() {
 		return false
 	}
-	s.leases[lease] = now.Add(length)
+	s.leases[lease] = now.Add(duration)
 	return true
 }
 
-// expire deletes the values of leases that have lapsed.
+// expire deletes expired leases and their values.
 func (s *store) expire(now time.Time) {
-	for lease, end := range s.leases {
-		if now.Before(end) {
+	for lease, expiry := range s.leases {
+		if now.Before(expiry) {
 			continue
 		}
 		delete(s.leases, lease)
 		for key, value := range s.values {
 			if value.Lease == lease {
-				s.record(platform.Value{Key: key, Deleted: true})
+				s.apply(platform.Value{Key: key, Deleted: true})
 			}
 		}
 	}
 }
 
-func (s *store) record(event platform.Value) {
+func (s *store) apply(event platform.Value) {
 	s.revision++
 	event.Revision = s.revision
 	if event.Deleted {
@@ -136,8 +136,8 @@
 		s.values[event.Key] = event
 	}
 	s.events = append(s.events, event)
-	if len(s.events) > eventsKept {
-		s.events = s.events[len(s.events)-eventsKept:]
+	if len(s.events) > maxEvents {
+		s.events = s.events[len(s.events)-maxEvents:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/cmd/standin/internal/relay/relay.go
+++ b/cmd/standin/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay stands between two ends of TCP connections: it can cut them, or
-// let them go silent while new ones work.
+// Package relay forwards TCP connections. It can close them, or silently drop their
+// data while new connections work.
 package relay
 
 import (
@@ -15,43 +15,43 @@
 
 const bufferBytes = 32 << 10
 
-// Relay is the stand-in. Exported fields are set before Start.
+// Relay is a TCP relay. Exported fields are set before Start.
 type Relay struct {
 	From string
-	// To is where it relays to; the control endpoint "to" changes it.
+	// To is the address that it connects to; /control/to changes it.
 	To string
 
 	listener net.Listener
 
 	mutex       sync.Mutex
 	refuse      bool
-	connections map[*pair]bool
+	connections map[*connection]bool
 }
 
-// pair is one connection from each end.
-type pair struct {
-	near   net.Conn
-	far    net.Conn
+// connection is a connection accepted from a client and the one dialed to the target.
+type connection struct {
+	client net.Conn
+	target net.Conn
 	mutex  sync.Mutex
 	silent bool
 }
 
-// Routes returns the control endpoints of tests.
+// Routes returns the control endpoints for tests.
 func (r *Relay) Routes() []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodGet, Path: "/control/address", Handler: r.handleAddress},
-		// cut closes all connections and refuses new ones until heal.
+		// cut closes all connections, and new ones at once until heal.
 		{Method: http.MethodPost, Path: "/control/cut", Handler: r.handleCut},
-		// silence drops all bytes of the present connections for good; new ones work.
+		// silence drops all further data of the current connections for good; new ones work.
 		{Method: http.MethodPost, Path: "/control/silence", Handler: r.handleSilence},
 		{Method: http.MethodPost, Path: "/control/heal", Handler: r.handleHeal},
 		{Method: http.MethodPost, Path: "/control/to", Handler: r.handleTo},
 	}
 }
 
-// Start listens and relays in the background.
+// Start listens, and relays in the background.
 func (r *Relay) Start() error {
-	r.connections = map[*pair]bool{}
+	r.connections = map[*connection]bool{}
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", r.From)
 	if err != nil {
 		return err
@@ -63,44 +63,44 @@
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.relay(near)
+		go r.relay(client)
 	}
 }
 
-func (r *Relay) relay(near net.Conn) {
+func (r *Relay) relay(client net.Conn) {
 	r.mutex.Lock()
 	refuse, to := r.refuse, r.To
 	r.mutex.Unlock()
 	if refuse {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	far, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", to)
+	target, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", to)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	p := &pair{near: near, far: far}
+	c := &connection{client: client, target: target}
 	r.mutex.Lock()
-	r.connections[p] = true
+	r.connections[c] = true
 	r.mutex.Unlock()
-	go p.copy(near, far)
-	p.copy(far, near)
+	go c.forward(client, target)
+	c.forward(target, client)
 	r.mutex.Lock()
-	delete(r.connections, p)
+	delete(r.connections, c)
 	r.mutex.Unlock()
 }
 
-// copy passes bytes on until an end closes; a silent pair swallows them.
-func (p *pair) copy(to, from net.Conn) {
+// forward copies data until either end closes; a silent connection drops it and stays open.
+func (c *connection) forward(to, from net.Conn) {
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.isSilent() {
+		if n > 0 && !c.isSilent() {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				break
 			}
@@ -109,23 +109,23 @@
 			break
 		}
 	}
-	if p.isSilent() {
+	if c.isSilent() {
 		return
 	}
-	_ = p.near.Close()
-	_ = p.far.Close()
+	_ = c.client.Close()
+	_ = c.target.Close()
 }
 
-func (p *pair) isSilent() bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.silent
+func (c *connection) isSilent() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.silent
 }
 
-func (p *pair) silence() {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.silent = true
+func (c *connection) silence() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.silent = true
 }
 
 func (r *Relay) handleAddress(w http.ResponseWriter, _ *http.Request) {
@@ -136,9 +136,9 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.refuse = true
-	for p := range r.connections {
-		_ = p.near.Close()
-		_ = p.far.Close()
+	for c := range r.connections {
+		_ = c.client.Close()
+		_ = c.target.Close()
 	}
 	answer.JSON(w, http.StatusOK, map[string]int{"cut": len(r.connections)})
 }
@@ -146,8 +146,8 @@
 func (r *Relay) handleSilence(w http.ResponseWriter, _ *http.Request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for p := range r.connections {
-		p.silence()
+	for c := range r.connections {
+		c.silence()
 	}
 	answer.JSON(w, http.StatusOK, map[string]int{"silenced": len(r.connections)})
 }
--- a/cmd/standin/internal/scorer/scorer.go
+++ b/cmd/standin/internal/scorer/scorer.go
@@ -1,4 +1,4 @@
-// Package scorer is a small stand-in for a service that scores samples.
+// Package scorer is a stand-in for a service that scores samples.
 package scorer
 
 import (
@@ -14,7 +14,7 @@
 	Text   string `json:"text"`
 }
 
-// Routes returns the scorer's interface: the score grows with the text.
+// Routes returns the scorer's endpoint; the score is the length of the text in bytes.
 func Routes() []rest.Route {
 	return []rest.Route{{Method: http.MethodPost, Path: "/score", Handler: handleScore}}
 }
--- a/cmd/standin/internal/trainer/trainer.go
+++ b/cmd/standin/internal/trainer/trainer.go
@@ -1,5 +1,5 @@
-// Package trainer is a small stand-in for a trainer: it opens steps, pulls
-// samples by place, announces weights and checks what it is given.
+// Package trainer is a stand-in for a trainer: it opens steps, pulls samples by
+// position, announces weights and checks the samples.
 package trainer
 
 import (
@@ -15,9 +15,9 @@
 )
 
 const (
-	pullMax    = 16
-	pullWait   = 2 * time.Second
-	retryPause = 100 * time.Millisecond
+	maxPull       = 16
+	pullWait      = 2 * time.Second
+	retryInterval = 100 * time.Millisecond
 )
 
 // Trainer is the stand-in. Exported fields are set before Step is called.
@@ -30,21 +30,21 @@
 	Samples   int
 	MaxTokens int
 	Staleness uint64
-	// Announce is after how many samples of a step new weights are announced; 0 never.
+	// Announce is how many samples of a step arrive before weights are announced, once; 0 never.
 	Announce int
 	Version  uint64
 
-	client   client.Trainer
-	next     int
-	place    uint64
-	received []client.Sample
-	faults   []string
+	client    client.Trainer
+	nextEntry int
+	place     uint64
+	received  []client.Sample
+	faults    []string
 }
 
-// Check fails if anything was wrong with the samples received, or their number.
+// Check returns an error if samples are missing, surplus or faulty.
 func (t *Trainer) Check(want int) error {
 	if len(t.received) != want {
-		t.faults = append(t.faults, fmt.Sprintf("%d samples, wanted %d", len(t.received), want))
+		t.faults = append(t.faults, fmt.Sprintf("received %d samples, want %d", len(t.received), want))
 	}
 	if len(t.faults) > 0 {
 		return fmt.Errorf("%d faults, first: %s", len(t.faults), t.faults[0])
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Print writes a table of the samples by the versions that produced them.
+// Print writes the number of samples by the newest weight version of each.
 func (t *Trainer) Print(w io.Writer) {
 	byVersion := map[uint64]int{}
 	for _, sample := range t.received {
@@ -74,7 +74,7 @@
 	return t.received
 }
 
-// Step opens a step and pulls until all of it was handed over.
+// Step opens a step and pulls its samples until all are delivered.
 func (t *Trainer) Step(ctx context.Context, step uint64) error {
 	t.client.Name, t.client.Key = t.Name, t.Key
 	if err := t.open(ctx, step); err != nil {
@@ -83,15 +83,15 @@
 	seen := map[uint32]bool{}
 	for {
 		var pulled client.Pulled
-		err := t.call(ctx, func() (err error) {
-			pulled, err = t.client.Pull(ctx, t.place, pullMax, pullWait)
+		err := t.callWithRetry(ctx, func() (err error) {
+			pulled, err = t.client.Pull(ctx, t.place, maxPull, pullWait)
 			return err
 		})
 		if err != nil {
 			return err
 		}
 		for _, sample := range pulled.Samples {
-			t.take(step, sample, seen)
+			t.receive(step, sample, seen)
 		}
 		t.place = pulled.Next
 		if err := t.announce(ctx, len(seen)); err != nil {
@@ -108,48 +108,48 @@
 	for i := range t.Groups {
 		step.Groups = append(step.Groups, client.Group{Prompt: fmt.Sprintf("step %d group %d", number, i), Samples: t.Samples})
 	}
-	return t.call(ctx, func() (err error) {
+	return t.callWithRetry(ctx, func() (err error) {
 		t.place, err = t.client.Open(ctx, step)
 		return err
 	})
 }
 
-func (t *Trainer) take(step uint64, sample client.Sample, seen map[uint32]bool) {
+func (t *Trainer) receive(step uint64, sample client.Sample, seen map[uint32]bool) {
 	if seen[sample.Slot] || sample.Step != step {
-		t.fault("step %d slot %d came twice or with another step", sample.Step, sample.Slot)
+		t.addFault("step %d slot %d is a duplicate or belongs to another step", sample.Step, sample.Slot)
 	}
 	seen[sample.Slot] = true
 	if len(sample.Versions) == 0 {
-		t.fault("slot %d names no version", sample.Slot)
+		t.addFault("slot %d has no weight version", sample.Slot)
 		sample.Versions = []client.Range{{}}
 	}
-	at := uint32(0)
+	covered := uint32(0)
 	for _, versions := range sample.Versions {
-		if versions.From != at {
-			t.fault("slot %d leaves tokens %d to %d without a version", sample.Slot, at, versions.From)
+		if versions.From != covered {
+			t.addFault("slot %d has no weight version for tokens %d to %d", sample.Slot, covered, versions.From)
 		}
-		at = versions.Until
+		covered = versions.Until
 		if versions.Version+t.Staleness < t.Version {
-			t.fault("slot %d has version %d, the newest is %d", sample.Slot, versions.Version, t.Version)
+			t.addFault("slot %d has stale weight version %d, newest is %d", sample.Slot, versions.Version, t.Version)
 		}
 	}
-	if int(at) != len(sample.Tokens) {
-		t.fault("slot %d has %d tokens, versions for %d", sample.Slot, len(sample.Tokens), at)
+	if int(covered) != len(sample.Tokens) {
+		t.addFault("slot %d has %d tokens, but weight versions for %d", sample.Slot, len(sample.Tokens), covered)
 	}
 	t.received = append(t.received, sample)
 }
 
-func (t *Trainer) fault(format string, arguments ...any) {
+func (t *Trainer) addFault(format string, arguments ...any) {
 	t.faults = append(t.faults, fmt.Sprintf(format, arguments...))
 }
 
-// announce tells new weights once enough samples of the step have come.
+// announce announces the next weight version once enough samples of the step arrived.
 func (t *Trainer) announce(ctx context.Context, received int) error {
 	if t.Announce == 0 || received < t.Announce {
 		return nil
 	}
 	t.Announce = 0
-	err := t.call(ctx, func() error { return t.client.Announce(ctx, t.Model, t.Version+1) })
+	err := t.callWithRetry(ctx, func() error { return t.client.Announce(ctx, t.Model, t.Version+1) })
 	if err != nil {
 		return err
 	}
@@ -157,25 +157,26 @@
 	return nil
 }
 
-// call asks the entries in turn until one answers; each call may be repeated.
-func (t *Trainer) call(ctx context.Context, call func() error) error {
-	var last error
+// callWithRetry sends a request to the entries in rotation until one succeeds or refuses
+// it for good. Each request must be safe to repeat.
+func (t *Trainer) callWithRetry(ctx context.Context, request func() error) error {
+	var lastErr error
 	for ctx.Err() == nil {
-		t.client.Address = t.Entries[t.next%len(t.Entries)]
-		t.next++
-		last = call()
-		if last == nil || isFinal(last) {
-			return last
+		t.client.Address = t.Entries[t.nextEntry%len(t.Entries)]
+		t.nextEntry++
+		lastErr = request()
+		if lastErr == nil || isFinal(lastErr) {
+			return lastErr
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
-	return fmt.Errorf("trainer %s: %w (last: %w)", t.Name, ctx.Err(), last)
+	return fmt.Errorf("trainer %s: %w (last error: %w)", t.Name, ctx.Err(), lastErr)
 }
 
-// isFinal reports whether another call would be refused in the same way.
+// isFinal reports whether a retry would be refused in the same way.
 func isFinal(err error) bool {
 	var refused *client.RefusedError
 	if !errors.As(err, &refused) {
--- a/cmd/standin/internal/weights/weights.go
+++ b/cmd/standin/internal/weights/weights.go
@@ -1,4 +1,4 @@
-// Package weights is a small stand-in for the weight store, which is rate-limited.
+// Package weights is a stand-in for the weight store, which is rate-limited.
 package weights
 
 import (
@@ -14,15 +14,15 @@
 
 // Weights is the stand-in. Exported fields are set before Routes is called.
 type Weights struct {
-	// Size of one version, bytes.
+	// Size is the size of a version, bytes.
 	Size int
-	// Rate of all downloads together, bytes a second.
+	// Rate limits all downloads together, bytes per second.
 	Rate int
 
 	limiter *rate.Limiter
 }
 
-// Routes returns the store's interface.
+// Routes returns the store's endpoints.
 func (s *Weights) Routes() []rest.Route {
 	s.limiter = rate.NewLimiter(rate.Limit(s.Rate), chunkBytes)
 	return []rest.Route{{Method: http.MethodGet, Path: "/weights/:model/:version", Handler: s.handleWeights}}
