--- a/cmd/standin/cmd/certificatescmd.go
+++ b/cmd/standin/cmd/certificatescmd.go
@@ -19,7 +19,7 @@
 // Run writes authority.pem, and NAME.pem and NAME.key for each process.
 func (c *certificatesCmd) Run() error {
 	standIn := &authority.Authority{Folder: c.Folder}
-	if err := standIn.Start(); err != nil {
+	if err := standIn.Init(); err != nil {
 		return err
 	}
 	for _, pair := range c.Names {
--- a/cmd/standin/cmd/platformcmd.go
+++ b/cmd/standin/cmd/platformcmd.go
@@ -14,6 +14,6 @@
 
 func (p *platformCmd) Run() error {
 	standIn := platform.New()
-	standIn.StartTime = p.StartTime
+	standIn.StartDelay = p.StartTime
 	return p.serve(standIn.Routes())
 }
--- a/cmd/standin/cmd/trainercmd.go
+++ b/cmd/standin/cmd/trainercmd.go
@@ -30,16 +30,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), t.Timeout)
 	defer cancel()
 	standIn := &trainer.Trainer{
-		Entries:   t.Entry,
-		Key:       t.Key,
-		Name:      t.Trainer,
-		Model:     t.Model,
-		Groups:    t.Groups,
-		Samples:   t.Samples,
-		MaxTokens: t.MaxTokens,
-		Staleness: t.Staleness,
-		Announce:  t.Announce,
-		Version:   t.Version,
+		Entries:       t.Entry,
+		Key:           t.Key,
+		Name:          t.Trainer,
+		Model:         t.Model,
+		Groups:        t.Groups,
+		Samples:       t.Samples,
+		MaxTokens:     t.MaxTokens,
+		Staleness:     t.Staleness,
+		AnnounceAfter: t.Announce,
+		Version:       t.Version,
 	}
 	for step := range t.Steps {
 		if err := standIn.Step(ctx, t.First+uint64(step)); err != nil {
--- a/cmd/standin/internal/demo/demo.go
+++ b/cmd/standin/internal/demo/demo.go
@@ -72,16 +72,16 @@
 		return err
 	}
 	trainerStandIn := &trainer.Trainer{
-		Entries:   d.entries,
-		Key:       trainerKey,
-		Name:      "drafter",
-		Model:     model,
-		Groups:    groups,
-		Samples:   samplesPerGroup,
-		MaxTokens: 32,
-		Staleness: 1,
-		Announce:  groups * samplesPerGroup / 2,
-		Version:   1,
+		Entries:       d.entries,
+		Key:           trainerKey,
+		Name:          "drafter",
+		Model:         model,
+		Groups:        groups,
+		Samples:       samplesPerGroup,
+		MaxTokens:     32,
+		Staleness:     1,
+		AnnounceAfter: groups * samplesPerGroup / 2,
+		Version:       1,
 	}
 	load := &workload{entries: d.entries, key: memberKey}
 	if err := d.runWorkload(ctx, trainerStandIn, load); err != nil {
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = platform.NewClient(d.platform, time.Second).Swap(ctx, "config", 0, data, 0)
+	_, err = platform.NewClient(d.platform, time.Second).CompareAndSwap(ctx, "config", 0, data, 0)
 	return err
 }
 
--- a/cmd/standin/internal/platform/fleet.go
+++ b/cmd/standin/internal/platform/fleet.go
@@ -66,7 +66,7 @@
 		return
 	}
 	p.servers[order.Server] = platform.Server{ID: order.Server, Pool: order.Pool, Zone: order.Zone, State: "starting"}
-	time.AfterFunc(p.StartTime, func() { p.markLive(order.Server) })
+	time.AfterFunc(p.StartDelay, func() { p.markLive(order.Server) })
 }
 
 func (p *Platform) markLive(id string) {
--- a/cmd/standin/internal/trainer/trainer.go
+++ b/cmd/standin/internal/trainer/trainer.go
@@ -30,9 +30,9 @@
 	Samples   int
 	MaxTokens int
 	Staleness uint64
-	// Announce is how many samples of a step arrive before weights are announced, once; 0 never.
-	Announce int
-	Version  uint64
+	// AnnounceAfter is how many samples of a step arrive before weights are announced, once; 0 never.
+	AnnounceAfter int
+	Version       uint64
 
 	client    client.Trainer
 	nextEntry int
@@ -145,10 +145,10 @@
 
 // announce announces the next weight version once enough samples of the step arrived.
 func (t *Trainer) announce(ctx context.Context, received int) error {
-	if t.Announce == 0 || received < t.Announce {
+	if t.AnnounceAfter == 0 || received < t.AnnounceAfter {
 		return nil
 	}
-	t.Announce = 0
+	t.AnnounceAfter = 0
 	err := t.callWithRetry(ctx, func() error { return t.client.Announce(ctx, t.Model, t.Version+1) })
 	if err != nil {
 		return err
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -37,14 +37,14 @@
 	codeSilent = "backend_silent"
 )
 
-// SilentError reports that the backend server sent nothing for the whole read timeout.
-type SilentError struct {
-	Silence time.Duration
+// ReadTimeoutError reports that the backend server sent nothing for the whole read timeout.
+type ReadTimeoutError struct {
+	Timeout time.Duration
 }
 
 // Error returns the message with the read timeout.
-func (e *SilentError) Error() string {
-	return fmt.Sprintf("nothing was sent for %s", e.Silence)
+func (e *ReadTimeoutError) Error() string {
+	return fmt.Sprintf("nothing was sent for %s", e.Timeout)
 }
 
 // Server is the part of the client common to both kinds of backend server. Exported fields
@@ -54,8 +54,8 @@
 	Address string
 	// Name identifies the backend server.
 	Name string
-	// Silence is the read timeout: how long the backend server may send nothing.
-	Silence time.Duration
+	// ReadTimeout is the read timeout: how long the backend server may send nothing.
+	ReadTimeout time.Duration
 	// Idle is how long an unused connection is kept; 0 means the client's default.
 	Idle time.Duration
 
@@ -166,7 +166,7 @@
 		if client := s.client.Load(); client != nil {
 			return *client
 		}
-		service := listen.ClientWith("backend-"+s.Name, listen.ClientOptions{Idle: s.Idle})
+		service := listen.ClientWithOptions("backend-"+s.Name, listen.ClientOptions{Idle: s.Idle})
 		s.client.CompareAndSwap(nil, &service)
 	}
 }
@@ -178,9 +178,9 @@
 // they report no error: a resumed generation would use one of them and time out again.
 func (s *Server) refuse(err error, connected bool) *refusal.Error {
 	if !connected {
-		return refusal.NotRun(http.StatusServiceUnavailable, "backend_unreachable", "%s can't be reached", s.Name).After(retryAfter)
+		return refusal.NotRun(http.StatusServiceUnavailable, "backend_unreachable", "%s can't be reached", s.Name).WithRetryAfter(retryAfter)
 	}
-	var silent *SilentError
+	var silent *ReadTimeoutError
 	switch {
 	case errors.As(err, &silent):
 		s.client.Store(nil)
--- a/internal/backend/direct.go
+++ b/internal/backend/direct.go
@@ -14,16 +14,16 @@
 const (
 	// CodeFailed means that the server reported a failed run.
 	CodeFailed = "server_failed"
-	// CodeForeign means that the answer belongs to another request.
-	CodeForeign = "foreign_answer"
+	// CodeWrongRequest means that the answer belongs to another request.
+	CodeWrongRequest = "foreign_answer"
 	// CodeFull means that the server had no free capacity and ran nothing.
 	CodeFull = "server_full"
-	// CodeOther means that a server other than the intended one answered at the address.
-	CodeOther = "other_server"
+	// CodeWrongServer means that a server other than the intended one answered at the address.
+	CodeWrongServer = "other_server"
 )
 
-// Send is a request to one backend server.
-type Send struct {
+// Request is a request to one backend server.
+type Request struct {
 	// ID identifies the request; the server's answer repeats it.
 	ID string
 	// Server is the name of the only server that may run the request.
@@ -39,10 +39,10 @@
 	Body []byte
 	// Account is the client account; "" for requests without one.
 	Account string
-	// Silence is the read timeout: how long the server may send nothing.
-	Silence time.Duration
-	// Left is how much longer the caller waits; 0 if unknown.
-	Left time.Duration
+	// ReadTimeout is the read timeout: how long the server may send nothing.
+	ReadTimeout time.Duration
+	// TimeLeft is how much longer the caller waits; 0 if unknown.
+	TimeLeft time.Duration
 	// LastEvent is the number of the last event that the caller received; 0 if none.
 	LastEvent uint64
 	// Priority ranges from 1 (highest) to 9; 0 means unspecified.
@@ -53,17 +53,17 @@
 // of their answers.
 type Wire interface {
 	// Prepare sets the request's metadata in its header.
-	Prepare(header http.Header, send Send)
+	Prepare(header http.Header, send Request)
 	// IsAnswerTo reports whether an answer belongs to the request with this ID.
 	IsAnswerTo(answer *http.Response, id string) bool
 	// IsNotRun reports whether the server states that it ran nothing.
 	IsNotRun(answer *http.Response) bool
-	// IsOther reports whether a server other than the intended one answered.
-	IsOther(answer *http.Response) bool
-	// WriteLineVersion returns the event line that announces a weight version.
-	WriteLineVersion(version uint64) string
-	// LineVersion returns the weight version that an event line announces.
-	LineVersion(line string) (uint64, bool)
+	// IsWrongServer reports whether a server other than the intended one answered.
+	IsWrongServer(answer *http.Response) bool
+	// FormatVersionLine returns the event line that announces a weight version.
+	FormatVersionLine(version uint64) string
+	// ParseVersionLine returns the weight version that an event line announces.
+	ParseVersionLine(line string) (uint64, bool)
 	// Proof returns the server's proof of its answer.
 	Proof(answer *http.Response) string
 	// Version returns the weight version of an answer's first event; 0 if unspecified.
@@ -90,7 +90,7 @@
 // Do sends a request once. The error is a *refusal.Error whose outcome is "not run" only
 // if that is certain. Do also returns answers with an error status, unless the server
 // states that it ran nothing.
-func (d *Direct) Do(ctx context.Context, send Send) (*Answer, error) {
+func (d *Direct) Do(ctx context.Context, send Request) (*Answer, error) {
 	header := send.Header.Clone()
 	if header == nil {
 		header = http.Header{}
@@ -108,7 +108,7 @@
 		header:      header,
 		body:        send.Body,
 		noRepeat:    true,
-		readTimeout: send.Silence,
+		readTimeout: send.ReadTimeout,
 	})
 	if err != nil {
 		return nil, err
@@ -116,35 +116,35 @@
 	if d.Wire.IsNotRun(answer.Response) {
 		defer d.discard(answer.Response)
 		code := CodeFull
-		if d.Wire.IsOther(answer.Response) {
-			code = CodeOther
+		if d.Wire.IsWrongServer(answer.Response) {
+			code = CodeWrongServer
 		}
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, code, "%s answered %d and ran nothing", d.Name, answer.StatusCode).After(retryAfter)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, code, "%s answered %d and ran nothing", d.Name, answer.StatusCode).WithRetryAfter(retryAfter)
 	}
 	if !d.Wire.IsAnswerTo(answer.Response, send.ID) {
 		// Passing on an answer to a different request would leak another caller's data.
 		_ = answer.Body.Close()
-		return nil, refusal.Unknown(http.StatusBadGateway, CodeForeign, "%s answered another request", d.Name)
+		return nil, refusal.Unknown(http.StatusBadGateway, CodeWrongRequest, "%s answered another request", d.Name)
 	}
 	return &Answer{Response: answer.Response, direct: d, watchdog: answer.watchdog}, nil
 }
 
-// Whole reads the body up to limit bytes. It returns false if the body is larger; the body
+// ReadAll reads the body up to limit bytes. It returns false if the body is larger; the body
 // then holds the bytes read so far, and the rest can still be read from the answer.
-func (a *Answer) Whole(limit int64) (body []byte, complete bool, err error) {
+func (a *Answer) ReadAll(limit int64) (body []byte, complete bool, err error) {
 	body, err = io.ReadAll(io.LimitReader(a.Body, limit+1))
 	if err != nil {
-		return nil, false, a.Cut()
+		return nil, false, a.Interrupted()
 	}
 	return body, int64(len(body)) <= limit, nil
 }
 
-// Bound sets the read timeout for the rest of the answer.
-func (a *Answer) Bound(silence time.Duration) { a.watchdog.setTimeout(silence) }
+// SetReadTimeout sets the read timeout for the rest of the answer.
+func (a *Answer) SetReadTimeout(silence time.Duration) { a.watchdog.setTimeout(silence) }
 
-// Cut returns the refusal for an answer that ended early.
-func (a *Answer) Cut() error {
-	var silent *SilentError
+// Interrupted returns the refusal for an answer that ended early.
+func (a *Answer) Interrupted() error {
+	var silent *ReadTimeoutError
 	if errors.As(context.Cause(a.watchdog.ctx), &silent) {
 		return a.direct.refuse(silent, true)
 	}
--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -76,7 +76,7 @@
 
 // pollVersion requests the engine's load report and stores its version.
 func (e *Engine) pollVersion(ctx context.Context) {
-	answer, err := e.exchange(ctx, call{method: http.MethodGet, path: pathLoad, header: http.Header{"User-Agent": {userAgent}}, readTimeout: e.Silence})
+	answer, err := e.exchange(ctx, call{method: http.MethodGet, path: pathLoad, header: http.Header{"User-Agent": {userAgent}}, readTimeout: e.ReadTimeout})
 	if err != nil {
 		klog.V(1).Infof("backend: %s: %v", e.Name, err)
 		return
--- a/internal/backend/plain.go
+++ b/internal/backend/plain.go
@@ -52,7 +52,7 @@
 		path:        request.GetPath(),
 		header:      plainHeader(request),
 		body:        request.GetBody(),
-		readTimeout: p.Silence,
+		readTimeout: p.ReadTimeout,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/backend/watchdog.go
+++ b/internal/backend/watchdog.go
@@ -21,7 +21,7 @@
 	ctx, cancel := context.WithCancelCause(parent)
 	w := &watchdog{ctx: ctx, cancel: cancel}
 	w.timeout.Store(int64(timeout))
-	w.timer = time.AfterFunc(timeout, func() { cancel(&SilentError{Silence: time.Duration(w.timeout.Load())}) })
+	w.timer = time.AfterFunc(timeout, func() { cancel(&ReadTimeoutError{Timeout: time.Duration(w.timeout.Load())}) })
 	return ctx, w
 }
 
--- a/internal/batch/accept.go
+++ b/internal/batch/accept.go
@@ -35,7 +35,7 @@
 		}
 		acceptance, err := b.askPreferredOwner(ctx, host, batch)
 		switch {
-		case acceptance == Taken:
+		case acceptance == Accepted:
 			return nil
 		case acceptance == Pending:
 			return errCommitUnknown()
@@ -60,7 +60,7 @@
 // store, or the batch runs early, no later attempt can promise that, whatever answer it gets.
 func (b *Board) acceptOwn(ctx context.Context, batch *statepb.Batch, attempt attempt) error {
 	if b.drains() && b.earlyRunOf(batch.GetId()) == nil && !attempt.mayBeAccepted {
-		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").After(storeRetryAfter)
+		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").WithRetryAfter(storeRetryAfter)
 	}
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
@@ -87,7 +87,7 @@
 			return err
 		}
 		if !attempt.mayBeAccepted {
-			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the store does not take the batch").After(storeRetryAfter)
+			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the store does not take the batch").WithRetryAfter(storeRetryAfter)
 		}
 		klog.InfoS("batch: unknown whether the store holds it", "batch", batch.GetId(), "err", err.Error())
 		if !pause.For(ctx, writeRetryDelay) {
@@ -105,7 +105,7 @@
 // isNotCommitted reports whether a store error proves that the commit changed nothing.
 func isNotCommitted(err error) bool {
 	var away *platform.UnavailableError
-	return errors.As(err, &away) && platform.IsTurnedAway(away.Status)
+	return errors.As(err, &away) && platform.IsRejected(away.Status)
 }
 
 func (b *Board) isAccepted(id string) bool {
@@ -117,7 +117,7 @@
 func (b *Board) commitBatch(ctx context.Context, batch *statepb.Batch) error {
 	lease := b.Lease()
 	if lease == 0 {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "this process is not known to the store").After(storeRetryAfter)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "this process is not known to the store").WithRetryAfter(storeRetryAfter)
 	}
 	id := batch.GetId()
 	data, err := proto.Marshal(batch)
@@ -156,7 +156,7 @@
 	}
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the lease of this process has ended").After(storeRetryAfter)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the lease of this process has ended").WithRetryAfter(storeRetryAfter)
 	}
 	if err != nil {
 		return err
@@ -164,7 +164,7 @@
 	klog.InfoS("batch: accepted", "batch", id, "account", batch.GetAccount(), "step", batch.GetStep(), "model", batch.GetModel(), "items", len(batch.GetItems()), "owner", revision)
 	b.lock()
 	defer b.mutex.Unlock()
-	b.markAccepted(batch, Title{Revision: revision, Lease: lease})
+	b.markAccepted(batch, Ownership{Revision: revision, Lease: lease})
 	return nil
 }
 
--- a/internal/batch/board.go
+++ b/internal/batch/board.go
@@ -74,23 +74,23 @@
 	Store   Store
 	Roster  *roster.Roster
 	Scorer  Scorer
-	Wire    Wire
+	Wire    HeaderEncoder
 	Routes  Routes
 	// Lease returns the lease that registers this process with the store, or 0 while it has
 	// none.
 	Lease func() uint64
-	// Order returns the live processes that are not leaving, the best candidate for a piece of
+	// Candidates returns the live processes that are not leaving, the best candidate for a piece of
 	// work first.
-	Order func(work string) []string
-	// Leaves reports whether a process was asked to stop.
-	Leaves func(host string) bool
-	Peers  Peers
+	Candidates func(work string) []string
+	// IsLeaving reports whether a process was asked to stop.
+	IsLeaving func(host string) bool
+	Peers     Peers
 	// Keeper stores incomplete texts.
 	Keeper Keeper
-	// Keep is how long a batch can be read after its acceptance.
-	Keep time.Duration
-	// Group is how long outcomes are gathered before they are written together.
-	Group time.Duration
+	// Retention is how long a batch can be read after its acceptance.
+	Retention time.Duration
+	// GroupDelay is how long outcomes are gathered before they are written together.
+	GroupDelay time.Duration
 	// ValueBytes is the size of the largest value that the store takes.
 	ValueBytes int
 	// Metrics registers the metrics of the board; with nil they are not exported.
@@ -236,7 +236,7 @@
 	route, _ := b.Routes(batch)
 	plan := NewPlan(batch, route.Rules, accepted)
 	plan.Restore(state.Listed, state.Partials)
-	plan.Carry(state.Pending)
+	plan.AddPending(state.Pending)
 	if reused := plan.Reuse(b.leftovers.find(itemIDs(batch))); reused > 0 {
 		klog.InfoS("batch: reusing texts of an earlier batch", "batch", batch.GetId(), "items", reused)
 	}
@@ -248,7 +248,7 @@
 			roster:        b.Roster,
 			scorer:        b.Scorer,
 			wire:          b.Wire,
-			ledger:        newLedger(b.Store, batch.GetId(), b.Group, b.ValueBytes, state.Owner, state.Listed, b.metrics),
+			ledger:        newLedger(b.Store, batch.GetId(), b.GroupDelay, b.ValueBytes, state.Owner, state.Listed, b.metrics),
 			keeper:        b.Keeper,
 			metrics:       b.metrics,
 			keepLeftovers: b.leftovers.add,
--- a/internal/batch/changes.go
+++ b/internal/batch/changes.go
@@ -11,15 +11,15 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Take applies changes of the watched keys of the store.
-func (b *Board) Take(changes []platform.Value) {
+// ApplyChanges applies changes of the watched keys of the store.
+func (b *Board) ApplyChanges(changes []platform.Value) {
 	b.lock()
 	defer b.mutex.Unlock()
 	for _, change := range changes {
 		if id, ok := strings.CutPrefix(change.Key, PrefixOpen); ok {
 			b.applyOpen(id, change)
 		}
-		if id, process, ok := ReadOwner(change); ok {
+		if id, process, ok := ParseOwner(change); ok {
 			b.applyOwner(id, process, change)
 		}
 		if id, ok := strings.CutPrefix(change.Key, prefixStored); ok {
@@ -90,17 +90,17 @@
 		delete(b.owned, id)
 		b.endEarly(owned)
 	case process == b.Process && owned != nil:
-		owned.ledger.setOwnership(Title{Revision: change.Revision, Lease: change.Lease})
+		owned.ledger.setOwnership(Ownership{Revision: change.Revision, Lease: change.Lease})
 		b.endEarly(owned)
 	default:
 		b.resume(id)
 	}
 }
 
-// ReadOwner parses a change of an owner key into a batch and the process that owns it; the
+// ParseOwner parses a change of an owner key into a batch and the process that owns it; the
 // process is "" if the batch no longer has an owner. It returns false for changes of other keys
 // and for values that cannot be decoded.
-func ReadOwner(change platform.Value) (id, process string, ok bool) {
+func ParseOwner(change platform.Value) (id, process string, ok bool) {
 	id, ok = strings.CutPrefix(change.Key, prefixOwner)
 	if !ok || change.Deleted {
 		return id, "", ok
--- a/internal/batch/claim.go
+++ b/internal/batch/claim.go
@@ -51,8 +51,8 @@
 	if b.owned[id] != nil {
 		return 0
 	}
-	wait := time.Duration(duty.Place(b.Process, b.Order(id))) * claimStagger
-	if b.Leaves(last) {
+	wait := time.Duration(duty.Place(b.Process, b.Candidates(id))) * claimStagger
+	if b.IsLeaving(last) {
 		return wait
 	}
 	return ownerHeadStart + wait
@@ -103,7 +103,7 @@
 }
 
 func hasChunk(conflict *platform.ConflictError, id string) bool {
-	return slices.ContainsFunc(conflict.Present, func(value platform.Value) bool {
+	return slices.ContainsFunc(conflict.Current, func(value platform.Value) bool {
 		return value.Revision != 0 && strings.HasPrefix(value.Key, chunkPrefix(id))
 	})
 }
@@ -131,20 +131,20 @@
 }
 
 // writeOwner makes this process the owner of a batch if the expectations hold.
-func (b *Board) writeOwner(ctx context.Context, id string, expect ...platform.Expect) (Title, error) {
+func (b *Board) writeOwner(ctx context.Context, id string, expect ...platform.Expect) (Ownership, error) {
 	lease := b.Lease()
 	if lease == 0 {
-		return Title{}, errors.New("batch: this process has no lease")
+		return Ownership{}, errors.New("batch: this process has no lease")
 	}
 	data, err := proto.Marshal(statepb.Owner_builder{Process: b.Process}.Build())
 	if err != nil {
-		return Title{}, err
+		return Ownership{}, err
 	}
 	revision, err := b.Store.Commit(ctx, platform.Commit{
 		Expect: expect,
 		Writes: []platform.Write{{Key: ownerKey(id), Data: data, Lease: lease}},
 	})
-	return Title{Revision: revision, Lease: lease}, err
+	return Ownership{Revision: revision, Lease: lease}, err
 }
 
 // reclaim rewrites the owner key of a batch that this process owns, then loads and runs the
@@ -173,7 +173,7 @@
 }
 
 // adopt loads a batch that this process owns from the store, and runs it.
-func (b *Board) adopt(ctx context.Context, id string, ownership Title) {
+func (b *Board) adopt(ctx context.Context, id string, ownership Ownership) {
 	batch, listed, partials, err := b.load(ctx, id, nil)
 	for err != nil && ctx.Err() == nil && b.ownsAt(id, ownership.Revision) {
 		klog.InfoS("batch: load failed", "batch", id, "err", err.Error())
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -106,7 +106,7 @@
 type Handover struct {
 	Batch *statepb.Batch
 	// Owner is the ownership of the process that has the batch.
-	Owner Title
+	Owner Ownership
 	// Open is the revision of the key that marks the batch as open.
 	Open uint64
 	// Listed are the outcomes that the store holds, Pending those that it does not hold yet.
@@ -256,8 +256,8 @@
 	return true
 }
 
-// Carry adds outcomes that an earlier owner had and did not list.
-func (p *Plan) Carry(outcomes []*statepb.Outcome) {
+// AddPending adds outcomes that an earlier owner had and did not list.
+func (p *Plan) AddPending(outcomes []*statepb.Outcome) {
 	for _, outcome := range outcomes {
 		if item := p.byID[outcome.GetItem()]; item != nil {
 			p.list(item, outcome)
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	store = &platformtest.Store{}
 	first, second = startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g1", "g2")
-	first.Group = time.Hour
+	first.GroupDelay = time.Hour
 	first.Peers = nextOwner{board: func() *Board { return second.Board }}
 	must.NoError(t, first.AcceptOwn(t.Context(), newBatch(10, 20, 30)))
 	await(t, func() bool { return first.holds() && second.Owner("b1") == "g1" })
@@ -98,7 +98,7 @@
 		_, err := store.Commit(t.Context(), platform.Commit{Remove: []string{openKey("b1")}})
 		must.NoError(t, err)
 		first.mutex.Lock()
-		state := Handover{Batch: first.owned["b1"].batch, Owner: Title{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
+		state := Handover{Batch: first.owned["b1"].batch, Owner: Ownership{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
 		first.mutex.Unlock()
 		taken, err := second.TakeHandover(t.Context(), state)
 		must.NoError(t, err)
@@ -130,7 +130,7 @@
 // chunk, the next owner would list other outcomes at the same positions.
 func TestNothingIsGivenUnsure(t *testing.T) {
 	ownStore, first, second := setUpDrainWithLateStore(t)
-	second.Group = time.Hour
+	second.GroupDelay = time.Hour
 	ownStore.set(lost)
 	first.owned["b1"].ledger.enqueue(outcome("i0"), true)
 	await(t, func() bool {
@@ -146,7 +146,7 @@
 func TestHandoverAfterAClaim(t *testing.T) {
 	store, first, second := setUpDrain(t)
 	first.mutex.Lock()
-	state := Handover{Batch: first.owned["b1"].batch, Owner: Title{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
+	state := Handover{Batch: first.owned["b1"].batch, Owner: Ownership{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
 	first.mutex.Unlock()
 	_, err := store.Commit(t.Context(), platform.Commit{Writes: []platform.Write{{Key: ownerKey("b1")}}})
 	must.NoError(t, err)
@@ -224,7 +224,7 @@
 	t.Run("the batch runs on until the store is back", func(t *testing.T) {
 		store, first, second := setUpDrain(t)
 		owned := first.owned["b1"]
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		drained := make(chan struct{})
 		go func() {
 			first.Drain(context.Background())
@@ -234,7 +234,7 @@
 		time.Sleep(3 * writeRetryDelay)
 		must.False(t, isClosed(drained))
 		must.False(t, isClosed(owned.stopped))
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		<-drained
 		await(t, second.holds)
 		second.mutex.Lock()
@@ -246,7 +246,7 @@
 	})
 	t.Run("but not longer than the process has", func(t *testing.T) {
 		store, first, _ := setUpDrain(t)
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		grace := handoverTimeout + shutdownReserve + 200*time.Millisecond
 		ctx, cancel := context.WithTimeout(t.Context(), grace)
 		defer cancel()
--- a/internal/batch/earlyrun.go
+++ b/internal/batch/earlyrun.go
@@ -34,8 +34,8 @@
 	Refused Acceptance = iota
 	// Pending means that the batch runs there and is not known to be in the store yet.
 	Pending
-	// Taken means that the store holds the batch.
-	Taken
+	// Accepted means that the store holds the batch.
+	Accepted
 )
 
 // String returns the name of the acceptance.
@@ -70,7 +70,7 @@
 }
 
 // rankedOwners returns all processes as candidates for the batches of a model.
-func (b *Board) rankedOwners(model string) []string { return b.Order("model/" + model) }
+func (b *Board) rankedOwners(model string) []string { return b.Candidates("model/" + model) }
 
 // startEarly starts a batch that the store is not known to hold.
 func (b *Board) startEarly(batch *statepb.Batch) {
@@ -154,7 +154,7 @@
 
 // markAccepted records that the store holds a batch and this process owns it. The mutex must be
 // held.
-func (b *Board) markAccepted(batch *statepb.Batch, ownership Title) {
+func (b *Board) markAccepted(batch *statepb.Batch, ownership Ownership) {
 	id, owned := batch.GetId(), b.owned[batch.GetId()]
 	if owned != nil && b.earlyRunLocked(id) == nil {
 		return
@@ -183,15 +183,15 @@
 // errCommitUnknown returns the refusal for a batch of which it is unknown whether the store
 // holds it.
 func errCommitUnknown() error {
-	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").After(storeRetryAfter)
+	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").WithRetryAfter(storeRetryAfter)
 }
 
-// AcceptFor accepts a batch on behalf of another process, and returns within the wait. An error
+// AcceptForPeer accepts a batch on behalf of another process, and returns within the wait. An error
 // means that the result is unknown. The attempt continues after the wait: a large batch takes
 // the store longer than the other process waits.
-func (b *Board) AcceptFor(ctx context.Context, batch *statepb.Batch, wait time.Duration) (Acceptance, error) {
+func (b *Board) AcceptForPeer(ctx context.Context, batch *statepb.Batch, wait time.Duration) (Acceptance, error) {
 	if b.isAccepted(batch.GetId()) {
-		return Taken, nil
+		return Accepted, nil
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- b.acceptOwn(ctx, batch, attempt{isPreferred: true}) }()
@@ -203,7 +203,7 @@
 	}
 	switch {
 	case err == nil:
-		return Taken, nil
+		return Accepted, nil
 	case b.earlyRunOf(batch.GetId()) != nil:
 		return Pending, nil
 	case refusal.IsNotRun(err):
@@ -222,7 +222,7 @@
 	acceptance, err := b.askPeer(ctx, host, batch)
 	for err == nil && acceptance == Pending {
 		if b.isAccepted(batch.GetId()) {
-			return Taken, nil
+			return Accepted, nil
 		}
 		if !pause.For(ctx, pendingPollInterval) {
 			break
--- a/internal/batch/earlyrun_test.go
+++ b/internal/batch/earlyrun_test.go
@@ -23,7 +23,7 @@
 }
 
 func (p processPeers) Accept(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
-	return p.processes[host].AcceptFor(ctx, batch, 300*time.Millisecond)
+	return p.processes[host].AcceptForPeer(ctx, batch, 300*time.Millisecond)
 }
 
 // mustBeUnknown checks that a trainer was told neither that its batch is accepted nor that
@@ -48,7 +48,7 @@
 		t.Helper()
 		store := &platformtest.Store{}
 		p := startProcess(t, store, "g1", "g1")
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		mustBeUnknown(t, p.Accept(shortContext(t), newBatch(10, 20)))
 		must.NotNil(t, p.earlyRunOf("b1"))
 		return store, p
@@ -56,7 +56,7 @@
 	t.Run("is taken once the store is back", func(t *testing.T) {
 		store, p := startAway(t)
 		runs := p.owned["b1"]
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 		await(t, func() bool { return p.holds() && p.earlyRunOf("b1") == nil })
 		must.True(t, p.owned["b1"] == runs)
@@ -66,10 +66,10 @@
 	t.Run("shows nothing before", func(t *testing.T) {
 		_, p := startAway(t)
 		p.owned["b1"].ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
-		page, isOwn, err := p.ReadOwn(t.Context(), "b1", "", 0, 3*writeRetryDelay)
+		page, isOwn, err := p.ReadOwned(t.Context(), "b1", "", 0, 3*writeRetryDelay)
 		must.NoError(t, err)
 		must.True(t, isOwn)
-		must.True(t, page.Unsure)
+		must.True(t, page.MayBeIncomplete)
 		must.SliceEmpty(t, page.Outcomes)
 	})
 	t.Run("is begun without a lease", func(t *testing.T) {
@@ -92,7 +92,7 @@
 	t.Run("is claimed where its owner's key has ended", func(t *testing.T) {
 		store, p := startAway(t)
 		runs := p.owned["b1"]
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		await(t, func() bool { return p.holds() && p.earlyRunOf("b1") == nil })
 		again := &earlyRun{done: make(chan struct{})}
 		p.mutex.Lock()
@@ -105,9 +105,9 @@
 	})
 	t.Run("ends with its trainer's word", func(t *testing.T) {
 		store, p := startAway(t)
-		must.True(t, p.StopOwn("b1", ""))
+		must.True(t, p.StopOwned("b1", ""))
 		await(t, func() bool { return p.earlyRunOf("b1") == nil })
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		list, err := store.List(t.Context(), PrefixOpen)
 		must.NoError(t, err)
 		must.SliceEmpty(t, list.Values)
@@ -121,7 +121,7 @@
 		}()
 		await(t, func() bool { return p.drains() })
 		must.False(t, isClosed(drained))
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		<-drained
 		await(t, func() bool { return p.Owner("b1") == "" })
 	})
@@ -142,11 +142,11 @@
 	for _, p := range processes {
 		p.Peers = processPeers{processes: processes}
 	}
-	store.SetAway(true)
+	store.SetUnavailable(true)
 	mustBeUnknown(t, processes[other].Accept(shortContext(t), newBatch(10)))
 	must.NotNil(t, processes[home].earlyRunOf("b1"))
 	must.Nil(t, processes[other].earlyRunOf("b1"))
-	store.SetAway(false)
+	store.SetUnavailable(false)
 	must.NoError(t, processes[other].Accept(t.Context(), newBatch(10)))
 	await(t, func() bool { return processes[home].holds() })
 }
@@ -195,7 +195,7 @@
 	store := &slowStore{Store: &platformtest.Store{}}
 	p := startProcess(t, store.Store, "g1", "g1")
 	p.Store = store
-	acceptance, err := p.AcceptFor(t.Context(), newBatch(10), 2*earlyStartDelay)
+	acceptance, err := p.AcceptForPeer(t.Context(), newBatch(10), 2*earlyStartDelay)
 	must.NoError(t, err)
 	must.Eq(t, Pending, acceptance)
 	await(t, func() bool { return p.isAccepted("b1") })
--- a/internal/batch/keep.go
+++ b/internal/batch/keep.go
@@ -25,9 +25,9 @@
 	minKeepAge = time.Second
 )
 
-// ErrOtherKeeper means that the texts of a batch go to another keeper from now on, which has
+// ErrKeeperChanged means that the texts of a batch go to another keeper from now on, which has
 // none of them yet.
-var ErrOtherKeeper = errors.New("batch: switched to another keeper")
+var ErrKeeperChanged = errors.New("batch: switched to another keeper")
 
 // Keeper stores incomplete texts on hosts with disks.
 type Keeper interface {
@@ -80,7 +80,7 @@
 // has it.
 func (o *owner) keepOnce(ctx context.Context, isKept func(index int) bool) bool {
 	err := o.append(ctx, isKept)
-	if errors.Is(err, ErrOtherKeeper) {
+	if errors.Is(err, ErrKeeperChanged) {
 		err = o.append(ctx, isKept)
 	}
 	return err == nil
@@ -100,7 +100,7 @@
 	klog.InfoS("batch: sending texts to a keeper failed", "batch", o.batch.GetId(), "err", err.Error())
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.plan.KeepAll()
+	o.plan.ResendAll()
 	return err
 }
 
@@ -133,9 +133,9 @@
 	return parts
 }
 
-// KeepAll makes Parts return all texts from their start, because it is no longer known what the
+// ResendAll makes Parts return all texts from their start, because it is no longer known what the
 // keeper has.
-func (p *Plan) KeepAll() {
+func (p *Plan) ResendAll() {
 	for _, item := range p.items {
 		item.kept = 0
 	}
--- a/internal/batch/ledger.go
+++ b/internal/batch/ledger.go
@@ -46,7 +46,7 @@
 	// urgent ends the gathering of outcomes.
 	urgent chan struct{}
 	// ownership is the state that makes this process the owner of the batch.
-	ownership Title
+	ownership Ownership
 	// isInDoubt says that a write was sent of which it is unknown whether the store has
 	// committed it, or still will.
 	isInDoubt bool
@@ -55,15 +55,15 @@
 	isStopped    bool
 }
 
-// Title is the ownership of a batch by a process.
-type Title struct {
+// Ownership is the ownership of a batch by a process.
+type Ownership struct {
 	// Revision is that of the owner key; 0 while it is unknown.
 	Revision uint64
 	// Lease is the lease of the owner key; 0 while it is unknown.
 	Lease uint64
 }
 
-func newLedger(store Store, batch string, group time.Duration, valueBytes int, ownership Title, listed []*statepb.Outcome, metrics *metrics) *ledger {
+func newLedger(store Store, batch string, group time.Duration, valueBytes int, ownership Ownership, listed []*statepb.Outcome, metrics *metrics) *ledger {
 	return &ledger{store: store, batch: batch, group: group, valueBytes: valueBytes, metrics: metrics, ownership: ownership, listed: listed, changed: make(chan struct{}), urgent: make(chan struct{}, 1)}
 }
 
@@ -86,7 +86,7 @@
 }
 
 // setOwnership updates the ownership after the owner key was rewritten.
-func (l *ledger) setOwnership(ownership Title) {
+func (l *ledger) setOwnership(ownership Ownership) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if ownership.Revision > l.ownership.Revision {
@@ -95,7 +95,7 @@
 	l.wake()
 }
 
-func (l *ledger) currentOwnership() Title {
+func (l *ledger) currentOwnership() Ownership {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.ownership
@@ -258,7 +258,7 @@
 }
 
 // beginWrite marks the ledger as in doubt. It reports whether no earlier write is in doubt.
-func (l *ledger) beginWrite() (ownership Title, isFirst bool) {
+func (l *ledger) beginWrite() (ownership Ownership, isFirst bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	isFirst = !l.isInDoubt
@@ -277,7 +277,7 @@
 //
 // If the chunk is not there, the owner key has changed. No earlier attempt can be committed any
 // more, since revisions are never reused, and only another owner can tell what is listed.
-func (l *ledger) handleConflict(conflict *platform.ConflictError, ownership Title, key string, data []byte) bool {
+func (l *ledger) handleConflict(conflict *platform.ConflictError, ownership Ownership, key string, data []byte) bool {
 	present, isPresent := conflict.Find(key)
 	if isPresent && bytes.Equal(present.Data, data) {
 		return true
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -32,9 +32,9 @@
 	runTimeout = 60 * time.Second
 )
 
-// Wire converts the headers of an item to HTTP headers.
-type Wire interface {
-	WriteItem(headers map[string]string) http.Header
+// HeaderEncoder converts the headers of an item to HTTP headers.
+type HeaderEncoder interface {
+	EncodeItemHeader(headers map[string]string) http.Header
 }
 
 // Scorer has texts scored.
@@ -42,16 +42,16 @@
 	// Score returns the proof of the scorer's answer. A *ScoreError means that the scorer
 	// answered with failures.
 	Score(ctx context.Context, scorer *statepb.Scorer) (string, error)
-	// Room returns how many texts the pool of the scorer may score concurrently.
-	Room(scorer *statepb.Scorer) int
+	// Capacity returns how many texts the pool of the scorer may score concurrently.
+	Capacity(scorer *statepb.Scorer) int
 }
 
 // ScoreError means that the scorer answered with failures.
 type ScoreError struct {
 	// Failures is the number of such answers.
 	Failures int
-	// Most is the number of failures after which the text is given up.
-	Most int
+	// MaxFailures is the number of failures after which the text is given up.
+	MaxFailures int
 }
 
 // Error returns a message with the number of failures.
@@ -66,7 +66,7 @@
 	route  func() (Route, bool)
 	roster *roster.Roster
 	scorer Scorer
-	wire   Wire
+	wire   HeaderEncoder
 	ledger *ledger
 	// keeper stores the incomplete texts.
 	keeper  Keeper
@@ -148,7 +148,7 @@
 	o.logFailures(pending)
 	o.ledger.enqueue(pending, isUrgent)
 	o.moveSlowRun(pool)
-	if o.plan.IsEnded() || o.plan.IsWhole() {
+	if o.plan.IsEnded() || o.plan.IsComplete() {
 		return true
 	}
 	o.startScoring(ctx, now)
@@ -161,7 +161,7 @@
 // The texts of a step complete in bursts. Scored all at once, they would take every slot of a
 // plain service that callers use as well, and the step would not finish sooner.
 func (o *owner) startScoring(ctx context.Context, now clock.Boot) {
-	room := o.scorer.Room(o.batch.GetItems()[0].GetScorer())
+	room := o.scorer.Capacity(o.batch.GetItems()[0].GetScorer())
 	for o.scoring < room {
 		job, ok := o.plan.NextScore(now)
 		if !ok {
@@ -208,7 +208,7 @@
 		return false
 	}
 	need := o.need(pool)
-	need.Heard = job.isFaulty
+	need.PreferActive = job.isFaulty
 	server := o.roster.Place(need)
 	if server == nil {
 		return false
@@ -234,7 +234,7 @@
 		return
 	}
 	for index, run := range o.runs {
-		if o.plan.MayMove(index) && o.roster.IsBetter(run.server, o.need(pool)) {
+		if o.plan.MayMove(index) && o.roster.HasFasterServer(run.server, o.need(pool)) {
 			o.plan.Moved(index)
 			run.cancel(errSlow)
 			return
@@ -243,7 +243,7 @@
 }
 
 func (o *owner) need(pool string) roster.Need {
-	return roster.Need{Pool: pool, Model: o.batch.GetModel(), Oldest: o.batch.GetOldest()}
+	return roster.Need{Pool: pool, Model: o.batch.GetModel(), MinVersion: o.batch.GetOldest()}
 }
 
 // score has a complete text scored.
@@ -263,7 +263,7 @@
 		o.plan.ScorerFailed(job, failed, clock.Now())
 		return
 	}
-	o.plan.NotScored(job, clock.Now())
+	o.plan.ScoringFailed(job, clock.Now())
 }
 
 // end stops the batch at the request of its trainer.
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -20,11 +20,11 @@
 type Page struct {
 	Total    uint64
 	Outcomes []*statepb.Outcome
-	// Unsure says of a page without outcomes that the store may hold some.
-	Unsure bool
+	// MayBeIncomplete says of a page without outcomes that the store may hold some.
+	MayBeIncomplete bool
 }
 
-// ReadOwn returns the outcomes from a position on of a batch that this process owns; it waits
+// ReadOwned returns the outcomes from a position on of a batch that this process owns; it waits
 // for one if there is none. It returns false if this process does not hold the batch.
 //
 // A reader may have seen a position that this process does not know of: in a chunk whose answer
@@ -32,7 +32,7 @@
 // that there is nothing would make the position disappear for the trainer. So that answer is
 // given only under a valid lease and with no write in doubt; otherwise the page is unsure and
 // the store must be asked.
-func (b *Board) ReadOwn(ctx context.Context, id, account string, after uint64, wait time.Duration) (Page, bool, error) {
+func (b *Board) ReadOwned(ctx context.Context, id, account string, after uint64, wait time.Duration) (Page, bool, error) {
 	b.lock()
 	owned := b.owned[id]
 	b.mutex.Unlock()
@@ -51,7 +51,7 @@
 			return page, true, nil
 		}
 		if isExpired || view.isStopped {
-			page.Unsure = view.isStopped || view.isInDoubt || view.lease == 0 || view.lease != b.Lease()
+			page.MayBeIncomplete = view.isStopped || view.isInDoubt || view.lease == 0 || view.lease != b.Lease()
 			return page, true, nil
 		}
 		select {
@@ -127,7 +127,7 @@
 		return refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
 	}
 	klog.InfoS("batch: read failed", "batch", id, "err", err.Error())
-	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").After(storeRetryAfter)
+	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").WithRetryAfter(storeRetryAfter)
 }
 
 // End ends a batch. It stops the runs of the batch here before it updates the store.
@@ -135,7 +135,7 @@
 	if err := b.checkAccount(ctx, id, account); err != nil {
 		return err
 	}
-	b.StopOwn(id, account)
+	b.StopOwned(id, account)
 	if b.isEnded(id) {
 		return nil
 	}
@@ -160,8 +160,8 @@
 	return b.ended[id]
 }
 
-// StopOwn stops the runs of a batch if this process owns it, and reports whether it does.
-func (b *Board) StopOwn(id, account string) bool {
+// StopOwned stops the runs of a batch if this process owns it, and reports whether it does.
+func (b *Board) StopOwned(id, account string) bool {
 	b.lock()
 	owned := b.owned[id]
 	b.mutex.Unlock()
--- a/internal/batch/run.go
+++ b/internal/batch/run.go
@@ -45,21 +45,21 @@
 	refused := refusal.Of(err)
 	switch {
 	case errors.Is(context.Cause(ctx), errSlow):
-		o.plan.Cut(job, 0, now)
+		o.plan.Interrupted(job, 0, now)
 		return endSlow
 	case ctx.Err() != nil:
-		o.plan.Cut(job, 0, now)
+		o.plan.Interrupted(job, 0, now)
 		return endStopped
 	case refused.Code == backend.CodeFailed && isItemFailure(refused.Status):
 		o.plan.Failed(job, refused.Status == http.StatusUnprocessableEntity, now)
 		return endFailed
 	case refusal.IsNotRun(err), errors.Is(err, errVersionMismatch):
 		forward.NoteFailure(ctx, o.roster, server, err)
-		o.plan.Cut(job, 0, now)
+		o.plan.Interrupted(job, 0, now)
 		return endRefused
 	default:
 		forward.NoteFailure(ctx, o.roster, server, err)
-		o.plan.Fault(job, now)
+		o.plan.Faulted(job, now)
 		return endFault
 	}
 }
@@ -77,17 +77,17 @@
 func (o *owner) stream(ctx context.Context, job Job, server *roster.Server) error {
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
-	answer, err := server.Direct().Do(ctx, backend.Send{
-		ID:        job.spec.GetId(),
-		Server:    server.Name(),
-		Host:      o.batch.GetHost(),
-		Method:    http.MethodPost,
-		Target:    job.spec.GetPath(),
-		Header:    o.wire.WriteItem(job.spec.GetHeaders()),
-		Body:      job.spec.GetBody(),
-		Account:   o.batch.GetAccount(),
-		LastEvent: uint64(job.events),
-		Silence:   silenceTimeout,
+	answer, err := server.Direct().Do(ctx, backend.Request{
+		ID:          job.spec.GetId(),
+		Server:      server.Name(),
+		Host:        o.batch.GetHost(),
+		Method:      http.MethodPost,
+		Target:      job.spec.GetPath(),
+		Header:      o.wire.EncodeItemHeader(job.spec.GetHeaders()),
+		Body:        job.spec.GetBody(),
+		Account:     o.batch.GetAccount(),
+		LastEvent:   uint64(job.events),
+		ReadTimeout: silenceTimeout,
 	})
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 	if answer.StatusCode != http.StatusOK {
 		return refusal.Unknown(answer.StatusCode, backend.CodeFailed, "%s answered %d", server.Name(), answer.StatusCode)
 	}
-	o.roster.Answered(server)
+	o.roster.RecordAnswer(server)
 	return o.readEvents(job, server, answer)
 }
 
@@ -110,7 +110,7 @@
 		if errors.Is(err, io.EOF) {
 			if next == 0 {
 				// A complete text has at least one event.
-				return answer.Cut()
+				return answer.Interrupted()
 			}
 			return nil
 		}
@@ -123,7 +123,7 @@
 		}
 		now := clock.Now()
 		if last != 0 {
-			answer.Bound(stallTimeout(o.roster.Beat(server, now.Sub(last))))
+			answer.SetReadTimeout(stallTimeout(o.roster.RecordEvent(server, now.Sub(last))))
 		}
 		last = now
 		if !o.recordEvent(job, server, event) {
@@ -145,7 +145,7 @@
 }
 
 func (o *owner) recordEvent(job Job, server *roster.Server, event backend.Event) bool {
-	o.roster.Show(server, o.batch.GetModel(), event.Version)
+	o.roster.RecordVersion(server, o.batch.GetModel(), event.Version)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.plan.Event(job, event.Data, event.Version)
--- a/internal/bramleyhatch/coldlimiter.go
+++ b/internal/bramleyhatch/coldlimiter.go
@@ -22,16 +22,16 @@
 	now  func() clock.Boot
 
 	mutex  sync.Mutex
-	hosts  cold.Users
-	owners cold.Users
+	hosts  cold.Senders
+	owners cold.Senders
 	// batchOwners maps the identity of each batch that has an owner to that owner.
 	batchOwners map[string]string
 }
 
-var _ roster.Cold = &coldLimiter{}
+var _ roster.ColdLimits = &coldLimiter{}
 
 func newColdLimiter(self string, view *table.View) *coldLimiter {
-	return &coldLimiter{view: view, now: clock.Now, hosts: cold.Users{Self: self}, owners: cold.Users{Self: self}, batchOwners: map[string]string{}}
+	return &coldLimiter{view: view, now: clock.Now, hosts: cold.Senders{Self: self}, owners: cold.Senders{Self: self}, batchOwners: map[string]string{}}
 }
 
 // Share returns how many requests this gateway may send to a cold server.
@@ -40,20 +40,20 @@
 	if pool == nil || pool.ColdRate == 0 {
 		return 0, true
 	}
-	rate, users := pool.ColdRate, &c.hosts
-	if sender == roster.ByBatch {
-		users = &c.owners
+	rate, senders := pool.ColdRate, &c.hosts
+	if sender == roster.SenderBatch {
+		senders = &c.owners
 	}
 	if callers, batches := pool.Senders(); callers && batches {
 		rate /= 2
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return users.Share(server, rate, c.now()), false
+	return senders.Quota(server, rate, c.now()), false
 }
 
-// Length returns how long a server of a pool is cold.
-func (c *coldLimiter) Length(poolName string) time.Duration {
+// Duration returns how long a server of a pool is cold.
+func (c *coldLimiter) Duration(poolName string) time.Duration {
 	pool := c.pool(poolName)
 	if pool == nil {
 		return 0
@@ -78,7 +78,7 @@
 		if host, isHost := strings.CutPrefix(change.Key, gateway.PrefixHost); isHost {
 			c.applyHost(host, change.Deleted, now)
 		}
-		if id, owner, isOwner := batch.ReadOwner(change); isOwner {
+		if id, owner, isOwner := batch.ParseOwner(change); isOwner {
 			c.applyOwner(id, owner, now)
 		}
 	}
@@ -122,6 +122,6 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.now()
-	c.hosts.Heard(now)
-	c.owners.Heard(now)
+	c.hosts.MarkCurrent(now)
+	c.owners.MarkCurrent(now)
 }
--- a/internal/bramleyhatch/dutyholder.go
+++ b/internal/bramleyhatch/dutyholder.go
@@ -67,11 +67,11 @@
 // heldBy returns the duty held under this name and address, which a previous process
 // of the same host left behind. A host that reuses another host's name has a
 // different address, and the other host may still be alive.
-func (h *dutyHolder) heldBy(process, address string) duty.Left {
+func (h *dutyHolder) heldBy(process, address string) duty.PriorClaim {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.last == nil || h.last.GetProcess() != process || h.last.GetAddress() != address {
-		return duty.Left{}
+		return duty.PriorClaim{}
 	}
-	return duty.Left{Revision: h.revision, Fence: h.last.GetFence()}
+	return duty.PriorClaim{Revision: h.revision, Fence: h.last.GetFence()}
 }
--- a/internal/bramleyhatch/entryduties.go
+++ b/internal/bramleyhatch/entryduties.go
@@ -29,7 +29,7 @@
 func (e *Entry) addLedger() {
 	settings := e.Settings.GetUsage()
 	e.ledger = &usage.Ledger{}
-	e.pool.Counted = e.ledger.Merge
+	e.pool.OnCounts = e.ledger.Merge
 	server := &usage.Server{Ledger: e.ledger}
 	e.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterUsageServer(registrar, server) })
 	pusher := &usage.Pusher{
@@ -39,16 +39,16 @@
 		Retain:    settings.GetRetain().AsDuration(),
 		Keep:      settings.GetKeep().AsDuration(),
 	}
-	e.AddDuty("usage", pusher.Run)
+	e.AddTask("usage", pusher.Run)
 }
 
 // addReporter adds the duty that closes and reports usage windows.
 func (e *Entry) addReporter() {
-	e.AddDuty("report", func(ctx context.Context) error {
+	e.AddTask("report", func(ctx context.Context) error {
 		if err := checkDuty(e.Settings.GetDuty()); err != nil {
 			return err
 		}
-		return e.keeper(usage.DutyName).Run(ctx, func(ctx context.Context, term *duty.Term) error {
+		return e.elector(usage.DutyName).Run(ctx, func(ctx context.Context, term *duty.Term) error {
 			return e.newReporter().Run(ctx, term)
 		})
 	})
@@ -66,15 +66,15 @@
 // its clients of the platform and of other processes.
 func (p *Process) newReporter(settings *settingspb.Usage, duties *settingspb.Duty) *usage.Reporter {
 	return &usage.Reporter{
-		Process:   p.Settings.GetName(),
-		Decisions: p.Decisions,
-		Window:    settings.GetWindow().AsDuration(),
-		Settle:    settings.GetSettle().AsDuration(),
-		Retain:    settings.GetRetain().AsDuration(),
-		Keep:      settings.GetKeep().AsDuration(),
-		Interval:  duties.GetInterval().AsDuration(),
-		Lease:     duties.GetLease().AsDuration(),
-		Bound:     duties.GetOrder().AsDuration(),
+		Process:       p.Settings.GetName(),
+		Decisions:     p.Decisions,
+		Window:        settings.GetWindow().AsDuration(),
+		Settle:        settings.GetSettle().AsDuration(),
+		Retain:        settings.GetRetain().AsDuration(),
+		Keep:          settings.GetKeep().AsDuration(),
+		Interval:      duties.GetInterval().AsDuration(),
+		Lease:         duties.GetLease().AsDuration(),
+		ReportTimeout: duties.GetOrder().AsDuration(),
 	}
 }
 
@@ -85,7 +85,7 @@
 		Run:      e.runZone,
 		Interval: e.Settings.GetDuty().GetInterval().AsDuration(),
 	}
-	e.AddDuty("order", group.Start)
+	e.AddTask("order", group.Start)
 }
 
 // zoneDuties returns the duties of all zones that the lists or known processes name.
@@ -113,21 +113,21 @@
 		Process:   e.Process.Settings.GetName(),
 		Platform:  e.platform,
 		Members:   e.members,
-		Sidecars:  &fleet.Peers{Credentials: e.credentials()},
+		Sidecars:  &fleet.SidecarClient{Credentials: e.credentials()},
 		Decisions: e.Decisions,
 		Pools:     e.pools,
 		Scale: fleet.Scale{
-			Target: settings.GetTarget(),
-			Calm:   settings.GetCalm().AsDuration(),
-			Slack:  settings.GetSlack(),
-			Loss:   settings.GetLoss().AsDuration(),
+			Target:          settings.GetTarget(),
+			ScaleDownDelay:  settings.GetCalm().AsDuration(),
+			Slack:           settings.GetSlack(),
+			ZoneLossTimeout: settings.GetLoss().AsDuration(),
 		},
 		Interval:   settings.GetInterval().AsDuration(),
 		Lease:      settings.GetLease().AsDuration(),
 		OrderBound: settings.GetOrder().AsDuration(),
 		DrainBound: settings.GetDrain().AsDuration(),
 	}
-	return e.keeper(name).Run(ctx, zone.Run)
+	return e.elector(name).Run(ctx, zone.Run)
 }
 
 // pools returns the pools of the lists.
@@ -136,10 +136,10 @@
 	return config.GetPools()
 }
 
-// keeper returns what acquires and renews the lease of a duty for this entry.
-func (e *Entry) keeper(name string) *duty.Keeper {
+// elector returns what acquires and renews the lease of a duty for this entry.
+func (e *Entry) elector(name string) *duty.Elector {
 	settings := e.Settings.GetDuty()
-	return &duty.Keeper{
+	return &duty.Elector{
 		Store:     e.platform,
 		Name:      name,
 		Process:   e.Process.Settings.GetName(),
--- a/internal/bramleyhatch/gateway.go
+++ b/internal/bramleyhatch/gateway.go
@@ -100,7 +100,7 @@
 	g.hosts = &gateway.Hosts{Name: g.Process.Settings.GetName()}
 	direct := &detour.Direct{Address: settings.GetAddress()}
 	g.caller = &detour.Caller{Direct: direct, Peers: g.hosts, Metrics: g.Metrics}
-	g.store = &platform.Store{Caller: g.caller, Timeout: settings.GetTimeout().AsDuration()}
+	g.store = &platform.Store{Transport: g.caller, Timeout: settings.GetTimeout().AsDuration()}
 	g.session = g.addSession(g.store, gateway.PrefixHost, settings.GetLease().AsDuration())
 }
 
@@ -109,12 +109,12 @@
 	g.view = &table.View{}
 	g.cold = newColdLimiter(g.Process.Settings.GetName(), g.view)
 	g.roster = &roster.Roster{
-		Zone:   g.Process.Settings.GetZone(),
-		Region: g.Process.Settings.GetRegion(),
-		Wire:   platform.Wire{},
-		Idle:   idleConnTimeout,
-		Cold:   g.cold,
-		Back:   g.Settings.GetDirectory().GetBack().AsDuration(),
+		Zone:              g.Process.Settings.GetZone(),
+		Region:            g.Process.Settings.GetRegion(),
+		Wire:              platform.Wire{},
+		Idle:              idleConnTimeout,
+		ColdLimits:        g.cold,
+		ReregisterTimeout: g.Settings.GetDirectory().GetBack().AsDuration(),
 	}
 	g.forwarder = &forward.Forwarder{Roster: g.roster}
 }
@@ -123,25 +123,25 @@
 func (g *Gateway) addBatches() {
 	settings := g.Settings.GetBatches()
 	g.board = &batch.Board{
-		Process: g.Process.Settings.GetName(),
-		Store:   g.store,
-		Roster:  g.roster,
-		Scorer:  &gateway.Scorer{View: g.view, Forwarder: g.forwarder, Proof: platform.Wire{}.Proof},
-		Wire:    platform.Wire{},
-		Routes:  gateway.Routes(g.view),
-		Metrics: g.Metrics,
-		Lease:   g.session.Lease,
-		Order:   g.hosts.Order,
-		Leaves:  g.hosts.IsLeaving,
-		Peers:   &gateway.Peers{Hosts: g.hosts},
+		Process:    g.Process.Settings.GetName(),
+		Store:      g.store,
+		Roster:     g.roster,
+		Scorer:     &gateway.Scorer{View: g.view, Forwarder: g.forwarder, Proof: platform.Wire{}.Proof},
+		Wire:       platform.Wire{},
+		Routes:     gateway.Routes(g.view),
+		Metrics:    g.Metrics,
+		Lease:      g.session.Lease,
+		Candidates: g.hosts.Candidates,
+		IsLeaving:  g.hosts.IsLeaving,
+		Peers:      &gateway.Peers{Hosts: g.hosts},
 		Keeper: &gateway.Keepers{
-			Hosts: g.hosts, Zone: g.Process.Settings.GetZone(), Apart: settings.GetZones() > 0, Losses: int(settings.GetLosses()), Retired: g.retirements.has,
+			Hosts: g.hosts, Zone: g.Process.Settings.GetZone(), PreferOtherZones: settings.GetZones() > 0, Losses: int(settings.GetLosses()), Retired: g.retirements.has,
 		},
-		Keep:       settings.GetKeep().AsDuration(),
-		Group:      settings.GetGroup().AsDuration(),
+		Retention:  settings.GetKeep().AsDuration(),
+		GroupDelay: settings.GetGroup().AsDuration(),
 		ValueBytes: int(g.Settings.GetStore().GetValueBytes()),
 	}
-	g.AddDuty("batches", g.board.Run)
+	g.AddTask("batches", g.board.Run)
 	g.peerServer = &gateway.Server{
 		Board: g.board, Direct: g.caller.Direct, Roster: g.roster, Incarnation: g.Incarnation, Mirrors: map[string]*mirror.Mirror{},
 	}
@@ -151,24 +151,24 @@
 // addMirrors adds the local copies of the store's keys.
 func (g *Gateway) addMirrors() {
 	wait := g.Settings.GetStore().GetWatch().AsDuration()
-	operator := &mirror.Mirror{Store: g.store, Prefix: platform.PrefixOperator, Wait: wait, Take: g.applyOperator}
+	operator := &mirror.Mirror{Store: g.store, Prefix: platform.PrefixOperator, Wait: wait, OnChanges: g.applyOperator}
 	servers := &mirror.Mirror{
-		Store: g.store, Prefix: platform.PrefixServer, Wait: wait, Take: g.applyServers, Pause: registrationWatchDelay,
-		Listed: g.roster.Listed, Lost: g.roster.Lost, Regained: g.roster.Regained,
+		Store: g.store, Prefix: platform.PrefixServer, Wait: wait, OnChanges: g.applyServers, Pause: registrationWatchDelay,
+		OnListed: g.roster.MarkListed, OnLost: g.roster.RecordStoreLost, OnRegained: g.roster.RecordStoreRegained,
 	}
-	live := &mirror.Mirror{Store: g.store, Prefix: batch.Prefix, Wait: wait, Take: g.applyLive, Pause: liveWatchDelay, Heard: g.cold.markCurrent}
+	live := &mirror.Mirror{Store: g.store, Prefix: batch.Prefix, Wait: wait, OnChanges: g.applyLive, Pause: liveWatchDelay, OnUpToDate: g.cold.markCurrent}
 	for name, m := range map[string]*mirror.Mirror{"operator": operator, "servers": servers, "live": live} {
 		m.Follow, m.IsWatcher = g.hosts.Follow, g.hosts.IsWatcher
 		g.peerServer.Mirrors[m.Prefix] = m
-		g.AddDuty(name, m.Run)
+		g.AddTask(name, m.Run)
 	}
 }
 
 // applyLive applies changes of the live keys, which gateways share through the store.
 func (g *Gateway) applyLive(changes []store.Value) {
-	g.hosts.Take(changes)
+	g.hosts.ApplyChanges(changes)
 	g.dutyHolder.apply(changes)
-	g.board.Take(changes)
+	g.board.ApplyChanges(changes)
 	g.cold.apply(changes)
 	applySteps(&g.steps, changes)
 }
@@ -211,7 +211,7 @@
 				klog.ErrorS(err, "weight: cannot parse the version that an operator named", "revision", change.Revision)
 				continue
 			}
-			if g.steps.Name(model, version) {
+			if g.steps.RecordVersion(model, version) {
 				klog.InfoS("weight: an operator named a version", "model", model, "version", version)
 			}
 			continue
@@ -224,7 +224,7 @@
 			klog.ErrorS(err, "table: cannot parse a version of the configuration; the one in force stays", "revision", change.Revision)
 			continue
 		}
-		g.view.Take(next)
+		g.view.Update(next)
 	}
 }
 
@@ -256,15 +256,15 @@
 // addCallers adds the API for callers and trainers.
 func (g *Gateway) addCallers() {
 	handler := &gateway.Handler{
-		Wire:      platform.Wire{},
-		Formats:   gateway.Formats{ReadBatch: platform.ReadBatch, WriteOutcomes: platform.WriteOutcomes},
-		View:      g.view,
-		Forwarder: g.forwarder,
-		Board:     g.board,
-		Hosts:     g.hosts,
-		Unknown:   g.Settings.GetFront().GetUnknown().AsDuration(),
-		Count:     g.countRequest,
-		Metrics:   g.Metrics,
+		Wire:          platform.Wire{},
+		Formats:       gateway.Formats{ReadBatch: platform.ReadBatch, WriteOutcomes: platform.EncodeOutcomes},
+		View:          g.view,
+		Forwarder:     g.forwarder,
+		Board:         g.board,
+		Hosts:         g.hosts,
+		NoConfigRetry: g.Settings.GetFront().GetUnknown().AsDuration(),
+		CountStart:    g.countRequest,
+		Metrics:       g.Metrics,
 	}
 	g.notFound = g.closeIfDraining(handler)
 }
@@ -336,7 +336,7 @@
 
 func (g *Gateway) addListener(name, address string, routes ...rest.Route) {
 	server := &listen.HTTP{Address: address, Routes: routes}
-	g.AddDuty(name, func(ctx context.Context) error { return server.Run(ctx, time.Second) })
+	g.AddTask(name, func(ctx context.Context) error { return server.Run(ctx, time.Second) })
 }
 
 func (g *Gateway) answerReady(w http.ResponseWriter, _ *http.Request) {
--- a/internal/bramleyhatch/gatewayduties.go
+++ b/internal/bramleyhatch/gatewayduties.go
@@ -33,7 +33,7 @@
 // holderStore combines the store with the calls that only the holder of the duty makes.
 type holderStore struct {
 	*platform.Store
-	*platform.Duties
+	*platform.DutyClient
 }
 
 // addControlDuty adds the duty that one gateway holds at a time, and the usage counters.
@@ -55,24 +55,24 @@
 		Retain:    g.Settings.GetUsage().GetRetain().AsDuration(),
 		Keep:      g.Settings.GetUsage().GetKeep().AsDuration(),
 	}
-	g.AddDuty("usage", pusher.Run)
-	keeper := &duty.Keeper{
+	g.AddTask("usage", pusher.Run)
+	elector := &duty.Elector{
 		Store:   g.store,
 		Name:    dutyName,
 		Process: g.Process.Settings.GetName(),
 		Address: g.Process.Settings.GetPeer(),
 		Prefix:  holderPrefix,
-		Free:    g.dutyHolder.free,
-		Left: func() duty.Left {
+		IsFree:  g.dutyHolder.free,
+		PriorClaim: func() duty.PriorClaim {
 			return g.dutyHolder.heldBy(g.Process.Settings.GetName(), g.Process.Settings.GetPeer())
 		},
-		Look:      dutyCheckInterval,
-		Lease:     settings.GetLease().AsDuration(),
-		Margin:    settings.GetMargin().AsDuration(),
-		Rank:      func() int { return duty.Place(g.Process.Settings.GetName(), g.hosts.Order(dutyName)) },
-		Decisions: g.Decisions,
+		PollInterval: dutyCheckInterval,
+		Lease:        settings.GetLease().AsDuration(),
+		Margin:       settings.GetMargin().AsDuration(),
+		Rank:         func() int { return duty.Place(g.Process.Settings.GetName(), g.hosts.Candidates(dutyName)) },
+		Decisions:    g.Decisions,
 	}
-	g.AddDuty("control", func(ctx context.Context) error { return keeper.Run(ctx, g.runControlDuty) })
+	g.AddTask("control", func(ctx context.Context) error { return elector.Run(ctx, g.runControlDuty) })
 }
 
 // countRequest counts a request that a backend server has started.
@@ -85,7 +85,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	jobs := []func(context.Context) error{
-		func(ctx context.Context) error { return g.newSteering().Run(ctx, term) },
+		func(ctx context.Context) error { return g.newPoolCoordinator().Run(ctx, term) },
 		func(ctx context.Context) error { return g.reportRetired(ctx, term) },
 	}
 	if g.Settings.GetStore().GetOrders() != "" {
@@ -110,17 +110,17 @@
 }
 
 // newDuties returns the client for the platform calls that only the duty's holder may make.
-func (g *Gateway) newDuties() *platform.Duties {
-	return &platform.Duties{
+func (g *Gateway) newDuties() *platform.DutyClient {
+	return &platform.DutyClient{
 		Address: g.Settings.GetStore().GetOrders(),
 		Holder:  g.Process.Settings.GetName(),
 		Timeout: g.Settings.GetDuty().GetOrder().AsDuration(),
 	}
 }
 
-func (g *Gateway) newReporter(duties *platform.Duties) *usage.Reporter {
+func (g *Gateway) newReporter(duties *platform.DutyClient) *usage.Reporter {
 	reporter := g.Process.newReporter(g.Settings.GetUsage(), g.Settings.GetDuty())
-	reporter.Platform = holderStore{Store: g.store, Duties: duties}
+	reporter.Platform = holderStore{Store: g.store, DutyClient: duties}
 	reporter.Collector = &usage.Collector{Directory: g.hosts, Peers: &usage.GRPCPeers{}}
 	reporter.Offer = func(*peerpb.Fact) bool { return true }
 	reporter.Fenced = g.Settings.GetDuty().GetFenced()
@@ -128,9 +128,9 @@
 	return reporter
 }
 
-func (g *Gateway) newSteering() *weight.Steering {
-	return &weight.Steering{
-		Samplers:  &platform.Samplers{Holder: g.Process.Settings.GetName(), Timeout: g.Settings.GetStore().GetTimeout().AsDuration(), Idle: idleConnTimeout},
+func (g *Gateway) newPoolCoordinator() *weight.PoolCoordinator {
+	return &weight.PoolCoordinator{
+		Samplers:  &platform.SamplerClient{Holder: g.Process.Settings.GetName(), Timeout: g.Settings.GetStore().GetTimeout().AsDuration(), IdleTimeout: idleConnTimeout},
 		Pools:     g.samplerPools,
 		Loaded:    g.recordLoad,
 		Decisions: g.Decisions,
@@ -141,7 +141,7 @@
 // recordLoad records that a sampler has loaded a version.
 func (g *Gateway) recordLoad(sampler, model string, version uint64) {
 	if server := g.roster.Find(sampler); server != nil {
-		g.roster.Show(server, model, version)
+		g.roster.RecordVersion(server, model, version)
 	}
 }
 
@@ -173,12 +173,12 @@
 func (g *Gateway) samplerPool(current *table.Table, pool *table.Pool) weight.Pool {
 	samplers := weight.Pool{Name: pool.Name, Targets: map[string]weight.Target{}}
 	for _, model := range pool.Models {
-		samplers.Work = append(samplers.Work, g.steps.Work(model))
+		samplers.Demand = append(samplers.Demand, g.steps.Demand(model))
 	}
-	samplers.Whole = needsSingleVersion(current, pool.Name)
-	for _, entry := range g.roster.Seats(pool.Name) {
-		samplers.Seats = append(samplers.Seats, weight.Seat{ID: entry.ID, Zone: entry.Zone, Born: entry.Born, Slots: entry.Slots, Versions: entry.Versions})
-		samplers.Targets[entry.ID] = weight.Target{ID: entry.ID, Address: entry.Address, Born: entry.Born}
+	samplers.DrainFirst = needsSingleVersion(current, pool.Name)
+	for _, entry := range g.roster.EntriesWithVersions(pool.Name) {
+		samplers.Samplers = append(samplers.Samplers, weight.SamplerState{ID: entry.ID, Zone: entry.Zone, StartedAtMillis: entry.StartedAtMillis, Slots: entry.Slots, Versions: entry.Versions})
+		samplers.Targets[entry.ID] = weight.Target{ID: entry.ID, Address: entry.Address, StartedAtMillis: entry.StartedAtMillis}
 	}
 	return samplers
 }
--- a/internal/bramleyhatch/health.go
+++ b/internal/bramleyhatch/health.go
@@ -43,7 +43,7 @@
 		return "no configuration yet"
 	case e.members.Replaced():
 		return "another process has this process's name and a higher incarnation"
-	case e.members.Isolated(now):
+	case e.members.IsIsolated(now):
 		return "isolated: neither the store nor most processes of the region answer"
 	default:
 		return ""
--- a/internal/bramleyhatch/process.go
+++ b/internal/bramleyhatch/process.go
@@ -27,9 +27,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/secure"
 )
 
-// Duty is a background task of a process, which runs in its own goroutine until its
+// Task is a background task of a process, which runs in its own goroutine until its
 // context ends.
-type Duty struct {
+type Task struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
@@ -48,7 +48,7 @@
 
 	routes   []rest.Route
 	services []func(grpc.ServiceRegistrar)
-	duties   []Duty
+	tasks    []Task
 	drains   []func(ctx context.Context)
 
 	// notFound and notAllowed answer paths and methods without a route.
@@ -92,9 +92,9 @@
 	p.drains = append(p.drains, drain)
 }
 
-// AddDuty adds a background task, which runs in its own goroutine.
-func (p *Process) AddDuty(name string, run func(ctx context.Context) error) {
-	p.duties = append(p.duties, Duty{Name: name, Run: run})
+// AddTask adds a background task, which runs in its own goroutine.
+func (p *Process) AddTask(name string, run func(ctx context.Context) error) {
+	p.tasks = append(p.tasks, Task{Name: name, Run: run})
 }
 
 // AddRoutes adds HTTP routes.
@@ -118,16 +118,16 @@
 	}
 }
 
-// runDuties runs all duties until the context ends or one fails.
-func (p *Process) runDuties(ctx context.Context) error {
+// runTasks runs all duties until the context ends or one fails.
+func (p *Process) runTasks(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	failed := make(chan error, len(p.duties))
-	for _, duty := range p.duties {
-		go func() { failed <- runDuty(ctx, duty) }()
+	failed := make(chan error, len(p.tasks))
+	for _, task := range p.tasks {
+		go func() { failed <- runTask(ctx, task) }()
 	}
 	var first error
-	for range p.duties {
+	for range p.tasks {
 		err := <-failed
 		if err != nil && first == nil {
 			first = err
@@ -140,13 +140,13 @@
 	return first
 }
 
-func runDuty(ctx context.Context, duty Duty) error {
-	err := duty.Run(ctx)
+func runTask(ctx context.Context, task Task) error {
+	err := task.Run(ctx)
 	if err == nil || errors.Is(err, context.Canceled) {
 		return nil
 	}
-	klog.Errorf("process: duty %s failed: %v", duty.Name, err)
-	return eris.Wrap(err, duty.Name)
+	klog.Errorf("process: duty %s failed: %v", task.Name, err)
+	return eris.Wrap(err, task.Name)
 }
 
 // runDrains calls all drains concurrently and waits for them up to the grace period.
@@ -195,7 +195,7 @@
 	dutyCtx, stopDuties := context.WithCancel(context.Background())
 	defer stopDuties()
 	finished := make(chan error, 1)
-	go func() { finished <- p.runDuties(dutyCtx) }()
+	go func() { finished <- p.runTasks(dutyCtx) }()
 	select {
 	case <-ctx.Done():
 		klog.Info("process: asked to stop, draining")
--- a/internal/bramleyhatch/scaling.go
+++ b/internal/bramleyhatch/scaling.go
@@ -12,9 +12,9 @@
 
 // scalePools orders the number of servers of each pool until the term ends, where
 // the configuration leaves that number to the system.
-func (g *Gateway) scalePools(ctx context.Context, term *duty.Term, duties *platform.Duties) error {
+func (g *Gateway) scalePools(ctx context.Context, term *duty.Term, duties *platform.DutyClient) error {
 	settings := g.Settings.GetDuty()
-	demands := &gateway.Demands{Hosts: g.hosts, Own: g.peerServer}
+	demands := &gateway.DemandCollector{Hosts: g.hosts, Own: g.peerServer}
 	counter := &fleet.Counter{
 		Platform:  duties,
 		Pools:     func(ctx context.Context) []fleet.CountedPool { return g.scaledPools(ctx, demands) },
@@ -31,7 +31,7 @@
 
 // scaledPools returns the pools whose number of servers is ordered. It queries the
 // other processes only if there are any.
-func (g *Gateway) scaledPools(ctx context.Context, demands *gateway.Demands) []fleet.CountedPool {
+func (g *Gateway) scaledPools(ctx context.Context, demands *gateway.DemandCollector) []fleet.CountedPool {
 	current := g.view.Current()
 	if current == nil {
 		return nil
@@ -53,7 +53,7 @@
 		census, need := g.roster.Census(pool.Name), needs[pool.Name]
 		need.Slots = census.Slots
 		pools = append(pools, fleet.CountedPool{
-			Name: pool.Name, Least: pool.Scale.Least, Most: pool.Scale.Most, Boot: pool.Scale.Boot,
+			Name: pool.Name, Min: pool.Scale.Min, Max: pool.Scale.Max, StartupTime: pool.Scale.Boot,
 			Present: census.Present, Need: need,
 		})
 	}
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -120,7 +120,7 @@
 func (c *call) admit(tokens int64) (done func(used int64), err error) {
 	if c.handler.Isolated != nil && c.handler.Isolated(time.Now()) {
 		return nil, refusal.NotRun(http.StatusServiceUnavailable, "isolated",
-			"this entry hears neither the store nor most of its peers").After(isolatedRetryAfter)
+			"this entry hears neither the store nor most of its peers").WithRetryAfter(isolatedRetryAfter)
 	}
 	if c.handler.Admission == nil {
 		return func(int64) {}, nil
@@ -170,8 +170,8 @@
 func withRetryAfter(refused *refusal.Error) *refusal.Error {
 	switch refused.Status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if refused.Retry <= 0 {
-			refused.Retry = defaultRetryAfter
+		if refused.RetryAfter <= 0 {
+			refused.RetryAfter = defaultRetryAfter
 		}
 	}
 	return refused
--- a/internal/claim/history.go
+++ b/internal/claim/history.go
@@ -7,13 +7,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// Slack bounds how long after a change a process may still use the previous fleet,
+// MaxFleetLag bounds how long after a change a process may still use the previous fleet,
 // clock skew included.
 //
 // A home that restarted with an empty journal runs no claims for this time: with
 // a fleet that lacks the newest server it would not ask the witness that stored
 // a claim.
-const Slack = 10 * time.Second
+const MaxFleetLag = 10 * time.Second
 
 // candidate is a server that may have stored a claim, as its home or its witness.
 type candidate struct {
@@ -119,7 +119,7 @@
 // process may have started or stopped using a server.
 func changeTimes(servers []*statepb.Server, begin, now int64) []int64 {
 	found := []int64{begin}
-	slack := int64(Slack / time.Second)
+	slack := int64(MaxFleetLag / time.Second)
 	for _, server := range servers {
 		for _, moment := range []int64{server.GetBorn(), server.GetSince(), server.GetBorn() + slack, server.GetSince() + slack} {
 			if moment > begin && moment <= now {
@@ -135,7 +135,7 @@
 
 // isSurelyLive reports whether every process saw the server as live at a moment.
 func isSurelyLive(server *statepb.Server, moment int64) bool {
-	return server.GetState() == stateLive && server.GetSince()+int64(Slack/time.Second) <= moment
+	return server.GetState() == stateLive && server.GetSince()+int64(MaxFleetLag/time.Second) <= moment
 }
 
 // mayBeLive reports whether some process may have seen the server as live at a moment.
@@ -143,7 +143,7 @@
 	if server.GetBorn() > moment {
 		return false
 	}
-	return server.GetState() == stateLive || server.GetSince()+int64(Slack/time.Second) > moment
+	return server.GetState() == stateLive || server.GetSince()+int64(MaxFleetLag/time.Second) > moment
 }
 
 // wasLiveAt reports whether the server was live at a moment by the times in the
@@ -162,8 +162,8 @@
 	case stateLive:
 		return true
 	case stateDraining, stateRemoved:
-		return server.GetSince()+int64(Slack/time.Second) > begin
+		return server.GetSince()+int64(MaxFleetLag/time.Second) > begin
 	default:
-		return server.GetBorn() > 0 && server.GetSince()+int64(Slack/time.Second) > begin
+		return server.GetBorn() > 0 && server.GetSince()+int64(MaxFleetLag/time.Second) > begin
 	}
 }
--- a/internal/claim/journal.go
+++ b/internal/claim/journal.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// DefaultSize is the capacity of a Journal whose Size is 0. A claim takes 370
+// DefaultCapacity is the capacity of a Journal whose Size is 0. A claim takes 370
 // bytes (BenchmarkKeptClaim in internal/entry).
-const DefaultSize = 8192
+const DefaultCapacity = 8192
 
 // FullError reports that a journal is at capacity.
 type FullError struct {
-	Size int
+	Capacity int
 }
 
 // Error names the capacity.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("%d claims are kept, no more fit", e.Size)
+	return fmt.Sprintf("%d claims are kept, no more fit", e.Capacity)
 }
 
 // Record is a stored claim.
@@ -46,10 +46,10 @@
 // Journal stores claims in memory until they expire. It is not safe for concurrent
 // use. Exported fields are set before the first Hold.
 type Journal struct {
-	// Keep is how long a claim is stored.
-	Keep time.Duration
-	// Size is the maximum number of claims; 0 means DefaultSize.
-	Size int
+	// Retention is how long a claim is stored.
+	Retention time.Duration
+	// Capacity is the maximum number of claims; 0 means DefaultSize.
+	Capacity int
 
 	records  map[string]*Record
 	expiries []expiry
@@ -81,15 +81,15 @@
 	return *record, true
 }
 
-// Hold stores a claim for a server's request unless the claim is stored already.
+// Add stores a claim for a server's request unless the claim is stored already.
 // It returns the stored record and whether it is new, or a *FullError.
-func (j *Journal) Hold(claim string, record Record, now time.Time) (Record, bool, error) {
+func (j *Journal) Add(claim string, record Record, now time.Time) (Record, bool, error) {
 	j.dropExpired(now)
 	if known := j.records[claim]; known != nil {
 		return *known, false, nil
 	}
 	if len(j.records) >= j.maxClaims() {
-		return Record{}, false, &FullError{Size: j.maxClaims()}
+		return Record{}, false, &FullError{Capacity: j.maxClaims()}
 	}
 	if j.records == nil {
 		j.records = map[string]*Record{}
@@ -126,16 +126,16 @@
 }
 
 func (j *Journal) extend(claim string, now time.Time) {
-	until := now.Add(j.Keep)
+	until := now.Add(j.Retention)
 	j.records[claim].expires = until
 	j.expiries = append(j.expiries, expiry{claim: claim, time: until})
 }
 
 func (j *Journal) maxClaims() int {
-	if j.Size > 0 {
-		return j.Size
+	if j.Capacity > 0 {
+		return j.Capacity
 	}
-	return DefaultSize
+	return DefaultCapacity
 }
 
 func (j *Journal) dropExpired(now time.Time) {
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -19,8 +19,8 @@
 	Lost
 	// NoWitness: no request was passed on before, and the witness doesn't answer.
 	NoWitness
-	// Alone: no request was passed on before, and the pool has no other server.
-	Alone
+	// NoOtherServer: no request was passed on before, and the pool has no other server.
+	NoOtherServer
 )
 
 // Answer is a sidecar's answer to a request to store a claim.
@@ -31,13 +31,13 @@
 	// Kept: the sidecar has stored the claim, which it did not know. Its journal
 	// is complete.
 	Kept Answer = iota
-	// KeptUnsure: as Kept, but the sidecar restarted within the window and has lost
+	// KeptAfterRestart: as Kept, but the sidecar restarted within the window and has lost
 	// the claims that it stored before.
-	KeptUnsure
-	// KnownThere: the sidecar knew the claim already.
-	KnownThere
-	// Silent: the sidecar didn't answer, or refused.
-	Silent
+	KeptAfterRestart
+	// AlreadyKnown: the sidecar knew the claim already.
+	AlreadyKnown
+	// NoAnswer: the sidecar didn't answer, or refused.
+	NoAnswer
 )
 
 // Asker asks a server's sidecar to store the claim; the home itself is asked too.
@@ -62,7 +62,7 @@
 
 // Window returns how long sidecars have to store a claim so that a retry within
 // remember finds it.
-func Window(remember time.Duration) time.Duration { return remember + 2*Slack }
+func Window(remember time.Duration) time.Duration { return remember + 2*MaxFleetLag }
 
 // Home returns the claim's home.
 func (p *Plan) Home() string { return p.home }
@@ -84,9 +84,9 @@
 		return p.checkOnlyServer(&c)
 	}
 	switch c.answer(p.witness) {
-	case KnownThere:
+	case AlreadyKnown:
 		return Known
-	case Silent:
+	case NoAnswer:
 		return NoWitness
 	default:
 		return Pass
@@ -97,7 +97,7 @@
 	if c.answer(p.home) != Kept {
 		return Lost
 	}
-	return Alone
+	return NoOtherServer
 }
 
 // checker asks each server at most once and caches the answers.
@@ -121,7 +121,7 @@
 		switch c.answer(home.server) {
 		case Kept:
 			return Pass
-		case KnownThere:
+		case AlreadyKnown:
 			return Known
 		default:
 		}
@@ -144,7 +144,7 @@
 	switch c.answer(witness.server) {
 	case Kept:
 		return Pass
-	case KnownThere:
+	case AlreadyKnown:
 		return Known
 	default:
 		return Lost
--- a/internal/cold/users.go
+++ b/internal/cold/senders.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// Span is the window in which a process's requests to a cold server are counted: one
+	// Window is the window in which a process's requests to a cold server are counted: one
 	// second for the rate, and the rest for differences in the requests' transit times.
-	Span = 1250 * time.Millisecond
+	Window = 1250 * time.Millisecond
 	// maxViewAge is the maximum age of the view of other processes while a process sends to
 	// cold servers.
 	maxViewAge = 1500 * time.Millisecond
@@ -25,7 +25,7 @@
 	maxLag = maxViewAge + maxRelayAge
 	// settle is how long a process counts as a user before it sends as one: by then every
 	// other process has seen it, and has sent its last request as one of fewer users.
-	settle = maxLag + Span + 350*time.Millisecond
+	settle = maxLag + Window + 350*time.Millisecond
 	// linger is how long a process that is no longer a user may still send: owners of batches
 	// have none between two of them. forget is how long the others count it, as they may see
 	// its end first and its return last. A process that has started knows no lingering ones,
@@ -34,66 +34,66 @@
 	forget = linger + maxLag + settle
 )
 
-// Users holds the processes that send to the servers of a pool, as one of them sees them.
+// Senders holds the processes that send to the servers of a pool, as one of them sees them.
 // Exported fields are set before the first call; it is not safe for concurrent use.
 //
 // When a zone comes back, all its servers are cold, and every process finds them empty. Two
 // processes that don't count each other send twice the rate. So a user is counted from when it
 // is first seen until long after it was last seen, and sends only once all others must count
 // it.
-type Users struct {
+type Senders struct {
 	// Self is the name of this process.
 	Self string
 
-	users map[string]user
+	senders map[string]sender
 	// firstHeard and lastHeard are when a view was complete first and last.
 	firstHeard, lastHeard clock.Boot
 }
 
-// user is another process or this one, as seen here.
-type user struct {
+// sender is another process or this one, as seen here.
+type sender struct {
 	since clock.Boot
 	// removedAt is when it stopped being a user, 0 while it is one.
 	removedAt clock.Boot
 }
 
 // Add records that a process is a user.
-func (u *Users) Add(name string, now clock.Boot) {
-	if u.users == nil {
-		u.users = map[string]user{}
+func (u *Senders) Add(name string, now clock.Boot) {
+	if u.senders == nil {
+		u.senders = map[string]sender{}
 	}
-	entry, isKnown := u.users[name]
+	entry, isKnown := u.senders[name]
 	if !isKnown || entry.removedAt != 0 && now.Sub(entry.removedAt) >= linger {
 		entry.since = now
 	}
 	entry.removedAt = 0
-	u.users[name] = entry
+	u.senders[name] = entry
 }
 
 // Remove records that a process is no longer a user.
-func (u *Users) Remove(name string, now clock.Boot) {
-	entry, isKnown := u.users[name]
+func (u *Senders) Remove(name string, now clock.Boot) {
+	entry, isKnown := u.senders[name]
 	if !isKnown || entry.removedAt != 0 {
 		return
 	}
 	entry.removedAt = now
-	u.users[name] = entry
+	u.senders[name] = entry
 }
 
-// Heard records that all changes of users up to now are known.
-func (u *Users) Heard(now clock.Boot) {
+// MarkCurrent records that all changes of users up to now are known.
+func (u *Senders) MarkCurrent(now clock.Boot) {
 	if u.firstHeard == 0 {
 		u.firstHeard = now
 	}
 	u.lastHeard = now
 }
 
-// Share returns how many requests this process may send to a server within Span, where all
+// Quota returns how many requests this process may send to a server within Span, where all
 // processes together may send rate requests a second.
 //
 // With more users than requests, each server has its own users by rendezvous hashing, on which
 // all processes agree without communication.
-func (u *Users) Share(server string, rate float64, now clock.Boot) int {
+func (u *Senders) Quota(server string, rate float64, now clock.Boot) int {
 	if !u.maySend(now) {
 		return 0
 	}
@@ -109,11 +109,11 @@
 }
 
 // maySend reports whether all other users count this process, and it counts them.
-func (u *Users) maySend(now clock.Boot) bool {
+func (u *Senders) maySend(now clock.Boot) bool {
 	if u.lastHeard == 0 || now.Sub(u.lastHeard) > maxViewAge || now.Sub(u.firstHeard) < forget {
 		return false
 	}
-	self, isKnown := u.users[u.Self]
+	self, isKnown := u.senders[u.Self]
 	if !isKnown || now.Sub(self.since) < settle {
 		return false
 	}
@@ -121,11 +121,11 @@
 }
 
 // counted returns the users that may send, and deletes those that no longer can.
-func (u *Users) counted(now clock.Boot) []string {
-	names := make([]string, 0, len(u.users))
-	for name, entry := range u.users {
+func (u *Senders) counted(now clock.Boot) []string {
+	names := make([]string, 0, len(u.senders))
+	for name, entry := range u.senders {
 		if entry.removedAt != 0 && now.Sub(entry.removedAt) >= forget {
-			delete(u.users, name)
+			delete(u.senders, name)
 			continue
 		}
 		names = append(names, name)
--- a/internal/cold/users_test.go
+++ b/internal/cold/senders_test.go
@@ -20,70 +20,70 @@
 )
 
 // settled returns users that have known each other for long.
-func settled(self string, names ...string) (*cold.Users, clock.Boot) {
-	users := &cold.Users{Self: self}
+func settled(self string, names ...string) (*cold.Senders, clock.Boot) {
+	senders := &cold.Senders{Self: self}
 	for _, name := range names {
-		users.Add(name, start)
+		senders.Add(name, start)
 	}
-	users.Heard(start)
+	senders.MarkCurrent(start)
 	now := start.Add(time.Minute)
-	users.Heard(now)
-	return users, now
+	senders.MarkCurrent(now)
+	return senders, now
 }
 
 func TestShare(t *testing.T) {
 	t.Run("divided among users", func(t *testing.T) {
-		users, now := settled("a", "a", "b", "c")
-		must.Eq(t, 4, users.Share("s", 13.5, now))
+		senders, now := settled("a", "a", "b", "c")
+		must.Eq(t, 4, senders.Quota("s", 13.5, now))
 	})
 	t.Run("with more users than requests each server has its own", func(t *testing.T) {
 		names := []string{"a", "b", "c", "d", "e"}
 		for _, server := range []string{"s1", "s2", "s3"} {
 			total := 0
 			for _, name := range names {
-				users, now := settled(name, names...)
-				total += users.Share(server, 2, now)
+				senders, now := settled(name, names...)
+				total += senders.Quota(server, 2, now)
 			}
 			must.Eq(t, 2, total)
 		}
 	})
 	t.Run("one for a rate below one", func(t *testing.T) {
-		users, now := settled("a", "a")
-		must.Eq(t, 1, users.Share("s", 0.4, now))
+		senders, now := settled("a", "a")
+		must.Eq(t, 1, senders.Quota("s", 0.4, now))
 	})
 	t.Run("none before all others count this process", func(t *testing.T) {
-		users := &cold.Users{Self: "a"}
-		users.Heard(start)
+		senders := &cold.Senders{Self: "a"}
+		senders.MarkCurrent(start)
 		now := start.Add(time.Minute)
-		users.Add("a", now)
-		users.Heard(now)
-		must.Eq(t, 0, users.Share("s", 13, now))
+		senders.Add("a", now)
+		senders.MarkCurrent(now)
+		must.Eq(t, 0, senders.Quota("s", 13, now))
 	})
 	t.Run("none before a process that started counts all others", func(t *testing.T) {
-		users := &cold.Users{Self: "a"}
-		users.Add("a", start)
+		senders := &cold.Senders{Self: "a"}
+		senders.Add("a", start)
 		for now := start; now < start.Add(13*time.Second); now = now.Add(time.Second) {
-			users.Heard(now)
-			must.Eq(t, 0, users.Share("s", 13, now))
+			senders.MarkCurrent(now)
+			must.Eq(t, 0, senders.Quota("s", 13, now))
 		}
 	})
 	t.Run("none with an old view", func(t *testing.T) {
-		users, now := settled("a", "a")
-		must.Eq(t, 0, users.Share("s", 13, now.Add(2*time.Second)))
+		senders, now := settled("a", "a")
+		must.Eq(t, 0, senders.Quota("s", 13, now.Add(2*time.Second)))
 	})
 	t.Run("none for a process that isn't a user", func(t *testing.T) {
-		users, now := settled("a", "b")
-		must.Eq(t, 0, users.Share("s", 13, now))
+		senders, now := settled("a", "b")
+		must.Eq(t, 0, senders.Quota("s", 13, now))
 	})
 	t.Run("a user that has gone counts still", func(t *testing.T) {
-		users, now := settled("a", "a", "b")
-		users.Remove("b", now)
+		senders, now := settled("a", "a", "b")
+		senders.Remove("b", now)
 		now = now.Add(10 * time.Second)
-		users.Heard(now)
-		must.Eq(t, 6, users.Share("s", 13, now))
+		senders.MarkCurrent(now)
+		must.Eq(t, 6, senders.Quota("s", 13, now))
 		now = now.Add(15 * time.Second)
-		users.Heard(now)
-		must.Eq(t, 13, users.Share("s", 13, now))
+		senders.MarkCurrent(now)
+		must.Eq(t, 13, senders.Quota("s", 13, now))
 	})
 }
 
@@ -120,7 +120,7 @@
 
 // process is a process of a fleet with its own view.
 type process struct {
-	*cold.Users
+	*cold.Senders
 
 	seenChanges int
 	lag         time.Duration
@@ -128,7 +128,7 @@
 	// receives no changes.
 	stalledUntil, deafUntil clock.Boot
 
-	sent       map[string]*cold.Sent
+	sent       map[string]*cold.RequestWindow
 	knownUntil clock.Boot
 }
 
@@ -156,7 +156,7 @@
 
 // begin starts or restarts a process, without any state.
 func (f *fleet) begin(name string) {
-	f.processes[name] = &process{Users: &cold.Users{Self: name}, sent: map[string]*cold.Sent{}}
+	f.processes[name] = &process{Senders: &cold.Senders{Self: name}, sent: map[string]*cold.RequestWindow{}}
 }
 
 func (f *fleet) toggle(name string) {
@@ -208,17 +208,17 @@
 			proc.Remove(f.changes[proc.seenChanges].name, f.now)
 		}
 	}
-	proc.Heard(f.now)
+	proc.MarkCurrent(f.now)
 }
 
 func (f *fleet) send(proc *process, rate float64) {
 	for _, server := range []string{"s1", "s2"} {
 		sent := proc.sent[server]
 		if sent == nil {
-			sent = &cold.Sent{}
+			sent = &cold.RequestWindow{}
 			proc.sent[server] = sent
 		}
-		for sent.Within(proc.Share(server, rate, f.now), f.now) {
+		for sent.Allows(proc.Quota(server, rate, f.now), f.now) {
 			sent.Add(f.now)
 			f.sent[server] = append(f.sent[server], f.now)
 		}
--- a/internal/detour/detour.go
+++ b/internal/detour/detour.go
@@ -47,28 +47,28 @@
 type Peers interface {
 	// Detour sends the call through another process. It reports whether the call was
 	// answered, may have been made without an answer, or was not made.
-	Detour(ctx context.Context, call Call) (Answer, Made)
+	Detour(ctx context.Context, call Call) (Answer, RelayResult)
 }
 
-// Made is the result of a call that was relayed through another process.
-type Made int
+// RelayResult is the result of a call that was relayed through another process.
+type RelayResult int
 
 // Results of relayed calls.
 const (
-	// NotMade calls reached no process.
-	NotMade Made = iota
-	// Unsure calls may have been made, or may still be made.
-	Unsure
+	// NotSent calls reached no process.
+	NotSent RelayResult = iota
+	// OutcomeUnknown calls may have been made, or may still be made.
+	OutcomeUnknown
 	// Answered calls have an answer.
 	Answered
 )
 
-// UnsureError reports a call that one attempt got rejected and another may have made.
-type UnsureError struct {
+// OutcomeUnknownError reports a call that one attempt got rejected and another may have made.
+type OutcomeUnknownError struct {
 	Status int
 }
 
-func (e *UnsureError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return "turned away with " + strconv.Itoa(e.Status) + " after a try without an answer"
 }
 
@@ -106,10 +106,10 @@
 		if made == Answered {
 			return answer, nil
 		}
-		isUnsure = made == Unsure
+		isUnsure = made == OutcomeUnknown
 	}
 	answer, err := c.direct(ctx, call)
-	if err == nil && !platform.IsTurnedAway(answer.Status) {
+	if err == nil && !platform.IsRejected(answer.Status) {
 		c.markReachable()
 		return answer, nil
 	}
@@ -123,15 +123,15 @@
 	if made == Answered {
 		return unsureIfRejected(detoured, nil, isUnsure)
 	}
-	return unsureIfRejected(answer, err, isUnsure || made == Unsure)
+	return unsureIfRejected(answer, err, isUnsure || made == OutcomeUnknown)
 }
 
 // unsureIfRejected returns UnsureError in place of a rejection if another attempt may
 // have been made: the caller would conclude that nothing was done, while the store
 // applies the call a second later.
 func unsureIfRejected(answer Answer, err error, isUnsure bool) (Answer, error) {
-	if err == nil && isUnsure && platform.IsTurnedAway(answer.Status) {
-		return Answer{}, &UnsureError{Status: answer.Status}
+	if err == nil && isUnsure && platform.IsRejected(answer.Status) {
+		return Answer{}, &OutcomeUnknownError{Status: answer.Status}
 	}
 	return answer, err
 }
@@ -141,7 +141,7 @@
 	switch {
 	case err != nil:
 		c.calls.WithLabelValues(wayDirect, resultNoAnswer).Inc()
-	case platform.IsTurnedAway(answer.Status):
+	case platform.IsRejected(answer.Status):
 		c.calls.WithLabelValues(wayDirect, resultTurnedAway).Inc()
 	default:
 		c.calls.WithLabelValues(wayDirect, resultAnswered).Inc()
@@ -150,9 +150,9 @@
 }
 
 // detour makes a call through another process.
-func (c *Caller) detour(ctx context.Context, call Call) (Answer, Made) {
+func (c *Caller) detour(ctx context.Context, call Call) (Answer, RelayResult) {
 	if c.Peers == nil {
-		return Answer{}, NotMade
+		return Answer{}, NotSent
 	}
 	answer, made := c.Peers.Detour(ctx, call)
 	if made == Answered {
@@ -188,7 +188,7 @@
 // timeout on each direct call, and so would callers of its batches.
 func (c *Caller) checkDirect(ctx context.Context, call Call) {
 	answer, err := c.Direct.exchange(ctx, call)
-	if err == nil && !platform.IsTurnedAway(answer.Status) {
+	if err == nil && !platform.IsRejected(answer.Status) {
 		c.markReachable()
 	}
 }
--- a/internal/detour/detour_test.go
+++ b/internal/detour/detour_test.go
@@ -18,12 +18,12 @@
 // fakePeers answers relayed calls with a fixed result.
 type fakePeers struct {
 	calls atomic.Int64
-	made  Made
+	made  RelayResult
 	// status is the status of its answers; 0 means 200.
 	status int
 }
 
-func (p *fakePeers) Detour(context.Context, Call) (Answer, Made) {
+func (p *fakePeers) Detour(context.Context, Call) (Answer, RelayResult) {
 	p.calls.Add(1)
 	return Answer{Status: max(http.StatusOK, p.status), Body: []byte("by a peer")}, p.made
 }
@@ -118,18 +118,18 @@
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
 	refusing, _ := newStore(t, status)
-	var unsure *UnsureError
+	var unsure *OutcomeUnknownError
 	t.Run("direct without an answer, refused through a peer", func(t *testing.T) {
 		caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{made: Answered, status: http.StatusServiceUnavailable}}
 		_, err := do(t, caller)
 		must.True(t, errors.As(err, &unsure))
 	})
 	t.Run("refused directly, without an answer through a peer", func(t *testing.T) {
-		_, err := do(t, &Caller{Direct: refusing, Peers: &fakePeers{made: Unsure}})
+		_, err := do(t, &Caller{Direct: refusing, Peers: &fakePeers{made: OutcomeUnknown}})
 		must.True(t, errors.As(err, &unsure))
 	})
 	t.Run("refused on both ways", func(t *testing.T) {
-		answer, err := do(t, &Caller{Direct: refusing, Peers: &fakePeers{made: NotMade}})
+		answer, err := do(t, &Caller{Direct: refusing, Peers: &fakePeers{made: NotSent}})
 		must.NoError(t, err)
 		must.Eq(t, http.StatusServiceUnavailable, answer.Status)
 	})
--- a/internal/detour/direct.go
+++ b/internal/detour/direct.go
@@ -80,7 +80,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	switch {
-	case err == nil && !platform.IsTurnedAway(answer.Status):
+	case err == nil && !platform.IsRejected(answer.Status):
 		d.rejectedAt, d.resets = 0, 0
 	case err == nil, isDialError(err):
 		d.rejectedAt = clock.Now()
@@ -115,7 +115,7 @@
 	d.once.Do(func() { d.client = listen.Client("store " + d.Address) })
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
-	request, err := listen.JSON(ctx, call.Method, "http://"+d.Address+call.Target, call.Body)
+	request, err := listen.NewJSONRequest(ctx, call.Method, "http://"+d.Address+call.Target, call.Body)
 	if err != nil {
 		return Answer{}, err
 	}
--- a/internal/duty/keeper.go
+++ b/internal/duty/elector.go
@@ -26,13 +26,13 @@
 	releaseTimeout = 2 * time.Second
 )
 
-// Work does a duty until its context ends, at the latest with the term. A nil error within the
+// WorkFunc does a duty until its context ends, at the latest with the term. A nil error within the
 // term means that the duty has nothing left to do.
-type Work func(ctx context.Context, term *Term) error
+type WorkFunc func(ctx context.Context, term *Term) error
 
-// Keeper takes part in one duty for a process: it acquires the duty when it is free, works
+// Elector takes part in one duty for a process: it acquires the duty when it is free, works
 // while it holds it, and releases it. Exported fields are set before Run.
-type Keeper struct {
+type Elector struct {
 	Store Store
 	// Name of the duty.
 	Name    string
@@ -44,18 +44,18 @@
 	Margin time.Duration
 	// Prefix of the duty's key; "" means the package's.
 	Prefix string
-	// Free reports whether nobody holds the duty, if that is known without asking the store;
+	// IsFree reports whether nobody holds the duty, if that is known without asking the store;
 	// nil asks the store.
-	Free func() bool
-	// Left returns what an earlier start of this process holds; nil means nothing.
-	Left func() Left
-	// Look is the time between two polls of a duty that another process holds; 0 means half of
+	IsFree func() bool
+	// PriorClaim returns what an earlier start of this process holds; nil means nothing.
+	PriorClaim func() PriorClaim
+	// PollInterval is the time between two polls of a duty that another process holds; 0 means half of
 	// the lease.
-	Look time.Duration
+	PollInterval time.Duration
 	// Rank returns this process's place among the candidates; nil means 0.
 	Rank func() int
-	// Held is called when the duty is acquired and released; it may be nil.
-	Held      func(name string, held bool)
+	// OnHeld is called when the duty is acquired and released; it may be nil.
+	OnHeld    func(name string, held bool)
 	Decisions *decision.Log
 
 	// hasHeld is true once this start of the process has held the duty.
@@ -64,8 +64,8 @@
 	revision uint64
 }
 
-// Left is what an earlier start of a process still holds of a duty; its zero value is nothing.
-type Left struct {
+// PriorClaim is what an earlier start of a process still holds of a duty; its zero value is nothing.
+type PriorClaim struct {
 	// Revision of the duty's key.
 	Revision uint64
 	// Fence of the term.
@@ -73,7 +73,7 @@
 }
 
 // Run takes part until the context ends or the work has nothing left to do.
-func (k *Keeper) Run(ctx context.Context, work Work) error {
+func (k *Elector) Run(ctx context.Context, work WorkFunc) error {
 	for ctx.Err() == nil {
 		term, lease := k.acquire(ctx)
 		if term == nil {
@@ -92,15 +92,15 @@
 	return nil
 }
 
-func (k *Keeper) pollInterval() time.Duration {
-	if k.Look > 0 {
-		return k.Look
+func (k *Elector) pollInterval() time.Duration {
+	if k.PollInterval > 0 {
+		return k.PollInterval
 	}
 	return k.Lease / pollsPerLease
 }
 
 // key returns the store's key of the duty.
-func (k *Keeper) key() string {
+func (k *Elector) key() string {
 	if k.Prefix != "" {
 		return k.Prefix + k.Name
 	}
@@ -108,7 +108,7 @@
 }
 
 // acquire returns a term and its lease if the duty was free, else nil.
-func (k *Keeper) acquire(ctx context.Context) (*Term, uint64) {
+func (k *Elector) acquire(ctx context.Context) (*Term, uint64) {
 	rank, left := k.rank(), k.leftByEarlierStart()
 	if left.Revision == 0 {
 		if rank >= maxCandidates || !k.isFree(ctx) {
@@ -117,7 +117,7 @@
 		pause.For(ctx, time.Duration(rank)*k.Lease/(2*renewalsPerLease))
 	}
 	sent := time.Now()
-	lease, err := k.Store.Grant(ctx, k.Lease)
+	lease, err := k.Store.GrantLease(ctx, k.Lease)
 	if err != nil {
 		return nil, 0
 	}
@@ -145,23 +145,23 @@
 // isn't one of an earlier holder. Under a new fence, a platform that accepts such calls has to
 // be left alone for a while first, and usage windows were reported too late. A term that this
 // start has held is resumed by resume, or not at all.
-func (k *Keeper) leftByEarlierStart() Left {
-	if k.Left == nil || k.hasHeld {
-		return Left{}
+func (k *Elector) leftByEarlierStart() PriorClaim {
+	if k.PriorClaim == nil || k.hasHeld {
+		return PriorClaim{}
 	}
-	return k.Left()
+	return k.PriorClaim()
 }
 
-func (k *Keeper) rank() int {
+func (k *Elector) rank() int {
 	if k.Rank == nil {
 		return 0
 	}
 	return k.Rank()
 }
 
-func (k *Keeper) isFree(ctx context.Context) bool {
-	if k.Free != nil {
-		return k.Free()
+func (k *Elector) isFree(ctx context.Context) bool {
+	if k.IsFree != nil {
+		return k.IsFree()
 	}
 	_, err := k.Store.Get(ctx, k.key())
 	var missing *platform.NotFoundError
@@ -174,12 +174,12 @@
 // The answer may be lost after the change took effect; giving up then would leave the duty
 // without a holder for a whole lease. Only this process knows the lease's number, so a key
 // bound to that lease is its own write.
-func (k *Keeper) write(ctx context.Context, left Left, lease uint64, until time.Time) (uint64, error) {
+func (k *Elector) write(ctx context.Context, left PriorClaim, lease uint64, until time.Time) (uint64, error) {
 	data, err := k.encodeHolder(left.Fence)
 	if err != nil {
 		return 0, err
 	}
-	revision, err := k.Store.Swap(ctx, k.key(), left.Revision, data, lease)
+	revision, err := k.Store.CompareAndSwap(ctx, k.key(), left.Revision, data, lease)
 	var unavailable *platform.UnavailableError
 	for errors.As(err, &unavailable) && ctx.Err() == nil && time.Now().Before(until) {
 		pause.For(ctx, k.Lease/(2*renewalsPerLease))
@@ -190,7 +190,7 @@
 
 // encodeHolder returns the value of the duty's key. A new term's fence is the revision that
 // the key gets, so the value only has the fence of a resumed term.
-func (k *Keeper) encodeHolder(fence uint64) ([]byte, error) {
+func (k *Elector) encodeHolder(fence uint64) ([]byte, error) {
 	holder := statepb.Holder_builder{
 		Process: k.Process,
 		Fence:   fence,
@@ -202,7 +202,7 @@
 	return data, eris.Wrap(err, "encode holder")
 }
 
-func (k *Keeper) readBack(ctx context.Context, lease uint64) (uint64, error) {
+func (k *Elector) readBack(ctx context.Context, lease uint64) (uint64, error) {
 	value, err := k.Store.Get(ctx, k.key())
 	if err != nil {
 		return 0, err
@@ -215,7 +215,7 @@
 
 // serve works through a term and all that follow under the same lease, then releases the duty.
 // It returns the last term.
-func (k *Keeper) serve(ctx context.Context, term *Term, lease uint64, work Work) (*Term, error) {
+func (k *Elector) serve(ctx context.Context, term *Term, lease uint64, work WorkFunc) (*Term, error) {
 	for {
 		hasExpired, err := k.runTerm(ctx, term, lease, work)
 		if !hasExpired || ctx.Err() != nil {
@@ -237,10 +237,10 @@
 // resume, the holder waits for its own lease to lapse, as all others do, and the duty isn't
 // done for another lease. As long as the lease is valid and the key is unchanged, nobody else
 // has held the duty, so the holder continues under its own fence.
-func (k *Keeper) resume(ctx context.Context, term *Term, lease uint64) *Term {
+func (k *Elector) resume(ctx context.Context, term *Term, lease uint64) *Term {
 	for ctx.Err() == nil {
 		sent := time.Now()
-		err := k.Store.Renew(ctx, lease, k.Lease)
+		err := k.Store.RenewLease(ctx, lease, k.Lease)
 		var revision uint64
 		if err == nil {
 			revision, err = k.readBack(ctx, lease)
@@ -269,7 +269,7 @@
 // runTerm works until the term ends, and reports whether it expired while the state of its
 // lease was unknown. It returns only after the work has, so that a successor never runs at the
 // same time.
-func (k *Keeper) runTerm(ctx context.Context, term *Term, lease uint64, work Work) (hasExpired bool, err error) {
+func (k *Elector) runTerm(ctx context.Context, term *Term, lease uint64, work WorkFunc) (hasExpired bool, err error) {
 	k.notifyHeld(true)
 	defer k.notifyHeld(false)
 	working, cancel := context.WithCancel(ctx)
@@ -286,19 +286,19 @@
 	return <-expired, err
 }
 
-func (k *Keeper) notifyHeld(held bool) {
-	if k.Held != nil {
-		k.Held(k.Name, held)
+func (k *Elector) notifyHeld(held bool) {
+	if k.OnHeld != nil {
+		k.OnHeld(k.Name, held)
 	}
 }
 
 // renew extends the lease until the context ends or the lease is gone. A term counts from
 // before the renewal is sent: the store may have counted the lease from any moment since, and
 // the answer may come late.
-func (k *Keeper) renew(ctx context.Context, term *Term, lease uint64, cancel func()) {
+func (k *Elector) renew(ctx context.Context, term *Term, lease uint64, cancel func()) {
 	for pause.For(ctx, k.Lease/renewalsPerLease) {
 		sent := time.Now()
-		err := k.Store.Renew(ctx, lease, k.Lease)
+		err := k.Store.RenewLease(ctx, lease, k.Lease)
 		var gone *platform.NotFoundError
 		switch {
 		case err == nil:
@@ -328,7 +328,7 @@
 }
 
 // release deletes the duty's key if it is still this term's.
-func (k *Keeper) release(term *Term) {
+func (k *Elector) release(term *Term) {
 	term.End()
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
--- a/internal/duty/keeper_test.go
+++ b/internal/duty/elector_test.go
@@ -68,8 +68,8 @@
 	return r.terms[i]
 }
 
-func newKeeper(store duty.Store, process string, rank int) *duty.Keeper {
-	return &duty.Keeper{
+func newElector(store duty.Store, process string, rank int) *duty.Elector {
+	return &duty.Elector{
 		Store:   store,
 		Name:    "order-a",
 		Process: process,
@@ -80,11 +80,11 @@
 }
 
 // start runs a keeper and returns a function that stops it and waits.
-func start(t *testing.T, keeper *duty.Keeper, work duty.Work) (stop func()) {
+func start(t *testing.T, elector *duty.Elector, work duty.WorkFunc) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- keeper.Run(ctx, work) }()
+	go func() { ended <- elector.Run(ctx, work) }()
 	return func() {
 		cancel()
 		must.NoError(t, <-ended)
@@ -96,7 +96,7 @@
 		store, record := newStore(), &workLog{}
 		var stops []func()
 		for rank, process := range []string{"e1", "e2", "e3", "e4"} {
-			stops = append(stops, start(t, newKeeper(store, process, rank), record.work))
+			stops = append(stops, start(t, newElector(store, process, rank), record.work))
 		}
 		time.Sleep(10 * lease)
 		must.Eq(t, 1, record.count())
@@ -116,7 +116,7 @@
 func TestTermEndsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
-		stop := start(t, newKeeper(store, "e1", 0), record.work)
+		stop := start(t, newElector(store, "e1", 0), record.work)
 		time.Sleep(lease + tick)
 		store.set(func() { store.isDown = true })
 		time.Sleep(lease - margin)
@@ -133,7 +133,7 @@
 func TestTermCountsFromBeforeRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
-		stop := start(t, newKeeper(&lateStore{store: store}, "e1", 0), record.work)
+		stop := start(t, newElector(&lateStore{store: store}, "e1", 0), record.work)
 		for range 40 {
 			time.Sleep(lease/10 + tick)
 			must.False(t, record.term(0).Until().After(store.leaseEnd(1).Add(-margin)))
@@ -148,8 +148,8 @@
 	*store
 }
 
-func (l *lateStore) Renew(ctx context.Context, lease uint64, length time.Duration) error {
-	err := l.store.Renew(ctx, lease, length)
+func (l *lateStore) RenewLease(ctx context.Context, lease uint64, length time.Duration) error {
+	err := l.store.RenewLease(ctx, lease, length)
 	time.Sleep(2 * time.Second)
 	return err
 }
@@ -159,8 +159,8 @@
 func TestTakesDutyWhoseAnswerWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
-		keeper := newKeeper(&losingStore{store: store}, "e1", 0)
-		stop := start(t, keeper, record.work)
+		elector := newElector(&losingStore{store: store}, "e1", 0)
+		stop := start(t, elector, record.work)
 		time.Sleep(lease / 4)
 		must.Eq(t, 1, record.count())
 		stop()
@@ -173,8 +173,8 @@
 	lost bool
 }
 
-func (l *losingStore) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
-	revision, err := l.store.Swap(ctx, key, expect, data, lease)
+func (l *losingStore) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+	revision, err := l.store.CompareAndSwap(ctx, key, expect, data, lease)
 	if !l.lost {
 		l.lost = true
 		return 0, errCut
@@ -186,7 +186,7 @@
 func TestLostRenewalKeepsTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
-		stop := start(t, newKeeper(store, "e1", 0), record.work)
+		stop := start(t, newElector(store, "e1", 0), record.work)
 		for range 20 {
 			time.Sleep(lease + tick)
 			store.set(func() { store.lostAnswers = 1 })
@@ -210,7 +210,7 @@
 		store, record := newStore(), &workLog{}
 		var stops []func()
 		for rank := range processes {
-			stops = append(stops, start(t, newKeeper(store, "e", rank), record.work))
+			stops = append(stops, start(t, newElector(store, "e", rank), record.work))
 		}
 		time.Sleep(100*lease + tick)
 		calls = store.count()
@@ -259,15 +259,15 @@
 func TestResumesWhatItsLastStartHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
-		granted, err := store.Grant(t.Context(), lease)
+		granted, err := store.GrantLease(t.Context(), lease)
 		must.NoError(t, err)
-		left, err := store.Swap(t.Context(), duty.Key("order-a"), 0, []byte("an earlier start"), granted)
+		left, err := store.CompareAndSwap(t.Context(), duty.Key("order-a"), 0, []byte("an earlier start"), granted)
 		must.NoError(t, err)
 		resuming, waiting := &workLog{}, &workLog{}
-		restarted := newKeeper(store, "p1", 2)
-		restarted.Left = func() duty.Left { return duty.Left{Revision: left, Fence: left} }
+		restarted := newElector(store, "p1", 2)
+		restarted.PriorClaim = func() duty.PriorClaim { return duty.PriorClaim{Revision: left, Fence: left} }
 		stop := start(t, restarted, resuming.work)
-		other := start(t, newKeeper(store, "p2", 0), waiting.work)
+		other := start(t, newElector(store, "p2", 0), waiting.work)
 		defer other()
 		time.Sleep(lease / 4)
 		must.Eq(t, 1, resuming.count())
@@ -293,15 +293,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
 		held, other := &workLog{}, &workLog{}
-		stop := start(t, newKeeper(store, "p1", 0), held.work)
+		stop := start(t, newElector(store, "p1", 0), held.work)
 		defer stop()
-		defer start(t, newKeeper(store, "p2", 1), other.work)()
+		defer start(t, newElector(store, "p2", 1), other.work)()
 		time.Sleep(lease/4 + tick)
 		must.Eq(t, 1, held.count())
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		time.Sleep(lease - margin + tick)
 		must.Eq(t, 0, held.working())
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		time.Sleep(margin / 2)
 		must.Eq(t, 2, held.count())
 		must.Eq(t, held.term(0).Fence(), held.term(1).Fence())
@@ -317,18 +317,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
 		held, other := &workLog{}, &workLog{}
-		first := newKeeper(store, "p1", 0)
+		first := newElector(store, "p1", 0)
 		var rank atomic.Int64
 		first.Rank = func() int { return int(rank.Load()) }
 		defer start(t, first, held.work)()
 		time.Sleep(lease/4 + tick)
 		must.Eq(t, 1, held.count())
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		time.Sleep(lease + tick)
 		must.Eq(t, 0, held.working())
 		rank.Store(2)
-		store.SetAway(false)
-		defer start(t, newKeeper(store, "p2", 0), other.work)()
+		store.SetUnavailable(false)
+		defer start(t, newElector(store, "p2", 0), other.work)()
 		time.Sleep(lease)
 		must.Eq(t, 1, other.count())
 		must.Eq(t, 1, held.count())
--- a/internal/entry/claimquery.go
+++ b/internal/entry/claimquery.go
@@ -40,10 +40,10 @@
 	}.Build())
 	switch {
 	case err != nil || reply.HasRefusal():
-		return claim.Silent
+		return claim.NoAnswer
 	case !reply.GetRecorded() && !c.isOwnVoid(q.request.GetClaim(), reply):
 		q.holder = &holder{server: reply.GetServer(), id: reply.GetId(), digest: reply.GetDigest()}
-		return claim.KnownThere
+		return claim.AlreadyKnown
 	default:
 		return keptAnswer(c.isCompleteSince(reply.GetSince()))
 	}
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -31,12 +31,12 @@
 type Membership interface {
 	// Fleet returns the pool's servers, or nil if they are unknown.
 	Fleet(pool string) *statepb.Fleet
-	// IsFirst reports whether this is the first sidecar process of the backend server.
-	IsFirst() bool
-	// Isolated reports whether neither the store nor a majority of processes answers.
-	Isolated(now time.Time) bool
-	// Others returns the number of other known sidecars of the pool.
-	Others(pool string) int
+	// IsFirstProcess reports whether this is the first sidecar process of the backend server.
+	IsFirstProcess() bool
+	// IsIsolated reports whether neither the store nor a majority of processes answers.
+	IsIsolated(now time.Time) bool
+	// CountOthers returns the number of other known sidecars of the pool.
+	CountOthers(pool string) int
 }
 
 // Claims records the claims of idempotency keys, as a home and as a witness.
@@ -48,8 +48,8 @@
 
 	Members Membership
 	Peers   Peers
-	// Remember is how long after a request its retries may arrive.
-	Remember time.Duration
+	// Retention is how long after a request its retries may arrive.
+	Retention time.Duration
 	// Started is when this process began to record claims.
 	Started time.Time
 	// RunAlone allows a claim to run while the pool has no other server to witness it.
@@ -68,7 +68,7 @@
 	}
 	record, isNew, err := c.keep(request.GetClaim(), claim.NewRecord(request.GetId(), c.Server, digest(request)))
 	if err != nil {
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "%v", err).After(retryDelay)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "%v", err).WithRetryAfter(retryDelay)
 	}
 	existing := findRun(record.ID())
 	switch {
@@ -129,11 +129,11 @@
 
 func (c *Claims) queryPeers(ctx context.Context, query *claimQuery) *refusal.Error {
 	now := time.Now()
-	if c.Members.Isolated(now) {
-		return refusal.NotRun(http.StatusServiceUnavailable, "isolated", "the sidecar of %s is cut off and may know an old fleet", c.Server).After(retryDelay)
+	if c.Members.IsIsolated(now) {
+		return refusal.NotRun(http.StatusServiceUnavailable, "isolated", "the sidecar of %s is cut off and may know an old fleet", c.Server).WithRetryAfter(retryDelay)
 	}
-	if !c.isComplete(now) && now.Sub(c.Started) < claim.Slack {
-		return refusal.NotRun(http.StatusServiceUnavailable, "restarted", "the sidecar of %s has just started and learns what ran before", c.Server).After(retryDelay)
+	if !c.isComplete(now) && now.Sub(c.Started) < claim.MaxFleetLag {
+		return refusal.NotRun(http.StatusServiceUnavailable, "restarted", "the sidecar of %s has just started and learns what ran before", c.Server).WithRetryAfter(retryDelay)
 	}
 	fleet := c.Members.Fleet(c.Pool)
 	if fleet == nil {
@@ -143,7 +143,7 @@
 		return refused
 	}
 	query.epoch = fleet.GetEpoch()
-	plan := claim.NewPlan(query.request.GetClaim(), fleet, now, c.Remember)
+	plan := claim.NewPlan(query.request.GetClaim(), fleet, now, c.Retention)
 	return c.toRefusal(plan.Check(func(server string) claim.Answer { return query.ask(ctx, server) }))
 }
 
@@ -152,7 +152,7 @@
 // so an entry with an older fleet is safe if it found the right home.
 func (c *Claims) checkHome(request *peerpb.RunRequest, fleet *statepb.Fleet) *refusal.Error {
 	if home := claim.Home(request.GetClaim(), fleet); home != c.Server {
-		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_home", "requests with this idempotency key go to %q by epoch %d, sent by epoch %d", home, fleet.GetEpoch(), request.GetEpoch()).After(retryDelay)
+		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_home", "requests with this idempotency key go to %q by epoch %d, sent by epoch %d", home, fleet.GetEpoch(), request.GetEpoch()).WithRetryAfter(retryDelay)
 	}
 	return nil
 }
@@ -160,25 +160,25 @@
 // confirmWithoutFleet decides while the pool's servers are unknown.
 func (c *Claims) confirmWithoutFleet(now time.Time) *refusal.Error {
 	switch {
-	case c.Members.Others(c.Pool) > 0:
-		return refusal.NotRun(http.StatusServiceUnavailable, "no_fleet", "the servers of %s are not known yet", c.Pool).After(retryDelay)
+	case c.Members.CountOthers(c.Pool) > 0:
+		return refusal.NotRun(http.StatusServiceUnavailable, "no_fleet", "the servers of %s are not known yet", c.Pool).WithRetryAfter(retryDelay)
 	case !c.isComplete(now):
 		return c.toRefusal(claim.Lost)
 	default:
-		return c.toRefusal(claim.Alone)
+		return c.toRefusal(claim.NoOtherServer)
 	}
 }
 
 func (c *Claims) toRefusal(verdict claim.Verdict) *refusal.Error {
 	switch {
-	case verdict == claim.Pass, verdict == claim.Alone && c.RunAlone:
+	case verdict == claim.Pass, verdict == claim.NoOtherServer && c.RunAlone:
 		return nil
 	case verdict == claim.Known:
 		return refusal.Unknown(http.StatusConflict, "claimed_elsewhere", "the idempotency key was used for a request to another server")
 	case verdict == claim.Lost:
 		return refusal.Unknown(http.StatusServiceUnavailable, "claim_lost", "the servers that may have run a request with this idempotency key are gone")
 	default:
-		return refusal.NotRun(http.StatusServiceUnavailable, "no_witness", "no other server can witness the request").After(retryDelay)
+		return refusal.NotRun(http.StatusServiceUnavailable, "no_witness", "no other server can witness the request").WithRetryAfter(retryDelay)
 	}
 }
 
@@ -217,28 +217,28 @@
 }
 
 func (c *Claims) keep(key string, record claim.Record) (claim.Record, bool, error) {
-	c.journal.Keep = claim.Window(c.Remember)
-	return c.journal.Hold(key, record, time.Now())
+	c.journal.Retention = claim.Window(c.Retention)
+	return c.journal.Add(key, record, time.Now())
 }
 
 // isComplete reports whether this process knows every claim that its backend
 // server may have run within the window. A restarted process lacks those of its
 // predecessor until it has restored them from other sidecars or they expired.
 func (c *Claims) isComplete(now time.Time) bool {
-	return c.restored.Load() || now.Sub(c.Started) >= claim.Window(c.Remember) || c.Members.IsFirst()
+	return c.restored.Load() || now.Sub(c.Started) >= claim.Window(c.Retention) || c.Members.IsFirstProcess()
 }
 
 // isCompleteSince reports whether a witness that has recorded claims since a
 // time knows every claim of the window; 0 means since its server began.
 func (c *Claims) isCompleteSince(since uint64) bool {
-	return since == 0 || time.Since(time.Unix(0, int64(since))) >= claim.Window(c.Remember)
+	return since == 0 || time.Since(time.Unix(0, int64(since))) >= claim.Window(c.Retention)
 }
 
 func keptAnswer(isComplete bool) claim.Answer {
 	if isComplete {
 		return claim.Kept
 	}
-	return claim.KeptUnsure
+	return claim.KeptAfterRestart
 }
 
 func refuseClaim(code, format string, arguments ...any) *peerpb.ClaimReply {
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -17,7 +17,7 @@
 // Open starts to admit requests. It must be called once before serving.
 func (s *Server) Open() {
 	s.metrics = newMetrics(s)
-	s.limiter.open(s.Slots, s.Queue)
+	s.limiter.open(s.MaxRunning, s.MaxQueued)
 }
 
 // Drain refuses new requests and returns once all running requests have ended
--- a/internal/entry/execute.go
+++ b/internal/entry/execute.go
@@ -103,5 +103,5 @@
 
 // toUnknown returns the refusal with the outcome "unknown".
 func toUnknown(refused *refusal.Error) *refusal.Error {
-	return refusal.Unknown(refused.Status, refused.Code, "%s", refused.Message).After(refused.Retry)
+	return refusal.Unknown(refused.Status, refused.Code, "%s", refused.Message).WithRetryAfter(refused.RetryAfter)
 }
--- a/internal/entry/limiter.go
+++ b/internal/entry/limiter.go
@@ -144,13 +144,13 @@
 }
 
 func refuseDraining() *refusal.Error {
-	return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this backend server takes no new work").After(retryDelay)
+	return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this backend server takes no new work").WithRetryAfter(retryDelay)
 }
 
 func refuseQueue(err error) *refusal.Error {
 	var full *fair.FullError
 	if errors.As(err, &full) {
-		return refusal.NotRun(http.StatusServiceUnavailable, "queue_full", "%v", err).After(full.Retry)
+		return refusal.NotRun(http.StatusServiceUnavailable, "queue_full", "%v", err).WithRetryAfter(full.Retry)
 	}
-	return refusal.NotRun(http.StatusServiceUnavailable, "deadline", "the request's time would end while it waits").After(retryDelay)
+	return refusal.NotRun(http.StatusServiceUnavailable, "deadline", "the request's time would end while it waits").WithRetryAfter(retryDelay)
 }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -14,8 +14,8 @@
 // maxOrderTime is the upper bound of an order's timeout, and the default.
 const maxOrderTime = 2 * time.Minute
 
-// Loader is implemented by backends that can load weight versions.
-type Loader interface {
+// WeightLoader is implemented by backends that can load weight versions.
+type WeightLoader interface {
 	// Load returns the version that the backend server serves afterwards. The
 	// error is a *refusal.Error.
 	Load(ctx context.Context, order *peerpb.OrderRequest, timeout time.Duration) (uint64, error)
@@ -67,7 +67,7 @@
 // a newer fencing token has superseded while it waited is refused: an engine
 // that ignores fencing tokens would load the older order's version last.
 func (s *Server) loadVersion(ctx context.Context, order *peerpb.OrderRequest) (uint64, error) {
-	loader, ok := s.Backend.(Loader)
+	loader, ok := s.Backend.(WeightLoader)
 	if !ok {
 		return 0, refusal.NotRun(http.StatusBadRequest, "no_weights", "%s loads no weights", s.Name)
 	}
@@ -95,10 +95,10 @@
 	if draining {
 		s.limiter.close()
 	} else {
-		s.limiter.open(s.Slots, s.Queue)
+		s.limiter.open(s.MaxRunning, s.MaxQueued)
 	}
-	if s.Draining != nil {
-		s.Draining(draining)
+	if s.OnDraining != nil {
+		s.OnDraining(draining)
 	}
 	s.Loads.OfferLoad(s.load())
 }
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -28,9 +28,9 @@
 func TestDrainByOrder(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	server := newServer(service.URL)
-	server.Slots = 1
+	server.MaxRunning = 1
 	var isDraining atomic.Bool
-	server.Draining = isDraining.Store
+	server.OnDraining = isDraining.Store
 	client := serve(t, server)
 	running := sendAsync(client, posting("running"))
 	receive(t, service.arrived)
@@ -163,7 +163,7 @@
 // newEngineServer returns a sidecar's service with an engine as its backend.
 func newEngineServer(address string) *entry.Server {
 	engine := &backend.Engine{}
-	engine.Address, engine.Name, engine.Silence = address, "s1", testTimeout
+	engine.Address, engine.Name, engine.ReadTimeout = address, "s1", testTimeout
 	server := newServer(address)
 	server.Backend = engine
 	return server
--- a/internal/entry/registry.go
+++ b/internal/entry/registry.go
@@ -113,7 +113,7 @@
 	case request.GetFrom() > 0:
 		return refusal.Unknown(http.StatusBadGateway, "not_known", "the answer to go on with is not known here")
 	case !request.GetIdempotent() && len(r.nonIdempotent.runs) >= maxNonIdempotentRuns:
-		return refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "too many requests are remembered").After(retryDelay)
+		return refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "too many requests are remembered").WithRetryAfter(retryDelay)
 	default:
 		return nil
 	}
--- a/internal/entry/restore.go
+++ b/internal/entry/restore.go
@@ -14,9 +14,9 @@
 // restoreInterval is the time between attempts to restore claims.
 const restoreInterval = time.Second
 
-// Learn restores the claims of the previous process from the sidecars that also
+// Restore restores the claims of the previous process from the sidecars that also
 // recorded them. It returns when ctx is done.
-func (c *Claims) Learn(ctx context.Context) error {
+func (c *Claims) Restore(ctx context.Context) error {
 	ticker := time.NewTicker(restoreInterval)
 	defer ticker.Stop()
 	for !c.isComplete(time.Now()) {
@@ -36,10 +36,10 @@
 // restore asks each partner once. It fails until claim.Slack after the start, when
 // the local fleet is as new as the one that the previous process used for its claims.
 func (c *Claims) restore(ctx context.Context, now time.Time) error {
-	if now.Sub(c.Started) < claim.Slack {
+	if now.Sub(c.Started) < claim.MaxFleetLag {
 		return eris.New("the local fleet may still be out of date")
 	}
-	partners, isComplete := claim.Partners(c.Server, c.Members.Fleet(c.Pool), now, c.Remember)
+	partners, isComplete := claim.Partners(c.Server, c.Members.Fleet(c.Pool), now, c.Retention)
 	if !isComplete {
 		return eris.New("a server that recorded the same claims has been removed")
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -38,13 +38,13 @@
 	Version() uint64
 }
 
-// Counter adds usage and returns the counters that changed.
-type Counter interface {
+// UsageCounter adds usage and returns the counters that changed.
+type UsageCounter interface {
 	Add(account, pool string, now time.Time, prompt, output uint64) []*peerpb.Count
 }
 
-// LoadTable publishes the server's load to other processes.
-type LoadTable interface {
+// LoadReporter publishes the server's load to other processes.
+type LoadReporter interface {
 	OfferLoad(load *peerpb.Load)
 }
 
@@ -61,22 +61,22 @@
 	Decisions *decision.Log
 	// Metrics may be nil.
 	Metrics prometheus.Registerer
-	Loads   LoadTable
+	Loads   LoadReporter
 	// Claims records the claims of idempotency keys. If it is nil, non-idempotent
 	// requests with a claim are refused.
 	Claims *Claims
 	// Counter may be nil.
-	Counter Counter
-	// Draining is called when an order starts or ends a drain; it may be nil.
-	Draining func(draining bool)
-	// Slots is the maximum number of concurrent requests to the backend server.
-	Slots int
-	// Queue is the maximum number of queued requests.
-	Queue int
-	// Remember is how long an ended request stays known.
-	Remember time.Duration
-	// Beat is the heartbeat interval: the longest time without a frame on a stream.
-	Beat time.Duration
+	Counter UsageCounter
+	// OnDraining is called when an order starts or ends a drain; it may be nil.
+	OnDraining func(draining bool)
+	// MaxRunning is the maximum number of concurrent requests to the backend server.
+	MaxRunning int
+	// MaxQueued is the maximum number of queued requests.
+	MaxQueued int
+	// Retention is how long an ended request stays known.
+	Retention time.Duration
+	// HeartbeatInterval is the heartbeat interval: the longest time without a frame on a stream.
+	HeartbeatInterval time.Duration
 
 	limiter  limiter
 	registry registry
@@ -141,7 +141,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			s.registry.sweep(now, s.Remember)
+			s.registry.sweep(now, s.Retention)
 			s.Loads.OfferLoad(s.load())
 		}
 	}
@@ -155,7 +155,7 @@
 	case isClaimed(request) && s.Claims == nil:
 		return refusal.NotRun(http.StatusServiceUnavailable, "no_claims", "%s keeps no claims", s.Name)
 	case request.GetPool() != s.Pool:
-		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_pool", "%s serves %s", s.Name, s.Pool).After(retryDelay)
+		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_pool", "%s serves %s", s.Name, s.Pool).WithRetryAfter(retryDelay)
 	default:
 		return nil
 	}
@@ -217,7 +217,7 @@
 // server may have received and that may still be resent: it is the first
 // process, or older than any request.
 func (s *Server) remembersAll(now time.Time) bool {
-	return s.Claims != nil && (s.Claims.Members.IsFirst() || now.Sub(s.Claims.Started) >= maxRunTime)
+	return s.Claims != nil && (s.Claims.Members.IsFirstProcess() || now.Sub(s.Claims.Started) >= maxRunTime)
 }
 
 func timeLeft(request *peerpb.RunRequest) time.Duration {
--- a/internal/fleet/capacity_test.go
+++ b/internal/fleet/capacity_test.go
@@ -91,10 +91,10 @@
 			Interval: time.Second, Lease: lease, OrderBound: bound, DrainBound: drainBound,
 		}
 		rank := duty.Rank(fleet.DutyPrefix+zone, name, candidates)
-		keeper := &duty.Keeper{
+		elector := &duty.Elector{
 			Store: process, Name: fleet.DutyPrefix + zone, Process: name, Lease: lease, Margin: margin,
 			Rank: func() int { return rank },
 		}
-		joined.Go(func() { _ = keeper.Run(ctx, work.Run) })
+		joined.Go(func() { _ = elector.Run(ctx, work.Run) })
 	}
 }
--- a/internal/fleet/counter.go
+++ b/internal/fleet/counter.go
@@ -14,10 +14,10 @@
 
 // CountPlatform starts and stops servers to match a number per pool and zone.
 type CountPlatform interface {
-	// Count orders a number of servers with a term's fencing number. It calls guard
+	// SetServerCount orders a number of servers with a term's fencing number. It calls guard
 	// immediately before it sends the order, and returns a *platform.ConflictError
 	// if a newer holder has sent orders.
-	Count(ctx context.Context, count Count, fence uint64, guard func() error) error
+	SetServerCount(ctx context.Context, count Count, fence uint64, guard func() error) error
 }
 
 // Counter keeps pools at their size while this process holds the duty, on platforms
@@ -46,10 +46,10 @@
 	if !c.Fenced && !pause.For(ctx, c.Lease+c.Bound) {
 		return nil
 	}
-	numbers := &Numbers{Target: c.Target, Slack: c.Slack}
+	planner := &CountPlanner{Target: c.Target, Slack: c.Slack}
 	for {
 		for _, pool := range c.Pools(ctx) {
-			if err := c.order(ctx, term, numbers, pool); err != nil {
+			if err := c.order(ctx, term, planner, pool); err != nil {
 				return err
 			}
 		}
@@ -60,20 +60,20 @@
 }
 
 // order sends the orders due for a pool. An error means that the term is over.
-func (c *Counter) order(ctx context.Context, term Term, numbers *Numbers, pool CountedPool) error {
-	for _, count := range numbers.Due(time.Now(), pool) {
+func (c *Counter) order(ctx context.Context, term Term, planner *CountPlanner, pool CountedPool) error {
+	for _, count := range planner.Due(time.Now(), pool) {
 		err := c.send(ctx, term, count)
 		c.Decisions.Record(count.Pool, "order", "zone %s is to have %d servers, has %d; running %.1f, waiting %.1f, slots %.0f; term %d (%v)",
 			count.Zone, count.Servers, pool.Present[count.Zone], pool.Need.Running, pool.Need.Queued, pool.Need.Slots, term.Fence(), err)
 		var conflict *platform.ConflictError
-		var ended *EndedError
+		var ended *TermEndedError
 		if errors.As(err, &conflict) || errors.As(err, &ended) {
 			return err
 		}
 		if err != nil {
 			klog.InfoS("order: unknown whether the platform accepted the number of servers", "pool", count.Pool, "zone", count.Zone, "servers", count.Servers, "err", err.Error())
 		}
-		numbers.Sent(time.Now(), count, err == nil)
+		planner.RecordSent(time.Now(), count, err == nil)
 	}
 	return nil
 }
@@ -83,9 +83,9 @@
 	defer cancel()
 	guard := func() error {
 		if !term.Valid(time.Now()) {
-			return &EndedError{Zone: count.Zone, Fence: term.Fence()}
+			return &TermEndedError{Zone: count.Zone, Fence: term.Fence()}
 		}
 		return nil
 	}
-	return c.Platform.Count(ctx, count, term.Fence(), guard)
+	return c.Platform.SetServerCount(ctx, count, term.Fence(), guard)
 }
--- a/internal/fleet/numbers.go
+++ b/internal/fleet/countplanner.go
@@ -23,41 +23,41 @@
 // their number per zone.
 type CountedPool struct {
 	Name string
-	// Least and Most are the minimum and maximum number of servers of each zone.
-	Least int
-	Most  int
-	// Boot is the time from an order to the first request served.
-	Boot time.Duration
+	// Min and Most are the minimum and maximum number of servers of each zone.
+	Min int
+	Max int
+	// StartupTime is the time from an order to the first request served.
+	StartupTime time.Duration
 	// Present is the number of servers that may get work, by zones that have or had one.
 	Present map[string]int
 	Need    Need
 }
 
-// Subject is the pool and the zone of an order.
-type Subject struct {
+// PoolZone is the pool and the zone of an order.
+type PoolZone struct {
 	Pool string
 	Zone string
 }
 
 // Count is the target number of servers of a pool in a zone.
 type Count struct {
-	Subject
+	PoolZone
 
 	Servers int
 }
 
-// Numbers decides the number of servers of each pool in each zone, and when to
+// CountPlanner decides the number of servers of each pool in each zone, and when to
 // order it. It has no clock and does no input or output. Exported fields are set
 // before use; it is not safe for concurrent use.
-type Numbers struct {
+type CountPlanner struct {
 	// Target and Slack are those of a Sizer.
 	Target float64
 	Slack  float64
 
 	sizers map[string]*Sizer
-	orders map[Subject]order
+	orders map[PoolZone]order
 	// emptySince is the time since which a zone has had no server though it should.
-	emptySince map[Subject]time.Time
+	emptySince map[PoolZone]time.Time
 }
 
 // order is the last order sent for a subject.
@@ -68,24 +68,24 @@
 }
 
 // Due returns the orders to send now for a pool.
-func (n *Numbers) Due(now time.Time, pool CountedPool) []Count {
+func (n *CountPlanner) Due(now time.Time, pool CountedPool) []Count {
 	n.initialize()
 	var due []Count
 	for zone, servers := range n.targetCounts(now, pool) {
-		subject := Subject{Pool: pool.Name, Zone: zone}
-		if n.isDue(now, subject, servers, pool) {
-			due = append(due, Count{Subject: subject, Servers: servers})
+		poolZone := PoolZone{Pool: pool.Name, Zone: zone}
+		if n.isDue(now, poolZone, servers, pool) {
+			due = append(due, Count{PoolZone: poolZone, Servers: servers})
 		}
 	}
 	slices.SortFunc(due, func(a, b Count) int { return cmp.Compare(a.Zone, b.Zone) })
 	return due
 }
 
-// Sent records that an order was sent, and whether the platform is known to have
+// RecordSent records that an order was sent, and whether the platform is known to have
 // accepted it.
-func (n *Numbers) Sent(now time.Time, count Count, isTaken bool) {
+func (n *CountPlanner) RecordSent(now time.Time, count Count, isTaken bool) {
 	n.initialize()
-	n.orders[count.Subject] = order{servers: count.Servers, at: now, isAccepted: isTaken}
+	n.orders[count.PoolZone] = order{servers: count.Servers, at: now, isAccepted: isTaken}
 }
 
 // isDue reports whether a number has to be ordered.
@@ -94,20 +94,20 @@
 // leave a zone with an outdated number for good. So the number is ordered again until
 // the platform accepts it, and again if the registrations still differ after every
 // earlier order must have been carried out.
-func (n *Numbers) isDue(now time.Time, subject Subject, servers int, pool CountedPool) bool {
-	last, isKnown := n.orders[subject]
+func (n *CountPlanner) isDue(now time.Time, poolZone PoolZone, servers int, pool CountedPool) bool {
+	last, isKnown := n.orders[poolZone]
 	switch {
 	case !isKnown:
-		return servers != pool.Present[subject.Zone]
+		return servers != pool.Present[poolZone.Zone]
 	case last.servers != servers, !last.isAccepted:
 		return true
 	default:
-		return servers != pool.Present[subject.Zone] && now.Sub(last.at) > pool.Boot+lateOrderBound
+		return servers != pool.Present[poolZone.Zone] && now.Sub(last.at) > pool.StartupTime+lateOrderBound
 	}
 }
 
 // targetCounts returns the target number of servers of each zone.
-func (n *Numbers) targetCounts(now time.Time, pool CountedPool) map[string]int {
+func (n *CountPlanner) targetCounts(now time.Time, pool CountedPool) map[string]int {
 	present := map[string]int{}
 	for zone, servers := range pool.Present {
 		if !n.isLost(now, zone, pool) {
@@ -115,7 +115,7 @@
 		}
 	}
 	sizer := n.sizer(now, pool)
-	sizer.Min, sizer.Max = pool.Least*len(present), pool.Most*len(present)
+	sizer.Min, sizer.Max = pool.Min*len(present), pool.Max*len(present)
 	shares := Spread(sizer.Decide(now, pool.Need), present)
 	n.retainServers(pool, shares)
 	for zone := range pool.Present {
@@ -123,7 +123,7 @@
 			// Still order one server: its registration shows that the zone is back.
 			shares[zone] = 1
 		}
-		shares[zone] = min(max(shares[zone], pool.Least), pool.Most)
+		shares[zone] = min(max(shares[zone], pool.Min), pool.Max)
 	}
 	return shares
 }
@@ -132,13 +132,13 @@
 //
 // When a lost zone is back, the other zones release the servers that replaced its
 // own. Released at once, they would be missing until the zone's own have started.
-func (n *Numbers) retainServers(pool CountedPool, shares map[string]int) {
+func (n *CountPlanner) retainServers(pool CountedPool, shares map[string]int) {
 	missing := 0
 	for zone, share := range shares {
 		missing += max(0, share-pool.Present[zone])
 	}
 	for zone, share := range shares {
-		last := n.orders[Subject{Pool: pool.Name, Zone: zone}].servers
+		last := n.orders[PoolZone{Pool: pool.Name, Zone: zone}].servers
 		kept := min(last, pool.Present[zone], share+missing)
 		shares[zone] = max(share, kept)
 	}
@@ -146,19 +146,19 @@
 
 // isLost reports whether a zone has had no server for longer than a server takes to
 // start. The other zones then get its share.
-func (n *Numbers) isLost(now time.Time, zone string, pool CountedPool) bool {
-	subject := Subject{Pool: pool.Name, Zone: zone}
-	if pool.Present[zone] > 0 || pool.Least == 0 && n.orders[subject].servers == 0 {
-		delete(n.emptySince, subject)
+func (n *CountPlanner) isLost(now time.Time, zone string, pool CountedPool) bool {
+	poolZone := PoolZone{Pool: pool.Name, Zone: zone}
+	if pool.Present[zone] > 0 || pool.Min == 0 && n.orders[poolZone].servers == 0 {
+		delete(n.emptySince, poolZone)
 		return false
 	}
-	if n.emptySince[subject].IsZero() {
-		n.emptySince[subject] = now
+	if n.emptySince[poolZone].IsZero() {
+		n.emptySince[poolZone] = now
 	}
-	return now.Sub(n.emptySince[subject]) > pool.Boot+lateOrderBound
+	return now.Sub(n.emptySince[poolZone]) > pool.StartupTime+lateOrderBound
 }
 
-func (n *Numbers) sizer(now time.Time, pool CountedPool) *Sizer {
+func (n *CountPlanner) sizer(now time.Time, pool CountedPool) *Sizer {
 	sizer := n.sizers[pool.Name]
 	if sizer == nil {
 		sizer = &Sizer{Target: n.Target, Slack: n.Slack}
@@ -169,15 +169,15 @@
 		sizer.Begin(now, total)
 		n.sizers[pool.Name] = sizer
 	}
-	sizer.Calm = max(calmStarts*pool.Boot, minCalm)
+	sizer.ScaleDownDelay = max(calmStarts*pool.StartupTime, minCalm)
 	return sizer
 }
 
-func (n *Numbers) initialize() {
+func (n *CountPlanner) initialize() {
 	if n.sizers != nil {
 		return
 	}
 	n.sizers = map[string]*Sizer{}
-	n.orders = map[Subject]order{}
-	n.emptySince = map[Subject]time.Time{}
+	n.orders = map[PoolZone]order{}
+	n.emptySince = map[PoolZone]time.Time{}
 }
--- a/internal/fleet/numbers_test.go
+++ b/internal/fleet/countplanner_test.go
@@ -12,7 +12,7 @@
 
 // simulatedPool is a pool in two zones whose platform carries out what is ordered.
 type simulatedPool struct {
-	numbers *fleet.Numbers
+	planner *fleet.CountPlanner
 	pool    fleet.CountedPool
 	now     time.Time
 	// accepts is true if the platform accepts and answers orders.
@@ -22,9 +22,9 @@
 
 func newSimulatedPool() *simulatedPool {
 	return &simulatedPool{
-		numbers: &fleet.Numbers{Target: 0.75, Slack: 0.1},
+		planner: &fleet.CountPlanner{Target: 0.75, Slack: 0.1},
 		pool: fleet.CountedPool{
-			Name: "lm", Least: 1, Most: 4, Boot: 2 * time.Second,
+			Name: "lm", Min: 1, Max: 4, StartupTime: 2 * time.Second,
 			Present: map[string]int{"a": 1, "b": 1}, Need: fleet.Need{Slots: 8},
 		},
 		now:     time.Unix(0, 0),
@@ -36,9 +36,9 @@
 // by the next round, in the given zones.
 func (c *simulatedPool) advance(seconds int, zones ...string) {
 	for range seconds {
-		due := c.numbers.Due(c.now, c.pool)
+		due := c.planner.Due(c.now, c.pool)
 		for _, count := range due {
-			c.numbers.Sent(c.now, count, c.accepts)
+			c.planner.RecordSent(c.now, count, c.accepts)
 			c.sent = append(c.sent, count)
 			for _, zone := range zones {
 				if c.accepts && zone == count.Zone {
@@ -103,7 +103,7 @@
 func TestNumbersLateOrder(t *testing.T) {
 	c := newSimulatedPool()
 	c.advance(1, "a", "b")
-	c.numbers.Sent(c.now, fleet.Count{Subject: fleet.Subject{Pool: "lm", Zone: "a"}, Servers: 1}, true)
+	c.planner.RecordSent(c.now, fleet.Count{PoolZone: fleet.PoolZone{Pool: "lm", Zone: "a"}, Servers: 1}, true)
 	c.pool.Present["a"] = 4
 	c.advance(30, "a", "b")
 	mustHave(t, c, 1, 1)
@@ -131,7 +131,7 @@
 // The orders of a lost zone must not be below the configured minimum.
 func TestNumbersZoneLostKeepsLeast(t *testing.T) {
 	c := newSimulatedPool()
-	c.pool.Least = 2
+	c.pool.Min = 2
 	c.advance(20, "a", "b")
 	c.pool.Present["b"] = 0
 	c.advance(20, "a")
@@ -145,7 +145,7 @@
 func TestNumbersSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newSimulatedPool()
-		c.pool.Least = rapid.IntRange(0, 2).Draw(t, "least")
+		c.pool.Min = rapid.IntRange(0, 2).Draw(t, "least")
 		for range rapid.IntRange(1, 10).Draw(t, "changes") {
 			c.pool.Need.Running = rapid.Float64Range(0, 100).Draw(t, "running")
 			c.accepts = rapid.Bool().Draw(t, "taken")
@@ -154,7 +154,7 @@
 		c.accepts = true
 		c.advance(60, "a", "b")
 		for _, count := range c.sent {
-			must.Between(t, c.pool.Least, count.Servers, c.pool.Most)
+			must.Between(t, c.pool.Min, count.Servers, c.pool.Max)
 		}
 		before := len(c.sent)
 		c.advance(60, "a", "b")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -35,8 +35,8 @@
 // maxRemoved is the maximum number of removed servers kept for a pool.
 const maxRemoved = 64
 
-// Seen is what a zone's duty observes of its backend servers.
-type Seen struct {
+// ZoneView is what a zone's duty observes of its backend servers.
+type ZoneView struct {
 	// Listed are the servers in the platform's list.
 	Listed []platform.Server
 	// Addresses are the addresses of the known sidecars, by server.
@@ -48,7 +48,7 @@
 // Update applies the platform's list of one zone's servers to a pool and reports
 // whether anything changed; a change increments the epoch.
 // A leaving server drains from then on.
-func Update(known *statepb.Fleet, pool, zone string, seen Seen, now time.Time) (*statepb.Fleet, bool) {
+func Update(known *statepb.Fleet, pool, zone string, seen ZoneView, now time.Time) (*statepb.Fleet, bool) {
 	next, ok := proto.Clone(known).(*statepb.Fleet)
 	if !ok {
 		next = &statepb.Fleet{}
@@ -78,7 +78,7 @@
 	return next, true
 }
 
-func mergeServer(servers map[string]*statepb.Server, listed platform.Server, seen Seen, now time.Time) {
+func mergeServer(servers map[string]*statepb.Server, listed platform.Server, seen ZoneView, now time.Time) {
 	server := servers[listed.ID]
 	if server == nil {
 		server = statepb.Server_builder{Id: listed.ID, Pool: listed.Pool, Zone: listed.Zone}.Build()
--- a/internal/fleet/orders_test.go
+++ b/internal/fleet/orders_test.go
@@ -32,11 +32,11 @@
 // runProcess is a candidate for the zone's duty and sends an order every two seconds of
 // a term.
 func runProcess(ctx context.Context, fake *process, name string, rank int) {
-	keeper := &duty.Keeper{
+	elector := &duty.Elector{
 		Store: fake, Name: "order-a", Process: name, Lease: lease, Margin: margin,
 		Rank: func() int { return rank },
 	}
-	_ = keeper.Run(ctx, func(ctx context.Context, term *duty.Term) error {
+	_ = elector.Run(ctx, func(ctx context.Context, term *duty.Term) error {
 		orderer := newOrderer(fake, name, term)
 		if err := orderer.Begin(ctx); err != nil {
 			return err
@@ -44,7 +44,7 @@
 		for ctx.Err() == nil {
 			err := orderer.Send(ctx, orderer.New(fleet.ActionStart, "m", "", "test"))
 			var superseded *fleet.SupersededError
-			var ended *fleet.EndedError
+			var ended *fleet.TermEndedError
 			if errors.As(err, &superseded) || errors.As(err, &ended) {
 				return err
 			}
--- a/internal/fleet/resize.go
+++ b/internal/fleet/resize.go
@@ -12,9 +12,9 @@
 
 // resize moves a pool towards its target size in the zone: it marks surplus servers
 // for draining or orders missing ones.
-func (z *Zone) resize(ctx context.Context, name string, fleet *statepb.Fleet, seen Seen) (*statepb.Fleet, error) {
+func (z *Zone) resize(ctx context.Context, name string, fleet *statepb.Fleet, seen ZoneView) (*statepb.Fleet, error) {
 	pool := z.findPool(name)
-	observed := Observation{Fleet: fleet, Heard: z.reachableZones(), Load: z.Members.Load}
+	observed := Observation{Fleet: fleet, ReachableZones: z.reachableZones(), Load: z.Members.Load}
 	share, isSized := z.Scale.Share(time.Now(), pool, observed)
 	if !isSized {
 		return fleet, nil
@@ -39,7 +39,7 @@
 		if err := z.send(ctx, order); err != nil {
 			return err
 		}
-		z.Scale.Ordered(time.Now(), pool, order.GetServer())
+		z.Scale.RecordOrdered(time.Now(), pool, order.GetServer())
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 }
 
 // withLeaving returns a copy with more leaving servers.
-func (s Seen) withLeaving(servers []string) Seen {
+func (s ZoneView) withLeaving(servers []string) ZoneView {
 	leaving := maps.Clone(s.Leaving)
 	if leaving == nil {
 		leaving = map[string]bool{}
--- a/internal/fleet/scale.go
+++ b/internal/fleet/scale.go
@@ -22,11 +22,11 @@
 // as they see the same servers in the store and nearly the same loads.
 type Scale struct {
 	// Target, Calm and Slack are those of a Sizer.
-	Target float64
-	Calm   time.Duration
-	Slack  float64
-	// Loss is how long no process of a zone may be known before the zone counts as lost.
-	Loss time.Duration
+	Target         float64
+	ScaleDownDelay time.Duration
+	Slack          float64
+	// ZoneLossTimeout is how long no process of a zone may be known before the zone counts as lost.
+	ZoneLossTimeout time.Duration
 
 	zone        string
 	sizers      map[string]*Sizer
@@ -37,8 +37,8 @@
 // Observation is the known state of a pool and of the zones at one time.
 type Observation struct {
 	Fleet *statepb.Fleet
-	// Heard are the zones with a known process.
-	Heard map[string]bool
+	// ReachableZones are the zones with a known process.
+	ReachableZones map[string]bool
 	// Load returns the newest known load of a server, or nil.
 	Load func(server string) *peerpb.Load
 }
@@ -73,8 +73,8 @@
 	return share
 }
 
-// Ordered records that a server was ordered, as the platform's list may lag.
-func (s *Scale) Ordered(now time.Time, pool, server string) {
+// RecordOrdered records that a server was ordered, as the platform's list may lag.
+func (s *Scale) RecordOrdered(now time.Time, pool, server string) {
 	if s.orderedAt[pool] == nil {
 		s.orderedAt[pool] = map[string]time.Time{}
 	}
@@ -131,20 +131,20 @@
 // isLost reports whether a zone with servers has had no known process for Loss. A new
 // holder knows no processes at first, so the time counts from its first observation.
 func (s *Scale) isLost(now time.Time, zone string, servers int, observed Observation) bool {
-	if zone == s.zone || servers == 0 || observed.Heard[zone] {
+	if zone == s.zone || servers == 0 || observed.ReachableZones[zone] {
 		delete(s.silentSince, zone)
 		return false
 	}
 	if s.silentSince[zone].IsZero() {
 		s.silentSince[zone] = now
 	}
-	return now.Sub(s.silentSince[zone]) >= s.Loss
+	return now.Sub(s.silentSince[zone]) >= s.ZoneLossTimeout
 }
 
 func (s *Scale) sizer(now time.Time, pool *listpb.Pool, present map[string]int) *Sizer {
 	sizer := s.sizers[pool.GetName()]
 	if sizer == nil {
-		sizer = &Sizer{Target: s.Target, Calm: s.Calm, Slack: s.Slack}
+		sizer = &Sizer{Target: s.Target, ScaleDownDelay: s.ScaleDownDelay, Slack: s.Slack}
 		total := 0
 		for _, servers := range present {
 			total += servers
--- a/internal/fleet/sidecars.go
+++ b/internal/fleet/sidecars.go
@@ -14,16 +14,16 @@
 
 const orderTimeout = time.Second
 
-// Peers sends orders to sidecars over gRPC. It closes the connection after each
+// SidecarClient sends orders to sidecars over gRPC. It closes the connection after each
 // order, since few servers drain at a time.
-type Peers struct {
+type SidecarClient struct {
 	Credentials credentials.TransportCredentials
 }
 
-var _ Sidecars = &Peers{}
+var _ Sidecars = &SidecarClient{}
 
 // Drain makes a sidecar refuse new work and returns its load afterwards.
-func (p *Peers) Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error) {
+func (p *SidecarClient) Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error) {
 	connection, err := listen.Dial(process.GetAddress(), p.Credentials)
 	if err != nil {
 		return nil, err
--- a/internal/fleet/sizer.go
+++ b/internal/fleet/sizer.go
@@ -30,8 +30,8 @@
 	Max int
 	// Target is the target share of slots in use.
 	Target float64
-	// Calm is how long fewer servers must have sufficed before any is stopped.
-	Calm time.Duration
+	// ScaleDownDelay is how long fewer servers must have sufficed before any is stopped.
+	ScaleDownDelay time.Duration
 	// Slack is the share of servers that must be surplus before any is stopped.
 	Slack float64
 
@@ -75,7 +75,7 @@
 		s.recent = s.recent[:len(s.recent)-1]
 	}
 	s.recent = append(s.recent, timedCount{at: now, servers: servers})
-	for now.Sub(s.recent[0].at) > s.Calm {
+	for now.Sub(s.recent[0].at) > s.ScaleDownDelay {
 		s.recent = s.recent[1:]
 	}
 	return s.recent[0].servers
--- a/internal/fleet/zone.go
+++ b/internal/fleet/zone.go
@@ -101,7 +101,7 @@
 // isTermOver reports whether an error means that the term is over.
 func isTermOver(err error) bool {
 	var superseded *SupersededError
-	var ended *EndedError
+	var ended *TermEndedError
 	return errors.As(err, &superseded) || errors.As(err, &ended)
 }
 
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	seen := Seen{Listed: listed, Addresses: z.sidecarAddresses(), Leaving: z.leavingServers(ctx)}
+	seen := ZoneView{Listed: listed, Addresses: z.sidecarAddresses(), Leaving: z.leavingServers(ctx)}
 	errs := []error{z.sendPending(ctx)}
 	for _, pool := range z.poolNames(listed) {
 		fleet, err := z.updateFleet(ctx, pool, seen)
@@ -187,7 +187,7 @@
 }
 
 // updateFleet updates the pool's key to what is observed and returns its value.
-func (z *Zone) updateFleet(ctx context.Context, pool string, seen Seen) (*statepb.Fleet, error) {
+func (z *Zone) updateFleet(ctx context.Context, pool string, seen ZoneView) (*statepb.Fleet, error) {
 	key := member.FactFleet + pool
 	known, revision, err := z.readFleet(ctx, key)
 	if err != nil {
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "encode "+key)
 	}
-	revision, err = z.Platform.Swap(ctx, key, revision, data, 0)
+	revision, err = z.Platform.CompareAndSwap(ctx, key, revision, data, 0)
 	if err != nil {
 		return nil, errors.Join(err, z.refresh(ctx, key))
 	}
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -14,16 +14,16 @@
 type Request struct {
 	// Send is sent to each backend server, except for Server, Left and Silence, which are
 	// set for each attempt.
-	backend.Send
+	backend.Request
 
 	Route *table.Route
-	// Until is the deadline of the caller or the route.
-	Until clock.Boot
-	// Failed, if not nil, is called for each answer in which a backend server reports that
+	// Deadline is the deadline of the caller or the route.
+	Deadline clock.Boot
+	// OnFailed, if not nil, is called for each answer in which a backend server reports that
 	// the request failed there.
-	Failed func()
-	// Began, if not nil, is called when the first backend server has received the request.
-	Began func()
+	OnFailed func()
+	// OnBegan, if not nil, is called when the first backend server has received the request.
+	OnBegan func()
 }
 
 // isRepeatable reports whether the request may run more than once.
@@ -32,12 +32,12 @@
 }
 
 // left returns the time until the deadline.
-func (r *Request) left() time.Duration { return r.Until.Sub(clock.Now()) }
+func (r *Request) left() time.Duration { return r.Deadline.Sub(clock.Now()) }
 
 // sendTo returns the request to one server.
-func (r *Request) sendTo(server string, left, silence time.Duration) backend.Send {
-	send := r.Send
-	send.Server, send.Left, send.Silence = server, left, silence
+func (r *Request) sendTo(server string, left, silence time.Duration) backend.Request {
+	send := r.Request
+	send.Server, send.TimeLeft, send.ReadTimeout = server, left, silence
 	return send
 }
 
@@ -46,8 +46,8 @@
 	*backend.Answer
 
 	// Body is the part read so far; Whole is true if it is complete.
-	Body  []byte
-	Whole bool
+	Body     []byte
+	Complete bool
 	// Next returns the next part of an event stream, and io.EOF after the last one; if nil,
 	// the rest is read from the answer's body.
 	Next func() ([]byte, error)
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demandcollector.go
@@ -12,9 +12,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Demands sums the demand of all gateways for pools. Exported fields are set before the
+// DemandCollector sums the demand of all gateways for pools. Exported fields are set before the
 // first call; it is not safe for concurrent use.
-type Demands struct {
+type DemandCollector struct {
 	Hosts *Hosts
 	// Own answers for this gateway.
 	Own *Server
@@ -34,7 +34,7 @@
 //
 // A gateway that does not answer counts with its previous need until its lease ends:
 // its callers are still there, and move to the other gateways once it is gone.
-func (d *Demands) Collect(ctx context.Context, pools []string) map[string]fleet.Need {
+func (d *DemandCollector) Collect(ctx context.Context, pools []string) map[string]fleet.Need {
 	request := peerpb.DemandRequest_builder{Pools: pools}.Build()
 	samples, totals := map[string]demandSample{}, map[string]fleet.Need{}
 	for name, reply := range d.queryAll(ctx, request) {
@@ -56,7 +56,7 @@
 }
 
 // queryAll returns the answers of all gateways; nil for those that did not answer.
-func (d *Demands) queryAll(ctx context.Context, request *peerpb.DemandRequest) map[string]*peerpb.DemandReply {
+func (d *DemandCollector) queryAll(ctx context.Context, request *peerpb.DemandRequest) map[string]*peerpb.DemandReply {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var mutex sync.Mutex
@@ -74,7 +74,7 @@
 	return replies
 }
 
-func (d *Demands) query(ctx context.Context, name string, request *peerpb.DemandRequest) *peerpb.DemandReply {
+func (d *DemandCollector) query(ctx context.Context, name string, request *peerpb.DemandRequest) *peerpb.DemandReply {
 	if name == d.Hosts.Name {
 		// The local call never returns an error.
 		reply, _ := d.Own.Demand(ctx, request)
--- a/internal/gateway/detour.go
+++ b/internal/gateway/detour.go
@@ -29,11 +29,11 @@
 // The store may reject several gateways while it serves others, so the rejection of one
 // gateway is not final: accepting it made gateways that relayed through each other lose
 // their leases.
-func (h *Hosts) Detour(ctx context.Context, call detour.Call) (detour.Answer, detour.Made) {
+func (h *Hosts) Detour(ctx context.Context, call detour.Call) (detour.Answer, detour.RelayResult) {
 	request := peerpb.DetourRequest_builder{
 		Method: call.Method, Target: call.Target, Body: call.Body, Timeout: call.Timeout.Milliseconds(),
 	}.Build()
-	answer, result := detour.Answer{}, detour.NotMade
+	answer, result := detour.Answer{}, detour.NotSent
 	for attempt, name := range h.detourOrder() {
 		if attempt == maxDetourAttempts {
 			break
@@ -49,10 +49,10 @@
 		switch {
 		case err != nil:
 			klog.InfoS("hosts: store request through a peer failed", "host", name, "err", err.Error())
-			result = detour.Unsure
-		case platform.IsTurnedAway(status):
+			result = detour.OutcomeUnknown
+		case platform.IsRejected(status):
 			h.recordDetourRejected(name)
-			if result == detour.NotMade {
+			if result == detour.NotSent {
 				answer, result = detour.Answer{Status: status}, detour.Answered
 			}
 		default:
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -62,16 +62,16 @@
 
 // Wire extracts call parameters from HTTP requests.
 type Wire interface {
-	// Call returns what the request asks for.
-	Call(request *http.Request) Call
+	// ClassifyCall returns what the request asks for.
+	ClassifyCall(request *http.Request) Call
 	// ID returns the request's identity; "" if it has none.
 	ID(request *http.Request) string
 	// Key returns the caller's key; "" if it has none.
 	Key(request *http.Request) string
 	// LastEvent returns the last event of a stream that the caller has received.
 	LastEvent(request *http.Request) uint64
-	// Left returns how long the caller will wait; 0 if unspecified.
-	Left(request *http.Request) time.Duration
+	// TimeLeft returns how long the caller will wait; 0 if unspecified.
+	TimeLeft(request *http.Request) time.Duration
 }
 
 // Formats decodes and encodes the bodies of trainers' calls.
@@ -88,13 +88,13 @@
 	Forwarder *forward.Forwarder
 	Board     *batch.Board
 	Hosts     *Hosts
-	// Unknown is the retry delay sent to callers before the first configuration is
+	// NoConfigRetry is the retry delay sent to callers before the first configuration is
 	// known.
-	Unknown time.Duration
+	NoConfigRetry time.Duration
 	// Metrics registers the handler's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
-	// Count is called when a backend server starts a request; it may be nil.
-	Count func(account, pool string)
+	// CountStart is called when a backend server starts a request; it may be nil.
+	CountStart func(account, pool string)
 
 	once    sync.Once
 	metrics *metrics
@@ -111,7 +111,7 @@
 // ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.once.Do(func() { h.metrics = newMetrics(h.Metrics) })
-	call := h.Wire.Call(r)
+	call := h.Wire.ClassifyCall(r)
 	answer := &statusRecorder{ResponseWriter: w}
 	began := clock.Now()
 	defer func() { h.metrics.observe(call.Kind, answer.status, began) }()
@@ -147,7 +147,7 @@
 	current := h.View.Current()
 	if current == nil {
 		// A missing route would be a final answer, though the route may exist.
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, "no_configuration", "no configuration is known yet").After(h.Unknown)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, "no_configuration", "no configuration is known yet").WithRetryAfter(h.NoConfigRetry)
 	}
 	admitted := &admittedRequest{id: h.Wire.ID(r), began: began}
 	if call.Kind == CallRun {
@@ -225,7 +225,7 @@
 		return err
 	}
 	request := &forward.Request{
-		Send: backend.Send{
+		Request: backend.Request{
 			ID:        caller.id,
 			Host:      r.Host,
 			Method:    r.Method,
@@ -236,11 +236,11 @@
 			Priority:  priority(caller),
 			LastEvent: h.Wire.LastEvent(r),
 		},
-		Route: caller.route,
-		Until: caller.began.Add(h.requestTimeout(r, caller.route)),
+		Route:    caller.route,
+		Deadline: caller.began.Add(h.requestTimeout(r, caller.route)),
 	}
-	if h.Count != nil && caller.account.Name != "" {
-		request.Began = func() { h.Count(caller.account.Name, caller.route.Name) }
+	if h.CountStart != nil && caller.account.Name != "" {
+		request.OnBegan = func() { h.CountStart(caller.account.Name, caller.route.Name) }
 	}
 	answer, err := h.Forwarder.Run(r.Context(), request)
 	if err != nil {
@@ -254,7 +254,7 @@
 // requestTimeout returns the shorter of the caller's and the route's timeout.
 func (h *Handler) requestTimeout(r *http.Request, route *table.Route) time.Duration {
 	timeout := routeTimeout(route)
-	if left := h.Wire.Left(r); left > 0 {
+	if left := h.Wire.TimeLeft(r); left > 0 {
 		timeout = min(timeout, left)
 	}
 	return timeout
@@ -322,8 +322,8 @@
 
 func (h *Handler) refuse(w http.ResponseWriter, r *http.Request, err error) {
 	refused := refusal.Of(err)
-	klog.InfoS("caller: refused", "id", h.Wire.ID(r), "path", r.URL.Path, "status", refused.Status, "code", refused.Code, "reason", refused.Message, "outcome", refused.OutcomeText(), "after", refused.Retry)
-	refusal.WriteExact(w, err)
+	klog.InfoS("caller: refused", "id", h.Wire.ID(r), "path", r.URL.Path, "status", refused.Status, "code", refused.Code, "reason", refused.Message, "outcome", refused.OutcomeText(), "after", refused.RetryAfter)
+	refusal.WriteFractional(w, err)
 }
 
 func writeJSON(w http.ResponseWriter, text []byte) {
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -59,8 +59,8 @@
 
 var _ detour.Peers = &Hosts{}
 
-// Take applies changes of store keys.
-func (h *Hosts) Take(changes []platform.Value) {
+// ApplyChanges applies changes of store keys.
+func (h *Hosts) ApplyChanges(changes []platform.Value) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.hosts == nil {
@@ -120,11 +120,11 @@
 	return slices.Sorted(maps.Keys(h.hosts))
 }
 
-// Order returns the gateways that may do a piece of work, by preference.
+// Candidates returns the gateways that may do a piece of work, by preference.
 //
 // Gateways that are stopping are left out: in a rolling stop several stop at the same
 // time, and the takeover of a batch must not wait for their turns.
-func (h *Hosts) Order(work string) []string {
+func (h *Hosts) Candidates(work string) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return duty.OrderBySize(work, h.candidates(func(host *statepb.Host) bool { return !host.GetLeaving() }))
--- a/internal/gateway/keepers.go
+++ b/internal/gateway/keepers.go
@@ -49,9 +49,9 @@
 type Keepers struct {
 	Hosts *Hosts
 	Zone  string
-	// Apart prefers keepers in other zones than Zone, so that the loss of a zone does
+	// PreferOtherZones prefers keepers in other zones than Zone, so that the loss of a zone does
 	// not take both an owner and its texts.
-	Apart bool
+	PreferOtherZones bool
 	// Losses is the number of hosts that may be lost at once. Texts have one replica
 	// more, so that they survive the loss of all gateways and that many disks.
 	Losses int
@@ -81,7 +81,7 @@
 		return errNoKeeper
 	}
 	if k.recordChosen(id, chosen) {
-		return batch.ErrOtherKeeper
+		return batch.ErrKeeperChanged
 	}
 	appendCtx, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
@@ -126,7 +126,7 @@
 
 // clients returns clients of the keepers in order of preference.
 func (k *Keepers) clients() []keeperClient {
-	return k.Hosts.keeperClients(func(zone string) bool { return (zone == k.Zone) != k.Apart })
+	return k.Hosts.keeperClients(func(zone string) bool { return (zone == k.Zone) != k.PreferOtherZones })
 }
 
 // recordChosen notes the keepers of a batch, and reports whether one of them lacks
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -34,8 +34,8 @@
 // from the owner, else from the store.
 func (h *Handler) readPage(ctx context.Context, caller *admittedRequest, call Call) (batch.Page, error) {
 	wait := min(call.Wait, maxWait)
-	page, isOwn, err := h.Board.ReadOwn(ctx, call.Batch, caller.account.Name, call.After, wait)
-	if isOwn && !page.Unsure || err != nil {
+	page, isOwn, err := h.Board.ReadOwned(ctx, call.Batch, caller.account.Name, call.After, wait)
+	if isOwn && !page.MayBeIncomplete || err != nil {
 		return page, err
 	}
 	if client := h.Hosts.Client(h.Board.Owner(call.Batch)); client != nil {
@@ -82,7 +82,7 @@
 	reply, err := client.Accept(ctx, peerpb.AcceptRequest_builder{Batch: accepted}.Build())
 	switch {
 	case reply.GetAccepted():
-		return batch.Taken, err
+		return batch.Accepted, err
 	case reply.GetPending():
 		return batch.Pending, err
 	default:
@@ -120,17 +120,17 @@
 
 // Accept accepts a batch that another gateway received.
 func (s *Server) Accept(ctx context.Context, request *peerpb.AcceptRequest) (*peerpb.AcceptReply, error) {
-	acceptance, err := s.Board.AcceptFor(context.WithoutCancel(ctx), request.GetBatch(), acceptTimeout)
+	acceptance, err := s.Board.AcceptForPeer(context.WithoutCancel(ctx), request.GetBatch(), acceptTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return peerpb.AcceptReply_builder{Accepted: acceptance == batch.Taken, Pending: acceptance == batch.Pending}.Build(), nil
+	return peerpb.AcceptReply_builder{Accepted: acceptance == batch.Accepted, Pending: acceptance == batch.Pending}.Build(), nil
 }
 
 // HandOver takes over a batch of another gateway.
 func (s *Server) HandOver(ctx context.Context, request *peerpb.HandOverRequest) (*peerpb.HandOverReply, error) {
 	taken, err := s.Board.TakeHandover(context.WithoutCancel(ctx), batch.Handover{
-		Batch: request.GetBatch(), Owner: batch.Title{Revision: request.GetOwner()}, Open: request.GetOpen(),
+		Batch: request.GetBatch(), Owner: batch.Ownership{Revision: request.GetOwner()}, Open: request.GetOpen(),
 		Listed: request.GetListed(), Pending: request.GetPending(), Partials: request.GetPartials(),
 	})
 	if err != nil {
@@ -165,18 +165,18 @@
 
 // End stops a batch that this process owns.
 func (s *Server) End(_ context.Context, request *peerpb.EndRequest) (*peerpb.EndReply, error) {
-	owned := s.Board.StopOwn(request.GetBatch(), request.GetAccount())
+	owned := s.Board.StopOwned(request.GetBatch(), request.GetAccount())
 	return peerpb.EndReply_builder{Owned: owned}.Build(), nil
 }
 
 // Read returns results of a batch that this process owns.
 func (s *Server) Read(ctx context.Context, request *peerpb.ReadRequest) (*peerpb.ReadReply, error) {
 	wait := min(time.Duration(request.GetWait())*time.Millisecond, maxWait)
-	page, isOwn, err := s.Board.ReadOwn(ctx, request.GetBatch(), request.GetAccount(), request.GetAfter(), wait)
+	page, isOwn, err := s.Board.ReadOwned(ctx, request.GetBatch(), request.GetAccount(), request.GetAfter(), wait)
 	if err != nil && refusal.Of(err).Code != "no_batch" {
 		return nil, err
 	}
-	return peerpb.ReadReply_builder{Owned: isOwn && !page.Unsure, Allowed: err == nil, Total: page.Total, Outcomes: page.Outcomes}.Build(), nil
+	return peerpb.ReadReply_builder{Owned: isOwn && !page.MayBeIncomplete, Allowed: err == nil, Total: page.Total, Outcomes: page.Outcomes}.Build(), nil
 }
 
 // Watch waits for changes that this gateway has received by its own watches.
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -26,9 +26,9 @@
 // SessionStore is the part of the store client that Session uses.
 type SessionStore interface {
 	Commit(ctx context.Context, commit platform.Commit) (uint64, error)
-	End(ctx context.Context, lease uint64) error
-	Grant(ctx context.Context, length time.Duration) (uint64, error)
-	Renew(ctx context.Context, lease uint64, length time.Duration) error
+	RevokeLease(ctx context.Context, lease uint64) error
+	GrantLease(ctx context.Context, length time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, lease uint64, length time.Duration) error
 }
 
 // Session registers a process: it holds a lease, and under it the key with the address
@@ -37,8 +37,8 @@
 	Store SessionStore
 	Host  *statepb.Host
 	// Prefix is the prefix of the registration key.
-	Prefix string
-	Length time.Duration
+	Prefix      string
+	LeaseLength time.Duration
 
 	lease     atomic.Uint64
 	expiresAt atomic.Int64
@@ -72,7 +72,7 @@
 				continue
 			}
 		}
-		wait := s.Length / renewalsPerLease
+		wait := s.LeaseLength / renewalsPerLease
 		if isRetry {
 			wait = sessionRetryDelay
 		}
@@ -89,7 +89,7 @@
 	if lease == 0 {
 		return
 	}
-	if err := s.Store.End(ctx, lease); err != nil {
+	if err := s.Store.RevokeLease(ctx, lease); err != nil {
 		klog.InfoS("session: releasing the lease failed; it will expire", "lease", lease, "err", err.Error())
 	}
 }
@@ -124,15 +124,15 @@
 
 func (s *Session) acquire(ctx context.Context) error {
 	sentAt := clock.Now()
-	lease, err := s.Store.Grant(ctx, s.Length)
+	lease, err := s.Store.GrantLease(ctx, s.LeaseLength)
 	if err != nil {
 		return err
 	}
 	if err := s.publish(ctx, lease); err != nil {
 		return err
 	}
-	klog.InfoS("session: acquired a lease", "lease", lease, "length", s.Length)
-	s.expiresAt.Store(int64(sentAt.Add(s.Length)))
+	klog.InfoS("session: acquired a lease", "lease", lease, "length", s.LeaseLength)
+	s.expiresAt.Store(int64(sentAt.Add(s.LeaseLength)))
 	s.lease.Store(lease)
 	return nil
 }
@@ -141,11 +141,11 @@
 func (s *Session) renew(ctx context.Context) bool {
 	lease := s.lease.Load()
 	sentAt := clock.Now()
-	err := s.Store.Renew(ctx, lease, s.Length)
+	err := s.Store.RenewLease(ctx, lease, s.LeaseLength)
 	var notFound *platform.NotFoundError
 	switch {
 	case err == nil:
-		s.expiresAt.Store(int64(sentAt.Add(s.Length)))
+		s.expiresAt.Store(int64(sentAt.Add(s.LeaseLength)))
 	case errors.As(err, &notFound):
 		klog.InfoS("session: lease has expired", "lease", lease)
 		s.lease.Store(0)
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -63,7 +63,7 @@
 	}
 	for len(e.inTransit) > 0 && !e.inTransit[0].arrival.After(e.now) {
 		for _, limiter := range e.all {
-			limiter.Learn(e.inTransit[0].demands, e.now)
+			limiter.Receive(e.inTransit[0].demands, e.now)
 		}
 		e.inTransit = e.inTransit[1:]
 	}
--- a/internal/listen/client.go
+++ b/internal/listen/client.go
@@ -21,12 +21,12 @@
 // follows no redirects. net/http never repeats a request without GetBody and without an
 // Idempotency-Key header; callers clear both for requests that must not be repeated.
 func Client(name string) httpc.Service {
-	return ClientWith(name, ClientOptions{})
+	return ClientWithOptions(name, ClientOptions{})
 }
 
 // ClientTLS returns a Client with its own TLS settings; nil means the system's.
 func ClientTLS(name string, config *tls.Config) httpc.Service {
-	return ClientWith(name, ClientOptions{TLS: config})
+	return ClientWithOptions(name, ClientOptions{TLS: config})
 }
 
 // ClientOptions holds the settings that differ between services.
@@ -37,8 +37,8 @@
 	Idle time.Duration
 }
 
-// ClientWith returns a Client with options.
-func ClientWith(name string, options ClientOptions) httpc.Service {
+// ClientWithOptions returns a Client with options.
+func ClientWithOptions(name string, options ClientOptions) httpc.Service {
 	setupOnce.Do(setup)
 	logx.SetWriter(klogWriter{})
 	breaker.NoBreakerFor(name)
--- a/internal/listen/exchange.go
+++ b/internal/listen/exchange.go
@@ -9,9 +9,9 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// JSON returns a request with a JSON body, or with none if body is nil. net/http never
+// NewJSONRequest returns a request with a JSON body, or with none if body is nil. net/http never
 // repeats it.
-func JSON(ctx context.Context, method, address string, body []byte) (*http.Request, error) {
+func NewJSONRequest(ctx context.Context, method, address string, body []byte) (*http.Request, error) {
 	var reader io.Reader = http.NoBody
 	if body != nil {
 		reader = bytes.NewReader(body)
--- a/internal/listen/listentest/address.go
+++ b/internal/listen/listentest/address.go
@@ -33,13 +33,13 @@
 	block int
 }
 
-// Free returns an IP address and port on which nothing listens.
+// FreeAddress returns an IP address and port on which nothing listens.
 //
 // If the system chose a port and it were closed until the process under test listens on
 // it, an outgoing connection could take it meanwhile: the process would fail to start or
 // restart. Ports of a reserved block, below those for outgoing connections, are used by
 // nobody else.
-func Free(t testing.TB) string {
+func FreeAddress(t testing.TB) string {
 	t.Helper()
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
--- a/internal/lists/settler.go
+++ b/internal/lists/withdrawalsyncer.go
@@ -32,14 +32,14 @@
 
 var _ Withdrawer = &Editor{}
 
-// Settler writes the processes' withdrawals to the store and drops those that the
+// WithdrawalSyncer writes the processes' withdrawals to the store and drops those that the
 // configuration in force holds.
 //
 // An operator can withdraw a key during a store outage, so withdrawals spread from
 // process to process first. A withdrawal is dropped only once a configuration that
 // holds it is in force here: if it was dropped earlier, a process that restarts with
 // older facts would accept the key again.
-type Settler struct {
+type WithdrawalSyncer struct {
 	Members Withdrawals
 	// Editor writes to the store; nil only drops withdrawals, as sidecars do.
 	Editor Withdrawer
@@ -50,7 +50,7 @@
 }
 
 // Run writes and drops withdrawals until the context ends.
-func (s *Settler) Run(ctx context.Context) error {
+func (s *WithdrawalSyncer) Run(ctx context.Context) error {
 	for pause.For(ctx, jitter(cmp.Or(s.Interval, settleInterval))) {
 		pending := s.dropStored()
 		if len(pending) == 0 || s.Editor == nil || !s.InCharge() {
@@ -67,7 +67,7 @@
 }
 
 // dropStored drops the withdrawals that the configuration holds and returns the rest.
-func (s *Settler) dropStored() []*peerpb.Withdrawal {
+func (s *WithdrawalSyncer) dropStored() []*peerpb.Withdrawal {
 	known := s.Members.Withdrawals()
 	if len(known) == 0 {
 		return nil
--- a/internal/measure/loads.go
+++ b/internal/measure/loads.go
@@ -30,44 +30,44 @@
 	loadsStepTimeout   = 12 * time.Second
 )
 
-// LoadsSite is a deployment: a pool of samplers and the trainers that share it.
-type LoadsSite struct {
+// LoadsDeployment is a deployment: a pool of samplers and the trainers that share it.
+type LoadsDeployment struct {
 	Name     string
 	Samplers int
 	Slots    int
-	// Steps holds, for each trainer, the number of generations in a step.
-	Steps []int
-	// Load is the time of one load; up to AtOnce loads run at full speed.
-	Load   time.Duration
-	AtOnce int
-	// Slow is the share of samplers that take four times as long to load.
-	Slow float64
-	// Late is the maximum delay until the end of a load is observed.
-	Late time.Duration
+	// StepSizes holds, for each trainer, the number of generations in a step.
+	StepSizes []int
+	// LoadTime is the time of one load; up to AtOnce loads run at full speed.
+	LoadTime       time.Duration
+	FullSpeedLoads int
+	// SlowShare is the share of samplers that take four times as long to load.
+	SlowShare float64
+	// MaxObserveDelay is the maximum delay until the end of a load is observed.
+	MaxObserveDelay time.Duration
 }
 
-// LoadsSites returns the deployments on which loads are measured: they vary
+// LoadsDeployments returns the deployments on which loads are measured: they vary
 // everything that the decision must not depend on.
-func LoadsSites() []LoadsSite {
-	return []LoadsSite{
-		{Name: "3 models", Samplers: 11, Slots: 12, Steps: []int{70, 70, 70}, Load: 900 * time.Millisecond, AtOnce: 2},
-		{Name: "1 model", Samplers: 11, Slots: 12, Steps: []int{150}, Load: 900 * time.Millisecond, AtOnce: 2},
-		{Name: "2 models", Samplers: 9, Slots: 8, Steps: []int{60, 40}, Load: 900 * time.Millisecond, AtOnce: 2},
-		{Name: "5 models", Samplers: 20, Slots: 12, Steps: []int{60, 60, 60, 60, 60}, Load: 900 * time.Millisecond, AtOnce: 4},
-		{Name: "9 models", Samplers: 6, Slots: 24, Steps: []int{20, 20, 20, 20, 20, 20, 20, 20, 20}, Load: 300 * time.Millisecond, AtOnce: 2},
-		{Name: "large beside small", Samplers: 20, Slots: 8, Steps: []int{240, 24, 24}, Load: 900 * time.Millisecond, AtOnce: 4},
-		{Name: "fast loads", Samplers: 11, Slots: 12, Steps: []int{80, 80, 80}, Load: 300 * time.Millisecond, AtOnce: 2},
-		{Name: "slow loads", Samplers: 12, Slots: 24, Steps: []int{60, 60}, Load: 3 * time.Second, AtOnce: 3},
-		{Name: "5 samplers", Samplers: 5, Slots: 24, Steps: []int{50, 50}, Load: 900 * time.Millisecond, AtOnce: 2},
-		{Name: "200 samplers", Samplers: 200, Slots: 8, Steps: []int{900, 900, 900}, Load: 900 * time.Millisecond, AtOnce: 40},
-		{Name: "slow samplers", Samplers: 11, Slots: 12, Steps: []int{70, 70, 70}, Load: 900 * time.Millisecond, AtOnce: 2, Slow: 0.2},
-		{Name: "ends seen late", Samplers: 46, Slots: 6, Steps: []int{112, 128, 160}, Load: 900 * time.Millisecond, AtOnce: 9, Late: 300 * time.Millisecond},
-		{Name: "few samplers, ends seen late", Samplers: 11, Slots: 12, Steps: []int{70, 70, 70}, Load: 900 * time.Millisecond, AtOnce: 2, Late: 300 * time.Millisecond},
+func LoadsDeployments() []LoadsDeployment {
+	return []LoadsDeployment{
+		{Name: "3 models", Samplers: 11, Slots: 12, StepSizes: []int{70, 70, 70}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "1 model", Samplers: 11, Slots: 12, StepSizes: []int{150}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "2 models", Samplers: 9, Slots: 8, StepSizes: []int{60, 40}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "5 models", Samplers: 20, Slots: 12, StepSizes: []int{60, 60, 60, 60, 60}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 4},
+		{Name: "9 models", Samplers: 6, Slots: 24, StepSizes: []int{20, 20, 20, 20, 20, 20, 20, 20, 20}, LoadTime: 300 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "large beside small", Samplers: 20, Slots: 8, StepSizes: []int{240, 24, 24}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 4},
+		{Name: "fast loads", Samplers: 11, Slots: 12, StepSizes: []int{80, 80, 80}, LoadTime: 300 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "slow loads", Samplers: 12, Slots: 24, StepSizes: []int{60, 60}, LoadTime: 3 * time.Second, FullSpeedLoads: 3},
+		{Name: "5 samplers", Samplers: 5, Slots: 24, StepSizes: []int{50, 50}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "200 samplers", Samplers: 200, Slots: 8, StepSizes: []int{900, 900, 900}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 40},
+		{Name: "slow samplers", Samplers: 11, Slots: 12, StepSizes: []int{70, 70, 70}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2, SlowShare: 0.2},
+		{Name: "ends seen late", Samplers: 46, Slots: 6, StepSizes: []int{112, 128, 160}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 9, MaxObserveDelay: 300 * time.Millisecond},
+		{Name: "few samplers, ends seen late", Samplers: 11, Slots: 12, StepSizes: []int{70, 70, 70}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2, MaxObserveDelay: 300 * time.Millisecond},
 	}
 }
 
 // Loads compares policies for which sampler loads which version next, on one deployment.
-func Loads(site LoadsSite) Experiment {
+func Loads(site LoadsDeployment) Experiment {
 	return Experiment{Name: "Loads, " + site.Name, Run: func(seed uint64) []Result {
 		var results []Result
 		for _, policy := range []loadsPolicy{
@@ -84,7 +84,7 @@
 
 // loadsSampler is a sampler with the weights of every model.
 type loadsSampler struct {
-	weight.Seat
+	weight.SamplerState
 
 	slowdown float64
 	// remaining is the time that a load still needs at full speed; 0 while none runs.
@@ -129,34 +129,34 @@
 
 // loadsRun simulates one policy with one seed.
 type loadsRun struct {
-	site      LoadsSite
-	policy    loadsPolicy
-	random    *rand.Rand
-	now       time.Time
-	start     time.Time
-	samplers  []*loadsSampler
-	trainers  []*loadsTrainer
-	steps     weight.Steps
-	schedule  weight.Schedule
-	loadCount int
+	deployment LoadsDeployment
+	policy     loadsPolicy
+	random     *rand.Rand
+	now        time.Time
+	start      time.Time
+	samplers   []*loadsSampler
+	trainers   []*loadsTrainer
+	steps      weight.Steps
+	schedule   weight.Schedule
+	loadCount  int
 }
 
-func newLoadsRun(site LoadsSite, policy loadsPolicy, seed uint64) *loadsRun {
+func newLoadsRun(site LoadsDeployment, policy loadsPolicy, seed uint64) *loadsRun {
 	run := &loadsRun{
-		site: site, policy: policy, random: rand.New(rand.NewPCG(seed, 3)),
+		deployment: site, policy: policy, random: rand.New(rand.NewPCG(seed, 3)),
 		now: time.Unix(1000, 0), start: time.Unix(1000, 0),
 		schedule: weight.Schedule{Share: 0.5, Lag: weight.DefaultLag},
 	}
 	for i := range site.Samplers {
-		sampler := &loadsSampler{slowdown: 1, Seat: weight.Seat{
+		sampler := &loadsSampler{slowdown: 1, SamplerState: weight.SamplerState{
 			ID: fmt.Sprintf("s%03d", i), Zone: fmt.Sprintf("z%d", i%3), Slots: site.Slots, Versions: map[string]uint64{},
 		}}
-		if run.random.Float64() < site.Slow {
+		if run.random.Float64() < site.SlowShare {
 			sampler.slowdown = 4
 		}
 		run.samplers = append(run.samplers, sampler)
 	}
-	for i, size := range site.Steps {
+	for i, size := range site.StepSizes {
 		run.trainers = append(run.trainers, &loadsTrainer{model: fmt.Sprintf("m%d", i), stepSize: size, newest: 1})
 	}
 	return run
@@ -200,7 +200,7 @@
 	for len(t.announceTimes) > 0 && !r.now.Before(t.announceTimes[0]) {
 		t.announceTimes = t.announceTimes[1:]
 		t.newest++
-		r.steps.Name(t.model, t.newest)
+		r.steps.RecordVersion(t.model, t.newest)
 	}
 	due := r.start.Add(time.Duration(t.nextStep) * loadsStepInterval)
 	if t.nextStep < loadsSteps && !r.now.Before(due) && t.newest >= uint64(max(1, t.nextStep)) {
@@ -241,7 +241,7 @@
 func oldestVersion(step int) uint64 { return uint64(max(1, step-1)) }
 
 func (r *loadsRun) startLoad(sampler *loadsSampler, model string, version uint64) {
-	sampler.remaining = time.Duration(sampler.slowdown * float64(r.site.Load))
+	sampler.remaining = time.Duration(sampler.slowdown * float64(r.deployment.LoadTime))
 	sampler.model, sampler.version = model, version
 	r.loadCount++
 }
@@ -249,7 +249,7 @@
 // advanceLoads advances the running loads, which share the capacity of the weight store.
 func (r *loadsRun) advanceLoads() {
 	active := r.activeLoads()
-	speed := min(1, float64(r.site.AtOnce)/float64(max(1, active)))
+	speed := min(1, float64(r.deployment.FullSpeedLoads)/float64(max(1, active)))
 	for _, sampler := range r.samplers {
 		if sampler.remaining > 0 {
 			r.advanceLoad(sampler, speed)
@@ -268,8 +268,8 @@
 	}
 	sampler.Versions[sampler.model] = sampler.version
 	sampler.reportAt = r.now
-	if r.site.Late > 0 {
-		sampler.reportAt = r.now.Add(time.Duration(r.random.Int64N(int64(r.site.Late))))
+	if r.deployment.MaxObserveDelay > 0 {
+		sampler.reportAt = r.now.Add(time.Duration(r.random.Int64N(int64(r.deployment.MaxObserveDelay))))
 	}
 }
 
--- a/internal/measure/loadspolicy.go
+++ b/internal/measure/loadspolicy.go
@@ -16,18 +16,18 @@
 
 // decideBySchedule starts the loads that weight.Schedule returns.
 func decideBySchedule(r *loadsRun) {
-	var work []weight.Work
+	var demands []weight.Demand
 	for _, trainer := range r.trainers {
-		work = append(work, r.steps.Work(trainer.model))
+		demands = append(demands, r.steps.Demand(trainer.model))
 	}
-	var seats []weight.Seat
+	var samplers []weight.SamplerState
 	for _, sampler := range r.samplers {
-		seats = append(seats, sampler.Seat)
+		samplers = append(samplers, sampler.SamplerState)
 	}
-	r.schedule.Want(work)
-	r.schedule.Observe(seats, r.now)
+	r.schedule.SetDemand(demands)
+	r.schedule.Observe(samplers, r.now)
 	for _, change := range r.schedule.Next(r.now) {
-		index := slices.IndexFunc(r.samplers, func(sampler *loadsSampler) bool { return sampler.ID == change.Seat })
+		index := slices.IndexFunc(r.samplers, func(sampler *loadsSampler) bool { return sampler.ID == change.Sampler })
 		r.startLoad(r.samplers[index], change.Model, change.Version)
 	}
 }
@@ -53,7 +53,7 @@
 // decideReplicateAll loads every version on every sampler, the one furthest behind
 // first, with as many loads at a time as the store serves at full speed.
 func decideReplicateAll(r *loadsRun) {
-	for r.activeLoads() < r.site.AtOnce {
+	for r.activeLoads() < r.deployment.FullSpeedLoads {
 		var best *loadsSampler
 		var bestTrainer *loadsTrainer
 		for _, sampler := range r.samplers {
--- a/internal/measure/routing.go
+++ b/internal/measure/routing.go
@@ -90,7 +90,7 @@
 			return entry.chooser.Choose(entry.servers, route.Request{Now: entry.now}).Server
 		}},
 		{name: "least reported load", reports: true, choose: func(entry *routingEntry, _ uint64) *route.Server {
-			return slices.MinFunc(entry.servers, func(a, b *route.Server) int { return int(a.Reported() - b.Reported()) })
+			return slices.MinFunc(entry.servers, func(a, b *route.Server) int { return int(a.ReportedLoad() - b.ReportedLoad()) })
 		}},
 		{name: "round robin", choose: func(entry *routingEntry, _ uint64) *route.Server {
 			entry.next++
@@ -252,7 +252,7 @@
 	for i, server := range entry.servers {
 		report := r.samplers[i].reports[newest]
 		report.Time = r.time(float64(newest)*r.interval.Seconds() + r.lag.Seconds())
-		server.TakeReport(report)
+		server.UpdateReport(report)
 		r.reports++
 	}
 }
@@ -323,7 +323,7 @@
 		// The end of an answer carries a load report.
 		report := sampler.report(uint64(r.now * reportSeqPerSecond))
 		report.Time = r.time(r.now)
-		r.entries[request.entry].servers[request.server].TakeReport(report)
+		r.entries[request.entry].servers[request.server].UpdateReport(report)
 		r.reports++
 	}
 }
--- a/internal/measure/stragglers.go
+++ b/internal/measure/stragglers.go
@@ -82,7 +82,7 @@
 	reported int
 	length   float64
 	failsAt  time.Time
-	answer   rollout.Answer
+	sample   rollout.SampleBuilder
 }
 
 // stragglerRun simulates one policy with one seed.
@@ -156,7 +156,7 @@
 	}
 	r.step = rollout.NewStep(request, r.next, 1, r.newest)
 	if r.policy.noSecondRuns {
-		r.step.WithoutSeconds()
+		r.step.DisableSecondRuns()
 	}
 	r.minStepTimes = append(r.minStepTimes, r.minStepTime())
 	r.openedAt, r.isComplete = r.now, false
@@ -237,7 +237,7 @@
 		return true
 	}
 	chunk := peerpb.Chunk_builder{Tokens: make([]int32, count), Version: running.sampler.version}.Build()
-	if running.answer.Add(running.attempt.ID(), chunk) != nil {
+	if running.sample.Add(running.attempt.ID(), chunk) != nil {
 		return false
 	}
 	return running.step.Progress(running.attempt, count, running.sampler.version, r.now) || r.policy.checksAtEnd && isStale(running)
@@ -245,14 +245,14 @@
 
 func (r *stragglerRun) finish(running *stragglerAttempt) {
 	end := peerpb.End_builder{OutputTokens: uint64(running.reported)}.Build()
-	sample, err := running.answer.Sample(running.attempt, &peerpb.OpenRequest{}, end)
+	sample, err := running.sample.Sample(running.attempt, &peerpb.OpenRequest{}, end)
 	if err != nil {
 		running.step.Fail(running.attempt, 0, r.now)
 		return
 	}
 	if running.step.Finish(running.attempt, sample, r.now) {
 		r.usefulTokens += running.length
-		running.step.Kept(running.attempt, []string{"a", "b"})
+		running.step.MarkReplicated(running.attempt, []string{"a", "b"})
 	}
 }
 
@@ -269,7 +269,7 @@
 		if !ok {
 			return
 		}
-		sampler := r.leastBusy(attempt.Oldest())
+		sampler := r.leastBusy(attempt.MinVersion())
 		if sampler == nil {
 			r.step.Refuse(attempt, 0, r.now)
 			continue
@@ -289,7 +289,7 @@
 	for _, running := range r.running {
 		isLate := r.now.Sub(running.start) > retryTimeout*time.Duration(running.attempt.Number())
 		if running.step == r.step && isLate && running.attempt.Number() <= maxRetries && !r.hasLaterAttempt(running) {
-			return r.step.Second(running.attempt.Slot(), r.now)
+			return r.step.StartSecondRun(running.attempt.Slot(), r.now)
 		}
 	}
 	return rollout.Attempt{}, false
--- a/internal/member/charge.go
+++ b/internal/member/charge.go
@@ -4,17 +4,17 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Differs reports whether the sender of the last message had a different table.
-func (m *Members) Differs() bool {
+// TableDiffers reports whether the sender of the last message had a different table.
+func (m *Members) TableDiffers() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.tableDiffers
 }
 
-// InCharge reports whether this process is one of the first number live entries
+// IsResponsible reports whether this process is one of the first number live entries
 // of its zone in the rendezvous hash order of a task. Several processes can hold
 // this true at the same time, so it only saves work and gives no exclusivity.
-func (m *Members) InCharge(task string, number int) bool {
+func (m *Members) IsResponsible(task string, number int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.self.GetRole() != peerpb.Role_ROLE_ENTRY {
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -33,11 +33,11 @@
 type Exchanger struct {
 	peerpb.UnimplementedMemberServer
 
-	Members     *Members
-	Seeds       []string
-	Interval    time.Duration
-	Suspect     time.Duration
-	Credentials credentials.TransportCredentials
+	Members        *Members
+	Seeds          []string
+	Interval       time.Duration
+	SuspectTimeout time.Duration
+	Credentials    credentials.TransportCredentials
 	// Hosts returns the platform's host list, which may be outdated; nil uses the seeds alone.
 	Hosts func(ctx context.Context) ([]platform.Host, error)
 	// Decisions are returned by Explain; nil returns none.
@@ -67,10 +67,10 @@
 // context ends; then it tells the neighbours that this process has left.
 func (e *Exchanger) Run(ctx context.Context) error {
 	e.prober = &Prober{
-		Members:  e.Members,
-		Interval: e.Interval,
-		Suspect:  e.Suspect,
-		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Members:        e.Members,
+		Interval:       e.Interval,
+		SuspectTimeout: e.SuspectTimeout,
+		Rand:           rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 	e.targets = make(chan *peerpb.Process, maxConcurrentProbes)
 	var group sync.WaitGroup
@@ -91,7 +91,7 @@
 	defer ticker.Stop()
 	for {
 		e.mutex.Lock()
-		target := e.prober.Next(time.Now())
+		target := e.prober.NextTarget(time.Now())
 		e.mutex.Unlock()
 		if target != nil {
 			select {
@@ -134,7 +134,7 @@
 	}
 	if ctx.Err() == nil {
 		e.mutex.Lock()
-		e.prober.Missed(time.Now(), target)
+		e.prober.ProbeFailed(time.Now(), target)
 		e.mutex.Unlock()
 	}
 }
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	e.Members.Take(time.Now(), answer)
+	e.Members.MergeAnswer(time.Now(), answer)
 	return nil
 }
 
@@ -227,7 +227,7 @@
 func (e *Exchanger) pushTargets() []*peerpb.Process {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.prober.Push(time.Now())
+	return e.prober.PushTargets(time.Now())
 }
 
 func (e *Exchanger) leave() {
--- a/internal/member/exchange_test.go
+++ b/internal/member/exchange_test.go
@@ -73,8 +73,8 @@
 // The others learn at once of a process that stops in an orderly way, without
 // waiting for the suspicion timeout.
 func TestStoppedProcessHasLeft(t *testing.T) {
-	first := startNodeWith(t, "a", 1, &member.Exchanger{Suspect: time.Hour})
-	second := startNodeWith(t, "b", 1, &member.Exchanger{Suspect: time.Hour, Seeds: []string{first.address}})
+	first := startNodeWith(t, "a", 1, &member.Exchanger{SuspectTimeout: time.Hour})
+	second := startNodeWith(t, "b", 1, &member.Exchanger{SuspectTimeout: time.Hour, Seeds: []string{first.address}})
 	waitForState(t, first, "b", peerpb.State_STATE_LIVE)
 	second.SetState(peerpb.State_STATE_DRAINING)
 	waitForState(t, first, "b", peerpb.State_STATE_DRAINING)
--- a/internal/member/isolation.go
+++ b/internal/member/isolation.go
@@ -6,20 +6,20 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Isolated reports whether this process can't learn of changes by others: the
+// IsIsolated reports whether this process can't learn of changes by others: the
 // store has answered neither this process nor, as far as is known, any other, and
 // most processes of its region are unreachable too.
 //
 // An isolated process doesn't see that a key was withdrawn or that a
 // non-idempotent request ran elsewhere. To it, its own partition looks like a
 // store outage. The other processes tell the two apart: during an outage they still answer.
-func (m *Members) Isolated(now time.Time) bool {
+func (m *Members) IsIsolated(now time.Time) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.Isolation <= 0 || now.Sub(m.stamps.lastHeard()) < m.Isolation {
+	if m.IsolationTimeout <= 0 || now.Sub(m.stamps.lastHeard()) < m.IsolationTimeout {
 		return false
 	}
-	if now.Sub(m.lastExchange) >= m.Isolation {
+	if now.Sub(m.lastExchange) >= m.IsolationTimeout {
 		return true
 	}
 	reachable, unreachable := m.countInRegion()
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -34,7 +34,7 @@
 func (e *Exchanger) join(ctx context.Context) {
 	delay := minJoinBackoff
 	for {
-		if e.isAlone() || e.Members.InCharge("hosts", hostListReaders) {
+		if e.isAlone() || e.Members.IsResponsible("hosts", hostListReaders) {
 			e.contactUnknown(ctx)
 		}
 		if e.isAlone() {
@@ -68,7 +68,7 @@
 			klog.Warningf("member: no answer from %s, a seed or listed host: %v", address, err)
 			return
 		}
-		if !e.Members.Differs() {
+		if !e.Members.TableDiffers() {
 			return
 		}
 	}
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -31,9 +31,9 @@
 
 // Members holds what a process knows of the others. It is safe for concurrent use.
 type Members struct {
-	// Isolation is the time without contact after which Isolated may return true; it
+	// IsolationTimeout is the time without contact after which Isolated may return true; it
 	// is set before use. 0 disables the check.
-	Isolation time.Duration
+	IsolationTimeout time.Duration
 
 	mutex              sync.Mutex
 	self               *peerpb.Process
@@ -245,8 +245,8 @@
 	})
 }
 
-// StoreHeard records that the platform's store answered at the given time.
-func (m *Members) StoreHeard(now time.Time) {
+// RecordStoreAnswer records that the platform's store answered at the given time.
+func (m *Members) RecordStoreAnswer(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.stamps.add(m.self.GetName(), now)
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -95,8 +95,8 @@
 	return request
 }
 
-// Take merges an answer that needs no further message.
-func (m *Members) Take(now time.Time, gossip *peerpb.Gossip) {
+// MergeAnswer merges an answer that needs no further message.
+func (m *Members) MergeAnswer(now time.Time, gossip *peerpb.Gossip) {
 	m.merge(now, gossip)
 }
 
--- a/internal/member/prober.go
+++ b/internal/member/prober.go
@@ -29,9 +29,9 @@
 	Members *Members
 	// Interval is the time between two calls of Next.
 	Interval time.Duration
-	// Suspect is the time after which a suspected process is marked as failed.
-	Suspect time.Duration
-	Rand    *rand.Rand
+	// SuspectTimeout is the time after which a suspected process is marked as failed.
+	SuspectTimeout time.Duration
+	Rand           *rand.Rand
 
 	probeCount int
 	lastExpiry time.Time
@@ -48,7 +48,7 @@
 	m := p.Members
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	paused := !p.lastExpiry.IsZero() && now.Sub(p.lastExpiry) > max(pauseFactor*p.Interval, p.Suspect/2)
+	paused := !p.lastExpiry.IsZero() && now.Sub(p.lastExpiry) > max(pauseFactor*p.Interval, p.SuspectTimeout/2)
 	p.lastExpiry = now
 	m.forgetReplaced(now)
 	for name := range m.table.suspectOrEnded {
@@ -59,7 +59,7 @@
 		case state == peerpb.State_STATE_SUSPECT && paused:
 			known.since = now
 			m.table.records[name] = known
-		case state == peerpb.State_STATE_SUSPECT && age >= p.Suspect:
+		case state == peerpb.State_STATE_SUSPECT && age >= p.SuspectTimeout:
 			p.setState(known.process, peerpb.State_STATE_FAILED, now)
 		case hasExpired(known.process, now):
 			m.table.remove(name)
@@ -83,8 +83,8 @@
 	return found
 }
 
-// Missed records that neither this process nor its helpers got an answer from the target.
-func (p *Prober) Missed(now time.Time, target *peerpb.Process) {
+// ProbeFailed records that neither this process nor its helpers got an answer from the target.
+func (p *Prober) ProbeFailed(now time.Time, target *peerpb.Process) {
 	m := p.Members
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -111,14 +111,14 @@
 	return m.rings.all()
 }
 
-// Push returns the processes to which changes are sent at once: all neighbours
+// PushTargets returns the processes to which changes are sent at once: all neighbours
 // for facts, withdrawals and this process's own state; for changes of other
 // processes as many as the rate limit allows.
 //
 // When a zone fails, hundreds of processes change within seconds. Pushing each
 // change to all neighbours would exceed a process's bandwidth limit many times
 // over, so changes beyond the rate wait for the next exchange.
-func (p *Prober) Push(now time.Time) []*peerpb.Process {
+func (p *Prober) PushTargets(now time.Time) []*peerpb.Process {
 	targets := p.Neighbours()
 	m := p.Members
 	m.mutex.Lock()
@@ -136,10 +136,10 @@
 	return targets[:allowed]
 }
 
-// Next returns the process to probe now: the successors in turn, and at every
+// NextTarget returns the process to probe now: the successors in turn, and at every
 // retryEvery-th call a failed process if there is one. It returns nil if there is
 // none to probe.
-func (p *Prober) Next(now time.Time) *peerpb.Process {
+func (p *Prober) NextTarget(now time.Time) *peerpb.Process {
 	p.Expire(now)
 	m := p.Members
 	m.mutex.Lock()
--- a/internal/member/prober_test.go
+++ b/internal/member/prober_test.go
@@ -23,10 +23,10 @@
 func newPair() *pair {
 	p := &pair{a: newMembers("a"), b: newMembers("b"), now: start}
 	p.prober = &member.Prober{
-		Members:  p.a,
-		Interval: time.Second,
-		Suspect:  4 * time.Second,
-		Rand:     rand.New(rand.NewPCG(1, 1)),
+		Members:        p.a,
+		Interval:       time.Second,
+		SuspectTimeout: 4 * time.Second,
+		Rand:           rand.New(rand.NewPCG(1, 1)),
 	}
 	p.exchange()
 	exchange(p.b, p.a, p.now)
@@ -37,7 +37,7 @@
 	record := entryRecord(name, 1)
 	record.SetAddress(name)
 	members := member.NewMembers(record)
-	members.Isolation = 10 * time.Second
+	members.IsolationTimeout = 10 * time.Second
 	return members
 }
 
@@ -49,14 +49,14 @@
 func exchange(from, to *member.Members, now time.Time) {
 	next := from.FollowUp(now, to.Answer(now, from.Request(now)))
 	if next != nil {
-		from.Take(now, to.Answer(now, next))
+		from.MergeAnswer(now, to.Answer(now, next))
 	}
 }
 
 func (p *pair) advance(duration time.Duration) {
 	for range duration / time.Second {
 		p.now = p.now.Add(time.Second)
-		p.prober.Next(p.now)
+		p.prober.NextTarget(p.now)
 	}
 }
 
@@ -72,7 +72,7 @@
 
 func TestSuspectThenFailed(t *testing.T) {
 	p := newPair()
-	p.prober.Missed(p.now, findEntry(p.a, "b"))
+	p.prober.ProbeFailed(p.now, findEntry(p.a, "b"))
 	p.mustHaveState(t, peerpb.State_STATE_SUSPECT)
 	p.advance(3 * time.Second)
 	p.mustHaveState(t, peerpb.State_STATE_SUSPECT)
@@ -86,7 +86,7 @@
 	for name, duration := range map[string]time.Duration{"suspect": time.Second, "failed": 6 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			p := newPair()
-			p.prober.Missed(p.now, findEntry(p.a, "b"))
+			p.prober.ProbeFailed(p.now, findEntry(p.a, "b"))
 			p.advance(duration)
 			p.exchange()
 			p.mustHaveState(t, peerpb.State_STATE_LIVE)
@@ -99,9 +99,9 @@
 func TestPauseFailsNobody(t *testing.T) {
 	p := newPair()
 	p.advance(2 * time.Second)
-	p.prober.Missed(p.now, findEntry(p.a, "b"))
+	p.prober.ProbeFailed(p.now, findEntry(p.a, "b"))
 	p.now = p.now.Add(time.Minute)
-	p.prober.Next(p.now)
+	p.prober.NextTarget(p.now)
 	p.mustHaveState(t, peerpb.State_STATE_SUSPECT)
 }
 
@@ -112,7 +112,7 @@
 	p.b.SetState(peerpb.State_STATE_DRAINING)
 	p.exchange()
 	p.mustHaveState(t, peerpb.State_STATE_DRAINING)
-	p.prober.Missed(p.now, findEntry(p.a, "b"))
+	p.prober.ProbeFailed(p.now, findEntry(p.a, "b"))
 	p.mustHaveState(t, peerpb.State_STATE_FAILED)
 	p.exchange()
 	p.mustHaveState(t, peerpb.State_STATE_DRAINING)
@@ -165,7 +165,7 @@
 	for _, members := range all {
 		prober := &member.Prober{Members: members, Interval: time.Second, Rand: rand.New(rand.NewPCG(1, 1))}
 		for range 8 {
-			probed[prober.Next(start).GetName()] = true
+			probed[prober.NextTarget(start).GetName()] = true
 		}
 	}
 	must.MapLen(t, len(all), probed)
@@ -194,20 +194,20 @@
 			exchange(member.NewMembers(sidecarRecord("s1", 1)), p.a, p.now)
 			restarted := member.NewMembers(sidecarRecord(restart(p), 2))
 			exchange(restarted, p.a, p.now)
-			must.False(t, restarted.IsFirst())
+			must.False(t, restarted.IsFirstProcess())
 		})
 	}
 	t.Run("first one", func(t *testing.T) {
 		p := newPair()
 		first := member.NewMembers(sidecarRecord("x", 2))
 		exchange(first, p.a, p.now)
-		must.True(t, first.IsFirst())
+		must.True(t, first.IsFirstProcess())
 	})
 }
 
 func (p *pair) failEarlier(t *testing.T) {
 	t.Helper()
-	p.prober.Missed(p.now, findEntry(p.a, "s1"))
+	p.prober.ProbeFailed(p.now, findEntry(p.a, "s1"))
 	p.advance(5 * time.Second)
 	must.Nil(t, findEntry(p.a, "s1"))
 }
--- a/internal/member/starthistory.go
+++ b/internal/member/starthistory.go
@@ -30,10 +30,10 @@
 	h.heardOlder = h.heardOlder || isOlder && other.GetName() != ""
 }
 
-// IsFirst reports whether this is known to be the first process with its name and
+// IsFirstProcess reports whether this is known to be the first process with its name and
 // backend server: other processes are known, and none has reported an earlier
 // one. A restarted process has lost its in-memory state.
-func (m *Members) IsFirst() bool {
+func (m *Members) IsFirstProcess() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.startHistory.heardOther && !m.startHistory.hasEarlier && (m.startHistory.heardOlder || m.isOldest())
