--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -36,12 +36,12 @@
 	Prefix string
 	// Wait bounds the duration of one watch.
 	Wait time.Duration
-	// Take is called with the changes, in the order of the store's revisions.
-	Take func(changes []platform.Value)
-	// Listed is called after Take has received a complete list; nil is allowed.
+	// OnChanges is called with the changes, in the order of the store's revisions.
+	OnChanges func(changes []platform.Value)
+	// OnListed is called after Take has received a complete list; nil is allowed.
 	// If the store has dropped its history, Take has received the values missing
 	// from the list as deleted before.
-	Listed func()
+	OnListed func()
 	// Follow waits for changes that another process has received; it reports false
 	// if this process has to watch the store itself. nil means that it always has to.
 	Follow func(ctx context.Context, prefix string, after uint64) (platform.ListReply, bool)
@@ -50,12 +50,12 @@
 	// Pause is the delay after a watch of the store that returned changes: changes in
 	// quick succession then cost one call.
 	Pause time.Duration
-	// Lost is called when the store stops answering, and Regained once it answers
+	// OnLost is called when the store stops answering, and Regained once it answers
 	// again, before Take receives what has changed meanwhile; nil is allowed.
-	Lost     func()
-	Regained func()
-	// Heard is called once Take has received all changes so far; nil is allowed.
-	Heard func()
+	OnLost     func()
+	OnRegained func()
+	// OnUpToDate is called once Take has received all changes so far; nil is allowed.
+	OnUpToDate func()
 
 	known    map[string]uint64
 	revision uint64
@@ -123,8 +123,8 @@
 	m.apply(append(changes, reply.Values...))
 	m.revision = max(m.revision, reply.Revision)
 	m.history.reset(m.revision)
-	if m.Listed != nil {
-		m.Listed()
+	if m.OnListed != nil {
+		m.OnListed()
 	}
 	m.reportHeard()
 	return nil
@@ -157,8 +157,8 @@
 }
 
 func (m *Mirror) reportHeard() {
-	if m.Heard != nil {
-		m.Heard()
+	if m.OnUpToDate != nil {
+		m.OnUpToDate()
 	}
 }
 
@@ -188,7 +188,7 @@
 		changes = append(changes, value)
 	}
 	if len(changes) > 0 {
-		m.Take(changes)
+		m.OnChanges(changes)
 	}
 }
 
@@ -198,8 +198,8 @@
 	}
 	m.isLost = true
 	klog.InfoS("mirror: the store does not answer; retrying", "prefix", m.Prefix, "revision", m.revision, "err", err)
-	if m.Lost != nil {
-		m.Lost()
+	if m.OnLost != nil {
+		m.OnLost()
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	m.isLost = false
 	klog.InfoS("mirror: the store answers again", "prefix", m.Prefix, "revision", m.revision)
-	if m.Regained != nil {
-		m.Regained()
+	if m.OnRegained != nil {
+		m.OnRegained()
 	}
 }
--- a/internal/operator/peers.go
+++ b/internal/operator/peers.go
@@ -25,9 +25,9 @@
 type Peers struct {
 	Members     *member.Members
 	Credentials credentials.TransportCredentials
-	// Own returns this process's own listen address. It is used for calls to itself,
+	// OwnAddress returns this process's own listen address. It is used for calls to itself,
 	// because the address that it announces may not be reachable from here.
-	Own func() string
+	OwnAddress func() string
 }
 
 // Drain sets a process to draining, or resumes it.
@@ -74,8 +74,8 @@
 	return decisions, silent
 }
 
-// Force returns the configuration revision in force at each process of a role.
-func (p *Peers) Force(ctx context.Context, role peerpb.Role) []*operatorpb.Force {
+// RevisionsInForce returns the configuration revision in force at each process of a role.
+func (p *Peers) RevisionsInForce(ctx context.Context, role peerpb.Role) []*operatorpb.Force {
 	processes := p.Members.Processes(role)
 	found := make([]*operatorpb.Force, len(processes))
 	index := map[string]int{}
@@ -135,8 +135,8 @@
 }
 
 func (p *Peers) address(process *peerpb.Process) string {
-	if p.Own != nil && process.GetName() == p.Members.Self().GetName() {
-		return p.Own()
+	if p.OwnAddress != nil && process.GetName() == p.Members.Self().GetName() {
+		return p.OwnAddress()
 	}
 	return process.GetAddress()
 }
--- a/internal/platform/api.go
+++ b/internal/platform/api.go
@@ -138,8 +138,8 @@
 	Remove []string
 }
 
-// Name returns the first key that the commit changes, which identifies it in errors.
-func (c *Commit) Name() string {
+// FirstKey returns the first key that the commit changes, which identifies it in errors.
+func (c *Commit) FirstKey() string {
 	switch {
 	case len(c.Writes) > 0:
 		return c.Writes[0].Key
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -26,15 +26,15 @@
 	Key string
 	// Revision is the current revision of the key.
 	Revision uint64
-	// Present holds the current values of the keys in a commit's expectations, if
+	// Current holds the current values of the keys in a commit's expectations, if
 	// the store returns them; keys that don't exist are omitted.
-	Present []Value
+	Current []Value
 }
 
 // Find returns the current value of one of the commit's keys. It returns false if
 // the key doesn't exist or the store didn't return it.
 func (e *ConflictError) Find(key string) (Value, bool) {
-	for _, value := range e.Present {
+	for _, value := range e.Current {
 		if value.Key == key && value.Revision != 0 {
 			return value, true
 		}
@@ -83,9 +83,9 @@
 	return "platform: " + e.Operation + ": status " + strconv.Itoa(e.Status)
 }
 
-// IsTurnedAway reports whether a status means that the store rejected the call
+// IsRejected reports whether a status means that the store rejected the call
 // without any effect.
-func IsTurnedAway(status int) bool {
+func IsRejected(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
@@ -99,8 +99,8 @@
 	Address string
 	// Timeout limits each call; Watch may take its wait in addition.
 	Timeout time.Duration
-	// Heard is called after each response with status 200, 404 or 409; may be nil.
-	Heard func()
+	// OnResponse is called after each response with status 200, 404 or 409; may be nil.
+	OnResponse func()
 
 	service httpc.Service
 }
@@ -123,8 +123,8 @@
 	return value, err
 }
 
-// Grant creates a lease and returns its ID.
-func (c *Client) Grant(ctx context.Context, length time.Duration) (uint64, error) {
+// GrantLease creates a lease and returns its ID.
+func (c *Client) GrantLease(ctx context.Context, length time.Duration) (uint64, error) {
 	var reply LeaseReply
 	err := c.call(ctx, http.MethodPost, PathLease, nil, "lease", LeaseRequest{Length: length.Milliseconds()}, &reply)
 	return reply.ID, err
@@ -150,8 +150,8 @@
 	return c.sendGuarded(ctx, PathOrder, "order "+order.ID, order, guard)
 }
 
-// Renew extends a lease from now, or returns a NotFoundError if it has expired.
-func (c *Client) Renew(ctx context.Context, lease uint64, length time.Duration) error {
+// RenewLease extends a lease from now, or returns a NotFoundError if it has expired.
+func (c *Client) RenewLease(ctx context.Context, lease uint64, length time.Duration) error {
 	request := LeaseRequest{ID: lease, Length: length.Milliseconds()}
 	return c.call(ctx, http.MethodPut, PathLease, nil, "lease", request, &LeaseReply{})
 }
@@ -168,9 +168,9 @@
 	return servers, err
 }
 
-// Swap writes a value if the key has the expected revision; 0 means that the key
+// CompareAndSwap writes a value if the key has the expected revision; 0 means that the key
 // must not exist. Lease 0 means none. It returns the new revision.
-func (c *Client) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	var reply SwapReply
 	request := SwapRequest{Key: key, Data: data, Expect: expect, Lease: lease}
 	err := c.call(ctx, http.MethodPut, PathValue, nil, key, request, &reply)
@@ -283,7 +283,7 @@
 }
 
 func (c *Client) notifyHeard() {
-	if c.Heard != nil {
-		c.Heard()
+	if c.OnResponse != nil {
+		c.OnResponse()
 	}
 }
--- a/internal/platform/platformtest/store.go
+++ b/internal/platform/platformtest/store.go
@@ -75,7 +75,7 @@
 	}
 	for _, expect := range commit.Expect {
 		if value, found := s.values[expect.Key]; found {
-			conflict.Present = append(conflict.Present, value)
+			conflict.Current = append(conflict.Current, value)
 		}
 	}
 	return conflict
@@ -89,8 +89,8 @@
 	s.deleted = nil
 }
 
-// End revokes a lease and removes its keys.
-func (s *Store) End(_ context.Context, lease uint64) error {
+// RevokeLease revokes a lease and removes its keys.
+func (s *Store) RevokeLease(_ context.Context, lease uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err := s.countCall("end"); err != nil {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// Grant creates a lease and returns its ID.
-func (s *Store) Grant(_ context.Context, length time.Duration) (uint64, error) {
+// GrantLease creates a lease and returns its ID.
+func (s *Store) GrantLease(_ context.Context, length time.Duration) (uint64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err := s.countCall("grant"); err != nil {
@@ -134,8 +134,8 @@
 	return lease, nil
 }
 
-// Renew extends a lease from now.
-func (s *Store) Renew(_ context.Context, lease uint64, length time.Duration) error {
+// RenewLease extends a lease from now.
+func (s *Store) RenewLease(_ context.Context, lease uint64, length time.Duration) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err := s.countCall("renew"); err != nil {
@@ -162,8 +162,8 @@
 	s.notifyWatchers()
 }
 
-// Before makes the next swap call hook first, once. It simulates a concurrent writer.
-func (s *Store) Before(hook func()) {
+// BeforeNextSwap makes the next swap call hook first, once. It simulates a concurrent writer.
+func (s *Store) BeforeNextSwap(hook func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.beforeSwap = hook
@@ -223,23 +223,23 @@
 	s.answersToLose = number
 }
 
-// SetAway starts or ends an outage.
-func (s *Store) SetAway(unavailable bool) {
+// SetUnavailable starts or ends an outage.
+func (s *Store) SetUnavailable(unavailable bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.unavailable = unavailable
 	s.notifyWatchers()
 }
 
-// SetSilent makes watches return no events although values change.
-func (s *Store) SetSilent(silent bool) {
+// SetWatchesSilent makes watches return no events although values change.
+func (s *Store) SetWatchesSilent(silent bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.silentWatches = silent
 }
 
-// Swap writes a value if its key has the expected revision.
-func (s *Store) Swap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+// CompareAndSwap writes a value if its key has the expected revision.
+func (s *Store) CompareAndSwap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	s.mutex.Lock()
 	hook := s.beforeSwap
 	s.beforeSwap = nil
@@ -263,8 +263,8 @@
 	return s.revision, nil
 }
 
-// Swaps returns the number of values written so far, by swaps and commits.
-func (s *Store) Swaps() int {
+// Writes returns the number of values written so far, by swaps and commits.
+func (s *Store) Writes() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.swaps
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -13,17 +13,17 @@
 // Store is the part of the platform's key-value service that a Record uses.
 type Store interface {
 	Get(ctx context.Context, key string) (platform.Value, error)
-	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
+	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
-// LostError reports that another process has changed the value: this process is no
+// OverwrittenError reports that another process has changed the value: this process is no
 // longer its writer, whatever its lease says.
-type LostError struct {
+type OverwrittenError struct {
 	Key string
 }
 
 // Error names the key.
-func (e *LostError) Error() string { return "record: another process has changed " + e.Key }
+func (e *OverwrittenError) Error() string { return "record: another process has changed " + e.Key }
 
 // Record reads and writes one value. Exported fields are set before Load. It is
 // not safe for concurrent use.
@@ -39,8 +39,8 @@
 	committed []byte
 }
 
-// IsSure reports whether the outcome of every write is known.
-func (r *Record) IsSure() bool { return r.unacknowledged == nil }
+// IsSettled reports whether the outcome of every write is known.
+func (r *Record) IsSettled() bool { return r.unacknowledged == nil }
 
 // Load reads the value; nil if there is none.
 func (r *Record) Load(ctx context.Context) ([]byte, error) {
@@ -69,7 +69,7 @@
 	if unacknowledged != nil && bytes.Equal(unacknowledged, data) && bytes.Equal(r.committed, data) {
 		return nil
 	}
-	revision, err := r.Store.Swap(ctx, r.Key, r.revision, data, 0)
+	revision, err := r.Store.CompareAndSwap(ctx, r.Key, r.revision, data, 0)
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
@@ -117,6 +117,6 @@
 		r.revision, r.committed, r.unacknowledged = value.Revision, r.unacknowledged, nil
 		return nil
 	default:
-		return &LostError{Key: r.Key}
+		return &OverwrittenError{Key: r.Key}
 	}
 }
--- a/internal/refusal/http.go
+++ b/internal/refusal/http.go
@@ -46,9 +46,9 @@
 	})
 }
 
-// WriteExact is like Write with fractional seconds in Retry-After, for callers that
+// WriteFractional is like Write with fractional seconds in Retry-After, for callers that
 // parse them: a request that finds room in 100 ms need not wait a second.
-func WriteExact(w http.ResponseWriter, err error) {
+func WriteFractional(w http.ResponseWriter, err error) {
 	write(w, err, func(retry time.Duration) string {
 		return strconv.FormatFloat(retry.Seconds(), 'f', 3, 64)
 	})
@@ -64,8 +64,8 @@
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderOutcome, refusal.outcome())
-	if refusal.Retry > 0 {
-		header.Set("Retry-After", formatRetry(refusal.Retry))
+	if refusal.RetryAfter > 0 {
+		header.Set("Retry-After", formatRetry(refusal.RetryAfter))
 	}
 	if refusal.Status == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -23,8 +23,8 @@
 	// Code is a short name of the reason, such as "rate_limited".
 	Code    string
 	Message string
-	// Retry is how long the caller should wait before a retry; 0 if unspecified.
-	Retry time.Duration
+	// RetryAfter is how long the caller should wait before a retry; 0 if unspecified.
+	RetryAfter time.Duration
 }
 
 // NotRun returns a refusal of a request that no backend server received.
@@ -40,11 +40,11 @@
 // FromMessage decodes a refusal from another process.
 func FromMessage(message *peerpb.Refusal) *Error {
 	return &Error{
-		Outcome: message.GetOutcome(),
-		Status:  int(message.GetStatus()),
-		Code:    message.GetCode(),
-		Message: message.GetMessage(),
-		Retry:   message.GetRetry().AsDuration(),
+		Outcome:    message.GetOutcome(),
+		Status:     int(message.GetStatus()),
+		Code:       message.GetCode(),
+		Message:    message.GetMessage(),
+		RetryAfter: message.GetRetry().AsDuration(),
 	}
 }
 
@@ -60,7 +60,7 @@
 		Status:  int32(e.Status),
 		Code:    e.Code,
 		Message: e.Message,
-		Retry:   durationpb.New(e.Retry),
+		Retry:   durationpb.New(e.RetryAfter),
 	}.Build()
 }
 
@@ -72,9 +72,9 @@
 	return "outcome unknown"
 }
 
-// After sets how long the caller should wait before a retry.
-func (e *Error) After(retry time.Duration) *Error {
-	e.Retry = retry
+// WithRetryAfter sets how long the caller should wait before a retry.
+func (e *Error) WithRetryAfter(retry time.Duration) *Error {
+	e.RetryAfter = retry
 	return e
 }
 
--- a/internal/rollout/attempt.go
+++ b/internal/rollout/attempt.go
@@ -26,14 +26,14 @@
 // Number returns the attempt's number within its slot and term, from 1.
 func (a Attempt) Number() uint32 { return a.number }
 
-// Oldest returns the lowest weight version that a sampler may serve to run the attempt.
-func (a Attempt) Oldest() uint64 { return a.minVersion }
+// MinVersion returns the lowest weight version that a sampler may serve to run the attempt.
+func (a Attempt) MinVersion() uint64 { return a.minVersion }
 
 // Prompt returns the text to complete.
 func (a Attempt) Prompt() string { return a.prompt }
 
-// Second reports whether another attempt at the slot was running at the start.
-func (a Attempt) Second() bool { return a.isSecond }
+// IsSecondRun reports whether another attempt at the slot was running at the start.
+func (a Attempt) IsSecondRun() bool { return a.isSecond }
 
 // Slot returns the index of the slot within the step.
 func (a Attempt) Slot() uint32 { return a.slot }
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -46,8 +46,8 @@
 type Client struct {
 	Locate func(duty string) (*Location, bool)
 	Peers  *Peers
-	// Patience is how long a call waits for a holder.
-	Patience time.Duration
+	// HolderTimeout is how long a call waits for a holder.
+	HolderTimeout time.Duration
 }
 
 // Announce sends a newer version to the holder of the trainer's steps, then to the
@@ -87,7 +87,7 @@
 // call sends a call to the newest known holder of a duty and retries it while there is
 // no holder or the holder does not answer.
 func (c *Client) call(ctx context.Context, duty string, send func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
-	deadline := time.Now().Add(c.Patience)
+	deadline := time.Now().Add(c.HolderTimeout)
 	backoff := minBackoff
 	for {
 		err := c.sendOnce(duty, send)
@@ -101,7 +101,7 @@
 func (c *Client) sendOnce(duty string, send func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
 	location, ok := c.Locate(duty)
 	if !ok {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds %s yet", duty).After(retryAfter)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds %s yet", duty).WithRetryAfter(retryAfter)
 	}
 	client, err := c.Peers.Client(location.Address())
 	if err != nil {
@@ -119,7 +119,7 @@
 }
 
 func holderUnreachable(duty string) error {
-	return refusal.Unknown(http.StatusServiceUnavailable, codeHolderUnreachable, "the holder of %s gave no answer, send the same again", duty).After(retryAfter)
+	return refusal.Unknown(http.StatusServiceUnavailable, codeHolderUnreachable, "the holder of %s gave no answer, send the same again", duty).WithRetryAfter(retryAfter)
 }
 
 func isRetryable(err error) bool {
--- a/internal/rollout/entries_test.go
+++ b/internal/rollout/entries_test.go
@@ -79,15 +79,15 @@
 	created := &entry{name: name, directory: directory, runner: &fakeRunner{version: 1}}
 	replicas := &Replicas{}
 	created.peers = &Peers{Directory: directoryView{fakeDirectory: directory, name: name}, Replicas: replicas}
-	created.client = &Client{Locate: directory.locate, Peers: created.peers, Patience: 10 * time.Second}
+	created.client = &Client{Locate: directory.locate, Peers: created.peers, HolderTimeout: 10 * time.Second}
 	created.service = &Service{
-		New: func(string) *Holder {
+		NewHolder: func(string) *Holder {
 			return newTestHolder(name, store, created.runner, created.peers)
 		},
 		Replicas: replicas,
 		Locate:   directory.locate,
 		Process:  name,
-		Wanted:   func(string) bool { return true },
+		IsListed: func(string) bool { return true },
 	}
 	created.start(t, zone)
 	return created
--- a/internal/rollout/fake_test.go
+++ b/internal/rollout/fake_test.go
@@ -77,7 +77,7 @@
 	return reply, nil
 }
 
-func (s *fakeStore) Swap(_ context.Context, key string, expect uint64, data []byte, _ uint64) (uint64, error) {
+func (s *fakeStore) CompareAndSwap(_ context.Context, key string, expect uint64, data []byte, _ uint64) (uint64, error) {
 	if s.beforeSwap != nil {
 		s.beforeSwap(key)
 	}
@@ -148,7 +148,7 @@
 	replicas map[string]*Replicas
 }
 
-var _ Keeping = &fakeReplicator{}
+var _ Replicator = &fakeReplicator{}
 
 func newFakeReplicator(names ...string) *fakeReplicator {
 	replicator := &fakeReplicator{replicas: map[string]*Replicas{}}
@@ -158,12 +158,12 @@
 	return replicator
 }
 
-func (k *fakeReplicator) Keep(_ context.Context, sample *peerpb.Sample, forget []uint32) []string {
+func (k *fakeReplicator) Replicate(_ context.Context, sample *peerpb.Sample, forget []uint32) []string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	var holders []string
 	for name, replicas := range k.replicas {
-		if replicas.Keep(sample, forget) {
+		if replicas.Put(sample, forget) {
 			holders = append(holders, name)
 		}
 	}
@@ -194,14 +194,14 @@
 	return request
 }
 
-func newTestHolder(process string, store Store, runner Runner, replicator Keeping) *Holder {
+func newTestHolder(process string, store Store, runner Runner, replicator Replicator) *Holder {
 	holder := NewHolder("drafts", store)
 	holder.Process = process
 	holder.Runner = runner
-	holder.Keeping = replicator
-	holder.Attempts = 64
+	holder.Replicator = replicator
+	holder.MaxAttempts = 64
 	holder.Timeout = time.Minute
-	holder.Batch = time.Millisecond
-	holder.Poll = 10 * time.Second
+	holder.WriteInterval = time.Millisecond
+	holder.MaxPullWait = 10 * time.Second
 	return holder
 }
--- a/internal/rollout/holder.go
+++ b/internal/rollout/holder.go
@@ -38,10 +38,10 @@
 	Score(ctx context.Context, prompt, text string) (float64, error)
 }
 
-// Keeping stores copies of finished samples in other processes.
-type Keeping interface {
-	// Keep returns the names of the processes that now hold the sample, possibly none.
-	Keep(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string
+// Replicator stores copies of finished samples in other processes.
+type Replicator interface {
+	// Replicate returns the names of the processes that now hold the sample, possibly none.
+	Replicate(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string
 	// Fetch returns the samples of the given slots that a process holds.
 	Fetch(ctx context.Context, process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error)
 }
@@ -53,25 +53,25 @@
 //
 // Exported fields must be set before Run.
 type Holder struct {
-	Trainer   string
-	Process   string
-	Store     Store
-	Runner    Runner
-	Scorer    Scorer
-	Keeping   Keeping
-	Decisions *decision.Log
-	// Attempts is the maximum number of concurrent attempts.
-	Attempts int
+	Trainer    string
+	Process    string
+	Store      Store
+	Runner     Runner
+	Scorer     Scorer
+	Replicator Replicator
+	Decisions  *decision.Log
+	// MaxAttempts is the maximum number of concurrent attempts.
+	MaxAttempts int
 	// Capacity returns how many requests a model's samplers run concurrently, 0 if
 	// unknown; if nil, it is never known. An attempt beyond it would wait in a queue,
 	// bound to its sampler too early, and begin under older weights.
 	Capacity func(model string) int
 	// Timeout bounds one attempt.
 	Timeout time.Duration
-	// Batch is the minimum interval between two writes of the state.
-	Batch time.Duration
-	// Poll is the maximum wait of a pull.
-	Poll time.Duration
+	// WriteInterval is the minimum interval between two writes of the state.
+	WriteInterval time.Duration
+	// MaxPullWait is the maximum wait of a pull.
+	MaxPullWait time.Duration
 	// Metrics may be nil.
 	Metrics *Metrics
 
@@ -222,16 +222,16 @@
 // maxRunning returns how many attempts may run concurrently.
 func (h *Holder) maxRunning(model string) int {
 	if h.Capacity == nil {
-		return h.Attempts
+		return h.MaxAttempts
 	}
 	if now := time.Now(); now.Sub(h.capacityTime) >= capacityTTL || h.capacityTime.IsZero() {
 		h.capacityTime = now
 		h.capacity = h.Capacity(model)
 	}
 	if h.capacity == 0 {
-		return h.Attempts
+		return h.MaxAttempts
 	}
-	return min(h.Attempts, h.capacity)
+	return min(h.MaxAttempts, h.capacity)
 }
 
 // removeRunning removes an attempt that has ended.
@@ -256,7 +256,7 @@
 
 // writeLoop writes the state to the store, at most once per Batch.
 func (h *Holder) writeLoop(ctx context.Context) {
-	interval := h.Batch
+	interval := h.WriteInterval
 	for {
 		changed := h.nextChange()
 		wrote, err := h.writeOnce(ctx)
@@ -264,7 +264,7 @@
 		case err != nil:
 			interval = min(max(2*interval, minStoreBackoff), maxStoreBackoff)
 		case wrote:
-			interval = h.Batch
+			interval = h.WriteInterval
 		default:
 			select {
 			case <-ctx.Done():
@@ -307,7 +307,7 @@
 	if h.step != step {
 		return
 	}
-	var lost *record.LostError
+	var lost *record.OverwrittenError
 	if errors.As(err, &lost) {
 		h.Decisions.Record(h.Trainer, "step", "%s is no longer the holder: %v", h.Process, err)
 		h.setStep(nil)
--- a/internal/rollout/holder_test.go
+++ b/internal/rollout/holder_test.go
@@ -270,12 +270,12 @@
 	resume chan struct{}
 }
 
-func (s *pausingStore) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+func (s *pausingStore) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	if s.armed.CompareAndSwap(true, false) {
 		close(s.paused)
 		<-s.resume
 	}
-	return s.fakeStore.Swap(ctx, key, expect, data, lease)
+	return s.fakeStore.CompareAndSwap(ctx, key, expect, data, lease)
 }
 
 // A resume omits tokens of an engine's answer. The sample would name versions for
--- a/internal/rollout/interleaving_test.go
+++ b/internal/rollout/interleaving_test.go
@@ -89,12 +89,12 @@
 	attempt := holder.running[index]
 	holder.running = append(holder.running[:index:index], holder.running[index+1:]...)
 	version := i.newest - min(i.newest-1, uint64(rapid.IntRange(0, 2).Draw(t, "lag")))
-	var answer Answer
+	var answer SampleBuilder
 	must.NoError(t, answer.Add(attempt.ID(), peerpb.Chunk_builder{Tokens: []int32{1}, Version: version}.Build()))
 	sample, err := answer.Sample(attempt, holder.step.open, peerpb.End_builder{OutputTokens: 1}.Build())
 	must.NoError(t, err)
 	if holder.step.Finish(attempt, sample, i.now) {
-		holder.step.Kept(attempt, i.replicator.Keep(context.Background(), sample, nil))
+		holder.step.MarkReplicated(attempt, i.replicator.Replicate(context.Background(), sample, nil))
 	}
 }
 
@@ -115,7 +115,7 @@
 	i.store.loseNextAnswer = rapid.Bool().Draw(t, "lose")
 	err := holder.record.Write(context.Background(), holder.proposed)
 	i.store.loseNextAnswer = false
-	var lost *record.LostError
+	var lost *record.OverwrittenError
 	switch {
 	case errors.As(err, &lost):
 		i.remove(holder)
@@ -131,7 +131,7 @@
 	if state == nil || holder.written {
 		return
 	}
-	var lost *record.LostError
+	var lost *record.OverwrittenError
 	switch err := holder.record.Write(context.Background(), encode(state)); {
 	case errors.As(err, &lost):
 		i.remove(holder)
@@ -181,10 +181,10 @@
 	for process, slots := range next.step.Missing() {
 		samples, _ := i.replicator.Fetch(context.Background(), process, "drafts", 1, slots)
 		for _, sample := range samples {
-			next.step.Found(sample)
+			next.step.RestoreSample(sample)
 		}
 	}
-	next.step.GiveUp()
+	next.step.ResetMissing()
 	i.actors = append(i.actors, next)
 }
 
--- a/internal/rollout/open.go
+++ b/internal/rollout/open.go
@@ -32,7 +32,7 @@
 	if current.Matches(request) {
 		return openReply(current), nil
 	}
-	step := NewStep(request, current.End(), current.term, current.Newest())
+	step := NewStep(request, current.End(), current.term, current.NewestVersion())
 	step.writeNumber = current.writeNumber
 	if err := h.storeStep(ctx, step); err != nil {
 		return nil, h.openError(err)
@@ -43,7 +43,7 @@
 }
 
 func openReply(step *Step) *peerpb.OpenReply {
-	return peerpb.OpenReply_builder{Slots: uint32(step.Slots()), Place: step.Place()}.Build()
+	return peerpb.OpenReply_builder{Slots: uint32(step.Slots()), Place: step.FirstPlace()}.Build()
 }
 
 // checkOpen returns the current step if the request may follow it or opens the same step.
@@ -56,14 +56,14 @@
 	switch {
 	case h.step.Slots() == 0 || h.step.Matches(request):
 		return h.step, nil
-	case !h.step.IsOpenFor(request.GetAccount()) && !h.step.IsAcknowledged():
+	case !h.step.IsUsableBy(request.GetAccount()) && !h.step.IsAcknowledged():
 		return nil, otherAccountError(h.Trainer)
 	case request.GetStep() == h.step.Number():
 		return nil, refusal.NotRun(http.StatusConflict, "step_differs", "step %d is open with other content", request.GetStep())
 	case request.GetStep() < h.step.Number():
 		return nil, refusal.NotRun(http.StatusConflict, "step_past", "step %d is past, step %d is open", request.GetStep(), h.step.Number())
 	case !h.step.IsWhole():
-		return nil, refusal.NotRun(http.StatusConflict, "step_open", "step %d is not whole yet", h.step.Number()).After(retryAfter)
+		return nil, refusal.NotRun(http.StatusConflict, "step_open", "step %d is not whole yet", h.step.Number()).WithRetryAfter(retryAfter)
 	default:
 		return h.step, nil
 	}
@@ -74,7 +74,7 @@
 }
 
 func noHolderError(trainer string) *refusal.Error {
-	return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds the steps of %s yet", trainer).After(retryAfter)
+	return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds the steps of %s yet", trainer).WithRetryAfter(retryAfter)
 }
 
 // storeStep writes the prompts, then the state, which opens the step.
@@ -115,12 +115,12 @@
 	if errors.As(err, &refused) {
 		return err
 	}
-	var lost *record.LostError
+	var lost *record.OverwrittenError
 	if errors.As(err, &lost) {
 		h.Drop(err.Error())
 		h.signalSuperseded()
 	}
-	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the step can't be kept now, open it again: %v", err).After(retryAfter)
+	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the step can't be kept now, open it again: %v", err).WithRetryAfter(retryAfter)
 }
 
 func (h *Holder) signalSuperseded() {
@@ -137,9 +137,9 @@
 	if h.step != current {
 		return
 	}
-	step.Announce(current.Newest())
+	step.Announce(current.NewestVersion())
 	h.setStep(step)
-	h.Decisions.Record(h.Trainer, "step", "step %d is open with %d slots from place %d on", step.Number(), step.Slots(), step.Place())
+	h.Decisions.Record(h.Trainer, "step", "step %d is open with %d slots from place %d on", step.Number(), step.Slots(), step.FirstPlace())
 }
 
 // deleteOldPrompts deletes the prompts of other steps. A failed deletion is retried
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -41,13 +41,13 @@
 	connections map[string]*grpc.ClientConn
 }
 
-var _ Keeping = &Peers{}
+var _ Replicator = &Peers{}
 
-// Keep copies a sample to an entry process in another zone, or in this zone if no
+// Replicate copies a sample to an entry process in another zone, or in this zone if no
 // other zone has one. Without any, the sample has one holder: losing it costs another
 // run of its slot.
-func (p *Peers) Keep(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string {
-	p.Replicas.Keep(sample, forget)
+func (p *Peers) Replicate(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string {
+	p.Replicas.Put(sample, forget)
 	request := peerpb.KeepSampleRequest_builder{Samples: []*peerpb.Sample{sample}, Forget: forget}.Build()
 	for _, process := range p.candidates(sample.GetSlot()) {
 		if err := p.replicateTo(ctx, process, request); err != nil {
--- a/internal/rollout/proposal.go
+++ b/internal/rollout/proposal.go
@@ -202,9 +202,9 @@
 	return missing
 }
 
-// Found accepts a sample that another process holds, if it is byte for byte the one
+// RestoreSample accepts a sample that another process holds, if it is byte for byte the one
 // that the store binds to its slot.
-func (s *Step) Found(sample *peerpb.Sample) bool {
+func (s *Step) RestoreSample(sample *peerpb.Sample) bool {
 	if int(sample.GetSlot()) >= len(s.slots) {
 		return false
 	}
@@ -220,9 +220,9 @@
 	return true
 }
 
-// GiveUp resets the slots whose samples no process holds any more and returns their
+// ResetMissing resets the slots whose samples no process holds any more and returns their
 // number. They run again for the same places.
-func (s *Step) GiveUp() int {
+func (s *Step) ResetMissing() int {
 	lost := 0
 	for _, slot := range s.slots {
 		if slot.isMissing() {
--- a/internal/rollout/pull.go
+++ b/internal/rollout/pull.go
@@ -12,21 +12,21 @@
 // maxPullBytes keeps a reply below the maximum message size between processes.
 const maxPullBytes = 8 << 20
 
-// Pulled is the result of a pull.
-type Pulled struct {
+// PullResult is the result of a pull.
+type PullResult struct {
 	samples []*peerpb.Sample
 	next    uint64
 	done    bool
 }
 
 // Done reports whether the trainer now has the whole step.
-func (p Pulled) Done() bool { return p.done }
+func (p PullResult) Done() bool { return p.done }
 
 // Next returns the place to pull from next.
-func (p Pulled) Next() uint64 { return p.next }
+func (p PullResult) Next() uint64 { return p.next }
 
 // Samples returns the samples in the order of their places, without gaps.
-func (p Pulled) Samples() []*peerpb.Sample { return p.samples }
+func (p PullResult) Samples() []*peerpb.Sample { return p.samples }
 
 // Pull acknowledges all places before place and returns at most maxSamples samples
 // from there on, up to the first place that is not committed. Version is the newest
@@ -35,9 +35,9 @@
 // A delivered sample may never have arrived, so a repeated pull from its place returns
 // it again. It is dropped only if it has become stale since: then the same slot fills
 // the place again, and the trainer, which counts by place, still gets each slot once.
-func (s *Step) Pull(place uint64, maxSamples int, version uint64) (Pulled, error) {
+func (s *Step) Pull(place uint64, maxSamples int, version uint64) (PullResult, error) {
 	if err := s.checkPlace(place); err != nil {
-		return Pulled{}, err
+		return PullResult{}, err
 	}
 	s.Announce(version)
 	s.acknowledge(place)
@@ -47,7 +47,7 @@
 			s.resetIfStale(slot)
 		}
 	}
-	pulled := Pulled{next: place}
+	pulled := PullResult{next: place}
 	size := 0
 	for pulled.next < s.End() && len(pulled.samples) < maxSamples {
 		slot := placed[pulled.next-s.firstPlace]
--- a/internal/rollout/replicas.go
+++ b/internal/rollout/replicas.go
@@ -24,9 +24,9 @@
 	size    int
 }
 
-// Keep stores a sample and removes the given slots. It reports false if the sample
+// Put stores a sample and removes the given slots. It reports false if the sample
 // belongs to an older step or would exceed maxReplicaBytes.
-func (r *Replicas) Keep(sample *peerpb.Sample, forget []uint32) bool {
+func (r *Replicas) Put(sample *peerpb.Sample, forget []uint32) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	held := r.setFor(sample.GetTrainer(), sample.GetStep())
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -65,8 +65,8 @@
 // Refused returns the number of attempts that were not run.
 func (c Counts) Refused() uint64 { return c.refused }
 
-// Seconds returns the number of second runs.
-func (c Counts) Seconds() uint64 { return c.seconds }
+// SecondRuns returns the number of second runs.
+func (c Counts) SecondRuns() uint64 { return c.seconds }
 
 // Stale returns the number of samples and attempts dropped as stale.
 func (c Counts) Stale() uint64 { return c.stale }
@@ -101,10 +101,10 @@
 // IsAcknowledged reports whether the trainer has acknowledged the whole step.
 func (s *Step) IsAcknowledged() bool { return s.acknowledged == s.End() }
 
-// IsOpenFor reports whether an account may use the step. Accounts can share a plan,
+// IsUsableBy reports whether an account may use the step. Accounts can share a plan,
 // and with it the right to run a trainer; without this check one account could receive
 // and acknowledge another's samples.
-func (s *Step) IsOpenFor(account string) bool {
+func (s *Step) IsUsableBy(account string) bool {
 	return len(s.slots) == 0 || s.open.GetAccount() == account
 }
 
@@ -121,8 +121,8 @@
 // Number returns the step number that the trainer assigned.
 func (s *Step) Number() uint64 { return s.open.GetStep() }
 
-// Place returns the first place of the step.
-func (s *Step) Place() uint64 { return s.firstPlace }
+// FirstPlace returns the first place of the step.
+func (s *Step) FirstPlace() uint64 { return s.firstPlace }
 
 // Matches reports whether a request opens this step with the same content.
 func (s *Step) Matches(open *peerpb.OpenRequest) bool {
@@ -171,17 +171,17 @@
 	return Attempt{}, false
 }
 
-// Second starts a second run of a slot regardless of the budget, to compare other
+// StartSecondRun starts a second run of a slot regardless of the budget, to compare other
 // policies with this one.
-func (s *Step) Second(slot uint32, now time.Time) (Attempt, bool) {
+func (s *Step) StartSecondRun(slot uint32, now time.Time) (Attempt, bool) {
 	if int(slot) >= len(s.slots) || !s.slots[slot].isEmpty() || len(s.slots[slot].running) == 0 {
 		return Attempt{}, false
 	}
 	return s.startAttempt(s.slots[slot], now, true), true
 }
 
-// WithoutSeconds disables second runs in Next.
-func (s *Step) WithoutSeconds() {
+// DisableSecondRuns disables second runs in Next.
+func (s *Step) DisableSecondRuns() {
 	s.budget = budget{}
 }
 
@@ -304,8 +304,8 @@
 	return true
 }
 
-// Kept records the processes that hold the sample of an attempt.
-func (s *Step) Kept(attempt Attempt, holders []string) {
+// MarkReplicated records the processes that hold the sample of an attempt.
+func (s *Step) MarkReplicated(attempt Attempt, holders []string) {
 	slot := s.slots[attempt.slot]
 	if slot.sample == nil || slot.term != attempt.term || slot.attempt != attempt.number {
 		return
@@ -330,8 +330,8 @@
 	}
 }
 
-// Doomed returns the running attempts whose sample would be stale.
-func (s *Step) Doomed() []Attempt {
+// StaleAttempts returns the running attempts whose sample would be stale.
+func (s *Step) StaleAttempts() []Attempt {
 	var stale []Attempt
 	for _, slot := range s.slots {
 		for _, run := range slot.running {
@@ -343,8 +343,8 @@
 	return stale
 }
 
-// Newest returns the newest version that the trainer announced.
-func (s *Step) Newest() uint64 { return s.newestVersion }
+// NewestVersion returns the newest version that the trainer announced.
+func (s *Step) NewestVersion() uint64 { return s.newestVersion }
 
 func (s *Step) resetIfStale(slot *slot) {
 	if isStale(s.newestVersion, slot.oldestVersion, s.open.GetStaleness()) {
--- a/internal/rollout/takeover.go
+++ b/internal/rollout/takeover.go
@@ -68,7 +68,7 @@
 	h.fetchMissing(ctx, step)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.storedVersion = step.Newest()
+	h.storedVersion = step.NewestVersion()
 	h.writeErr = nil
 	h.setStep(step)
 	h.Decisions.Record(h.Trainer, "step", "%s holds step %d in term %d", h.Process, step.Number(), fence)
@@ -81,7 +81,7 @@
 	h.mutex.Lock()
 	step := h.step
 	h.mutex.Unlock()
-	if step == nil || !h.state.IsSure() {
+	if step == nil || !h.state.IsSettled() {
 		return false
 	}
 	value, err := h.Store.Get(ctx, h.state.Key)
@@ -137,15 +137,15 @@
 // whose samples are lost run again.
 func (h *Holder) fetchMissing(ctx context.Context, step *Step) {
 	for process, slots := range step.Missing() {
-		samples, err := h.Keeping.Fetch(ctx, process, h.Trainer, step.Number(), slots)
+		samples, err := h.Replicator.Fetch(ctx, process, h.Trainer, step.Number(), slots)
 		if err != nil {
 			klog.Warningf("step: %s: fetching samples from %s failed: %v", h.Trainer, process, err)
 		}
 		for _, sample := range samples {
-			step.Found(sample)
+			step.RestoreSample(sample)
 		}
 	}
-	if lost := step.GiveUp(); lost > 0 {
+	if lost := step.ResetMissing(); lost > 0 {
 		h.Decisions.Record(h.Trainer, "step", "%d samples of step %d were lost and run again", lost, step.Number())
 	}
 }
--- a/internal/roster/cold.go
+++ b/internal/roster/coldlimits.go
@@ -13,19 +13,19 @@
 
 // Kinds of senders.
 const (
-	// ByCaller is a caller's request.
-	ByCaller Sender = iota
-	// ByBatch is a generation of a batch that this process owns.
-	ByBatch
+	// SenderCaller is a caller's request.
+	SenderCaller Sender = iota
+	// SenderBatch is a generation of a batch that this process owns.
+	SenderBatch
 )
 
-// Cold limits the requests sent to cold servers.
-type Cold interface {
+// ColdLimits limits the requests sent to cold servers.
+type ColdLimits interface {
 	// Share returns how many requests this process may send to a cold server of a pool
 	// within a time window; unbounded where the pool's servers need no limit.
 	Share(pool, server string, sender Sender) (most int, unbounded bool)
-	// Length returns how long a server of a pool is cold.
-	Length(pool string) time.Duration
+	// Duration returns how long a server of a pool is cold.
+	Duration(pool string) time.Duration
 }
 
 // markCold notes that a server is cold for a time from now on. A later end that is
@@ -43,9 +43,9 @@
 // isOverColdLimit reports whether a server is cold and this process has used up its
 // share of requests to it.
 func (r *Roster) isOverColdLimit(server *Server, sender Sender, now clock.Boot) bool {
-	if r.Cold == nil || now >= server.coldUntil {
+	if r.ColdLimits == nil || now >= server.coldUntil {
 		return false
 	}
-	limit, isUnbounded := r.Cold.Share(server.entry.Pool, server.Name(), sender)
-	return !isUnbounded && !server.recentSends.Within(limit, now)
+	limit, isUnbounded := r.ColdLimits.Share(server.entry.Pool, server.Name(), sender)
+	return !isUnbounded && !server.recentSends.Allows(limit, now)
 }
--- a/internal/roster/connections.go
+++ b/internal/roster/connections.go
@@ -6,9 +6,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/clock"
 )
 
-// Timed records whether an answer exceeded the latency target of its route. A server
+// RecordLatency records whether an answer exceeded the latency target of its route. A server
 // that does is not preferred for its connections.
-func (r *Roster) Timed(server *Server, isLate bool) {
+func (r *Roster) RecordLatency(server *Server, isLate bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	server.isLate = isLate
--- a/internal/roster/demand.go
+++ b/internal/roster/demand.go
@@ -55,8 +55,8 @@
 	return meter.Demand
 }
 
-// Refused records that no server of a pool had room for a request.
-func (r *Roster) Refused(pool string) {
+// RecordRefusal records that no server of a pool had room for a request.
+func (r *Roster) RecordRefusal(pool string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.meter(pool).Refused++
@@ -75,7 +75,7 @@
 	for _, routed := range r.pools[pool] {
 		server := r.servers[routed.Name()]
 		r.updateStanding(server, now)
-		if server.Standing() == route.Closed {
+		if server.Eligibility() == route.Closed {
 			continue
 		}
 		census.Present[server.entry.Zone]++
--- a/internal/roster/engine.go
+++ b/internal/roster/engine.go
@@ -58,12 +58,12 @@
 type Need struct {
 	Pool  string
 	Model string
-	// Oldest is the lowest acceptable weight version.
-	Oldest uint64
+	// MinVersion is the lowest acceptable weight version.
+	MinVersion uint64
 	// Tried servers are skipped.
 	Tried map[string]bool
-	// Heard prefers servers that have sent an event recently, if one of these has room.
-	Heard bool
+	// PreferActive prefers servers that have sent an event recently, if one of these has room.
+	PreferActive bool
 }
 
 // Place returns a server with a free slot for a generation, which counts there until
@@ -80,9 +80,9 @@
 	return server
 }
 
-// IsBetter reports whether a generation on a slow server would find a free slot on one
+// HasFasterServer reports whether a generation on a slow server would find a free slot on one
 // that is not slow.
-func (r *Roster) IsBetter(server *Server, need Need) bool {
+func (r *Roster) HasFasterServer(server *Server, need Need) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
@@ -92,7 +92,7 @@
 	}
 	need.Tried = map[string]bool{server.Name(): true}
 	target := r.selectServer(need)
-	if target == nil || target.Standing() != route.Open {
+	if target == nil || target.Eligibility() != route.Open {
 		return false
 	}
 	targetPace := r.servers[target.Name()].pace.value(now)
@@ -111,26 +111,26 @@
 	for _, routed := range r.pools[need.Pool] {
 		server := r.servers[routed.Name()]
 		r.updateStanding(server, now)
-		if need.Tried[routed.Name()] || now < server.fullUntil || server.isProbed || server.version(need.Model) < need.Oldest {
+		if need.Tried[routed.Name()] || now < server.fullUntil || server.isProbed || server.version(need.Model) < need.MinVersion {
 			continue
 		}
-		if r.isOverColdLimit(server, ByBatch, now) {
+		if r.isOverColdLimit(server, SenderBatch, now) {
 			continue
 		}
 		candidate := route.Candidate{Server: routed, Slowness: slowness(server.pace.value(now), typical)}
 		candidates = append(candidates, candidate)
-		if need.Heard && server.pace.isActive(now) {
+		if need.PreferActive && server.pace.isActive(now) {
 			active = append(active, candidate)
 		}
 	}
-	if target := route.Roomiest(active, r.Zone); target != nil && target.Standing() == route.Open {
+	if target := route.LeastUtilized(active, r.Zone); target != nil && target.Eligibility() == route.Open {
 		return target
 	}
-	return route.Roomiest(candidates, r.Zone)
+	return route.LeastUtilized(candidates, r.Zone)
 }
 
-// Show records the weight version that an answer reported.
-func (r *Roster) Show(server *Server, model string, version uint64) {
+// RecordVersion records the weight version that an answer reported.
+func (r *Roster) RecordVersion(server *Server, model string, version uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if version > 0 {
@@ -138,9 +138,9 @@
 	}
 }
 
-// Seats returns the servers of a pool that may get work, with the weight versions that
+// EntriesWithVersions returns the servers of a pool that may get work, with the weight versions that
 // they reported last.
-func (r *Roster) Seats(pool string) []Entry {
+func (r *Roster) EntriesWithVersions(pool string) []Entry {
 	entries := r.Entries(pool)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -158,9 +158,9 @@
 	return entries
 }
 
-// Beat records the interval between two events of a server, and returns its pace; 0 if
+// RecordEvent records the interval between two events of a server, and returns its pace; 0 if
 // unknown.
-func (r *Roster) Beat(server *Server, gap time.Duration) time.Duration {
+func (r *Roster) RecordEvent(server *Server, gap time.Duration) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
--- a/internal/roster/faults.go
+++ b/internal/roster/faults.go
@@ -22,11 +22,11 @@
 	maxFullBackoff = 200 * time.Millisecond
 )
 
-// Failed records that a server was unreachable or silent.
+// RecordFailure records that a server was unreachable or silent.
 //
 // A fault ends all requests at a server together and counts once: failures before the
 // server is tried again carry no new information.
-func (r *Roster) Failed(server *Server, reason string) {
+func (r *Roster) RecordFailure(server *Server, reason string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
@@ -41,8 +41,8 @@
 	klog.InfoS("roster: server is suspected", "server", server.Name(), "reason", reason, "failures", server.failures, "for", length)
 }
 
-// Full records that a server refused a request for want of room.
-func (r *Roster) Full(server *Server) {
+// RecordFull records that a server refused a request for want of room.
+func (r *Roster) RecordFull(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	server.backOff(clock.Now())
@@ -56,20 +56,20 @@
 	s.isProbed = false
 }
 
-// Replaced records that another server answers at a server's address: this one is gone.
-func (r *Roster) Replaced(server *Server) {
+// RecordReplaced records that another server answers at a server's address: this one is gone.
+func (r *Roster) RecordReplaced(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.servers[server.Name()] != server {
 		return
 	}
 	klog.InfoS("roster: another server answers at the address", "server", server.Name(), "address", server.entry.Address)
-	server.SetStanding(route.Closed)
+	server.SetEligibility(route.Closed)
 	server.isGone = true
 }
 
-// Answered records that a server has answered.
-func (r *Roster) Answered(server *Server) {
+// RecordAnswer records that a server has answered.
+func (r *Roster) RecordAnswer(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	server.failures, server.suspectUntil = 0, 0
--- a/internal/roster/registrations.go
+++ b/internal/roster/registrations.go
@@ -14,19 +14,19 @@
 	defer r.mutex.Unlock()
 	r.initMaps()
 	known := r.servers[entry.ID]
-	if known != nil && known.entry.Born > entry.Born {
-		klog.InfoS("roster: ignoring the registration of an older start of the server", "server", entry.ID, "born", entry.Born, "known", known.entry.Born)
+	if known != nil && known.entry.StartedAtMillis > entry.StartedAtMillis {
+		klog.InfoS("roster: ignoring the registration of an older start of the server", "server", entry.ID, "born", entry.StartedAtMillis, "known", known.entry.StartedAtMillis)
 		return
 	}
-	if known == nil || known.entry.Born != entry.Born || known.entry.Address != entry.Address || known.entry.Pool != entry.Pool {
+	if known == nil || known.entry.StartedAtMillis != entry.StartedAtMillis || known.entry.Address != entry.Address || known.entry.Pool != entry.Pool {
 		r.add(entry)
 	} else {
 		known.entry = entry
 		known.missingSince, known.isGone = 0, false
 	}
 	server, now := r.servers[entry.ID], clock.Now()
-	server.TakeSlots(int64(entry.Slots))
-	server.markCold(entry.Cold, now)
+	server.SetSlots(int64(entry.Slots))
+	server.markCold(entry.ColdFor, now)
 	r.updateStanding(server, now)
 	r.notifyChanged()
 }
@@ -35,7 +35,7 @@
 // it.
 func (r *Roster) add(entry Entry) {
 	r.drop(entry.ID)
-	klog.InfoS("roster: server registered", "server", entry.ID, "pool", entry.Pool, "address", entry.Address, "zone", entry.Zone, "born", entry.Born, "draining", entry.Draining)
+	klog.InfoS("roster: server registered", "server", entry.ID, "pool", entry.Pool, "address", entry.Address, "zone", entry.Zone, "born", entry.StartedAtMillis, "draining", entry.Draining)
 	server := &Server{
 		Server:       route.NewServer(entry.ID, r.Region, entry.Zone),
 		entry:        entry,
@@ -82,34 +82,34 @@
 		return
 	}
 	now := clock.Now()
-	if r.isStoreLost || r.regainedAt != 0 && now.Sub(r.regainedAt) < r.Back {
+	if r.isStoreLost || r.regainedAt != 0 && now.Sub(r.regainedAt) < r.ReregisterTimeout {
 		klog.InfoS("roster: registration expired during a store outage", "server", id)
 		server.missingSince = now
 		return
 	}
 	klog.InfoS("roster: registration ended", "server", id, "pool", server.entry.Pool)
-	server.SetStanding(route.Closed)
+	server.SetEligibility(route.Closed)
 	r.drop(id)
 	r.notifyChanged()
 }
 
-// Lost records that the store no longer answers.
-func (r *Roster) Lost() {
+// RecordStoreLost records that the store no longer answers.
+func (r *Roster) RecordStoreLost() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.isStoreLost = true
 }
 
-// Regained records that the store answers again.
-func (r *Roster) Regained() {
+// RecordStoreRegained records that the store answers again.
+func (r *Roster) RecordStoreRegained() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.isStoreLost = false
 	r.regainedAt = clock.Now()
 }
 
-// Listed records that all registrations have been read once.
-func (r *Roster) Listed() {
+// MarkListed records that all registrations have been read once.
+func (r *Roster) MarkListed() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.isListed = true
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -21,11 +21,11 @@
 	Wire   backend.Wire
 	// Idle is how long an unused connection to a server is kept.
 	Idle time.Duration
-	// Cold limits the requests to cold servers; nil sets no limit.
-	Cold Cold
-	// Back is how long servers whose registrations expired in a store outage may take to
+	// ColdLimits limits the requests to cold servers; nil sets no limit.
+	ColdLimits ColdLimits
+	// ReregisterTimeout is how long servers whose registrations expired in a store outage may take to
 	// register again after it.
-	Back time.Duration
+	ReregisterTimeout time.Duration
 
 	mutex   sync.Mutex
 	servers map[string]*Server
@@ -64,7 +64,7 @@
 	for _, routed := range r.pools[pool] {
 		server := r.servers[routed.Name()]
 		r.updateStanding(server, now)
-		if server.Standing() != route.Closed {
+		if server.Eligibility() != route.Closed {
 			entries = append(entries, server.entry)
 		}
 	}
@@ -81,7 +81,7 @@
 		return nil
 	}
 	r.updateStanding(server, clock.Now())
-	if server.Standing() == route.Closed {
+	if server.Eligibility() == route.Closed {
 		return nil
 	}
 	return server
@@ -96,10 +96,10 @@
 	for _, routed := range r.pools[pool] {
 		server := r.servers[routed.Name()]
 		r.updateStanding(server, now)
-		if r.isOverColdLimit(server, ByCaller, now) {
-			server.SetStanding(route.Closed)
+		if r.isOverColdLimit(server, SenderCaller, now) {
+			server.SetEligibility(route.Closed)
 		}
-		server.SetSpare(server.mayPreferConnection() && server.hasIdleConnection(now, r.Idle))
+		server.SetIdleConn(server.mayPreferConnection() && server.hasIdleConnection(now, r.Idle))
 	}
 	choice := r.chooser.Choose(r.pools[pool], route.Request{Now: time.Now(), Tried: tried})
 	if choice.Server == nil {
@@ -138,22 +138,22 @@
 func (r *Roster) Running(server *Server) int64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return server.Own()
+	return server.Inflight()
 }
 
 // updateStanding sets whether a server may get new work.
 func (r *Roster) updateStanding(server *Server, now clock.Boot) {
 	switch {
 	case server.isGone, server.entry.Draining, r.isDrained(server.entry.Zone):
-		server.SetStanding(route.Closed)
-	case server.missingSince != 0 && !r.isStoreLost && now.Sub(r.regainedAt) >= r.Back:
+		server.SetEligibility(route.Closed)
+	case server.missingSince != 0 && !r.isStoreLost && now.Sub(r.regainedAt) >= r.ReregisterTimeout:
 		klog.InfoS("roster: registration was not renewed after a store outage", "server", server.Name())
 		server.isGone = true
-		server.SetStanding(route.Closed)
+		server.SetEligibility(route.Closed)
 	case now < server.suspectUntil, now < server.fullUntil:
-		server.SetStanding(route.Suspect)
+		server.SetEligibility(route.Suspect)
 	default:
-		server.SetStanding(route.Open)
+		server.SetEligibility(route.Open)
 	}
 }
 
--- a/internal/roster/server.go
+++ b/internal/roster/server.go
@@ -18,10 +18,10 @@
 	// Slots is the number of requests that the server runs concurrently.
 	Slots    int
 	Draining bool
-	// Cold is how much longer the server is cold at the time of the registration.
-	Cold time.Duration
-	// Born is the start time of the server in milliseconds since 1970 UTC.
-	Born int64
+	// ColdFor is how much longer the server is cold at the time of the registration.
+	ColdFor time.Duration
+	// StartedAtMillis is the start time of the server in milliseconds since 1970 UTC.
+	StartedAtMillis int64
 	// Versions are the weight versions by model.
 	Versions map[string]uint64
 }
@@ -54,7 +54,7 @@
 	isLate bool
 	// coldUntil is when the server stops being cold.
 	coldUntil   clock.Boot
-	recentSends cold.Sent
+	recentSends cold.RequestWindow
 }
 
 // Direct returns the client of the server.
--- a/internal/roster/zones.go
+++ b/internal/roster/zones.go
@@ -33,8 +33,8 @@
 	klog.InfoS("roster: zone is restored", "zone", zone, "drained", now.Sub(r.drainedAt[zone]), "running", r.runningIn(zone))
 	delete(r.drainedAt, zone)
 	for _, server := range r.servers {
-		if server.entry.Zone == zone && r.Cold != nil {
-			server.markCold(r.Cold.Length(server.entry.Pool), now)
+		if server.entry.Zone == zone && r.ColdLimits != nil {
+			server.markCold(r.ColdLimits.Duration(server.entry.Pool), now)
 		}
 	}
 	r.notifyChanged()
@@ -64,7 +64,7 @@
 	var running int64
 	for _, server := range r.servers {
 		if server.entry.Zone == zone {
-			running += server.Own()
+			running += server.Inflight()
 		}
 	}
 	return running
--- a/internal/route/chooser.go
+++ b/internal/route/chooser.go
@@ -28,13 +28,13 @@
 
 // Reasons.
 const (
-	ReasonNone    Reason = "none gets new work"
-	ReasonPrefix  Reason = "less loaded of two for the prefix"
-	ReasonDraws   Reason = "less loaded of two random ones"
-	ReasonZone    Reason = "less loaded of two random ones of the zone"
-	ReasonSpare   Reason = "less loaded of two random ones of the zone with an unused connection"
-	ReasonAway    Reason = "of another zone, this one is loaded"
-	ReasonSuspect Reason = "suspected, no open one is left"
+	ReasonNone      Reason = "none gets new work"
+	ReasonPrefix    Reason = "less loaded of two for the prefix"
+	ReasonRandom    Reason = "less loaded of two random ones"
+	ReasonZone      Reason = "less loaded of two random ones of the zone"
+	ReasonIdleConn  Reason = "less loaded of two random ones of the zone with an unused connection"
+	ReasonOtherZone Reason = "of another zone, this one is loaded"
+	ReasonSuspect   Reason = "suspected, no open one is left"
 )
 
 // Choice is the chosen server and the reason.
@@ -92,14 +92,14 @@
 		if choice := c.chooseByPrefix(request.Prefix); choice.Server != nil {
 			return choice
 		}
-		return Choice{Server: c.pickLessLoaded(c.eligible), Reason: ReasonDraws}
+		return Choice{Server: c.pickLessLoaded(c.eligible), Reason: ReasonRandom}
 	}
 	return c.chooseByZone()
 }
 
 // selectEligible collects the servers that may be chosen, only those of this region
 // if it has any.
-func (c *Chooser) selectEligible(servers []*Server, request Request, worst Standing) {
+func (c *Chooser) selectEligible(servers []*Server, request Request, worst Eligibility) {
 	c.eligible = c.eligible[:0]
 	c.nearby = c.nearby[:0]
 	for _, server := range servers {
@@ -128,8 +128,8 @@
 	c.mean = float64(others) / float64(max(1, slots))
 }
 
-func isEligible(server *Server, request Request, worst Standing) bool {
-	if server.standing > worst || request.Tried[server.name] {
+func isEligible(server *Server, request Request, worst Eligibility) bool {
+	if server.eligibility > worst || request.Tried[server.name] {
 		return false
 	}
 	return request.Version == 0 || server.report.Version == 0 || server.report.Version >= request.Version
@@ -207,15 +207,15 @@
 // the other server clearly less loaded.
 func (c *Chooser) chooseByZone() Choice {
 	if len(c.nearby) == 0 {
-		return Choice{Server: c.pickLessLoaded(c.eligible), Reason: ReasonDraws}
+		return Choice{Server: c.pickLessLoaded(c.eligible), Reason: ReasonRandom}
 	}
 	if server := c.chooseByIdleConn(); server != nil {
-		return Choice{Server: server, Reason: ReasonSpare}
+		return Choice{Server: server, Reason: ReasonIdleConn}
 	}
 	local := c.pickLessLoaded(c.nearby)
 	global := c.pickLessLoaded(c.eligible)
 	if local.utilization() >= 1 && global.utilization()+zoneMargin < local.utilization() {
-		return Choice{Server: global, Reason: ReasonAway}
+		return Choice{Server: global, Reason: ReasonOtherZone}
 	}
 	return Choice{Server: local, Reason: ReasonZone}
 }
--- a/internal/route/roomiest.go
+++ b/internal/route/leastutilized.go
@@ -15,18 +15,18 @@
 // IsSlow reports whether a server is so slow that others are preferred for new work.
 func IsSlow(slowness float64) bool { return slowness > maxSlowness }
 
-// Roomiest returns the server with the smallest share of its slots in use, or nil
+// LeastUtilized returns the server with the smallest share of its slots in use, or nil
 // if none has a free slot. Slow and suspect servers come last; among equals, those
 // of the zone come first.
 //
 // A generation queued at a server can't move to another, while one queued here
 // takes the first slot that any server frees. So no server gets more generations
 // than it has slots.
-func Roomiest(candidates []Candidate, zone string) *Server {
+func LeastUtilized(candidates []Candidate, zone string) *Server {
 	var best Candidate
 	for _, candidate := range candidates {
 		server := candidate.Server
-		if server.standing == Closed || server.own >= server.Slots() {
+		if server.eligibility == Closed || server.own >= server.Slots() {
 			continue
 		}
 		if best.Server == nil || isPreferred(candidate, best, zone) {
@@ -37,8 +37,8 @@
 }
 
 func isPreferred(a, b Candidate, zone string) bool {
-	if a.Server.standing != b.Server.standing {
-		return a.Server.standing < b.Server.standing
+	if a.Server.eligibility != b.Server.eligibility {
+		return a.Server.eligibility < b.Server.eligibility
 	}
 	if aIsSlow, bIsSlow := IsSlow(a.Slowness), IsSlow(b.Slowness); aIsSlow != bIsSlow {
 		return bIsSlow
--- a/internal/route/server.go
+++ b/internal/route/server.go
@@ -14,13 +14,13 @@
 // assumedSlots is the number of slots of a server that has not reported it yet.
 const assumedSlots = 8
 
-// Standing says whether a server gets new work.
-type Standing int
+// Eligibility says whether a server gets new work.
+type Eligibility int
 
 // Standings, from best to worst.
 const (
 	// Open servers get new work.
-	Open Standing = iota
+	Open Eligibility = iota
 	// Suspect servers get new work only if there is no open one.
 	Suspect
 	// Closed servers are draining, have left or have failed, and get no new work.
@@ -42,12 +42,12 @@
 // Server is one entry's view of a backend server.
 // It is not safe for concurrent use.
 type Server struct {
-	name     string
-	region   string
-	zone     string
-	hash     uint64
-	standing Standing
-	report   Report
+	name        string
+	region      string
+	zone        string
+	hash        uint64
+	eligibility Eligibility
+	report      Report
 	// own counts this entry's running requests; sent and ended count its requests
 	// since the last report.
 	own   int64
@@ -89,17 +89,17 @@
 // Name returns the identity of the server.
 func (s *Server) Name() string { return s.name }
 
-// Own returns the number of this entry's running requests.
-func (s *Server) Own() int64 { return s.own }
+// Inflight returns the number of this entry's running requests.
+func (s *Server) Inflight() int64 { return s.own }
 
-// Reported returns the requests running or queued according to the last report.
-func (s *Server) Reported() int64 { return s.report.Running + s.report.Queued }
+// ReportedLoad returns the requests running or queued according to the last report.
+func (s *Server) ReportedLoad() int64 { return s.report.Running + s.report.Queued }
 
-// SetSpare sets whether a connection to the server is open and idle.
-func (s *Server) SetSpare(hasIdleConn bool) { s.hasIdleConn = hasIdleConn }
+// SetIdleConn sets whether a connection to the server is open and idle.
+func (s *Server) SetIdleConn(hasIdleConn bool) { s.hasIdleConn = hasIdleConn }
 
-// SetStanding sets whether the server gets new work.
-func (s *Server) SetStanding(standing Standing) { s.standing = standing }
+// SetEligibility sets whether the server gets new work.
+func (s *Server) SetEligibility(eligibility Eligibility) { s.eligibility = eligibility }
 
 // Slots returns the number of requests that the server runs concurrently.
 func (s *Server) Slots() int64 {
@@ -109,15 +109,15 @@
 	return s.report.Slots
 }
 
-// Standing returns whether the server gets new work.
-func (s *Server) Standing() Standing { return s.standing }
+// Eligibility returns whether the server gets new work.
+func (s *Server) Eligibility() Eligibility { return s.eligibility }
 
-// TakeSlots sets the number of requests that the server runs concurrently, for
+// SetSlots sets the number of requests that the server runs concurrently, for
 // servers that state it in their registration rather than in load reports.
-func (s *Server) TakeSlots(slots int64) { s.report.Slots = slots }
+func (s *Server) SetSlots(slots int64) { s.report.Slots = slots }
 
-// TakeReport stores a report if it is newer than the last one.
-func (s *Server) TakeReport(report Report) {
+// UpdateReport stores a report if it is newer than the last one.
+func (s *Server) UpdateReport(report Report) {
 	if report.Seq <= s.report.Seq {
 		return
 	}
--- a/internal/secure/identity.go
+++ b/internal/secure/identity.go
@@ -120,9 +120,9 @@
 	}, nil
 }
 
-// ForCallers returns the TLS configuration of the server for callers, or nil if the
+// CallerTLSConfig returns the TLS configuration of the server for callers, or nil if the
 // settings name no certificate.
-func ForCallers(secure *settingspb.Secure) (*tls.Config, error) {
+func CallerTLSConfig(secure *settingspb.Secure) (*tls.Config, error) {
 	return forCallers(secure, minCheckInterval)
 }
 
@@ -150,9 +150,9 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: currentConfig}, nil
 }
 
-// ForOperators returns the TLS configuration of an operator's command, which trusts
+// OperatorTLSConfig returns the TLS configuration of an operator's command, which trusts
 // the authority in a file.
-func ForOperators(file string) (*tls.Config, error) {
+func OperatorTLSConfig(file string) (*tls.Config, error) {
 	authority, err := readAuthority(file)
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/directory.go
+++ b/internal/sidecar/directory.go
@@ -121,11 +121,11 @@
 // report and the fleet; any of them may be the first to show that the server drains.
 func (d *directory) updateServer(s *server, process *peerpb.Process, draining map[string]bool, now time.Time) {
 	load := d.members.Load(s.Name())
-	s.SetStanding(standing(process.GetState()))
+	s.SetEligibility(standing(process.GetState()))
 	if load.GetDraining() || draining[s.Name()] {
-		s.SetStanding(route.Closed)
+		s.SetEligibility(route.Closed)
 	}
-	s.TakeReport(route.Report{
+	s.UpdateReport(route.Report{
 		Seq:     load.GetSeq(),
 		Time:    now,
 		Running: int64(load.GetRunning()),
@@ -135,7 +135,7 @@
 	})
 }
 
-func standing(state peerpb.State) route.Standing {
+func standing(state peerpb.State) route.Eligibility {
 	switch state {
 	case peerpb.State_STATE_LIVE:
 		return route.Open
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -30,12 +30,12 @@
 	Members     *member.Members
 	Decisions   *decision.Log
 	Credentials credentials.TransportCredentials
-	// Silence is the read timeout: how long a sidecar may send nothing.
-	Silence time.Duration
+	// ReadTimeout is the read timeout: how long a sidecar may send nothing.
+	ReadTimeout time.Duration
 	// Homes finds the servers for requests with a claim; if nil, these are refused.
 	Homes Homes
-	// Counted, if not nil, receives the counters at the end of an answer.
-	Counted func([]*peerpb.Count)
+	// OnCounts, if not nil, receives the counters at the end of an answer.
+	OnCounts func([]*peerpb.Count)
 	// Metrics registers the pool's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
 
@@ -93,8 +93,8 @@
 }
 
 func (p *Pool) reportCounts(end *peerpb.End) {
-	if p.Counted != nil && len(end.GetCounts()) > 0 {
-		p.Counted(end.GetCounts())
+	if p.OnCounts != nil && len(end.GetCounts()) > 0 {
+		p.OnCounts(end.GetCounts())
 	}
 }
 
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -92,7 +92,7 @@
 	if last != nil {
 		return nil, r.refuse(last)
 	}
-	return nil, r.refuse(refusal.NotRun(http.StatusServiceUnavailable, "no_server", "no backend server of %s: %s", r.request.GetPool(), reason).After(retryAfter))
+	return nil, r.refuse(refusal.NotRun(http.StatusServiceUnavailable, "no_server", "no backend server of %s: %s", r.request.GetPool(), reason).WithRetryAfter(retryAfter))
 }
 
 // refuse ends the request with the refusal of the last server.
@@ -116,7 +116,7 @@
 	if code != codeUnreached && code != codeLost {
 		return false
 	}
-	if time.Since(r.began) >= r.pool.Silence || !r.pause() {
+	if time.Since(r.began) >= r.pool.ReadTimeout || !r.pause() {
 		return false
 	}
 	clear(r.tried)
@@ -154,7 +154,7 @@
 // a new connection either.
 func (r *run) countFailure(failures int, isResume bool, began time.Time, next uint64) int {
 	isAlive := r.lastHeard.After(began)
-	timedOut := time.Since(began) >= r.pool.Silence
+	timedOut := time.Since(began) >= r.pool.ReadTimeout
 	switch {
 	case r.next > next, isAlive && timedOut:
 		return 0
@@ -170,7 +170,7 @@
 // nothing for the read timeout, since the run may still continue there. Without that, a
 // brief network failure would cost every caller behind it the answer.
 func (r *run) shouldGiveUp() bool {
-	return r.request.GetIdempotent() && r.restartAnswer() || time.Since(r.lastHeard) >= r.pool.Silence
+	return r.request.GetIdempotent() && r.restartAnswer() || time.Since(r.lastHeard) >= r.pool.ReadTimeout
 }
 
 // pause waits between two attempts; it returns false once the context has ended.
@@ -211,9 +211,9 @@
 	var notSent *notSentError
 	switch {
 	case !r.sent && (errors.As(err, &notSent) || isLost(err)):
-		return refusal.NotRun(http.StatusServiceUnavailable, codeUnreached, "%s can't be reached", server.Name()).After(retryAfter)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeUnreached, "%s can't be reached", server.Name()).WithRetryAfter(retryAfter)
 	case errors.As(err, &notSent), isLost(err):
-		return refusal.Unknown(http.StatusBadGateway, codeLost, "%s no longer answers", server.Name()).After(retryAfter)
+		return refusal.Unknown(http.StatusBadGateway, codeLost, "%s no longer answers", server.Name()).WithRetryAfter(retryAfter)
 	default:
 		return err
 	}
--- a/internal/steplog/steplog.go
+++ b/internal/steplog/steplog.go
@@ -35,13 +35,13 @@
 	Items  int
 	// Accepted is when the step was accepted; the year is unknown.
 	Accepted time.Time
-	// Placed is the time from Accepted until half of the items had a sampler.
-	Placed time.Duration
+	// HalfPlaced is the time from Accepted until half of the items had a sampler.
+	HalfPlaced time.Duration
 	// Waited is how long the last text waited for its first sampler.
 	Waited time.Duration
-	// Cut is the time from its first placement to its last one: interrupted or moved
+	// Interrupted is the time from its first placement to its last one: interrupted or moved
 	// runs, and the waits after them.
-	Cut time.Duration
+	Interrupted time.Duration
 	// Ran is the time of its last run.
 	Ran time.Duration
 	// Listed is the time from the end of that run until the step's last outcome before
@@ -49,13 +49,13 @@
 	Listed time.Duration
 	// Closed is the time from then on until the trainer ended the step.
 	Closed time.Duration
-	// Again counts placements after the first one of an item, Takeovers owners after
+	// RepeatedPlacements counts placements after the first one of an item, Takeovers owners after
 	// the first one, and Unwritten failed writes to the store.
-	Again, Takeovers, Unwritten int
+	RepeatedPlacements, Takeovers, Unwritten int
 }
 
 // Total returns the time from the step's acceptance to its end.
-func (s *Step) Total() time.Duration { return s.Waited + s.Cut + s.Ran + s.Listed + s.Closed }
+func (s *Step) Total() time.Duration { return s.Waited + s.Interrupted + s.Ran + s.Listed + s.Closed }
 
 // stepTrace collects the events of a step while its lines are read.
 type stepTrace struct {
@@ -176,7 +176,7 @@
 			continue
 		}
 		first = append(first, candidate.placedAt[0].Sub(r.Accepted))
-		r.Again += len(candidate.placedAt) - 1
+		r.RepeatedPlacements += len(candidate.placedAt) - 1
 		if !candidate.generatedAt.IsZero() && !candidate.generatedAt.After(r.endedAt) && (last == nil || candidate.generatedAt.After(last.generatedAt)) {
 			last = candidate
 		}
@@ -186,9 +186,9 @@
 	}
 	slices.Sort(first)
 	latest := last.placedAt[len(last.placedAt)-1]
-	r.Placed = first[len(first)/2]
+	r.HalfPlaced = first[len(first)/2]
 	r.Waited = last.placedAt[0].Sub(r.Accepted)
-	r.Cut = latest.Sub(last.placedAt[0])
+	r.Interrupted = latest.Sub(last.placedAt[0])
 	r.Ran = last.generatedAt.Sub(latest)
 	listed := r.lastListed(last.generatedAt)
 	r.Listed = listed.Sub(last.generatedAt)
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -15,12 +15,12 @@
 // Current returns the table in force, or nil.
 func (v *View) Current() *Table { return v.current.Load() }
 
-// Take puts a table in force if its version is higher than that of the current one. It
+// Update puts a table in force if its version is higher than that of the current one. It
 // reports whether it did.
 //
 // A read of the store may be older than what a watch has delivered already; a withdrawn
 // key would then work again for a moment.
-func (v *View) Take(next *Table) bool {
+func (v *View) Update(next *Table) bool {
 	for {
 		current := v.current.Load()
 		if current != nil && current.Version >= next.Version {
--- a/internal/trainer/handler.go
+++ b/internal/trainer/handler.go
@@ -36,8 +36,8 @@
 	Steps  Steps
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
-	// Poll is the maximum wait of a pull.
-	Poll time.Duration
+	// MaxPullWait is the maximum wait of a pull.
+	MaxPullWait time.Duration
 }
 
 // call is an authorized request of a trainer.
--- a/internal/usage/fleet_test.go
+++ b/internal/usage/fleet_test.go
@@ -166,9 +166,9 @@
 	return c.call(func() error { return c.fleet.Report(ctx, usage, guard) })
 }
 
-func (c *crashingPlatform) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (revision uint64, err error) {
+func (c *crashingPlatform) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (revision uint64, err error) {
 	err = c.call(func() error {
-		revision, err = c.fleet.Swap(ctx, key, expect, data, lease)
+		revision, err = c.fleet.CompareAndSwap(ctx, key, expect, data, lease)
 		return err
 	})
 	return revision, err
@@ -183,16 +183,16 @@
 
 func newReporter(fleet *fleet, platform usage.Platform, name string) *usage.Reporter {
 	return &usage.Reporter{
-		Process:   name,
-		Platform:  platform,
-		Collector: &usage.Collector{Directory: fleet, Peers: fleet},
-		Offer:     func(*peerpb.Fact) bool { return true },
-		Window:    length,
-		Settle:    settle,
-		Retain:    10 * length,
-		Keep:      time.Hour,
-		Interval:  time.Second,
-		Lease:     lease,
-		Bound:     bound,
+		Process:       name,
+		Platform:      platform,
+		Collector:     &usage.Collector{Directory: fleet, Peers: fleet},
+		Offer:         func(*peerpb.Fact) bool { return true },
+		Window:        length,
+		Settle:        settle,
+		Retain:        10 * length,
+		Keep:          time.Hour,
+		Interval:      time.Second,
+		Lease:         lease,
+		ReportTimeout: bound,
 	}
 }
--- a/internal/usage/pusher.go
+++ b/internal/usage/pusher.go
@@ -86,7 +86,7 @@
 
 func (p *Pusher) push(ctx context.Context) {
 	acknowledged := map[entryIncarnation]uint64{}
-	for _, entry := range Holders(p.Directory.Self(), p.Directory.Processes(peerpb.Role_ROLE_ENTRY)) {
+	for _, entry := range ReplicaEntries(p.Directory.Self(), p.Directory.Processes(peerpb.Role_ROLE_ENTRY)) {
 		key := entryIncarnation{name: entry.GetName(), incarnation: entry.GetIncarnation()}
 		acknowledged[key] = p.pushTo(ctx, entry, p.acknowledged[key])
 	}
--- a/internal/usage/holders.go
+++ b/internal/usage/replicaentries.go
@@ -13,10 +13,10 @@
 // replicaCount is the number of entries that hold copies of a process's counters.
 const replicaCount = 2
 
-// Holders returns the entries that hold copies of a process's counters: the first
+// ReplicaEntries returns the entries that hold copies of a process's counters: the first
 // by rendezvous hashing, each in a different zone and none in the zone of the
 // process, as far as there are enough zones. It skips draining entries.
-func Holders(process *peerpb.Process, entries []*peerpb.Process) []*peerpb.Process {
+func ReplicaEntries(process *peerpb.Process, entries []*peerpb.Process) []*peerpb.Process {
 	var live []*peerpb.Process
 	for _, entry := range entries {
 		if entry.GetState() == peerpb.State_STATE_LIVE && entry.GetName() != process.GetName() {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -24,8 +24,8 @@
 const (
 	// DutyName is the name of the reporter's duty.
 	DutyName = "usage"
-	// Prefix is the key prefix of closed windows in the store.
-	Prefix = "usage/"
+	// KeyPrefix is the key prefix of closed windows in the store.
+	KeyPrefix = "usage/"
 	// maxCatchUp limits the windows closed one by one after an outage. Counts of
 	// older windows become late figures of the first one.
 	maxCatchUp = 48
@@ -45,13 +45,13 @@
 	return fmt.Sprintf("usage: window %d: term %d is superseded by %d", e.Window, e.Fence, e.Newer)
 }
 
-// EndedError reports that a term ended before a report was sent.
-type EndedError struct {
+// TermEndedError reports that a term ended before a report was sent.
+type TermEndedError struct {
 	Fence uint64
 }
 
 // Error names the term.
-func (e *EndedError) Error() string {
+func (e *TermEndedError) Error() string {
 	return "usage: term " + strconv.FormatUint(e.Fence, 10) + " has ended"
 }
 
@@ -61,7 +61,7 @@
 	Get(ctx context.Context, key string) (platform.Value, error)
 	List(ctx context.Context, prefix string) (platform.ListReply, error)
 	Report(ctx context.Context, usage platform.Usage, guard func() error) error
-	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
+	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
 // Reporter closes usage windows and reports them. Exported fields are set before Run.
@@ -89,8 +89,8 @@
 	Interval time.Duration
 	// Lease is the duration of the duty's lease.
 	Lease time.Duration
-	// Bound is the longest time that a report may be in flight.
-	Bound time.Duration
+	// ReportTimeout is the longest time that a report may be in flight.
+	ReportTimeout time.Duration
 	// Fenced is set if the platform rejects reports with an old fencing token.
 	Fenced bool
 	// Now returns the wall clock time that decides when windows end; nil means time.Now.
@@ -107,8 +107,8 @@
 	revision uint64
 }
 
-// Key returns the key of a window in the store.
-func Key(start int64) string { return Prefix + strconv.FormatInt(start, 10) }
+// WindowKey returns the key of a window in the store.
+func WindowKey(start int64) string { return KeyPrefix + strconv.FormatInt(start, 10) }
 
 // ParseWindow decodes the value of a window's key.
 func ParseWindow(value platform.Value) (*statepb.Window, error) {
@@ -139,7 +139,7 @@
 
 func isTermOver(err error) bool {
 	var superseded *SupersededError
-	var ended *EndedError
+	var ended *TermEndedError
 	return errors.As(err, &superseded) || errors.As(err, &ended)
 }
 
@@ -169,7 +169,7 @@
 
 // load reads all windows.
 func (r *Reporter) load(ctx context.Context) error {
-	reply, err := r.Platform.List(ctx, Prefix)
+	reply, err := r.Platform.List(ctx, KeyPrefix)
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 		return &SupersededError{Window: window.GetStart(), Fence: own, Newer: other}
 	}
 	if other < own && r.earliestReport.IsZero() && !r.Fenced {
-		r.earliestReport = time.Now().Add(r.Lease + r.Bound)
+		r.earliestReport = time.Now().Add(r.Lease + r.ReportTimeout)
 	}
 	return nil
 }
@@ -205,7 +205,7 @@
 // dueWindows returns the windows to close and report, oldest first.
 func (r *Reporter) dueWindows(now time.Time) []int64 {
 	length := max(int64(r.Window/time.Second), 1)
-	newest := Start(now.Add(-r.Settle), r.Window) - length
+	newest := WindowStart(now.Add(-r.Settle), r.Window) - length
 	next := newest
 	for start, stored := range r.windows {
 		if !stored.window.GetReported() {
@@ -250,7 +250,7 @@
 	window := statepb.Window_builder{
 		Start:   start,
 		Length:  length,
-		Figures: Close(start, counts, r.closedWindows()),
+		Figures: CloseWindow(start, counts, r.closedWindows()),
 		Fence:   r.term.Fence(),
 	}.Build()
 	if err := r.write(ctx, window); err != nil {
@@ -291,11 +291,11 @@
 }
 
 func (r *Reporter) send(ctx context.Context, window *statepb.Window) error {
-	deadline := time.Now().Add(r.Bound)
+	deadline := time.Now().Add(r.ReportTimeout)
 	guard := func() error {
 		now := time.Now()
 		if !r.term.Valid(now) || !now.Before(deadline) {
-			return &EndedError{Fence: r.term.Fence()}
+			return &TermEndedError{Fence: r.term.Fence()}
 		}
 		return nil
 	}
@@ -346,7 +346,7 @@
 	if err != nil {
 		return eris.Wrap(err, "encode usage window")
 	}
-	revision, err := r.Platform.Swap(ctx, Key(start), r.windows[start].revision, data, 0)
+	revision, err := r.Platform.CompareAndSwap(ctx, WindowKey(start), r.windows[start].revision, data, 0)
 	if err != nil {
 		return errors.Join(err, r.reload(ctx, start))
 	}
@@ -355,7 +355,7 @@
 }
 
 func (r *Reporter) reload(ctx context.Context, start int64) error {
-	value, err := r.Platform.Get(ctx, Key(start))
+	value, err := r.Platform.Get(ctx, WindowKey(start))
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
 		return nil
@@ -384,7 +384,7 @@
 		if start >= oldest || !stored.window.GetReported() || deleted == maxDeletes {
 			continue
 		}
-		if err := r.Platform.Delete(ctx, Key(start), stored.revision); err != nil {
+		if err := r.Platform.Delete(ctx, WindowKey(start), stored.revision); err != nil {
 			return err
 		}
 		delete(r.windows, start)
@@ -394,4 +394,4 @@
 }
 
 // decisionID returns the identity of a window in the decision log.
-func decisionID(start int64) string { return Key(start) }
+func decisionID(start int64) string { return WindowKey(start) }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// Start returns the start of the window that contains now, in Unix seconds.
+// WindowStart returns the start of the window that contains now, in Unix seconds.
 // A length below one second counts as one second.
-func Start(now time.Time, length time.Duration) int64 {
+func WindowStart(now time.Time, length time.Duration) int64 {
 	seconds := max(int64(length/time.Second), 1)
 	return now.Unix() - now.Unix()%seconds
 }
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -23,14 +23,14 @@
 	outputTokens uint64
 }
 
-// Close returns the figures of a window from merged counters and the windows
+// CloseWindow returns the figures of a window from merged counters and the windows
 // that were closed before it.
 //
 // Usage of an earlier window that no closed window includes is late: this window
 // includes it, marked with the start of its own window. Totals only grow with
 // the counters, so no usage is included twice. If counters are lost after they
 // were included, a total shrinks, and then nothing is late.
-func Close(start int64, counts []*peerpb.Count, closed []*statepb.Window) []*statepb.Figure {
+func CloseWindow(start int64, counts []*peerpb.Count, closed []*statepb.Window) []*statepb.Figure {
 	included := map[figureKey]amounts{}
 	for _, window := range closed {
 		addFigures(included, window)
--- a/internal/weight/choice.go
+++ b/internal/weight/choice.go
@@ -16,7 +16,7 @@
 type plan struct {
 	Change
 
-	work *Work
+	demand *Demand
 	// zones lists the samplers that may load the model's newest version, in each zone by
 	// increasing cost.
 	zones map[string][]*sampler
@@ -27,13 +27,13 @@
 // plans returns a plan for each model whose next step lacks samplers.
 func (s *Schedule) plans(now time.Time) []*plan {
 	var plans []*plan
-	for i := range s.work {
-		work := &s.work[i]
-		plan := &plan{Change: s.coverage(work), work: work}
-		if work.Named == 0 || plan.Coming >= plan.Wanted {
+	for i := range s.demands {
+		demand := &s.demands[i]
+		plan := &plan{Change: s.coverage(demand), demand: demand}
+		if demand.NewestVersion == 0 || plan.Next >= plan.Wanted {
 			continue
 		}
-		plan.zones = s.candidates(work, now)
+		plan.zones = s.candidates(demand, now)
 		plans = append(plans, plan)
 	}
 	return plans
@@ -41,11 +41,11 @@
 
 // countLoad adds a sampler that is ordered to load.
 func (p *plan) countLoad(sampler *sampler) {
-	if sampler.versions[p.Model] < p.work.Oldest {
+	if sampler.versions[p.Model] < p.demand.MinVersion {
 		p.Open++
 	}
-	if sampler.versions[p.Model] < p.work.Coming {
-		p.Coming++
+	if sampler.versions[p.Model] < p.demand.NextMinVersion {
+		p.Next++
 	}
 }
 
@@ -54,7 +54,7 @@
 func neediest(plans []*plan) *plan {
 	var best *plan
 	for _, candidate := range plans {
-		if candidate.isExhausted || candidate.Coming >= candidate.Wanted {
+		if candidate.isExhausted || candidate.Next >= candidate.Wanted {
 			continue
 		}
 		if best == nil || candidate.isMoreUrgent(best.Change) {
@@ -77,24 +77,24 @@
 // open step has, or that of its next step plus nextStepOffset if that is lower.
 func (c Change) served() float64 {
 	open := float64(c.Open) / float64(c.Wanted)
-	coming := nextStepOffset + float64(c.Coming)/float64(c.Wanted)
+	coming := nextStepOffset + float64(c.Next)/float64(c.Wanted)
 	return min(open, coming)
 }
 
 // coverage counts the samplers that have a model's versions, including those that are loading
 // them.
-func (s *Schedule) coverage(work *Work) Change {
-	change := Change{Model: work.Model, Version: work.Named, Wanted: s.wanted(work)}
+func (s *Schedule) coverage(demand *Demand) Change {
+	change := Change{Model: demand.Model, Version: demand.NewestVersion, Wanted: s.wanted(demand)}
 	for _, sampler := range s.samplers {
-		version := sampler.versions[work.Model]
-		if sampler.isLoading && sampler.orderedModel == work.Model {
+		version := sampler.versions[demand.Model]
+		if sampler.isLoading && sampler.orderedModel == demand.Model {
 			version = max(version, sampler.orderedVersion)
 		}
-		if version >= work.Oldest {
+		if version >= demand.MinVersion {
 			change.Open++
 		}
-		if version >= work.Coming {
-			change.Coming++
+		if version >= demand.NextMinVersion {
+			change.Next++
 		}
 	}
 	return change
@@ -102,28 +102,28 @@
 
 // wanted returns how many samplers a step can use: enough to run all generations that it
 // begins at once.
-func (s *Schedule) wanted(work *Work) int {
+func (s *Schedule) wanted(demand *Demand) int {
 	slots := 0
 	for _, sampler := range s.samplers {
 		slots += sampler.slots
 	}
-	if work.Runs == 0 || slots == 0 {
+	if demand.Runs == 0 || slots == 0 {
 		return len(s.samplers)
 	}
 	mean := float64(slots) / float64(len(s.samplers))
-	return min(len(s.samplers), int(math.Ceil(float64(work.Runs)/mean)))
+	return min(len(s.samplers), int(math.Ceil(float64(demand.Runs)/mean)))
 }
 
 // candidates returns the samplers that may load a model's newest version, by zone and sorted
 // by cost. They are sorted once per round, since comparing all of them for each order would
 // grow with samplers times orders.
-func (s *Schedule) candidates(work *Work, now time.Time) map[string][]*sampler {
+func (s *Schedule) candidates(demand *Demand, now time.Time) map[string][]*sampler {
 	zones := map[string][]*sampler{}
 	for _, sampler := range s.samplers {
-		if sampler.isLoading || sampler.versions[work.Model] >= work.Named || now.Before(sampler.retryAt) {
+		if sampler.isLoading || sampler.versions[demand.Model] >= demand.NewestVersion || now.Before(sampler.retryAt) {
 			continue
 		}
-		sampler.cost = s.loadCost(work, sampler)
+		sampler.cost = s.loadCost(demand, sampler)
 		zones[sampler.zone] = append(zones[sampler.zone], sampler)
 	}
 	for _, zone := range zones {
@@ -143,7 +143,7 @@
 			candidates = candidates[1:]
 		}
 		plan.zones[zone] = candidates
-		if len(candidates) > 0 && (best == nil || s.compareCost(plan.work, candidates[0], best, loadsByZone) < 0) {
+		if len(candidates) > 0 && (best == nil || s.compareCost(plan.demand, candidates[0], best, loadsByZone) < 0) {
 			best = candidates[0]
 		}
 	}
@@ -151,9 +151,9 @@
 }
 
 // compareCost orders two samplers by the cost of a load.
-func (s *Schedule) compareCost(work *Work, a, b *sampler, loadsByZone map[string]int) int {
+func (s *Schedule) compareCost(demand *Demand, a, b *sampler, loadsByZone map[string]int) int {
 	return cmp.Or(
-		cmp.Compare(s.loadCost(work, a), s.loadCost(work, b)),
+		cmp.Compare(s.loadCost(demand, a), s.loadCost(demand, b)),
 		cmp.Compare(loadsByZone[a.zone], loadsByZone[b.zone]),
 		cmp.Compare(a.running, b.running),
 		cmp.Compare(a.server, b.server),
@@ -172,24 +172,24 @@
 )
 
 // loadCost returns the cost of a load at a sampler.
-func (s *Schedule) loadCost(work *Work, sampler *sampler) int {
-	cost := otherModelCost * s.otherModels(work, sampler)
-	version := sampler.versions[work.Model]
-	if version >= work.Coming {
+func (s *Schedule) loadCost(demand *Demand, sampler *sampler) int {
+	cost := otherModelCost * s.otherModels(demand, sampler)
+	version := sampler.versions[demand.Model]
+	if version >= demand.NextMinVersion {
 		cost += nextStepCost
 	}
-	if version >= work.Oldest {
+	if version >= demand.MinVersion {
 		cost += openStepCost
 	}
 	return cost
 }
 
 // otherModels returns how many other models can use a sampler for their open step.
-func (s *Schedule) otherModels(work *Work, sampler *sampler) int {
+func (s *Schedule) otherModels(demand *Demand, sampler *sampler) int {
 	count := 0
-	for i := range s.work {
-		other := &s.work[i]
-		if other.Model != work.Model && other.Named > 0 && sampler.versions[other.Model] >= other.Oldest {
+	for i := range s.demands {
+		other := &s.demands[i]
+		if other.Model != demand.Model && other.NewestVersion > 0 && sampler.versions[other.Model] >= other.MinVersion {
 			count++
 		}
 	}
--- a/internal/weight/steering.go
+++ b/internal/weight/poolcoordinator.go
@@ -26,15 +26,15 @@
 	loadTimeout = 5 * time.Second
 )
 
-// ErrHolds reports that a sampler already has the version that it was ordered to load.
-var ErrHolds = errors.New("weight: the sampler has that version already")
+// ErrAlreadyLoaded reports that a sampler already has the version that it was ordered to load.
+var ErrAlreadyLoaded = errors.New("weight: the sampler has that version already")
 
 // Target is a sampler that receives orders.
 type Target struct {
 	ID      string
 	Address string
-	// Born identifies a start of the sampler; a new start has forgotten all orders.
-	Born int64
+	// StartedAtMillis identifies a start of the sampler; a new start has forgotten all orders.
+	StartedAtMillis int64
 }
 
 // Load is an order to load weights.
@@ -44,8 +44,8 @@
 	Fence   uint64
 	// Orders is the number of orders that the sampler has accepted before this one.
 	Orders uint64
-	// Whole lets running generations end first; otherwise they continue under the new version.
-	Whole bool
+	// DrainFirst lets running generations end first; otherwise they continue under the new version.
+	DrainFirst bool
 }
 
 // State is what a sampler reports about itself.
@@ -67,18 +67,18 @@
 // Pool is a pool of samplers that several models share.
 type Pool struct {
 	Name string
-	// Work is what the models' steps need.
-	Work []Work
-	// Whole lets running generations end before new weights are loaded.
-	Whole bool
-	Seats []Seat
+	// Demand is what the models' steps need.
+	Demand []Demand
+	// DrainFirst lets running generations end before new weights are loaded.
+	DrainFirst bool
+	Samplers   []SamplerState
 	// Targets by sampler identity.
 	Targets map[string]Target
 }
 
-// Steering rolls out the versions that trainers name to pools of samplers that several models
+// PoolCoordinator rolls out the versions that trainers name to pools of samplers that several models
 // share, while this process holds the duty. Exported fields are set before Run.
-type Steering struct {
+type PoolCoordinator struct {
 	Samplers Samplers
 	// Pools returns the current pools.
 	Pools func() []Pool
@@ -97,7 +97,7 @@
 }
 
 // Run schedules loads until the term ends.
-func (s *Steering) Run(ctx context.Context, term Term) error {
+func (s *PoolCoordinator) Run(ctx context.Context, term Term) error {
 	s.mutex.Lock()
 	s.schedules = map[string]*Schedule{}
 	s.orders = map[Target]uint64{}
@@ -119,7 +119,7 @@
 }
 
 // schedulePool orders the loads that are due in one pool.
-func (s *Steering) schedulePool(ctx context.Context, term Term, pool Pool, cancel context.CancelCauseFunc) {
+func (s *PoolCoordinator) schedulePool(ctx context.Context, term Term, pool Pool, cancel context.CancelCauseFunc) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	schedule := s.schedules[pool.Name]
@@ -128,19 +128,19 @@
 		s.schedules[pool.Name] = schedule
 	}
 	now := time.Now()
-	schedule.Want(pool.Work)
-	schedule.Observe(pool.Seats, now)
+	schedule.SetDemand(pool.Demand)
+	schedule.Observe(pool.Samplers, now)
 	for _, change := range schedule.Next(now) {
-		target := pool.Targets[change.Seat]
-		s.Decisions.Record(change.Seat, "weight", "chosen for version %d of %s, which has %d samplers for its open step and %d for the next of %d; %d of %d load",
-			change.Version, change.Model, change.Open, change.Coming, change.Wanted, schedule.Changing(), schedule.Limit())
-		load := Load{Model: change.Model, Version: change.Version, Fence: term.Fence(), Whole: pool.Whole}
+		target := pool.Targets[change.Sampler]
+		s.Decisions.Record(change.Sampler, "weight", "chosen for version %d of %s, which has %d samplers for its open step and %d for the next of %d; %d of %d load",
+			change.Version, change.Model, change.Open, change.Next, change.Wanted, schedule.InFlight(), schedule.Limit())
+		load := Load{Model: change.Model, Version: change.Version, Fence: term.Fence(), DrainFirst: pool.DrainFirst}
 		s.loads.Go(func() { s.load(ctx, term, schedule, target, load, cancel) })
 	}
 }
 
 // load orders one sampler and waits until it has the version.
-func (s *Steering) load(ctx context.Context, term Term, schedule *Schedule, target Target, load Load, cancel context.CancelCauseFunc) {
+func (s *PoolCoordinator) load(ctx context.Context, term Term, schedule *Schedule, target Target, load Load, cancel context.CancelCauseFunc) {
 	began := time.Now()
 	ctx, stop := context.WithTimeout(ctx, loadTimeout)
 	defer stop()
@@ -170,7 +170,7 @@
 // An order without an answer may be accepted seconds later, after a newer one, and would set
 // the sampler back. So each order carries the number of orders accepted before it, and after a
 // lost answer the sampler is asked for that number.
-func (s *Steering) order(ctx context.Context, term Term, target Target, load Load) error {
+func (s *PoolCoordinator) order(ctx context.Context, term Term, target Target, load Load) error {
 	s.mutex.Lock()
 	orders, known := s.orders[target]
 	s.mutex.Unlock()
@@ -198,7 +198,7 @@
 	case err == nil:
 		s.setOrders(target, orders+1)
 		return nil
-	case errors.Is(err, ErrHolds):
+	case errors.Is(err, ErrAlreadyLoaded):
 		s.setOrders(target, orders)
 		return nil
 	default:
@@ -209,14 +209,14 @@
 	}
 }
 
-func (s *Steering) setOrders(target Target, orders uint64) {
+func (s *PoolCoordinator) setOrders(target Target, orders uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.orders[target] = orders
 }
 
 // awaitVersion polls the sampler from the time at which it should have the version.
-func (s *Steering) awaitVersion(ctx context.Context, target Target, load Load, began time.Time) error {
+func (s *PoolCoordinator) awaitVersion(ctx context.Context, target Target, load Load, began time.Time) error {
 	s.mutex.Lock()
 	expected := s.minLoadTime
 	s.mutex.Unlock()
--- a/internal/weight/steering_test.go
+++ b/internal/weight/poolcoordinator_test.go
@@ -13,10 +13,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-func seats(count int) []Seat {
-	var all []Seat
+func newSamplers(count int) []SamplerState {
+	var all []SamplerState
 	for i := range count {
-		all = append(all, Seat{ID: fmt.Sprintf("s%02d", i), Zone: string(rune('a' + i%4)), Slots: 8, Versions: map[string]uint64{}})
+		all = append(all, SamplerState{ID: fmt.Sprintf("s%02d", i), Zone: string(rune('a' + i%4)), Slots: 8, Versions: map[string]uint64{}})
 	}
 	return all
 }
@@ -79,11 +79,11 @@
 func (f *fleet) pools() []Pool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	pool := Pool{Name: "lm", Work: []Work{{Model: "m", Named: f.named, Oldest: f.named, Coming: f.named}}, Targets: map[string]Target{}}
-	for _, seat := range seats(6) {
-		seat.Versions["m"] = max(1, f.versions[seat.ID])
-		pool.Seats = append(pool.Seats, seat)
-		pool.Targets[seat.ID] = Target{ID: seat.ID}
+	pool := Pool{Name: "lm", Demand: []Demand{{Model: "m", NewestVersion: f.named, MinVersion: f.named, NextMinVersion: f.named}}, Targets: map[string]Target{}}
+	for _, sampler := range newSamplers(6) {
+		sampler.Versions["m"] = max(1, f.versions[sampler.ID])
+		pool.Samplers = append(pool.Samplers, sampler)
+		pool.Targets[sampler.ID] = Target{ID: sampler.ID}
 	}
 	return []Pool{pool}
 }
@@ -101,13 +101,13 @@
 
 func steerIn(t *testing.T, f *fleet, during term, length time.Duration) error {
 	t.Helper()
-	steering := &Steering{
+	coordinator := &PoolCoordinator{
 		Samplers: f, Pools: f.pools, Share: 0.34,
 		Loaded: func(string, string, uint64) {},
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
-	return steering.Run(ctx, during)
+	return coordinator.Run(ctx, during)
 }
 
 func TestSteering(t *testing.T) {
--- a/internal/weight/schedule.go
+++ b/internal/weight/schedule.go
@@ -13,28 +13,28 @@
 	DefaultLag = 3 * time.Second
 )
 
-// Work is what the steps of a model's trainer need from the samplers of a pool.
-type Work struct {
+// Demand is what the steps of a model's trainer need from the samplers of a pool.
+type Demand struct {
 	Model string
-	// Named is the newest version that the trainer has named, 0 if none.
-	Named uint64
-	// Oldest is the oldest version that the open step accepts, or the next step if none is
+	// NewestVersion is the newest version that the trainer has named, 0 if none.
+	NewestVersion uint64
+	// MinVersion is the oldest version that the open step accepts, or the next step if none is
 	// open.
-	Oldest uint64
-	// Coming is the oldest version that the step after that one accepts; it is not above
+	MinVersion uint64
+	// NextMinVersion is the oldest version that the step after that one accepts; it is not above
 	// Named.
-	Coming uint64
+	NextMinVersion uint64
 	// Runs is the number of generations that a step begins at once; 0 if unknown, which wants
 	// all samplers.
 	Runs int
 }
 
-// Seat is the observed state of a sampler of a pool.
-type Seat struct {
+// SamplerState is the observed state of a sampler of a pool.
+type SamplerState struct {
 	ID   string
 	Zone string
-	// Born identifies a start of the sampler; a new start has forgotten all orders.
-	Born int64
+	// StartedAtMillis identifies a start of the sampler; a new start has forgotten all orders.
+	StartedAtMillis int64
 	// Slots is the number of generations that it can run at the same time, 0 if unknown.
 	Slots int
 	// Running is the number of generations that it runs now, 0 if unknown.
@@ -45,12 +45,12 @@
 
 // Change is a load of a version that a sampler is to be ordered.
 type Change struct {
-	Seat    string
+	Sampler string
 	Model   string
 	Version uint64
 	// Open and Coming count the samplers that the model had for its open step and for the next
 	// one, Wanted those that it can use. They decided on the load.
-	Open, Coming, Wanted int
+	Open, Next, Wanted int
 }
 
 // Schedule decides which sampler of a pool loads which version of which model next. It does no
@@ -67,7 +67,7 @@
 	Lag time.Duration
 
 	samplers map[string]*sampler
-	work     []Work
+	demands  []Demand
 	limiter  limiter
 	// inFlight is the number of loads in progress.
 	inFlight int
@@ -99,12 +99,12 @@
 	retryAt    time.Time
 }
 
-// Want sets what the models' steps need. A version newer than before is tried at once, even
+// SetDemand sets what the models' steps need. A version newer than before is tried at once, even
 // where the previous one has failed.
-func (s *Schedule) Want(work []Work) {
-	for _, modelWork := range work {
-		before := s.findWork(modelWork.Model)
-		if before != nil && modelWork.Named <= before.Named {
+func (s *Schedule) SetDemand(demands []Demand) {
+	for _, modelDemand := range demands {
+		before := s.findDemand(modelDemand.Model)
+		if before != nil && modelDemand.NewestVersion <= before.NewestVersion {
 			continue
 		}
 		for _, sampler := range s.samplers {
@@ -112,27 +112,27 @@
 			sampler.retryAt = time.Time{}
 		}
 	}
-	s.work = slices.Clone(work)
+	s.demands = slices.Clone(demands)
 }
 
-func (s *Schedule) findWork(model string) *Work {
-	for i := range s.work {
-		if s.work[i].Model == model {
-			return &s.work[i]
+func (s *Schedule) findDemand(model string) *Demand {
+	for i := range s.demands {
+		if s.demands[i].Model == model {
+			return &s.demands[i]
 		}
 	}
 	return nil
 }
 
 // Observe sets the samplers that are live now, from registrations and load reports.
-func (s *Schedule) Observe(live []Seat, now time.Time) {
+func (s *Schedule) Observe(live []SamplerState, now time.Time) {
 	known := s.resetSamplers(len(live), now)
 	for i := range live {
-		seat := &live[i]
-		entry := s.observeSampler(known, seat.ID, seat.Zone, seat.Born)
-		entry.slots = seat.Slots
-		entry.running = seat.Running
-		for model, version := range seat.Versions {
+		state := &live[i]
+		entry := s.observeSampler(known, state.ID, state.Zone, state.StartedAtMillis)
+		entry.slots = state.Slots
+		entry.running = state.Running
+		for model, version := range state.Versions {
 			s.observeVersion(entry, model, version, now)
 		}
 	}
@@ -173,8 +173,8 @@
 	sampler.versions[model] = version
 }
 
-// Changing returns the number of loads in progress.
-func (s *Schedule) Changing() int { return s.inFlight }
+// InFlight returns the number of loads in progress.
+func (s *Schedule) InFlight() int { return s.inFlight }
 
 // Done records the version of the ordered model that a sampler shows after an order.
 //
@@ -226,7 +226,7 @@
 // Next returns the loads to order now.
 func (s *Schedule) Next(now time.Time) []Change {
 	s.updateLoadTime(now)
-	free := s.Limit() - s.Changing()
+	free := s.Limit() - s.InFlight()
 	if free <= 0 {
 		return nil
 	}
@@ -243,7 +243,7 @@
 			plan.isExhausted = true
 			continue
 		}
-		plan.Seat = sampler.server
+		plan.Sampler = sampler.server
 		changes = append(changes, plan.Change)
 		plan.countLoad(sampler)
 		s.inFlight++
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -12,7 +12,7 @@
 // pool simulates a pool of samplers in which each load takes a second.
 type pool struct {
 	schedule *Schedule
-	seats    []Seat
+	samplers []SamplerState
 	pending  map[string]pendingLoad
 	now      time.Time
 	// loads counts the loads by model and version.
@@ -28,27 +28,27 @@
 
 func newPool(count int) *pool {
 	return &pool{
-		schedule: &Schedule{Share: 0.5, Lag: DefaultLag}, seats: seats(count),
+		schedule: &Schedule{Share: 0.5, Lag: DefaultLag}, samplers: newSamplers(count),
 		pending: map[string]pendingLoad{}, now: start, loads: map[string]int{},
 	}
 }
 
 // setVersion sets the version that samplers have of a model.
-func (p *pool) setVersion(model string, version uint64, seats ...int) *pool {
-	for _, seat := range seats {
-		p.seats[seat].Versions[model] = version
+func (p *pool) setVersion(model string, version uint64, samplers ...int) *pool {
+	for _, sampler := range samplers {
+		p.samplers[sampler].Versions[model] = version
 	}
 	return p
 }
 
 // next returns the loads ordered now.
-func (p *pool) next(work ...Work) []Change {
-	p.schedule.Want(work)
-	p.schedule.Observe(p.seats, p.now)
+func (p *pool) next(demands ...Demand) []Change {
+	p.schedule.SetDemand(demands)
+	p.schedule.Observe(p.samplers, p.now)
 	changes := p.schedule.Next(p.now)
 	for _, change := range changes {
 		p.loads[fmt.Sprintf("%s %d", change.Model, change.Version)]++
-		p.pending[change.Seat] = pendingLoad{Change: change, endsAt: p.now.Add(time.Second)}
+		p.pending[change.Sampler] = pendingLoad{Change: change, endsAt: p.now.Add(time.Second)}
 	}
 	return changes
 }
@@ -56,12 +56,12 @@
 // advance advances the time and ends the loads that are due.
 func (p *pool) advance(length time.Duration) {
 	p.now = p.now.Add(length)
-	for i := range p.seats {
-		load, isLoading := p.pending[p.seats[i].ID]
+	for i := range p.samplers {
+		load, isLoading := p.pending[p.samplers[i].ID]
 		if isLoading && !p.now.Before(load.endsAt) {
-			delete(p.pending, load.Seat)
-			p.seats[i].Versions[load.Model] = load.Version
-			p.schedule.Done(load.Seat, load.Version, p.now)
+			delete(p.pending, load.Sampler)
+			p.samplers[i].Versions[load.Model] = load.Version
+			p.schedule.Done(load.Sampler, load.Version, p.now)
 		}
 	}
 }
@@ -69,8 +69,8 @@
 // usable counts the samplers that have a version of a model or a newer one.
 func (p *pool) usable(model string, version uint64) int {
 	count := 0
-	for _, seat := range p.seats {
-		if seat.Versions[model] >= version {
+	for _, sampler := range p.samplers {
+		if sampler.Versions[model] >= version {
 			count++
 		}
 	}
@@ -93,9 +93,9 @@
 func TestNoModelWaitsWhileAnotherIsRefreshed(t *testing.T) {
 	p := newPool(11)
 	p.setVersion("a", 5, indices(0, 3)...).setVersion("b", 5, indices(4, 7)...).setVersion("c", 5, 8)
-	a := Work{Model: "a", Named: 6, Oldest: 5, Coming: 6, Runs: 32}
-	b := Work{Model: "b", Named: 6, Oldest: 5, Coming: 6, Runs: 32}
-	c := Work{Model: "c", Named: 5, Oldest: 4, Coming: 5, Runs: 48}
+	a := Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 32}
+	b := Demand{Model: "b", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 32}
+	c := Demand{Model: "c", NewestVersion: 5, MinVersion: 4, NextMinVersion: 5, Runs: 48}
 	for _, change := range p.next(a, b, c) {
 		must.Eq(t, "c", change.Model)
 	}
@@ -106,8 +106,8 @@
 // part are idle.
 func TestSamplersByWork(t *testing.T) {
 	p := newPool(10)
-	large := Work{Model: "a", Named: 2, Oldest: 2, Coming: 2, Runs: 64}
-	small := Work{Model: "b", Named: 2, Oldest: 2, Coming: 2, Runs: 16}
+	large := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2, Runs: 64}
+	small := Demand{Model: "b", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2, Runs: 16}
 	for range 20 {
 		p.next(large, small)
 		p.advance(time.Second)
@@ -117,7 +117,7 @@
 }
 
 func TestCheapestSampler(t *testing.T) {
-	work := Work{Model: "a", Named: 7, Oldest: 5, Coming: 6, Runs: 32}
+	demand := Demand{Model: "a", NewestVersion: 7, MinVersion: 5, NextMinVersion: 6, Runs: 32}
 	for name, test := range map[string]struct {
 		set  func(p *pool)
 		want string
@@ -126,19 +126,19 @@
 		"weights that the coming step can't use": {func(p *pool) { p.setVersion("a", 6, 0, 1, 2).setVersion("a", 5, 3) }, "s03"},
 		"one that other models don't use":        {func(p *pool) { p.setVersion("b", 3, 0, 1, 3) }, "s02"},
 		"one that runs less": {func(p *pool) {
-			p.seats[0].Running, p.seats[1].Running, p.seats[2].Running = 3, 2, 4
-			p.seats[3].Running = 1
+			p.samplers[0].Running, p.samplers[1].Running, p.samplers[2].Running = 3, 2, 4
+			p.samplers[3].Running = 1
 		}, "s03"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool(4)
 			test.set(p)
-			other := Work{Model: "b", Named: 3, Oldest: 3, Coming: 3, Runs: 8}
+			other := Demand{Model: "b", NewestVersion: 3, MinVersion: 3, NextMinVersion: 3, Runs: 8}
 			if p.usable("b", 3) == 0 {
-				other = Work{Model: "b"}
+				other = Demand{Model: "b"}
 			}
-			changes := p.next(work, other)
-			must.Eq(t, test.want, changes[0].Seat)
+			changes := p.next(demand, other)
+			must.Eq(t, test.want, changes[0].Sampler)
 			must.Eq(t, 7, changes[0].Version)
 		})
 	}
@@ -149,7 +149,7 @@
 func TestVersionsAreSkipped(t *testing.T) {
 	p := newPool(2)
 	for version := uint64(2); version <= 9; version++ {
-		p.next(Work{Model: "a", Named: version, Oldest: version, Coming: version})
+		p.next(Demand{Model: "a", NewestVersion: version, MinVersion: version, NextMinVersion: version})
 		p.advance(300 * time.Millisecond)
 	}
 	must.Eq(t, 0, p.loads["a 3"]+p.loads["a 4"])
@@ -160,7 +160,7 @@
 func TestNoMoreThanAStepCanUse(t *testing.T) {
 	p := newPool(12)
 	for range 30 {
-		p.next(Work{Model: "a", Named: 4, Oldest: 3, Coming: 4, Runs: 20})
+		p.next(Demand{Model: "a", NewestVersion: 4, MinVersion: 3, NextMinVersion: 4, Runs: 20})
 		p.advance(time.Second)
 	}
 	must.Eq(t, 3, p.loads["a 4"])
@@ -170,12 +170,12 @@
 // again.
 func TestOneSamplerFails(t *testing.T) {
 	p := newPool(6)
-	work := Work{Model: "a", Named: 2, Oldest: 2, Coming: 2}
+	demand := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}
 	for range 60 {
-		for _, change := range p.next(work) {
-			if change.Seat == "s00" {
-				delete(p.pending, change.Seat)
-				p.schedule.Failed(change.Seat, p.now)
+		for _, change := range p.next(demand) {
+			if change.Sampler == "s00" {
+				delete(p.pending, change.Sampler)
+				p.schedule.Failed(change.Sampler, p.now)
 			}
 		}
 		p.advance(200 * time.Millisecond)
@@ -187,11 +187,11 @@
 // again: an answer to the earlier order says nothing about it.
 func TestSamplerStartsAgain(t *testing.T) {
 	p := newPool(1)
-	work := Work{Model: "a", Named: 2, Oldest: 2, Coming: 2}
-	must.Len(t, 1, p.next(work))
-	p.seats[0].Born++
+	demand := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}
+	must.Len(t, 1, p.next(demand))
+	p.samplers[0].StartedAtMillis++
 	p.advance(100 * time.Millisecond)
-	must.Len(t, 1, p.next(work))
+	must.Len(t, 1, p.next(demand))
 }
 
 // A new holder knows nothing of its predecessor's decisions. It derives them from the
@@ -199,23 +199,23 @@
 func TestScheduleAfterTakeover(t *testing.T) {
 	p := newPool(4)
 	p.setVersion("m1", 5, 1, 3).setVersion("m2", 5, 0, 2)
-	m1 := Work{Model: "m1", Named: 5, Oldest: 4, Coming: 5, Runs: 16}
-	m2 := Work{Model: "m2", Named: 5, Oldest: 4, Coming: 5, Runs: 16}
+	m1 := Demand{Model: "m1", NewestVersion: 5, MinVersion: 4, NextMinVersion: 5, Runs: 16}
+	m2 := Demand{Model: "m2", NewestVersion: 5, MinVersion: 4, NextMinVersion: 5, Runs: 16}
 	must.SliceEmpty(t, p.next(m1, m2))
 }
 
-// drawWork draws models whose trainers are anywhere in their steps.
-func drawWork(t *rapid.T) []Work {
-	var work []Work
+// drawDemands draws models whose trainers are anywhere in their steps.
+func drawDemands(t *rapid.T) []Demand {
+	var demands []Demand
 	for i := range rapid.IntRange(1, 8).Draw(t, "models") {
 		named := uint64(rapid.IntRange(2, 5).Draw(t, "named"))
 		oldest := named - uint64(rapid.IntRange(0, 1).Draw(t, "lag"))
-		work = append(work, Work{
-			Model: fmt.Sprintf("m%d", i), Named: named, Oldest: oldest, Coming: min(named, oldest+1),
+		demands = append(demands, Demand{
+			Model: fmt.Sprintf("m%d", i), NewestVersion: named, MinVersion: oldest, NextMinVersion: min(named, oldest+1),
 			Runs: rapid.IntRange(0, 100).Draw(t, "runs"),
 		})
 	}
-	return work
+	return demands
 }
 
 // Guards against starving a model. For any models and samplers, each model has a sampler for
@@ -224,11 +224,11 @@
 func TestNoModelStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(rapid.IntRange(1, 30).Draw(t, "samplers"))
-		work := drawWork(t)
+		demands := drawDemands(t)
 		loads := 0
-		for loads < len(work) {
+		for loads < len(demands) {
 			before := len(p.loads)
-			for range p.next(work...) {
+			for range p.next(demands...) {
 				loads++
 			}
 			p.advance(time.Second)
@@ -237,8 +237,8 @@
 			}
 		}
 		p.advance(time.Second)
-		for _, modelWork := range work {
-			must.Positive(t, p.usable(modelWork.Model, modelWork.Oldest))
+		for _, modelDemand := range demands {
+			must.Positive(t, p.usable(modelDemand.Model, modelDemand.MinVersion))
 		}
 	})
 }
@@ -249,15 +249,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 20).Draw(t, "samplers")
 		p := newPool(count)
-		work := drawWork(t)
-		for range len(work)*count + 1 {
-			p.next(work...)
+		demands := drawDemands(t)
+		for range len(demands)*count + 1 {
+			p.next(demands...)
 			p.advance(time.Second)
 		}
-		must.SliceEmpty(t, p.next(work...))
-		for _, modelWork := range work {
-			must.LessEq(t, count, p.loads[fmt.Sprintf("%s %d", modelWork.Model, modelWork.Named)])
-			must.GreaterEq(t, p.schedule.wanted(&modelWork), p.usable(modelWork.Model, modelWork.Coming))
+		must.SliceEmpty(t, p.next(demands...))
+		for _, modelDemand := range demands {
+			must.LessEq(t, count, p.loads[fmt.Sprintf("%s %d", modelDemand.Model, modelDemand.NewestVersion)])
+			must.GreaterEq(t, p.schedule.wanted(&modelDemand), p.usable(modelDemand.Model, modelDemand.NextMinVersion))
 		}
 	})
 }
@@ -265,24 +265,24 @@
 // Model names decide nothing but the order of two equal models.
 func TestNamesDecideNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		work := drawWork(t)
-		other := make([]Work, len(work))
-		for i, modelWork := range work {
-			modelWork.Model = fmt.Sprintf("x%d", len(work)-i)
-			other[len(work)-1-i] = modelWork
+		demands := drawDemands(t)
+		other := make([]Demand, len(demands))
+		for i, modelDemand := range demands {
+			modelDemand.Model = fmt.Sprintf("x%d", len(demands)-i)
+			other[len(demands)-1-i] = modelDemand
 		}
 		p, q := newPool(12), newPool(12)
 		p.next()
 		// Models that can use equally many samplers are ordered by position only and are left
 		// out.
-		for i := range work {
-			for j := range work[:i] {
-				if p.schedule.wanted(&work[i]) == p.schedule.wanted(&work[j]) {
+		for i := range demands {
+			for j := range demands[:i] {
+				if p.schedule.wanted(&demands[i]) == p.schedule.wanted(&demands[j]) {
 					return
 				}
 			}
 		}
-		first, second := p.next(work...), q.next(other...)
+		first, second := p.next(demands...), q.next(other...)
 		must.Eq(t, len(first), len(second))
 		for i := range first {
 			must.Eq(t, first[i].Wanted, second[i].Wanted)
@@ -294,35 +294,35 @@
 func TestSteps(t *testing.T) {
 	t.Run("nothing is known", func(t *testing.T) {
 		var steps Steps
-		must.Eq(t, Work{Model: "a"}, steps.Work("a"))
+		must.Eq(t, Demand{Model: "a"}, steps.Demand("a"))
 	})
 	t.Run("a version that no step has asked for yet is wanted everywhere", func(t *testing.T) {
 		var steps Steps
-		must.True(t, steps.Name("a", 2))
-		must.Eq(t, Work{Model: "a", Named: 2, Oldest: 2, Coming: 2}, steps.Work("a"))
+		must.True(t, steps.RecordVersion("a", 2))
+		must.Eq(t, Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}, steps.Demand("a"))
 	})
 	t.Run("steps take the version before too", func(t *testing.T) {
 		var steps Steps
-		steps.Name("a", 6)
+		steps.RecordVersion("a", 6)
 		steps.Open("b1", Step{Model: "a", Oldest: 5, Runs: 64})
-		must.Eq(t, Work{Model: "a", Named: 6, Oldest: 5, Coming: 6, Runs: 64}, steps.Work("a"))
+		must.Eq(t, Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 64}, steps.Demand("a"))
 		// The step is over and its trainer names the next version: its next step is about to
 		// come and accepts versions from 6 on.
 		steps.Close("b1")
-		must.True(t, steps.Name("a", 7))
-		must.Eq(t, Work{Model: "a", Named: 7, Oldest: 6, Coming: 7, Runs: 64}, steps.Work("a"))
+		must.True(t, steps.RecordVersion("a", 7))
+		must.Eq(t, Demand{Model: "a", NewestVersion: 7, MinVersion: 6, NextMinVersion: 7, Runs: 64}, steps.Demand("a"))
 	})
 	t.Run("an older step that is heard of late changes nothing", func(t *testing.T) {
 		var steps Steps
-		steps.Name("a", 6)
+		steps.RecordVersion("a", 6)
 		steps.Open("b2", Step{Model: "a", Oldest: 5, Runs: 64})
 		steps.Open("b1", Step{Model: "a", Oldest: 4, Runs: 32})
-		must.Eq(t, Work{Model: "a", Named: 6, Oldest: 5, Coming: 6, Runs: 64}, steps.Work("a"))
+		must.Eq(t, Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 64}, steps.Demand("a"))
 	})
 	t.Run("a version named before is not new", func(t *testing.T) {
 		var steps Steps
-		must.True(t, steps.Name("a", 3))
-		must.False(t, steps.Name("a", 3))
-		must.False(t, steps.Name("a", 2))
+		must.True(t, steps.RecordVersion("a", 3))
+		must.False(t, steps.RecordVersion("a", 3))
+		must.False(t, steps.RecordVersion("a", 2))
 	})
 }
--- a/internal/weight/steps.go
+++ b/internal/weight/steps.go
@@ -28,8 +28,8 @@
 	lag uint64
 }
 
-// Name records a named version and reports whether it is newer than all before.
-func (s *Steps) Name(model string, version uint64) bool {
+// RecordVersion records a named version and reports whether it is newer than all before.
+func (s *Steps) RecordVersion(model string, version uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.initMaps()
@@ -67,19 +67,19 @@
 	delete(s.open, batch)
 }
 
-// Work returns what the steps of a model need from samplers.
+// Demand returns what the steps of a model need from samplers.
 //
 // A trainer requests its next step as soon as it has named a version, and that step accepts
 // versions as far behind it as the previous step did. So the next step is known once its
 // version is named, and the step after it accepts versions from one later on.
-func (s *Steps) Work(model string) Work {
+func (s *Steps) Demand(model string) Demand {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	named := s.named[model]
 	last := s.lastSteps[model]
-	work := Work{Model: model, Named: named, Oldest: named - min(named, last.lag), Runs: last.step.Runs}
-	work.Coming = min(named, work.Oldest+1)
-	return work
+	demand := Demand{Model: model, NewestVersion: named, MinVersion: named - min(named, last.lag), Runs: last.step.Runs}
+	demand.NextMinVersion = min(named, demand.MinVersion+1)
+	return demand
 }
 
 func (s *Steps) initMaps() {
--- a/test/gateway/fixture_test.go
+++ b/test/gateway/fixture_test.go
@@ -33,13 +33,13 @@
 
 // gateway is a running gateway.
 type gateway struct {
-	name    string
-	front   string
-	ready   string
-	metrics string
-	door    *wiretest.Door
-	stop    context.CancelFunc
-	ended   chan struct{}
+	name     string
+	front    string
+	ready    string
+	metrics  string
+	endpoint *wiretest.Endpoint
+	stop     context.CancelFunc
+	ended    chan struct{}
 }
 
 func newWorld(t *testing.T) *world {
@@ -49,9 +49,9 @@
 	return w
 }
 
-func storeSettings(door, duties string) *settingspb.Store {
+func storeSettings(endpoint, duties string) *settingspb.Store {
 	return settingspb.Store_builder{
-		Address:    door,
+		Address:    endpoint,
 		Orders:     duties,
 		Timeout:    durationpb.New(300 * time.Millisecond),
 		Lease:      durationpb.New(wiretest.LeaseLength),
@@ -76,11 +76,11 @@
 
 func (w *world) begin(t *testing.T, name string) *gateway {
 	t.Helper()
-	door := w.Open(t)
-	g := &gateway{name: name, front: listentest.Free(t), ready: listentest.Free(t), metrics: listentest.Free(t), door: door, ended: make(chan struct{})}
+	endpoint := w.NewEndpoint(t)
+	g := &gateway{name: name, front: listentest.FreeAddress(t), ready: listentest.FreeAddress(t), metrics: listentest.FreeAddress(t), endpoint: endpoint, ended: make(chan struct{})}
 	settings := settingspb.Gateway_builder{
-		Process:   processSettings(name, listentest.Free(t), ""),
-		Store:     storeSettings(door.Address, w.Open(t).Address),
+		Process:   processSettings(name, listentest.FreeAddress(t), ""),
+		Store:     storeSettings(endpoint.Address, w.NewEndpoint(t).Address),
 		Front:     settingspb.Front_builder{Listen: g.front, Ready: g.ready, Metrics: g.metrics, Unknown: durationpb.New(time.Second), Linger: durationpb.New(50 * time.Millisecond)}.Build(),
 		Directory: settingspb.Directory_builder{Back: durationpb.New(2 * time.Second)}.Build(),
 		Batches:   settingspb.Batches_builder{Keep: durationpb.New(time.Minute), Group: durationpb.New(50 * time.Millisecond)}.Build(),
@@ -106,7 +106,7 @@
 // keeper is a host with a disk.
 type keeper struct {
 	world    *world
-	door     *wiretest.Door
+	endpoint *wiretest.Endpoint
 	settings *settingspb.Keeper
 	stop     func()
 }
@@ -114,10 +114,10 @@
 // startKeeper starts a keeper on a folder.
 func (w *world) startKeeper(t *testing.T, name, folder string) *keeper {
 	t.Helper()
-	k := &keeper{world: w, door: w.Open(t)}
+	k := &keeper{world: w, endpoint: w.NewEndpoint(t)}
 	k.settings = settingspb.Keeper_builder{
-		Process: processSettings(name, listentest.Free(t), folder),
-		Store:   storeSettings(k.door.Address, ""),
+		Process: processSettings(name, listentest.FreeAddress(t), folder),
+		Store:   storeSettings(k.endpoint.Address, ""),
 	}.Build()
 	k.start(t)
 	return k
@@ -126,7 +126,7 @@
 // start starts the keeper, for the first time or anew at its address.
 func (k *keeper) start(t *testing.T) {
 	t.Helper()
-	k.door.Close(false)
+	k.endpoint.SetUnavailable(false)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -139,7 +139,7 @@
 
 // kill ends the keeper so that the store doesn't hear of it.
 func (k *keeper) kill() {
-	k.door.Close(true)
+	k.endpoint.SetUnavailable(true)
 	k.stop()
 }
 
@@ -300,7 +300,7 @@
 		must.False(t, seen[result.ID])
 		seen[result.ID] = true
 		must.Eq(t, "completed", result.State)
-		must.Eq(t, wiretest.Whole(result.ID, events), result.Text)
+		must.Eq(t, wiretest.FullText(result.ID, events), result.Text)
 		must.Eq(t, "proof.s-"+result.ID, result.Score)
 	}
 	must.MapLen(t, items, seen)
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -39,7 +39,7 @@
 		must.Eq(t, http.StatusOK, g.send(t, http.MethodPost, "/look//x/../y", "key-acme", "r5", nil).status)
 	})
 	t.Run("time over", func(t *testing.T) {
-		app.SetFault(func(string, int) wiretest.Fault { return wiretest.Hang })
+		app.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultHang })
 		began := time.Now()
 		got := g.send(t, http.MethodPost, "/look/x", "key-acme", "r6", nil, "Deadline-Ms", "400")
 		must.Eq(t, http.StatusGatewayTimeout, got.status)
@@ -50,14 +50,14 @@
 // A server breaks off, or answers another request, in the middle of a member's
 // look-up. The member gets the whole answer of another try, and never those bytes.
 func TestServersThatSpoilAnswers(t *testing.T) {
-	for name, fault := range map[string]wiretest.Fault{"cut": wiretest.Cut, "foreign": wiretest.Foreign, "refused": wiretest.Refuse, "failed": wiretest.Fail} {
+	for name, fault := range map[string]wiretest.Fault{"cut": wiretest.FaultTruncate, "foreign": wiretest.FaultWrongRequest, "refused": wiretest.FaultRefuse, "failed": wiretest.FaultFail} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t)
 			once := func(_ string, runs int) wiretest.Fault {
 				if runs == 0 {
 					return fault
 				}
-				return wiretest.None
+				return wiretest.NoFault
 			}
 			w.NewSampler(t, "a1", "app", "").SetFault(once)
 			w.NewSampler(t, "a2", "app", "")
@@ -78,17 +78,17 @@
 	w := newWorld(t)
 	first, second := w.NewSampler(t, "a1", "app", ""), w.NewSampler(t, "a2", "app", "")
 	g := w.start(t, "g1")
-	for _, fault := range []wiretest.Fault{wiretest.Cut, wiretest.Foreign} {
+	for _, fault := range []wiretest.Fault{wiretest.FaultTruncate, wiretest.FaultWrongRequest} {
 		for _, server := range []*wiretest.Sampler{first, second} {
 			server.SetFault(func(string, int) wiretest.Fault { return fault })
 		}
-		id := map[wiretest.Fault]string{wiretest.Cut: "p1", wiretest.Foreign: "p2"}[fault]
+		id := map[wiretest.Fault]string{wiretest.FaultTruncate: "p1", wiretest.FaultWrongRequest: "p2"}[fault]
 		got := g.send(t, http.MethodPost, "/post/x", "key-acme", id, []byte("3 hours"))
 		must.Eq(t, http.StatusBadGateway, got.status)
 		must.Eq(t, 1, first.Runs(id)+second.Runs(id))
 	}
 	for _, server := range []*wiretest.Sampler{first, second} {
-		server.SetFault(func(string, int) wiretest.Fault { return wiretest.Refuse })
+		server.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultRefuse })
 	}
 	got := g.send(t, http.MethodPost, "/post/x", "key-acme", "p3", nil, "Deadline-Ms", "300")
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
@@ -168,7 +168,7 @@
 	w := newWorld(t)
 	w.NewSampler(t, "a1", "app", "")
 	bad, good := w.NewSampler(t, "s1", "lm", "m"), w.NewSampler(t, "s2", "lm", "m")
-	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.Cut })
+	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultTruncate })
 	g := w.start(t, "g1")
 	g.submit(t, 6)
 	mustBeWhole(t, g.awaitResults(t, 6), 6, 5)
@@ -184,7 +184,7 @@
 	for _, sampler := range []*wiretest.Sampler{bad, good} {
 		sampler.SetPace(20, 5*time.Millisecond)
 	}
-	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.Stall })
+	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultStall })
 	g := w.start(t, "g1")
 	g.submit(t, 6)
 	mustBeWhole(t, g.awaitResults(t, 6), 6, 20)
@@ -198,7 +198,7 @@
 	w := newWorld(t)
 	scorer, sampler := w.NewSampler(t, "a1", "app", ""), w.NewSampler(t, "s1", "lm", "m")
 	troubled := func(_ string, runs int) wiretest.Fault {
-		return []wiretest.Fault{wiretest.Late, wiretest.Fail, wiretest.Late, wiretest.Late, wiretest.None}[min(runs, 4)]
+		return []wiretest.Fault{wiretest.FaultTimeout, wiretest.FaultFail, wiretest.FaultTimeout, wiretest.FaultTimeout, wiretest.NoFault}[min(runs, 4)]
 	}
 	scorer.SetFault(troubled)
 	sampler.SetFault(troubled)
@@ -242,7 +242,7 @@
 	got := g.send(t, http.MethodPost, "/stream/x", "key-acme", "r1", nil)
 	must.NoError(t, got.err)
 	must.Eq(t, 5, strings.Count(got.body, "data: "))
-	sampler.SetFault(func(string, int) wiretest.Fault { return wiretest.Cut })
+	sampler.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultTruncate })
 	must.Error(t, g.send(t, http.MethodPost, "/stream/x", "key-acme", "r2", nil).err)
 }
 
@@ -253,9 +253,9 @@
 	w := newWorld(t)
 	once := func(_ string, runs int) wiretest.Fault {
 		if runs == 0 {
-			return wiretest.Cut
+			return wiretest.FaultTruncate
 		}
-		return wiretest.None
+		return wiretest.NoFault
 	}
 	bad, good := w.NewSampler(t, "s1", "lm", "m"), w.NewSampler(t, "s2", "lm", "m")
 	bad.SetFault(once)
@@ -269,7 +269,7 @@
 		must.NoError(t, got.err)
 		var want strings.Builder
 		for event := 1; event <= 5; event++ {
-			want.WriteString("id: " + strconv.Itoa(event) + "\ndata: " + wiretest.Text(id, event) + "\n\n")
+			want.WriteString("id: " + strconv.Itoa(event) + "\ndata: " + wiretest.EventText(id, event) + "\n\n")
 		}
 		must.Eq(t, want.String(), got.body)
 	}
--- a/test/gateway/store_test.go
+++ b/test/gateway/store_test.go
@@ -25,7 +25,7 @@
 	time.Sleep(time.Second)
 	// Which of the two owns it is not told; each is cut off from the store in
 	// turn until one has taken the batch from the other.
-	gateways[0].door.Close(true)
+	gateways[0].endpoint.SetUnavailable(true)
 	gateways[0].stop()
 	page := gateways[1].awaitResults(t, 4)
 	mustBeWhole(t, page, 4, 60)
@@ -44,7 +44,7 @@
 	g.submit(t, 4)
 	await(t, "texts are under way", func() bool { return sampler.Runs("b1-i0") > 0 })
 	time.Sleep(1200 * time.Millisecond)
-	g.door.Close(true)
+	g.endpoint.SetUnavailable(true)
 	g.end()
 	k.kill()
 	again := w.start(t, "g1")
@@ -64,7 +64,7 @@
 	away, _ := w.start(t, "g1"), w.start(t, "g2")
 	must.Eq(t, http.StatusOK, away.send(t, http.MethodPost, "/look/x", "key-other", "r1", nil).status)
 	away.awaitMetric(t, "bramleyhatch_gateway_hosts 2")
-	away.door.Close(true)
+	away.endpoint.SetUnavailable(true)
 	w.PutTable(t, 3, []string{"acme"}, wiretest.Routes()...)
 	began := time.Now()
 	await(t, "the key has ended", func() bool {
@@ -90,7 +90,7 @@
 		g.awaitMetric(t, "bramleyhatch_gateway_hosts 5")
 	}
 	for _, g := range gateways[:4] {
-		g.door.Close(true)
+		g.endpoint.SetUnavailable(true)
 	}
 	w.PutTable(t, 3, []string{"acme"}, wiretest.Routes()...)
 	for _, g := range gateways {
@@ -111,11 +111,11 @@
 	w := newWorld(t)
 	w.NewSampler(t, "a1", "app", "")
 	g := w.start(t, "g1")
-	w.SetSilent(true)
-	w.Take(t, "servers/a1")
+	w.SetWatchesSilent(true)
+	w.RemoveKey(t, "servers/a1")
 	second := w.NewSampler(t, "a2", "app", "")
 	w.Compact()
-	w.SetSilent(false)
+	w.SetWatchesSilent(false)
 	await(t, "the new server serves", func() bool {
 		return g.send(t, http.MethodPost, "/look/x", "key-acme", "r", nil).status == http.StatusOK && second.Runs("r") > 0
 	})
@@ -152,12 +152,12 @@
 	send := func() answer {
 		return g.send(t, http.MethodPost, "/batch/b1", "key-acme", "b1", batchBody(t, 2))
 	}
-	g.door.Close(true)
+	g.endpoint.SetUnavailable(true)
 	got := send()
 	must.SliceContains(t, []int{http.StatusServiceUnavailable, http.StatusGatewayTimeout}, got.status)
 	must.NotEq(t, "", got.header.Get("Retry-After"))
 	must.Eq(t, http.StatusOK, g.send(t, http.MethodPost, "/look/x", "key-acme", "r1", nil).status)
-	g.door.Close(false)
+	g.endpoint.SetUnavailable(false)
 	time.Sleep(500 * time.Millisecond)
 	if got.status == http.StatusServiceUnavailable {
 		must.Eq(t, 0, sampler.Runs("b1-i0"))
--- a/test/gateway/zones_test.go
+++ b/test/gateway/zones_test.go
@@ -16,11 +16,11 @@
 	const drain = "op/evacuate/z1"
 	w := newWorld(t)
 	near, far := w.NewSampler(t, "a1", "app", ""), w.NewSampler(t, "a2", "app", "")
-	far.Move(t, "z2")
+	far.MoveToZone(t, "z2")
 	drained, sampler := w.NewSampler(t, "m1", "lm", "m"), w.NewSampler(t, "m2", "lm", "m")
-	sampler.Move(t, "z2")
+	sampler.MoveToZone(t, "z2")
 	away := w.start(t, "g0")
-	away.door.Close(true)
+	away.endpoint.SetUnavailable(true)
 	w.Put(t, drain, map[string]any{})
 	g := w.start(t, "g1")
 	ask := func(from *gateway, first, count int) {
@@ -42,7 +42,7 @@
 		g.awaitMetric(t, "bramleyhatch_gateway_drained_zones 1")
 	})
 	t.Run("a gateway that is back at the store", func(t *testing.T) {
-		away.door.Close(false)
+		away.endpoint.SetUnavailable(false)
 		away.awaitMetric(t, "bramleyhatch_gateway_drained_zones 1")
 		ask(away, 100, 20)
 		must.Eq(t, 0, near.Total())
@@ -55,10 +55,10 @@
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
 		must.NotEq(t, "", got.header.Get("Retry-After"))
 		must.Less(t, 500*time.Millisecond, time.Since(began))
-		w.Take(t, "op/evacuate/z2")
+		w.RemoveKey(t, "op/evacuate/z2")
 	})
 	t.Run("taken back", func(t *testing.T) {
-		w.Take(t, drain)
+		w.RemoveKey(t, drain)
 		g.awaitMetric(t, "bramleyhatch_gateway_drained_zones 0")
 		ask(g, 300, 20)
 		must.Positive(t, near.Total())
--- a/test/soak/run_test.go
+++ b/test/soak/run_test.go
@@ -90,15 +90,15 @@
 	case 8:
 		server.set(slow, length)
 	case 9:
-		w.SetAway(true)
-		time.AfterFunc(length, func() { w.SetAway(false) })
+		w.SetUnavailable(true)
+		time.AfterFunc(length, func() { w.SetUnavailable(false) })
 	case 10:
 		w.LoseAnswers(1 + random.IntN(4))
 	case 11:
-		w.SetSilent(true)
+		w.SetWatchesSilent(true)
 		time.AfterFunc(length/3, func() {
 			w.Compact()
-			w.SetSilent(false)
+			w.SetWatchesSilent(false)
 		})
 	case 12:
 		w.spoil(random.Uint64())
@@ -116,9 +116,9 @@
 			mutex.Lock()
 			defer mutex.Unlock()
 			if random.IntN(10) > 0 {
-				return wiretest.None
+				return wiretest.NoFault
 			}
-			return []wiretest.Fault{wiretest.Cut, wiretest.Refuse, wiretest.Foreign}[random.IntN(3)]
+			return []wiretest.Fault{wiretest.FaultTruncate, wiretest.FaultRefuse, wiretest.FaultWrongRequest}[random.IntN(3)]
 		})
 	}
 }
@@ -309,7 +309,7 @@
 			must.False(r.t, items[result.ID])
 			items[result.ID] = true
 			must.Eq(r.t, "completed", result.State)
-			must.Eq(r.t, wiretest.Whole(result.ID, events), result.Text)
+			must.Eq(r.t, wiretest.FullText(result.ID, events), result.Text)
 			must.Eq(r.t, "proof.s-"+result.ID, result.Score)
 		}
 	}
--- a/test/soak/zones_test.go
+++ b/test/soak/zones_test.go
@@ -31,7 +31,7 @@
 func (w *world) spread(t *testing.T) {
 	t.Helper()
 	for _, server := range slices.Concat(w.samplers[1:], w.plain[1:]) {
-		server.Move(t, otherZone)
+		server.MoveToZone(t, otherZone)
 	}
 }
 
@@ -64,7 +64,7 @@
 	before := w.drainedRuns()
 	w.ask(t, "d")
 	must.Eq(t, before, w.drainedRuns())
-	w.Take(t, drainKey)
+	w.RemoveKey(t, drainKey)
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 		w.ask(t, fmt.Sprint("e", time.Now().UnixNano()))
 		return w.drainedRuns() > before
