--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -326,7 +326,7 @@
 
 // The texts of a step complete at the same moment. Scored all at once, they take every slot of
 // the plain service, and members' lookups queue behind them.
-func TestScoresLeaveRoom(t *testing.T) {
+func TestConcurrentScoresAreBounded(t *testing.T) {
 	scorer := &scorer{room: 2, release: make(chan struct{})}
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
 	p.Scorer = scorer
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -128,7 +128,7 @@
 
 // A gateway stops while the answer to its last chunk is lost. Handed the batch without that
 // chunk, the next owner would list other outcomes at the same positions.
-func TestNothingIsGivenUnsure(t *testing.T) {
+func TestNoHandoverInDoubt(t *testing.T) {
 	ownStore, first, second := setUpDrainWithLateStore(t)
 	second.GroupDelay = time.Hour
 	ownStore.set(lost)
@@ -143,7 +143,7 @@
 }
 
 // A handover arrives late, after another process has claimed the batch: it must be refused.
-func TestHandoverAfterAClaim(t *testing.T) {
+func TestHandoverAfterClaim(t *testing.T) {
 	store, first, second := setUpDrain(t)
 	first.mutex.Lock()
 	state := Handover{Batch: first.owned["b1"].batch, Owner: Ownership{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
@@ -209,7 +209,7 @@
 
 // Several gateways stop at the same time, the next owner of a batch among them. If only that
 // one is asked, everything generated for the batch is lost.
-func TestHandoverToTheSecond(t *testing.T) {
+func TestHandoverToSecondCandidate(t *testing.T) {
 	store := &platformtest.Store{}
 	first, third := startProcess(t, store, "g1", "g1", "g2", "g3"), startProcess(t, store, "g3", "g1", "g2", "g3")
 	first.Peers = unreachableFirst{nextOwner{board: func() *Board { return third.Board }}}
@@ -220,7 +220,7 @@
 }
 
 // Guards against texts that are lost because their owner stops while the store is unavailable.
-func TestStopWhileStoreIsAway(t *testing.T) {
+func TestStopWhileStoreIsUnavailable(t *testing.T) {
 	t.Run("the batch runs on until the store is back", func(t *testing.T) {
 		store, first, second := setUpDrain(t)
 		owned := first.owned["b1"]
--- a/internal/batch/earlyrun_test.go
+++ b/internal/batch/earlyrun_test.go
@@ -159,7 +159,7 @@
 }
 
 // Guards against a trainer's call that lasts as long as the store is unavailable.
-func TestPendingHasAnEnd(t *testing.T) {
+func TestPendingTimesOut(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g2")
 	p.Peers = pendingPeer{}
 	began := time.Now()
--- a/internal/batch/keep_test.go
+++ b/internal/batch/keep_test.go
@@ -65,7 +65,7 @@
 
 // A gateway stops while its keeper is being replaced. With a single attempt before it gave the
 // batch up, the next owner had to generate 60 texts of a step again.
-func TestTextsAreKeptAtTheLast(t *testing.T) {
+func TestLastTextsAreRetried(t *testing.T) {
 	keeper := &movingKeeper{}
 	plan := newPlan(100)
 	job := mustStart(t, plan, start, "i0")
--- a/internal/batch/plan_test.go
+++ b/internal/batch/plan_test.go
@@ -86,7 +86,7 @@
 
 // A sample costs seconds of a sampler. When a sampler is lost in the middle of one, its events
 // stay, and the run continues after them on another sampler.
-func TestCutGoesOn(t *testing.T) {
+func TestInterruptedRunContinues(t *testing.T) {
 	plan := newPlan(100, 50)
 	job := mustStart(t, plan, start, "i0")
 	must.True(t, plan.Event(job, "a", 3))
@@ -117,7 +117,7 @@
 
 // On a route that requires a single version, a sampler changes its weights in the middle of a
 // text. The text starts again, and the parts are never joined.
-func TestSingleVersionBeginsAnew(t *testing.T) {
+func TestSingleVersionRestarts(t *testing.T) {
 	plan := NewPlan(newBatch(100), Rules{Attempts: 3, SingleVersion: true}, start)
 	job := mustStart(t, plan, start, "i0")
 	must.True(t, plan.Event(job, "a", 3))
@@ -302,7 +302,7 @@
 
 // An owner keeps its batches readable for minutes after their end. Without dropping the events,
 // memory held each text twice: as an outcome and as events.
-func TestWholeGroupsKeepNoEvents(t *testing.T) {
+func TestCompleteGroupsKeepNoEvents(t *testing.T) {
 	plan := newPlan(100, 90, 80, 70)
 	for _, id := range []string{"i0", "i1", "i2"} {
 		job := mustStart(t, plan, start, id)
--- a/internal/batch/shown_test.go
+++ b/internal/batch/shown_test.go
@@ -170,7 +170,7 @@
 // A gateway is cut off from the store until its lease lapses. Another one claims its batch,
 // lists a text and dies. When the first one claims the batch again without knowing of that
 // text, none of its own chunks can be written.
-func TestListedByAnotherMeanwhile(t *testing.T) {
+func TestListedByOtherOwner(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
@@ -275,7 +275,7 @@
 
 // Whichever answers are late or lost, whoever owns a batch and wherever a trainer reads: a
 // position that was read once stays, with the same result.
-func TestShownPlacesStay(t *testing.T) {
+func TestShownPositionsStay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &platformtest.Store{}
 		processes := map[string]*process{}
--- a/internal/bramleyhatch/coldlimiter_test.go
+++ b/internal/bramleyhatch/coldlimiter_test.go
@@ -41,7 +41,7 @@
 }
 
 // Guards against a share computed from gateways that don't send, or without some that do.
-func TestColdUsers(t *testing.T) {
+func TestColdLimiter(t *testing.T) {
 	limiter := newColdLimiter("g1", coldView())
 	now := clock.Now()
 	limiter.now = func() clock.Boot { return now }
--- a/internal/bramleyhatch/dutyholder_test.go
+++ b/internal/bramleyhatch/dutyholder_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a host that resumes the duty of another host: one host replaces
 // another under the same name, while the first may still be alive behind a partition.
-func TestHolderLeftBy(t *testing.T) {
+func TestDutyHolderHeldBy(t *testing.T) {
 	var tracked dutyHolder
 	data, err := proto.Marshal(statepb.Holder_builder{Process: "g1", Address: "10.0.0.1:7"}.Build())
 	must.NoError(t, err)
@@ -22,7 +22,7 @@
 	must.Eq(t, duty.PriorClaim{Revision: 9, Fence: 9}, tracked.heldBy("g1", "10.0.0.1:7"))
 	must.Eq(t, duty.PriorClaim{}, tracked.heldBy("g1", "10.0.0.2:7"))
 	must.Eq(t, duty.PriorClaim{}, tracked.heldBy("g2", "10.0.0.1:7"))
-	t.Run("gone on with before", func(t *testing.T) {
+	t.Run("resumed duty", func(t *testing.T) {
 		again, err := proto.Marshal(statepb.Holder_builder{Process: "g1", Address: "10.0.0.1:7", Fence: 9}.Build())
 		must.NoError(t, err)
 		tracked.apply([]store.Value{{Key: holderPrefix + dutyName, Data: again, Revision: 15}})
--- a/internal/bramleyhatch/gatewayduties_test.go
+++ b/internal/bramleyhatch/gatewayduties_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a route to one pool that makes the samplers of another pool, whose
 // routes don't require a single version, finish all runs before each weight load.
-func TestAsksWhole(t *testing.T) {
+func TestNeedsSingleVersion(t *testing.T) {
 	current := &table.Table{Routes: []table.Route{
 		{SingleVersion: true, Shares: []table.Share{{Pool: "a"}}},
 		{Shares: []table.Share{{Pool: "b"}}},
--- a/internal/bramleyhatch/process_test.go
+++ b/internal/bramleyhatch/process_test.go
@@ -37,7 +37,7 @@
 // Guards against a process that goes on serving after a duty has failed, for example
 // because the address for readiness is in use when a gateway starts: it renews no
 // lease and receives no changes, and is not restarted since the process is alive.
-func TestFailedDutyEndsProcess(t *testing.T) {
+func TestFailedTaskEndsProcess(t *testing.T) {
 	t.Run("a duty fails", func(t *testing.T) {
 		process, errBroken := newTestProcess(), errors.New("broken")
 		drained := false
@@ -61,7 +61,7 @@
 }
 
 // A process whose duties have all returned goes on serving until it is stopped.
-func TestDoneDutiesLeaveProcess(t *testing.T) {
+func TestFinishedTasksKeepProcessRunning(t *testing.T) {
 	process := newTestProcess()
 	process.AddTask("short", func(context.Context) error { return nil })
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
--- a/internal/detour/detour_test.go
+++ b/internal/detour/detour_test.go
@@ -102,7 +102,7 @@
 	must.Eq(t, 0, peer.calls.Load())
 }
 
-func TestNoWay(t *testing.T) {
+func TestNoStoreAndNoPeer(t *testing.T) {
 	caller := &Caller{Direct: &Direct{Address: "127.0.0.1:1"}, Peers: &fakePeers{}}
 	_, err := do(t, caller)
 	must.Error(t, err)
--- a/internal/duty/elector_test.go
+++ b/internal/duty/elector_test.go
@@ -256,7 +256,7 @@
 // A holder is killed and restarts within its lease. If it waits for its own lease to lapse,
 // the duty isn't done for seconds: no weights are loaded, and the steps requested meanwhile
 // find no sampler. What it has held in its own start is not resumed this way.
-func TestResumesWhatItsLastStartHeld(t *testing.T) {
+func TestResumesDutyOfEarlierStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
 		granted, err := store.GrantLease(t.Context(), lease)
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -240,7 +240,7 @@
 	mustBeRefused(t, notRun, "key_reused", send(p.clients[home], other))
 }
 
-func TestAlone(t *testing.T) {
+func TestSingleServer(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	p.setFleet("live")
 	mustBeWhole(t, postingAnswer, p.send("s1", "r1"))
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -70,7 +70,7 @@
 	must.Eq(t, 1, service.runs.Load())
 }
 
-func TestBeats(t *testing.T) {
+func TestHeartbeats(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	client := serve(t, newServer(service.URL))
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -105,7 +105,7 @@
 
 // A caller cancels a running non-idempotent request. Stopping it would leave the
 // outcome unknown, so it must complete, and the resend must get its answer.
-func TestCancelOfPostingLeavesIt(t *testing.T) {
+func TestCancelOfNonIdempotentRequest(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	client := serve(t, newServer(service.URL))
 	running := sendAsync(client, posting("r1"))
@@ -119,7 +119,7 @@
 
 // A caller cancels a running idempotent request. It must be stopped at the backend
 // server at once, and its outcome must be unknown, since it may have run.
-func TestCancelOfRead(t *testing.T) {
+func TestCancelOfIdempotentRequest(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	client := serve(t, newServer(service.URL))
 	request := posting("r1")
--- a/internal/entry/size_test.go
+++ b/internal/entry/size_test.go
@@ -12,9 +12,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// BenchmarkRememberedRun measures the memory of an ended run whose answer was
+// BenchmarkEndedRun measures the memory of an ended run whose answer was
 // dropped, in bytes per run.
-func BenchmarkRememberedRun(b *testing.B) {
+func BenchmarkEndedRun(b *testing.B) {
 	var r registry
 	measureHeap(b, func(i int) {
 		request := peerpb.RunRequest_builder{Id: fmt.Sprintf("90bc38b1-6ff1-49cc-9ec9-%012d", i), Body: make([]byte, 1000)}.Build()
--- a/internal/fleet/countplanner_test.go
+++ b/internal/fleet/countplanner_test.go
@@ -55,7 +55,7 @@
 	must.Eq(t, map[string]int{"a": a, "b": b}, c.pool.Present)
 }
 
-func TestNumbers(t *testing.T) {
+func TestCountPlanner(t *testing.T) {
 	t.Run("a rise is followed at once, a fall once it is calm", func(t *testing.T) {
 		c := newSimulatedPool()
 		c.advance(5, "a", "b")
@@ -86,7 +86,7 @@
 
 // An order gets no answer, so the platform may not have accepted it. If the order
 // counted as done, the pool would stay too small.
-func TestNumbersWithoutAnswer(t *testing.T) {
+func TestCountPlannerWithoutAnswer(t *testing.T) {
 	c := newSimulatedPool()
 	c.accepts = false
 	c.pool.Need.Running = 20
@@ -100,7 +100,7 @@
 // An unanswered order of four servers is repeated; then the need falls, and an order
 // of one server is accepted. Seconds later the first order is carried out. Without a
 // new order, its servers would stay for good.
-func TestNumbersLateOrder(t *testing.T) {
+func TestCountPlannerLateOrder(t *testing.T) {
 	c := newSimulatedPool()
 	c.advance(1, "a", "b")
 	c.planner.RecordSent(c.now, fleet.Count{PoolZone: fleet.PoolZone{Pool: "lm", Zone: "a"}, Servers: 1}, true)
@@ -111,7 +111,7 @@
 
 // A zone loses all its servers and none starts there. Without replacement in the other
 // zone, half of the needed capacity would be missing during the outage.
-func TestNumbersZoneLost(t *testing.T) {
+func TestCountPlannerZoneLost(t *testing.T) {
 	c := newSimulatedPool()
 	c.pool.Need.Running = 20
 	c.advance(20, "a", "b")
@@ -129,7 +129,7 @@
 }
 
 // The orders of a lost zone must not be below the configured minimum.
-func TestNumbersZoneLostKeepsLeast(t *testing.T) {
+func TestCountPlannerZoneLostKeepsMin(t *testing.T) {
 	c := newSimulatedPool()
 	c.pool.Min = 2
 	c.advance(20, "a", "b")
@@ -142,7 +142,7 @@
 
 // However the need changes, each zone's orders must stay within its bounds, and once
 // the need is constant there must be no more orders.
-func TestNumbersSettle(t *testing.T) {
+func TestCountPlannerSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newSimulatedPool()
 		c.pool.Min = rapid.IntRange(0, 2).Draw(t, "least")
--- a/internal/fleet/sizer_test.go
+++ b/internal/fleet/sizer_test.go
@@ -30,7 +30,7 @@
 	t.Run("keeps servers while the need comes and goes", func(t *testing.T) {
 		must.Eq(t, 10, decideFor(sizer, &now, 5*time.Minute, 10))
 	})
-	t.Run("gives them up once it is calm", func(t *testing.T) {
+	t.Run("stops them after the delay", func(t *testing.T) {
 		must.Eq(t, 2, decideFor(sizer, &now, 30*time.Minute, 10))
 	})
 	t.Run("keeps a few too many", func(t *testing.T) {
--- a/internal/fleet/zone_test.go
+++ b/internal/fleet/zone_test.go
@@ -189,7 +189,7 @@
 
 // A stop order is lost in transit twice. It must be resent with the same ID until it
 // arrives, since an earlier attempt might still have arrived.
-func TestStopLostOnTheWay(t *testing.T) {
+func TestStopLostInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		zone := newZoneFixture()
 		zone.start(t)
--- a/internal/gateway/keepers_test.go
+++ b/internal/gateway/keepers_test.go
@@ -147,7 +147,7 @@
 
 // Guards against a batch that ends during an append and thereby marks its keepers as
 // failed for all other batches.
-func TestEndedBatchSilencesNoKeeper(t *testing.T) {
+func TestEndedBatchFailsNoKeeper(t *testing.T) {
 	_, keepers := startKeepers(t, "a", "b")
 	keepers.Losses = 1
 	must.NoError(t, keepers.Append(t.Context(), "b1", newParts(0, "x")))
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -98,7 +98,7 @@
 	mustBeBetween(t, 150, 200, admitted[1])
 }
 
-func TestRateRisesOnlyOnceHeard(t *testing.T) {
+func TestRateRisesOnlyOncePublished(t *testing.T) {
 	// All three entries get an account's burst at the same time and don't know
 	// each other's demand yet. Each admitting the whole limit would triple it.
 	e := newEntries(3)
--- a/internal/lists/distribution_test.go
+++ b/internal/lists/distribution_test.go
@@ -53,7 +53,7 @@
 	return config.GetLists()
 }
 
-func TestWatcherBringsChanges(t *testing.T) {
+func TestWatcherPublishesChanges(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
 	_, view := startView(t, store)
@@ -94,7 +94,7 @@
 }
 
 // A watch replies late, with a configuration older than the current one.
-func TestViewNeverGoesBack(t *testing.T) {
+func TestViewIgnoresOlderRevisions(t *testing.T) {
 	view := &lists.View{}
 	old, err := proto.Marshal(listsWith(1))
 	must.NoError(t, err)
@@ -107,7 +107,7 @@
 	must.Eq(t, 2.0, config.GetPlans()[0].GetWeight())
 }
 
-func TestOnlyFewWatch(t *testing.T) {
+func TestWatchesOnlyInCharge(t *testing.T) {
 	store := &platformtest.Store{}
 	asked := make(chan bool, 1)
 	watcher := &lists.Watcher{Store: store, Offer: newMembers().Offer, Wait: shortWait, InCharge: func() bool {
--- a/internal/lists/editor_test.go
+++ b/internal/lists/editor_test.go
@@ -43,7 +43,7 @@
 
 // Two operators edit the same lists, and the first edit is accepted. The second would
 // silently overwrite it. It must be rejected as a whole, with the current lists.
-func TestSecondOperatorIsTold(t *testing.T) {
+func TestStaleEditIsRejected(t *testing.T) {
 	editor := &lists.Editor{Store: &platformtest.Store{}}
 	mustPut(t, editor, 0, 1)
 	mustPut(t, editor, 1, 2)
@@ -71,7 +71,7 @@
 
 // After the store was restored from a backup it holds an older configuration. It
 // would accept an edit that takes effect in no process.
-func TestStoreThatWentBackIsNoticed(t *testing.T) {
+func TestStoreBehindIsRejected(t *testing.T) {
 	editor := &lists.Editor{Store: &platformtest.Store{}, InForce: func() uint64 { return 7 }}
 	_, _, err := editor.Put(ctx, lists.Edit{Lists: listsWith(1), Operator: "ann", ID: "x"})
 	var behind *lists.BehindError
@@ -81,7 +81,7 @@
 // The store accepts an edit, but its reply is lost. Without reading back, the retry
 // conflicts with its own edit, and the operator gets a StaleError for an edit that
 // is in force.
-func TestLostAnswerIsRecognised(t *testing.T) {
+func TestLostReplyIsRecognised(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
 	store.LoseAnswers(1)
--- a/internal/logging/output_test.go
+++ b/internal/logging/output_test.go
@@ -33,7 +33,7 @@
 
 // Guards against requests that hang on logging: the collector of a gateway's log stops
 // reading, the pipe fills, and each write of a line blocks forever.
-func TestReaderThatStopped(t *testing.T) {
+func TestStoppedReader(t *testing.T) {
 	reader, writer := io.Pipe()
 	t.Cleanup(func() { _ = reader.Close() })
 	output := NewOutput(writer)
--- a/internal/measure/fairness_test.go
+++ b/internal/measure/fairness_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestDueShares(t *testing.T) {
+func TestMaxMinShares(t *testing.T) {
 	must.Eq(t, []float64{45, 45, 10}, maxMinShares([]float64{500, 50, 10}, 100))
 	must.Eq(t, []float64{20, 10}, maxMinShares([]float64{20, 10}, 100))
 }
--- a/internal/member/demands_test.go
+++ b/internal/member/demands_test.go
@@ -15,7 +15,7 @@
 	return peerpb.Demand_builder{Entry: entry, Account: "astana", Seq: seq, Rate: rate}.Build()
 }
 
-func TestDemandsTravel(t *testing.T) {
+func TestDemandsAreRelayed(t *testing.T) {
 	// A demand reaches an entry through another one that did not request it.
 	now := time.Now()
 	var all []*member.Members
--- a/internal/member/exchange_test.go
+++ b/internal/member/exchange_test.go
@@ -85,7 +85,7 @@
 
 // Guards against work being assigned by an outdated host list, which lists a live
 // host as leaving and a dead one as live. Only a process's answers count.
-func TestHostListDecidesNothing(t *testing.T) {
+func TestHostListDoesNotDetermineState(t *testing.T) {
 	first := startNode(t, "a", 1)
 	hosts := hostList(
 		platform.Host{Name: "a", Address: first.address, State: "leaving", Role: "entry"},
--- a/internal/member/isolation_test.go
+++ b/internal/member/isolation_test.go
@@ -80,7 +80,7 @@
 // Guards against isolation that is never detected: processes relay the age of the
 // last store answer, and each message understates it by its own delay. Relayed
 // back and forth, the age would never grow.
-func TestStoreAgeGrowsWhileToldAround(t *testing.T) {
+func TestStoreAgeGrowsWhileRelayed(t *testing.T) {
 	a, b := newMembers("a"), newMembers("b")
 	a.RecordStoreAnswer(start)
 	now := start
--- a/internal/member/prober_test.go
+++ b/internal/member/prober_test.go
@@ -96,7 +96,7 @@
 
 // Guards against a process that resumes after a pause and marks all that it
 // suspects as failed. It probed nobody during the pause, so the suspicion timeout must restart.
-func TestPauseFailsNobody(t *testing.T) {
+func TestPauseMarksNobodyFailed(t *testing.T) {
 	p := newPair()
 	p.advance(2 * time.Second)
 	p.prober.ProbeFailed(p.now, findEntry(p.a, "b"))
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -173,7 +173,7 @@
 // During a store outage, gateways that follow one watcher retried as often as the
 // watcher: 18 of them made as many calls in seven seconds as in the 50 before. A
 // follower must retry less often and still notice the recovery.
-func TestFollowersAskSeldom(t *testing.T) {
+func TestFollowersRetryLessOften(t *testing.T) {
 	calls := func(isWatcher bool) int {
 		store := &platformtest.Store{}
 		put(t, store, "p/a", "1")
--- a/internal/platform/order_test.go
+++ b/internal/platform/order_test.go
@@ -18,7 +18,7 @@
 // is suspended while it waits for a connection, and sends the order on resuming,
 // so two processes order servers of one zone. The guard must run after that wait,
 // and the receiver must get no order.
-func TestOrderAsksGuardLast(t *testing.T) {
+func TestOrderCallsGuardLast(t *testing.T) {
 	var orders atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err == nil {
--- a/internal/rollout/entries_test.go
+++ b/internal/rollout/entries_test.go
@@ -157,7 +157,7 @@
 
 // A trainer sends the same pull through several entry processes at once. All must
 // return the same samples.
-func TestTwoEntriesAtOnce(t *testing.T) {
+func TestPullThroughSeveralEntries(t *testing.T) {
 	entries := newEntries(t, newFakeStore())
 	byName(entries, "a").lead(t, 1)
 	_, err := byName(entries, "b").client.Open(t.Context(), openRequest(1, 2, 8, 1))
--- a/internal/rollout/holder_test.go
+++ b/internal/rollout/holder_test.go
@@ -110,7 +110,7 @@
 	mustDeliverOnce(t, pullAll(t, holder, 64), 16, 64)
 }
 
-func TestOpenAgain(t *testing.T) {
+func TestOpenRepeated(t *testing.T) {
 	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1, gate: make(chan struct{})}, newFakeReplicator("b"))
 	runHolder(t, holder, 1)
 	first := mustOpen(t, holder, openRequest(1, 2, 2, 1))
@@ -157,7 +157,7 @@
 // The store applies the write that binds places, but its reply is lost. The next write
 // conflicts with the holder's own; a holder that took the conflict for a successor
 // would run the whole step again.
-func TestStoreAnswerLost(t *testing.T) {
+func TestStoreReplyLost(t *testing.T) {
 	store := newFakeStore()
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
 	holder := newTestHolder("a", store, runner, newFakeReplicator("b"))
@@ -172,7 +172,7 @@
 // The store becomes unavailable in the middle of a step. The trainer still receives
 // what was committed, generation continues, nothing new is delivered, and once the
 // store is back the step is delivered whole, each slot once.
-func TestStoreAway(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	store := newFakeStore()
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
 	holder := newTestHolder("a", store, runner, newFakeReplicator("b"))
@@ -242,7 +242,7 @@
 // The holder is paused just before the write that binds places, and resumes after a
 // successor has taken over the step. If its write took effect, the two would deliver
 // the same places for different slots.
-func TestHolderFrozen(t *testing.T) {
+func TestPausedHolderCannotCommit(t *testing.T) {
 	store := &pausingStore{fakeStore: newFakeStore(), paused: make(chan struct{}), resume: make(chan struct{})}
 	replicator := newFakeReplicator("b")
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -250,7 +250,7 @@
 
 // An engine refuses every request. Its slots must wait longer each time, so that
 // retries do not pile up, and at least as long as the refusal requested.
-func TestFailuresPause(t *testing.T) {
+func TestFailureBackoff(t *testing.T) {
 	step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 1)
 	now := start
 	var pauses []time.Duration
@@ -270,7 +270,7 @@
 // New weights are announced with a staleness bound of 0. Until samplers have loaded
 // them, every attempt is refused without having run. The slots must start soon after
 // the first sampler has loaded them and not wait out backoffs that grew meanwhile.
-func TestRefusalsPauseShortly(t *testing.T) {
+func TestRefusalBackoffIsShort(t *testing.T) {
 	step := NewStep(openRequest(1, 1, 1, 0), 0, 1, 2)
 	now := start
 	for range 20 {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -80,7 +80,7 @@
 
 // Guards against a generation that moves between the silent servers of a lost zone
 // while other servers send events.
-func TestPlaceAtServerThatIsHeard(t *testing.T) {
+func TestPlacePrefersActiveServer(t *testing.T) {
 	roster := newRoster(sampler("s1", 4), sampler("s2", 4), sampler("s3", 4))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2, PreferActive: true}
 	must.NotNil(t, roster.Place(need))
@@ -108,7 +108,7 @@
 // Guards against floods of refused requests: a sampler that loads weights refuses all
 // new work for a second, and eight items at a time were sent to it twenty times a
 // second, half of all requests to samplers.
-func TestRefusingSamplerIsAskedByOne(t *testing.T) {
+func TestRefusingSamplerIsProbed(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	server := roster.Place(need)
@@ -123,7 +123,7 @@
 // Guards against a retry loop: where all other samplers are full, the items that wait
 // go to a crashed one and are refused a connection within a millisecond. A thousand
 // attempts a second and their log lines used up the gateway's processor.
-func TestFailedSamplerIsAskedByOne(t *testing.T) {
+func TestFailedSamplerIsProbed(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	server := roster.Place(need)
@@ -142,7 +142,7 @@
 // Guards against a server that gets no generation for the lifetime of the gateway: the
 // probe of a failed sampler ends with a failed run or with its batch, which says
 // nothing about the sampler.
-func TestAskerThatLearnsNothing(t *testing.T) {
+func TestProbeWithoutResult(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	server := roster.Place(need)
--- a/internal/route/leastutilized_test.go
+++ b/internal/route/leastutilized_test.go
@@ -17,7 +17,7 @@
 	return route.Candidate{Server: server, Slowness: slowness}
 }
 
-func TestRoomiest(t *testing.T) {
+func TestLeastUtilized(t *testing.T) {
 	suspect := candidate("s", "a", 8, 0, 1)
 	suspect.Server.SetEligibility(route.Suspect)
 	closed := candidate("c", "a", 8, 0, 1)
@@ -26,14 +26,14 @@
 		candidates []route.Candidate
 		want       string
 	}{
-		"most free slots":        {[]route.Candidate{candidate("x", "a", 8, 3, 1), candidate("y", "b", 8, 2, 1)}, "y"},
-		"by the part in use":     {[]route.Candidate{candidate("x", "a", 4, 2, 1), candidate("y", "a", 8, 3, 1)}, "y"},
-		"own zone among equals":  {[]route.Candidate{candidate("x", "b", 8, 2, 1), candidate("y", "a", 8, 2, 1)}, "y"},
-		"slow ones last":         {[]route.Candidate{candidate("x", "a", 8, 0, 3), candidate("y", "a", 8, 7, 1)}, "y"},
-		"slow if no other":       {[]route.Candidate{candidate("x", "a", 8, 0, 3), candidate("y", "a", 8, 8, 1)}, "x"},
-		"suspected ones last":    {[]route.Candidate{suspect, candidate("y", "a", 8, 7, 3)}, "y"},
-		"none that gets no work": {[]route.Candidate{closed}, ""},
-		"none that is full":      {[]route.Candidate{candidate("x", "a", 8, 8, 1)}, ""},
+		"most free slots":       {[]route.Candidate{candidate("x", "a", 8, 3, 1), candidate("y", "b", 8, 2, 1)}, "y"},
+		"by the share in use":   {[]route.Candidate{candidate("x", "a", 4, 2, 1), candidate("y", "a", 8, 3, 1)}, "y"},
+		"own zone among equals": {[]route.Candidate{candidate("x", "b", 8, 2, 1), candidate("y", "a", 8, 2, 1)}, "y"},
+		"slow ones last":        {[]route.Candidate{candidate("x", "a", 8, 0, 3), candidate("y", "a", 8, 7, 1)}, "y"},
+		"slow if no other":      {[]route.Candidate{candidate("x", "a", 8, 0, 3), candidate("y", "a", 8, 8, 1)}, "x"},
+		"suspected ones last":   {[]route.Candidate{suspect, candidate("y", "a", 8, 7, 3)}, "y"},
+		"none that is closed":   {[]route.Candidate{closed}, ""},
+		"none that is full":     {[]route.Candidate{candidate("x", "a", 8, 8, 1)}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := route.LeastUtilized(test.candidates, "a")
--- a/internal/secure/identity_test.go
+++ b/internal/secure/identity_test.go
@@ -154,7 +154,7 @@
 // Guards against calls to an entry from a host outside the deployment or from a
 // compromised sidecar. The host must not get in; the sidecar must not impersonate
 // another process or make calls reserved for entries.
-func TestWhoMayCall(t *testing.T) {
+func TestCallAuthorization(t *testing.T) {
 	a, other := newTestAuthority(t), newTestAuthority(t)
 	address := serveAs(t, a.identity(t, "e1", NameEntry))
 	sidecar, entry := a.identity(t, "s1", NameSidecar), a.identity(t, "e2", NameEntry)
@@ -182,7 +182,7 @@
 
 // Guards against sending requests to an impostor: an address was reassigned to a
 // host whose certificate the deployment's authority did not sign.
-func TestServerIsChecked(t *testing.T) {
+func TestServerCertificateIsVerified(t *testing.T) {
 	a, other := newTestAuthority(t), newTestAuthority(t)
 	config, err := other.identity(t, "e1", NameEntry).config()
 	must.NoError(t, err)
@@ -193,7 +193,7 @@
 
 // Certificates expire and are replaced while the process runs. New connections must
 // use the new certificate, and a truncated file must not make all handshakes fail.
-func TestCertificateIsReplaced(t *testing.T) {
+func TestCertificateReload(t *testing.T) {
 	a, folder := newTestAuthority(t), t.TempDir()
 	settings := a.issue(t, folder, "e1", NameProcess, NameSidecar)
 	identity, err := newIdentity(settings, "e1", 0)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,7 +48,7 @@
 		"unknown setting": {validEntry + "colour = red\n", "caller", "colour"},
 		"unknown section": {validEntry + "[extra]\na = b\n", "extra", ""},
 		"bad duration":    {validEntry + "timeout = soon\n", "caller", "timeout"},
-		"below least":     {validEntry + "silence = 1ms\n", "caller", "silence"},
+		"below minimum":   {validEntry + "silence = 1ms\n", "caller", "silence"},
 		"missing":         {"[process]\nregion = r\nzone = a\npeer = x\n[platform]\naddress = x\n[caller]\nlisten = x\n", "process", "name"},
 	}
 	for name, test := range tests {
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -228,7 +228,7 @@
 	})
 }
 
-func TestRunNotRun(t *testing.T) {
+func TestRunRefusedNotRun(t *testing.T) {
 	// A refusal with the outcome "not run" allows a branch to post again. It must be true:
 	// either the request never left this process, or its sidecar says so.
 	stopped := startFakeSidecar(t, nil)
--- a/internal/usage/collector_test.go
+++ b/internal/usage/collector_test.go
@@ -43,7 +43,7 @@
 	must.Eq(t, uint64(3), requests(counts))
 }
 
-func TestCollectsFromKeepersOfSilent(t *testing.T) {
+func TestCollectsFromReplicasOfUnreachable(t *testing.T) {
 	fleet, collector := newCollection()
 	fleet.kill("s1")
 	counts, silent := collector.Collect(t.Context(), 0, noon.Unix()+1)
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -80,7 +80,7 @@
 // crashes between two steps, and its successor, which collects newer counts,
 // reports the window again. The successor must send the stored figures, and the
 // newer counts must appear once, in a later window.
-func TestReporterKilledAtEachStep(t *testing.T) {
+func TestReporterCrashAtEachStep(t *testing.T) {
 	for step := 1; step <= 24; step++ {
 		synctest.Test(t, func(t *testing.T) {
 			fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
@@ -249,7 +249,7 @@
 // Guards against not billing a delivered response: the host of its sidecar, or
 // that of the entry that received it, dies before the counter is pushed. The
 // loss of any one host must lose no counts.
-func TestAnyOneHostDies(t *testing.T) {
+func TestSingleHostFailure(t *testing.T) {
 	sidecar := peerpb.Process_builder{Name: "s1", Zone: "a", Role: peerpb.Role_ROLE_SIDECAR, State: peerpb.State_STATE_LIVE}.Build()
 	for _, dies := range []string{"s1", "e1", "e2", "e3"} {
 		for _, pushed := range []bool{false, true} {
--- a/internal/weight/limiter_test.go
+++ b/internal/weight/limiter_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestNarrowWidth(t *testing.T) {
+func TestSmallLimit(t *testing.T) {
 	t.Run("as many as the store carries", func(t *testing.T) {
 		var l limiter
 		recordLoads(&l, 30)
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -90,7 +90,7 @@
 // have four each, which still serve this step and the next. When loads follow the order of
 // names, each new version of the others is loaded first, and all generations of the one wait
 // for its single sampler.
-func TestNoModelWaitsWhileAnotherIsRefreshed(t *testing.T) {
+func TestWaitingModelGoesFirst(t *testing.T) {
 	p := newPool(11)
 	p.setVersion("a", 5, indices(0, 3)...).setVersion("b", 5, indices(4, 7)...).setVersion("c", 5, 8)
 	a := Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 32}
@@ -263,7 +263,7 @@
 }
 
 // Model names decide nothing but the order of two equal models.
-func TestNamesDecideNothing(t *testing.T) {
+func TestNamesDoNotAffectSchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t)
 		other := make([]Demand, len(demands))
