--- a/internal/bramleyhatch/health.go
+++ b/internal/bramleyhatch/health.go
@@ -42,7 +42,7 @@
 	case config == nil:
 		return "no configuration yet"
 	case e.members.Replaced():
-		return "another process has this process's name and a higher incarnation"
+		return "a later process has this process's name"
 	case e.members.IsIsolated(now):
 		return "isolated: neither the store nor most processes of the region answer"
 	default:
--- a/internal/bramleyhatch/retirement.go
+++ b/internal/bramleyhatch/retirement.go
@@ -36,7 +36,7 @@
 		return
 	}
 	if _, known := r.pending[host]; !known {
-		klog.InfoS("keeper: an operator retires a host", "host", host)
+		klog.InfoS("keeper: an operator asked to empty a host", "host", host)
 		r.pending[host] = true
 	}
 }
