--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -76,7 +76,7 @@
 }
 
 // The platform's list lags and doesn't yet contain an ordered server. If each round
-// ordered it again, a pool that lacks one server would get many.
+// ordered it again, a pool that lacks one server would get ten.
 func TestScaleOrdersOnce(t *testing.T) {
 	scale, now := newScale(t), time.Unix(1000, 0)
 	observed := newObservation(1, 1, 7)
