--- a/test/scenario/certificates_test.go
+++ b/test/scenario/certificates_test.go
@@ -9,9 +9,9 @@
 
 const authorityFile = "authority.pem"
 
-// certificates writes an authority and certificates for processes that start
-// later: certificates NAME... A name that begins with "e" is an entry's.
-func certificates(ts *testscript.TestScript, _ bool, args []string) {
+// writeCertificates creates a certificate authority and certificates for processes that
+// start later: certificates NAME... Names that begin with "e" get the role of an entry.
+func writeCertificates(ts *testscript.TestScript, _ bool, args []string) {
 	command := []string{"certificates", ts.MkAbs(".")}
 	for _, name := range args {
 		role := "sidecar"
@@ -23,8 +23,8 @@
 	ts.Check(ts.Exec("standin", command...))
 }
 
-// secureSettings returns the settings of a process for which there is a certificate.
-func secureSettings(ts *testscript.TestScript, name string) []string {
+// tlsSettings returns the TLS settings of a process, or nil if it has no certificate.
+func tlsSettings(ts *testscript.TestScript, name string) []string {
 	certificate := ts.MkAbs(name + ".pem")
 	if _, err := os.Stat(certificate); err != nil {
 		return nil
--- a/test/scenario/deploy_test.go
+++ b/test/scenario/deploy_test.go
@@ -39,7 +39,7 @@
 max = 2
 `
 
-// operatorToken is the token of the operator of deployments.
+// operatorToken authenticates the operator of deployments.
 const operatorToken = "operator-token"
 
 // deploy starts a small deployment and waits until it serves:
@@ -47,8 +47,8 @@
 //
 // It starts platform, weights; entries e1 (zone-a), e2 (zone-b); engines engine1,
 // engine2 with sidecars s1 (zone-a), s2 (zone-b); plain services book1, book2 with
-// sidecars s3 (zone-a), s4 (zone-b). Relay rN stands before sidecar sN, relay bN
-// between it and its backend server. Keys: member-key, choir-key, trainer-key.
+// sidecars s3 (zone-a), s4 (zone-b). Relay rN proxies connections to sidecar sN, relay bN
+// those from it to its backend server. Keys: member-key, choir-key, trainer-key.
 func deploy(ts *testscript.TestScript, _ bool, args []string) {
 	extra := map[string][]string{}
 	for _, arg := range args {
@@ -58,7 +58,7 @@
 	runStandin(ts, false, []string{"platform", "platform"})
 	runStandin(ts, false, []string{"weights", "weights"})
 	writeLists(ts)
-	listServers(ts)
+	registerServers(ts)
 	for i, zone := range []string{"zone-a", "zone-b"} {
 		settings := append([]string{"operator.tokens=op:" + lists.HashKey(operatorToken)}, extra["entry"]...)
 		runEntry(ts, false, append([]string{fmt.Sprintf("e%d", i+1), zone}, settings...))
@@ -81,18 +81,18 @@
 
 func deploySidecar(ts *testscript.TestScript, number int, zone, kind, pool, backend string, extra []string) {
 	name := fmt.Sprintf("s%d", number)
-	front := fmt.Sprintf("r%d", number)
-	behind := fmt.Sprintf("b%d", number)
-	runStandin(ts, false, []string{front, "relay"})
-	runStandin(ts, false, []string{behind, "relay", "--to", strings.TrimPrefix(ts.Getenv(backend), "http://")})
-	settings := append([]string{"process.advertise=" + ts.Getenv(front+"_from")}, extra...)
-	runSidecar(ts, false, append([]string{name, zone, kind, pool, "http://" + ts.Getenv(behind+"_from")}, settings...))
-	control(ts, false, []string{front, "to", fmt.Sprintf(`{"to":%q}`, ts.Getenv(name+"_peer"))})
+	frontRelay := fmt.Sprintf("r%d", number)
+	backendRelay := fmt.Sprintf("b%d", number)
+	runStandin(ts, false, []string{frontRelay, "relay"})
+	runStandin(ts, false, []string{backendRelay, "relay", "--to", strings.TrimPrefix(ts.Getenv(backend), "http://")})
+	settings := append([]string{"process.advertise=" + ts.Getenv(frontRelay+"_from")}, extra...)
+	runSidecar(ts, false, append([]string{name, zone, kind, pool, "http://" + ts.Getenv(backendRelay+"_from")}, settings...))
+	control(ts, false, []string{frontRelay, "to", fmt.Sprintf(`{"to":%q}`, ts.Getenv(name+"_peer"))})
 }
 
-// listServers puts the backend servers into the platform's list before any entry
-// runs, so that none is ordered in their place.
-func listServers(ts *testscript.TestScript) {
+// registerServers adds the backend servers to the platform's list before any entry
+// runs, so that no entry orders servers in their place.
+func registerServers(ts *testscript.TestScript) {
 	for i, pool := range []string{"assistant", "assistant", "ledger", "ledger"} {
 		zone := []string{"zone-a", "zone-b"}[i%2]
 		setServer(ts, platform.Server{ID: fmt.Sprintf("server-s%d", i+1), Pool: pool, Zone: zone, State: "live"})
@@ -102,10 +102,10 @@
 func writeLists(ts *testscript.TestScript) {
 	ts.Check(os.WriteFile(ts.MkAbs("accounts.ini"), []byte(accountsText), 0o600))
 	ts.Check(os.WriteFile(ts.MkAbs("plans.ini"), []byte(plansText), 0o600))
-	keys(ts, false, []string{"accounts.ini", "plans.ini", "member-key=franchise", "choir-key=choir", "trainer-key=editors"})
+	writeConfig(ts, false, []string{"accounts.ini", "plans.ini", "member-key=franchise", "choir-key=choir", "trainer-key=editors"})
 }
 
-// awaitServing waits until both entries know all four backend servers.
+// awaitServing waits until both entries serve requests to both pools.
 func awaitServing(ts *testscript.TestScript) {
 	for _, entry := range []string{"e1", "e2"} {
 		address := ts.Getenv(entry)
--- a/test/scenario/json_test.go
+++ b/test/scenario/json_test.go
@@ -7,13 +7,13 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-func encode(ts *testscript.TestScript, value any) []byte {
+func encodeJSON(ts *testscript.TestScript, value any) []byte {
 	text, err := json.Marshal(value)
 	ts.Check(err)
 	return text
 }
 
-// relayAddress asks a relay where it listens.
+// relayAddress returns the address on which a relay listens.
 func relayAddress(ts *testscript.TestScript, base string) string {
 	response, err := http.Get(base + "/control/address")
 	ts.Check(err)
--- a/test/scenario/process_test.go
+++ b/test/scenario/process_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	startBound = 20 * time.Second
-	stopBound  = 30 * time.Second
-	pollPause  = 25 * time.Millisecond
-	logTail    = 25
+	startTimeout = 20 * time.Second
+	stopTimeout  = 30 * time.Second
+	pollInterval = 25 * time.Millisecond
+	logTailLines = 25
 )
 
-// process is one program that a scenario started.
+// process is a program started by a scenario.
 type process struct {
 	name    string
 	program string
@@ -47,8 +47,8 @@
 type fleetKey struct{}
 
 func setup(env *testscript.Env) error {
-	all := &fleet{processes: map[string]*process{}}
-	env.Values[fleetKey{}] = all
+	f := &fleet{processes: map[string]*process{}}
+	env.Values[fleetKey{}] = f
 	env.Setenv("HOME", env.WorkDir)
 	env.Setenv("CHAT", `{"model":"assistant","messages":[{"role":"user","content":"a note"}],"max_tokens":8}`)
 	env.Setenv("STREAM", `{"model":"assistant","messages":[{"role":"user","content":"a note"}],"max_tokens":8,"stream":true}`)
@@ -56,24 +56,24 @@
 	env.Setenv("OPERATOR_HASH", lists.HashKey(operatorToken))
 	env.Setenv("MEMBER_HASH", lists.HashKey("member-key"))
 	env.Setenv("POSTING", `{"member":"ana","hours":1}`)
-	env.Defer(func() { all.end(env.T()) })
+	env.Defer(func() { f.killAll(env.T()) })
 	return nil
 }
 
 func fleetOf(ts *testscript.TestScript) *fleet {
-	all, _ := ts.Value(fleetKey{}).(*fleet)
-	return all
+	f, _ := ts.Value(fleetKey{}).(*fleet)
+	return f
 }
 
-// end kills all processes, prints the last lines of their logs and fails on a data race.
-func (f *fleet) end(t testscript.T) {
+// killAll kills all processes, prints the last lines of their logs and fails the test on a data race.
+func (f *fleet) killAll(t testscript.T) {
 	for _, name := range f.order {
 		p := f.processes[name]
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
 		<-p.done
 		text, _ := os.ReadFile(p.log)
-		t.Log(fmt.Sprintf("[%s] %s", name, lastLines(text, logTail)))
+		t.Log(fmt.Sprintf("[%s] %s", name, lastLines(text, logTailLines)))
 		if bytes.Contains(text, []byte("DATA RACE")) {
 			t.Log(string(text))
 			t.FailNow()
@@ -81,15 +81,15 @@
 	}
 }
 
-func lastLines(text []byte, most int) string {
+func lastLines(text []byte, maxLines int) string {
 	var lines []string
 	scanner := bufio.NewScanner(bytes.NewReader(text))
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
 		lines = append(lines, scanner.Text())
 	}
-	if len(lines) > most {
-		lines = lines[len(lines)-most:]
+	if len(lines) > maxLines {
+		lines = lines[len(lines)-maxLines:]
 	}
 	return strings.Join(lines, "\n    ")
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// start runs the program and waits for its ready file.
+// start runs the program, waits for its ready file and returns the addresses in it.
 func (f *fleet) start(ts *testscript.TestScript, p *process) map[string]string {
 	_ = os.Remove(p.ready)
 	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -129,7 +129,7 @@
 	return awaitReady(ts, p)
 }
 
-// programPath finds a program of testscript.Main in the script's PATH.
+// programPath returns the path of a testscript.Main program in the script's PATH.
 func programPath(ts *testscript.TestScript, program string) string {
 	for folder := range strings.SplitSeq(ts.Getenv("PATH"), string(os.PathListSeparator)) {
 		path := filepath.Join(folder, program)
@@ -137,12 +137,12 @@
 			return path
 		}
 	}
-	ts.Fatalf("no program %s", program)
+	ts.Fatalf("program %s not found in PATH", program)
 	return ""
 }
 
 func awaitReady(ts *testscript.TestScript, p *process) map[string]string {
-	deadline := time.After(startBound)
+	deadline := time.After(startTimeout)
 	for {
 		text, err := os.ReadFile(p.ready)
 		if err == nil {
@@ -153,15 +153,15 @@
 		select {
 		case <-p.done:
 			text, _ := os.ReadFile(p.log)
-			ts.Fatalf("%s ended with code %d before it was ready:\n%s", p.name, p.code, lastLines(text, logTail))
+			ts.Fatalf("%s exited with code %d before it was ready:\n%s", p.name, p.code, lastLines(text, logTailLines))
 		case <-deadline:
-			ts.Fatalf("%s was not ready within %v", p.name, startBound)
-		case <-time.After(pollPause):
+			ts.Fatalf("%s was not ready within %v", p.name, startTimeout)
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// find returns the processes named by the arguments.
+// find returns the processes with the given names.
 func (f *fleet) find(ts *testscript.TestScript, names []string) []*process {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -169,7 +169,7 @@
 	for _, name := range names {
 		p := f.processes[name]
 		if p == nil {
-			ts.Fatalf("no process %s", name)
+			ts.Fatalf("unknown process %s", name)
 		}
 		found = append(found, p)
 	}
--- a/test/scenario/scenario_test.go
+++ b/test/scenario/scenario_test.go
@@ -1,5 +1,5 @@
-// Package scenario_test runs scripted scenarios: the real programs as processes
-// on loopback, with failures between them. docs/developer/testing.md lists the verbs.
+// Package scenario_test runs scripted scenarios: the real programs run as processes
+// on loopback, with faults injected. docs/developer/testing.md lists the verbs.
 package scenario_test
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/cmd"
 )
 
-// atOnce is the number of scenarios that run at the same time: each starts some
-// fifteen processes, and their bounds on silence must not fire for want of processor time.
-const atOnce = "3"
+// maxParallelScripts limits the scenarios that run concurrently: each starts about
+// fifteen processes, whose inactivity timeouts must not expire for lack of CPU time.
+const maxParallelScripts = "3"
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if err := flag.Set("test.parallel", atOnce); err != nil {
+	if err := flag.Set("test.parallel", maxParallelScripts); err != nil {
 		panic(err)
 	}
 	testscript.Main(m, map[string]func(){
--- a/test/scenario/verbs_test.go
+++ b/test/scenario/verbs_test.go
@@ -21,16 +21,16 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// awaitBound is how long await waits for a state, awaitPause the time between two looks.
+// awaitTimeout limits how long await waits for a state; awaitInterval is its polling interval.
 const (
-	awaitBound = 30 * time.Second
-	awaitPause = 100 * time.Millisecond
+	awaitTimeout  = 30 * time.Second
+	awaitInterval = 100 * time.Millisecond
 )
 
-// verbs are the words of the test language beside those of testscript.
+// verbs are the script commands in addition to those of testscript.
 var verbs = map[string]func(*testscript.TestScript, bool, []string){
 	"standin-run":  runStandin,
-	"certificates": certificates,
+	"certificates": writeCertificates,
 	"deploy":       deploy,
 	"entry":        runEntry,
 	"sidecar":      runSidecar,
@@ -42,8 +42,8 @@
 	"control":      control,
 	"capture":      capture,
 	"await":        await,
-	"keys":         keys,
-	"server":       server,
+	"keys":         writeConfig,
+	"server":       changeServer,
 }
 
 // runStandin starts a stand-in: standin-run NAME KIND [FLAG...].
@@ -59,7 +59,7 @@
 	p.args = append([]string{args[1], "--ready", p.ready}, args[2:]...)
 	addresses := fleetOf(ts).start(ts, p)
 	ts.Setenv(name, "http://"+addresses["address"])
-	// A restart listens where others already know it.
+	// A restarted process listens on the same address, which other processes know.
 	p.args = append(p.args, "--listen", addresses["address"])
 	if args[1] == "relay" {
 		ts.Setenv(name+"_from", relayAddress(ts, "http://"+addresses["address"]))
@@ -70,21 +70,21 @@
 // It sets $NAME to the base URL for callers and $NAME_peer to the peer address.
 func runEntry(ts *testscript.TestScript, _ bool, args []string) {
 	defaults := []string{"caller.listen=127.0.0.1:0", "duty.lease=2s", "duty.margin=500ms", "duty.interval=100ms"}
-	runProduct(ts, "entry", args[0], args[1], append(defaults, args[2:]...))
+	runBramleyhatch(ts, "entry", args[0], args[1], append(defaults, args[2:]...))
 }
 
 // runSidecar starts a sidecar: sidecar NAME ZONE KIND POOL URL [SECTION.KEY=VALUE...].
-// The backend server's identity is the sidecar's name with "server-" in front.
+// The backend server's ID is "server-" followed by the sidecar's name.
 func runSidecar(ts *testscript.TestScript, _ bool, args []string) {
 	name, zone := args[0], args[1]
 	defaults := []string{
 		"backend.server=server-" + name, "backend.kind=" + args[2], "backend.pool=" + args[3], "backend.address=" + args[4],
 	}
-	runProduct(ts, "sidecar", name, zone, append(defaults, args[5:]...))
+	runBramleyhatch(ts, "sidecar", name, zone, append(defaults, args[5:]...))
 	setServer(ts, platform.Server{ID: "server-" + name, Pool: args[3], Kind: args[2], Zone: zone, State: "live"})
 }
 
-func runProduct(ts *testscript.TestScript, kind, name, zone string, values []string) {
+func runBramleyhatch(ts *testscript.TestScript, kind, name, zone string, values []string) {
 	p := &process{
 		name:    name,
 		program: "bramleyhatch",
@@ -97,19 +97,19 @@
 		"platform.timeout=1s", "member.interval=100ms", "member.suspect=1500ms", "usage.window=2s", "usage.settle=1s",
 	}
 	file := ts.MkAbs(name + ".ini")
-	settings := slices.Concat(common, secureSettings(ts, name), values)
-	ts.Check(os.WriteFile(file, []byte(iniText(settings)), 0o600))
+	settings := slices.Concat(common, tlsSettings(ts, name), values)
+	ts.Check(os.WriteFile(file, []byte(formatINI(settings)), 0o600))
 	p.args = []string{kind, "--settings", file}
 	addresses := fleetOf(ts).start(ts, p)
-	// A restart listens where others already know it.
+	// A restarted process listens on the same address, which other processes know.
 	settings = append(settings, "process.peer="+addresses["peer"])
 	if addresses["caller"] != "" {
 		settings = append(settings, "caller.listen="+addresses["caller"])
 		ts.Setenv(name, "http://"+addresses["caller"])
 	}
-	ts.Check(os.WriteFile(file, []byte(iniText(settings)), 0o600))
+	ts.Check(os.WriteFile(file, []byte(formatINI(settings)), 0o600))
 	ts.Setenv(name+"_peer", addresses["peer"])
-	setHost(ts, platform.Host{Name: name, Address: advertised(settings, addresses["peer"]), Zone: zone, Role: kind, State: "live"})
+	setHost(ts, platform.Host{Name: name, Address: advertisedAddress(settings, addresses["peer"]), Zone: zone, Role: kind, State: "live"})
 }
 
 func regionOf(zone string) string {
@@ -120,7 +120,7 @@
 	return region
 }
 
-func advertised(settings []string, address string) string {
+func advertisedAddress(settings []string, address string) string {
 	for _, setting := range settings {
 		if value, ok := strings.CutPrefix(setting, "process.advertise="); ok {
 			return value
@@ -129,8 +129,8 @@
 	return address
 }
 
-// iniText writes SECTION.KEY=VALUE settings as INI; a later one replaces an earlier.
-func iniText(settings []string) string {
+// formatINI formats SECTION.KEY=VALUE settings as INI; later values override earlier ones.
+func formatINI(settings []string) string {
 	sections := map[string]map[string]string{}
 	for _, setting := range settings {
 		name, value, _ := strings.Cut(setting, "=")
@@ -150,7 +150,7 @@
 	return text.String()
 }
 
-// restart starts processes again that have ended: restart NAME...
+// restart waits until processes have exited and starts them again: restart NAME...
 func restart(ts *testscript.TestScript, _ bool, args []string) {
 	for _, p := range fleetOf(ts).find(ts, args) {
 		<-p.done
@@ -158,7 +158,8 @@
 	}
 }
 
-// signalVerb sends a signal to processes; with wait it waits for their end.
+// signalVerb returns a command that sends a signal to processes; with wait, the command
+// waits until they exit.
 func signalVerb(signal syscall.Signal, wait bool) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, p := range fleetOf(ts).find(ts, args) {
@@ -170,7 +171,7 @@
 	}
 }
 
-// terminate sends SIGTERM and waits for an end with code 0: terminate NAME...
+// terminate sends SIGTERM and requires exit code 0: terminate NAME...
 // With "&" as the last argument it doesn't wait.
 func terminate(ts *testscript.TestScript, _ bool, args []string) {
 	wait := true
@@ -185,16 +186,16 @@
 		}
 		select {
 		case <-p.done:
-		case <-time.After(stopBound):
-			ts.Fatalf("%s has not ended within %v of SIGTERM", p.name, stopBound)
+		case <-time.After(stopTimeout):
+			ts.Fatalf("%s did not exit within %v of SIGTERM", p.name, stopTimeout)
 		}
 		if p.code != 0 {
-			ts.Fatalf("%s ended with code %d", p.name, p.code)
+			ts.Fatalf("%s exited with code %d", p.name, p.code)
 		}
 	}
 }
 
-// control posts to a stand-in's control endpoint: control NAME PATH [JSON].
+// control sends a POST request to a stand-in's control endpoint: control NAME PATH [JSON].
 func control(ts *testscript.TestScript, _ bool, args []string) {
 	body := "{}"
 	if len(args) > 2 {
@@ -204,11 +205,11 @@
 }
 
 // await repeats a command until its output matches: await REGEXP PROGRAM [ARGUMENT...].
-// "! await" waits until it doesn't match any more.
+// "! await" repeats it until its output no longer matches.
 func await(ts *testscript.TestScript, neg bool, args []string) {
 	pattern, err := regexp.Compile("(?m)" + args[0])
 	ts.Check(err)
-	deadline := time.Now().Add(awaitBound)
+	deadline := time.Now().Add(awaitTimeout)
 	var output []byte
 	for time.Now().Before(deadline) {
 		command := exec.Command(programPath(ts, args[1]), args[2:]...)
@@ -219,14 +220,14 @@
 			_, _ = ts.Stdout().Write(output)
 			return
 		}
-		time.Sleep(awaitPause)
+		time.Sleep(awaitInterval)
 	}
-	ts.Fatalf("not reached within %v: %v; last output:\n%s", awaitBound, args, output)
+	ts.Fatalf("condition not met within %v: %v; last output:\n%s", awaitTimeout, args, output)
 }
 
-// keys writes the lists and keys to the store as the first configuration:
+// writeConfig writes the lists and keys to the store as its first configuration:
 // keys ACCOUNTS PLANS [KEY=ACCOUNT...].
-func keys(ts *testscript.TestScript, _ bool, args []string) {
+func writeConfig(ts *testscript.TestScript, _ bool, args []string) {
 	config, err := lists.ReadFiles(ts.MkAbs(args[0]), ts.MkAbs(args[1]))
 	ts.Check(err)
 	config.SetLists(1)
@@ -240,17 +241,17 @@
 	ts.Check(err)
 }
 
-// server changes the platform's list of backend servers: server ID POOL ZONE STATE.
-func server(ts *testscript.TestScript, _ bool, args []string) {
+// changeServer sets an entry of the platform's list of backend servers: server ID POOL ZONE STATE.
+func changeServer(ts *testscript.TestScript, _ bool, args []string) {
 	setServer(ts, platform.Server{ID: args[0], Pool: args[1], Zone: args[2], State: args[3]})
 }
 
 func setHost(ts *testscript.TestScript, host platform.Host) {
-	postJSON(ts, ts.Getenv("platform")+"/control/hosts", encode(ts, host))
+	postJSON(ts, ts.Getenv("platform")+"/control/hosts", encodeJSON(ts, host))
 }
 
 func setServer(ts *testscript.TestScript, server platform.Server) {
-	postJSON(ts, ts.Getenv("platform")+"/control/servers", encode(ts, server))
+	postJSON(ts, ts.Getenv("platform")+"/control/servers", encodeJSON(ts, server))
 }
 
 func postJSON(ts *testscript.TestScript, address string, body []byte) {
@@ -258,16 +259,16 @@
 	ts.Check(err)
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		ts.Fatalf("%s answers %d", address, response.StatusCode)
+		ts.Fatalf("POST %s: status %d", address, response.StatusCode)
 	}
 }
 
-// capture sets a variable to the first group that matches in the last command's
-// output: capture NAME REGEXP.
+// capture sets a variable to the regular expression's first group as matched in the last
+// command's output: capture NAME REGEXP.
 func capture(ts *testscript.TestScript, _ bool, args []string) {
-	found := regexp.MustCompile("(?m)" + args[1]).FindStringSubmatch(ts.ReadFile("stdout"))
-	if found == nil {
-		ts.Fatalf("no match for %s", args[1])
+	match := regexp.MustCompile("(?m)" + args[1]).FindStringSubmatch(ts.ReadFile("stdout"))
+	if match == nil {
+		ts.Fatalf("no match for %s in the last output", args[1])
 	}
-	ts.Setenv(args[0], found[1])
+	ts.Setenv(args[0], match[1])
 }
