--- a/test/gateway/fixture_test.go
+++ b/test/gateway/fixture_test.go
@@ -1,5 +1,5 @@
-// Package gateway_test runs gateways and keepers against stand-ins of the users'
-// platform, over real connections on loopback.
+// Package gateway_test runs gateways and keepers against fakes of the users' platform,
+// over real loopback connections.
 package gateway_test
 
 import (
@@ -24,29 +24,29 @@
 	"github.com/bramleyhatch/bramleyhatch/platform/wiretest"
 )
 
-const patience = 15 * time.Second
+const awaitTimeout = 15 * time.Second
 
-// world is a platform with gateways.
-type world struct {
+// deployment is a fake platform on which gateways and keepers run.
+type deployment struct {
 	*wiretest.Platform
 }
 
-// gateway is a running gateway.
+// gateway is a running gateway with its addresses.
 type gateway struct {
-	name    string
-	front   string
-	ready   string
-	metrics string
-	door    *wiretest.Door
-	stop    context.CancelFunc
-	ended   chan struct{}
+	name          string
+	front         string
+	ready         string
+	metrics       string
+	storeEndpoint *wiretest.Door
+	cancel        context.CancelFunc
+	done          chan struct{}
 }
 
-func newWorld(t *testing.T) *world {
+func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	w := &world{Platform: wiretest.NewPlatform()}
-	w.PutTable(t, 2, []string{"acme", "other"}, wiretest.Routes()...)
-	return w
+	d := &deployment{Platform: wiretest.NewPlatform()}
+	d.PutTable(t, 2, []string{"acme", "other"}, wiretest.Routes()...)
+	return d
 }
 
 func storeSettings(door, duties string) *settingspb.Store {
@@ -67,20 +67,20 @@
 }
 
 // start starts a gateway and waits until it is ready.
-func (w *world) start(t *testing.T, name string) *gateway {
+func (d *deployment) start(t *testing.T, name string) *gateway {
 	t.Helper()
-	g := w.begin(t, name)
+	g := d.launch(t, name)
 	g.awaitReady(t)
 	return g
 }
 
-func (w *world) begin(t *testing.T, name string) *gateway {
+func (d *deployment) launch(t *testing.T, name string) *gateway {
 	t.Helper()
-	door := w.Open(t)
-	g := &gateway{name: name, front: listentest.Free(t), ready: listentest.Free(t), metrics: listentest.Free(t), door: door, ended: make(chan struct{})}
+	door := d.Open(t)
+	g := &gateway{name: name, front: listentest.Free(t), ready: listentest.Free(t), metrics: listentest.Free(t), storeEndpoint: door, done: make(chan struct{})}
 	settings := settingspb.Gateway_builder{
 		Process:   processSettings(name, listentest.Free(t), ""),
-		Store:     storeSettings(door.Address, w.Open(t).Address),
+		Store:     storeSettings(door.Address, d.Open(t).Address),
 		Front:     settingspb.Front_builder{Listen: g.front, Ready: g.ready, Metrics: g.metrics, Unknown: durationpb.New(time.Second), Linger: durationpb.New(50 * time.Millisecond)}.Build(),
 		Directory: settingspb.Directory_builder{Back: durationpb.New(2 * time.Second)}.Build(),
 		Batches:   settingspb.Batches_builder{Keep: durationpb.New(time.Minute), Group: durationpb.New(50 * time.Millisecond)}.Build(),
@@ -94,39 +94,39 @@
 		}.Build(),
 	}.Build()
 	ctx, cancel := context.WithCancel(context.Background())
-	g.stop = cancel
+	g.cancel = cancel
 	go func() {
-		defer close(g.ended)
+		defer close(g.done)
 		_ = (&bramleyhatch.Gateway{Settings: settings}).Run(ctx)
 	}()
-	t.Cleanup(g.end)
+	t.Cleanup(g.shutDown)
 	return g
 }
 
-// keeper is a host with a disk.
+// keeper is a keeper process with a data folder.
 type keeper struct {
-	world    *world
-	door     *wiretest.Door
-	settings *settingspb.Keeper
-	stop     func()
+	deployment    *deployment
+	storeEndpoint *wiretest.Door
+	settings      *settingspb.Keeper
+	stop          func()
 }
 
-// startKeeper starts a keeper on a folder.
-func (w *world) startKeeper(t *testing.T, name, folder string) *keeper {
+// startKeeper starts a keeper that stores its data in folder.
+func (d *deployment) startKeeper(t *testing.T, name, folder string) *keeper {
 	t.Helper()
-	k := &keeper{world: w, door: w.Open(t)}
+	k := &keeper{deployment: d, storeEndpoint: d.Open(t)}
 	k.settings = settingspb.Keeper_builder{
 		Process: processSettings(name, listentest.Free(t), folder),
-		Store:   storeSettings(k.door.Address, ""),
+		Store:   storeSettings(k.storeEndpoint.Address, ""),
 	}.Build()
 	k.start(t)
 	return k
 }
 
-// start starts the keeper, for the first time or anew at its address.
+// start starts the keeper, or restarts it at the same address.
 func (k *keeper) start(t *testing.T) {
 	t.Helper()
-	k.door.Close(false)
+	k.storeEndpoint.Close(false)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -137,20 +137,20 @@
 	t.Cleanup(k.stop)
 }
 
-// kill ends the keeper so that the store doesn't hear of it.
+// kill stops the keeper without letting it deregister from the store.
 func (k *keeper) kill() {
-	k.door.Close(true)
+	k.storeEndpoint.Close(true)
 	k.stop()
 }
 
-func (g *gateway) end() {
-	g.stop()
-	<-g.ended
+func (g *gateway) shutDown() {
+	g.cancel()
+	<-g.done
 }
 
-func await(t *testing.T, what string, isSo func() bool) {
+func await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(isSo), wait.Timeout(patience), wait.Gap(20*time.Millisecond)), must.Sprint(what))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(awaitTimeout), wait.Gap(20*time.Millisecond)), must.Sprint(description))
 }
 
 func (g *gateway) awaitReady(t *testing.T) {
@@ -165,13 +165,13 @@
 	})
 }
 
-// awaitMetric waits until a gateway serves a line of metrics.
+// awaitMetric waits until the gateway's metrics contain a line.
 func (g *gateway) awaitMetric(t *testing.T, line string) {
 	t.Helper()
 	await(t, g.name+" serves "+line, func() bool { return g.servesMetric(line) })
 }
 
-// servesMetric reports whether a gateway serves a line of metrics now.
+// servesMetric reports whether the gateway's metrics contain a line now.
 func (g *gateway) servesMetric(line string) bool {
 	response, err := http.Get("http://" + g.metrics + "/metrics")
 	if err != nil {
@@ -182,17 +182,17 @@
 	return err == nil && strings.Contains(string(text), "\n"+line+"\n")
 }
 
-// answer is an answer that a caller got.
-type answer struct {
+// reply is a response as a caller receives it.
+type reply struct {
 	status int
 	header http.Header
 	body   string
-	// err says that the answer was cut off.
+	// err is set if no response arrived or its body was cut off.
 	err error
 }
 
-// send sends a request as a caller does.
-func (g *gateway) send(t *testing.T, method, path, key, id string, body []byte, headers ...string) answer {
+// send sends a request as a caller; headers are pairs of names and values.
+func (g *gateway) send(t *testing.T, method, path, key, id string, body []byte, headers ...string) reply {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+g.front+path, bytes.NewReader(body))
 	must.NoError(t, err)
@@ -209,14 +209,14 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return answer{err: err}
+		return reply{err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(text), err: err}
+	return reply{status: response.StatusCode, header: response.Header, body: string(text), err: err}
 }
 
-// batchBody returns batch "b1" of items "b1-i0" and so on, each with a scorer.
+// batchBody returns the body of batch "b1" with items "b1-i0" and so on, each with a scorer.
 func batchBody(t *testing.T, items int) []byte {
 	t.Helper()
 	const id = "b1"
@@ -234,7 +234,7 @@
 	return text
 }
 
-// results is an answer to a read of a batch.
+// results is the response to a read of a batch.
 type results struct {
 	Total   int `json:"total"`
 	Next    int `json:"next"`
@@ -257,19 +257,19 @@
 	return page, got.status
 }
 
-// submit sends batch "b1" in until it is taken.
+// submit sends batch "b1" until a gateway accepts it.
 func (g *gateway) submit(t *testing.T, items int) {
 	t.Helper()
 	const id = "b1"
 	body := batchBody(t, items)
-	await(t, "batch is taken", func() bool {
+	await(t, "batch is accepted", func() bool {
 		return g.send(t, http.MethodPost, "/batch/"+id, "key-acme", id, body).status == http.StatusAccepted
 	})
 }
 
-// awaitLease waits until the gateway may take batches: it says that it is ready as soon
-// as it can serve callers, and has its lease some calls of the store later. A batch of
-// the test's own tells, and is ended at once.
+// awaitLease waits until the gateway accepts batches: it reports ready as soon as it can
+// serve callers, and gets its lease some store calls later. The check submits a batch of
+// its own and ends it at once.
 func (g *gateway) awaitLease(t *testing.T) {
 	t.Helper()
 	const id = "b0"
@@ -280,19 +280,20 @@
 	must.Eq(t, http.StatusOK, g.send(t, http.MethodDelete, "/bramleyhatch/lots/"+id, "key-acme", id, nil).status)
 }
 
-// awaitResults waits until a gateway shows all results of batch "b1".
+// awaitResults waits until the gateway returns all results of batch "b1".
 func (g *gateway) awaitResults(t *testing.T, items int) results {
 	t.Helper()
 	var page results
-	await(t, "batch is whole", func() bool {
+	await(t, "batch is complete", func() bool {
 		page, _ = g.read(t, "b1", 0)
 		return len(page.Results) == items
 	})
 	return page
 }
 
-// mustBeWhole checks that each item stands once, with its whole text and proof.
-func mustBeWhole(t *testing.T, page results, items, events int) {
+// mustBeComplete checks that each item is listed once, with its whole text and its scorer's
+// proof.
+func mustBeComplete(t *testing.T, page results, items, events int) {
 	t.Helper()
 	must.Eq(t, items, page.Total)
 	seen := map[string]bool{}
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -13,9 +13,9 @@
 )
 
 func TestRequests(t *testing.T) {
-	w := newWorld(t)
-	app := w.NewSampler(t, "a1", "app", "")
-	g := w.start(t, "g1")
+	d := newDeployment(t)
+	app := d.NewSampler(t, "a1", "app", "")
+	g := d.start(t, "g1")
 	t.Run("served", func(t *testing.T) {
 		got := g.send(t, http.MethodPost, "/look/x?q=1", "key-acme", "r1", []byte("ask"), "X-Own", "kept")
 		must.Eq(t, http.StatusOK, got.status)
@@ -47,21 +47,22 @@
 	})
 }
 
-// A server breaks off, or answers another request, in the middle of a member's
-// look-up. The member gets the whole answer of another try, and never those bytes.
+// Guards against corrupt responses: a server cuts off its response, sends one that belongs
+// to another request, refuses or fails. The caller must get the whole response of a retry,
+// and none of the bad bytes.
 func TestServersThatSpoilAnswers(t *testing.T) {
 	for name, fault := range map[string]wiretest.Fault{"cut": wiretest.Cut, "foreign": wiretest.Foreign, "refused": wiretest.Refuse, "failed": wiretest.Fail} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			d := newDeployment(t)
 			once := func(_ string, runs int) wiretest.Fault {
 				if runs == 0 {
 					return fault
 				}
 				return wiretest.None
 			}
-			w.NewSampler(t, "a1", "app", "").SetFault(once)
-			w.NewSampler(t, "a2", "app", "")
-			g := w.start(t, "g1")
+			d.NewSampler(t, "a1", "app", "").SetFault(once)
+			d.NewSampler(t, "a2", "app", "")
+			g := d.start(t, "g1")
 			for _, id := range []string{"r1", "r2", "r3", "r4"} {
 				got := g.send(t, http.MethodPost, "/look/x", "key-acme", id, []byte(id))
 				must.NoError(t, got.err)
@@ -72,12 +73,12 @@
 	}
 }
 
-// A volunteer's hours are posted, and the server's answer is lost. Sent once
-// more, they would be counted twice; "not run" would be untrue.
+// Guards against a repeated non-idempotent request. The response to a posting is lost: a
+// resend would count it twice, and reporting it as not run would be untrue.
 func TestPostingRunsOnce(t *testing.T) {
-	w := newWorld(t)
-	first, second := w.NewSampler(t, "a1", "app", ""), w.NewSampler(t, "a2", "app", "")
-	g := w.start(t, "g1")
+	d := newDeployment(t)
+	first, second := d.NewSampler(t, "a1", "app", ""), d.NewSampler(t, "a2", "app", "")
+	g := d.start(t, "g1")
 	for _, fault := range []wiretest.Fault{wiretest.Cut, wiretest.Foreign} {
 		for _, server := range []*wiretest.Sampler{first, second} {
 			server.SetFault(func(string, int) wiretest.Fault { return fault })
@@ -97,13 +98,13 @@
 }
 
 func TestBatch(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	sampler := w.NewSampler(t, "s1", "lm", "m")
-	g, other := w.start(t, "g1"), w.start(t, "g2")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	sampler := d.NewSampler(t, "s1", "lm", "m")
+	g, other := d.start(t, "g1"), d.start(t, "g2")
 	g.submit(t, 6)
 	page := g.awaitResults(t, 6)
-	mustBeWhole(t, page, 6, 5)
+	mustBeComplete(t, page, 6, 5)
 	t.Run("any gateway shows the same places", func(t *testing.T) {
 		must.Eq(t, page, other.awaitResults(t, 6))
 		rest, status := other.read(t, "b1", 4)
@@ -136,109 +137,109 @@
 	})
 }
 
-// A trainer ends its step at another gateway than the one that runs it. The
-// samplers' runs stop at once, and a repeated end is fine.
+// A trainer ends its batch at a gateway other than its owner. The samplers' runs must
+// stop at once, and a repeated end must succeed.
 func TestEndAtAnotherGateway(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	sampler := w.NewSampler(t, "s1", "lm", "m")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	sampler := d.NewSampler(t, "s1", "lm", "m")
 	sampler.SetPace(1000, 20*time.Millisecond)
-	g, other := w.start(t, "g1"), w.start(t, "g2")
+	g, other := d.start(t, "g1"), d.start(t, "g2")
 	g.submit(t, 8)
-	ran := func() int {
+	countRuns := func() int {
 		sum := 0
 		for _, id := range []string{"0", "1", "2", "3", "4", "5", "6", "7"} {
 			sum += sampler.Runs("b1-i" + id)
 		}
 		return sum
 	}
-	// All that have a slot: an end may otherwise come before the last of them has
-	// reached the sampler, and rightly keeps it from there.
-	await(t, "four items run", func() bool { return ran() == 4 })
+	// Waits for every item that has a slot: an earlier end may rightly keep the last of
+	// them from reaching the sampler.
+	await(t, "four items run", func() bool { return countRuns() == 4 })
 	for range 2 {
 		must.Eq(t, http.StatusOK, other.send(t, http.MethodDelete, "/bramleyhatch/lots/b1", "key-acme", "", nil).status)
 	}
 	time.Sleep(300 * time.Millisecond)
-	must.Eq(t, 4, ran())
+	must.Eq(t, 4, countRuns())
 }
 
-// A sampler dies in the middle of its texts. They go on behind their last event
-// at another one, and nothing is missing or stands twice.
+// Guards against lost or repeated events when a sampler dies while it generates texts.
+// Another sampler must resume them after their last event.
 func TestCutRunGoesOn(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	bad, good := w.NewSampler(t, "s1", "lm", "m"), w.NewSampler(t, "s2", "lm", "m")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	bad, good := d.NewSampler(t, "s1", "lm", "m"), d.NewSampler(t, "s2", "lm", "m")
 	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.Cut })
-	g := w.start(t, "g1")
+	g := d.start(t, "g1")
 	g.submit(t, 6)
-	mustBeWhole(t, g.awaitResults(t, 6), 6, 5)
+	mustBeComplete(t, g.awaitResults(t, 6), 6, 5)
 	must.SliceNotEmpty(t, good.Resumed())
 }
 
-// A zone is lost within a step. Its samplers send no more events, and the longest
-// texts waited 1.5 s for each silent one that they were placed at.
+// Guards against long waits when a zone is lost during a step: its samplers send no more
+// events, and the longest texts waited 1.5 s at each silent sampler in turn.
 func TestStalledRunGoesOn(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	bad, good := w.NewSampler(t, "s1", "lm", "m"), w.NewSampler(t, "s2", "lm", "m")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	bad, good := d.NewSampler(t, "s1", "lm", "m"), d.NewSampler(t, "s2", "lm", "m")
 	for _, sampler := range []*wiretest.Sampler{bad, good} {
 		sampler.SetPace(20, 5*time.Millisecond)
 	}
 	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.Stall })
-	g := w.start(t, "g1")
+	g := d.start(t, "g1")
 	g.submit(t, 6)
-	mustBeWhole(t, g.awaitResults(t, 6), 6, 20)
+	mustBeComplete(t, g.awaitResults(t, 6), 6, 20)
 	must.SliceNotEmpty(t, good.Resumed())
 }
 
-// A sampler and a scorer are slow and answer several times that a run's time was
-// over, and once that it failed. The next runs would succeed; counted as failed
-// ones, the text is given up though nothing is wrong with it.
+// Guards against counting timeouts as failures. A slow sampler and a slow scorer answer
+// several times that a run timed out, and once that it failed; the next runs would succeed,
+// but with timeouts counted the text would be given up.
 func TestLateAnswersAreNoFailures(t *testing.T) {
-	w := newWorld(t)
-	scorer, sampler := w.NewSampler(t, "a1", "app", ""), w.NewSampler(t, "s1", "lm", "m")
-	troubled := func(_ string, runs int) wiretest.Fault {
+	d := newDeployment(t)
+	scorer, sampler := d.NewSampler(t, "a1", "app", ""), d.NewSampler(t, "s1", "lm", "m")
+	faulty := func(_ string, runs int) wiretest.Fault {
 		return []wiretest.Fault{wiretest.Late, wiretest.Fail, wiretest.Late, wiretest.Late, wiretest.None}[min(runs, 4)]
 	}
-	scorer.SetFault(troubled)
-	sampler.SetFault(troubled)
-	g := w.start(t, "g1")
+	scorer.SetFault(faulty)
+	sampler.SetFault(faulty)
+	g := d.start(t, "g1")
 	g.submit(t, 2)
-	mustBeWhole(t, g.awaitResults(t, 2), 2, 5)
+	mustBeComplete(t, g.awaitResults(t, 2), 2, 5)
 }
 
-// Weights are named in the middle of a step. Samplers load them in waves, each
-// order under a fence, and later steps allow no older version.
+// A new weight version is published. Samplers must load it in waves, each order under a
+// fencing token, and later steps allow no older version.
 func TestNewWeights(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	first, second := w.NewSampler(t, "s1", "lm", "m"), w.NewSampler(t, "s2", "lm", "m")
-	w.start(t, "g1")
-	w.start(t, "g2")
-	w.Put(t, "op/version/m", map[string]any{"model": "m", "version": 2})
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	first, second := d.NewSampler(t, "s1", "lm", "m"), d.NewSampler(t, "s2", "lm", "m")
+	d.start(t, "g1")
+	d.start(t, "g2")
+	d.Put(t, "op/version/m", map[string]any{"model": "m", "version": 2})
 	await(t, "both samplers have version 2", func() bool { return first.Version() == 2 && second.Version() == 2 })
 }
 
-// Windows of usage are reported once, with all requests that servers began.
+// Usage windows must be reported once, with all requests that servers started.
 func TestUsage(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	g, other := w.start(t, "g1"), w.start(t, "g2")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	g, other := d.start(t, "g1"), d.start(t, "g2")
 	for range 6 {
 		must.Eq(t, http.StatusOK, g.send(t, http.MethodPost, "/look/x", "key-acme", "r", nil).status)
 		must.Eq(t, http.StatusOK, other.send(t, http.MethodPost, "/look/x", "key-other", "q", nil).status)
 	}
 	await(t, "usage is reported", func() bool {
-		return w.Reports()["acme"] == 6 && w.Reports()["other"] == 6
+		return d.Reports()["acme"] == 6 && d.Reports()["other"] == 6
 	})
 }
 
-// A caller reads a text as it is made. Its sampler dies in the middle: the
-// answer must look cut off, and not whole.
+// Guards against a truncated stream that looks complete: the only sampler dies while a
+// caller reads a stream, and the caller must see an error.
 func TestStreamCut(t *testing.T) {
-	w := newWorld(t)
-	sampler := w.NewSampler(t, "s1", "lm", "m")
-	g := w.start(t, "g1")
+	d := newDeployment(t)
+	sampler := d.NewSampler(t, "s1", "lm", "m")
+	g := d.start(t, "g1")
 	got := g.send(t, http.MethodPost, "/stream/x", "key-acme", "r1", nil)
 	must.NoError(t, got.err)
 	must.Eq(t, 5, strings.Count(got.body, "data: "))
@@ -246,24 +247,22 @@
 	must.Error(t, g.send(t, http.MethodPost, "/stream/x", "key-acme", "r2", nil).err)
 }
 
-// A caller reads a text as it is made, and its sampler dies in the middle. The
-// rest comes from another one, behind the last event that the caller has, within
-// the same answer.
+// A sampler dies while a caller reads its stream. Another one must continue the same
+// response after the last event that the caller has.
 func TestStreamGoesOn(t *testing.T) {
-	w := newWorld(t)
+	d := newDeployment(t)
 	once := func(_ string, runs int) wiretest.Fault {
 		if runs == 0 {
 			return wiretest.Cut
 		}
 		return wiretest.None
 	}
-	bad, good := w.NewSampler(t, "s1", "lm", "m"), w.NewSampler(t, "s2", "lm", "m")
+	bad, good := d.NewSampler(t, "s1", "lm", "m"), d.NewSampler(t, "s2", "lm", "m")
 	bad.SetFault(once)
-	g := w.start(t, "g1")
-	// Which of the two is chosen for a request is drawn: requests are sent until the
-	// bad one has had one.
-	const enough, most = 4, 50
-	for i := 1; i <= most && (i <= enough || len(good.Resumed()) == 0); i++ {
+	g := d.start(t, "g1")
+	// Samplers are chosen at random: requests are sent until the bad one has got one.
+	const minRequests, maxRequests = 4, 50
+	for i := 1; i <= maxRequests && (i <= minRequests || len(good.Resumed()) == 0); i++ {
 		id := "r" + strconv.Itoa(i)
 		got := g.send(t, http.MethodPost, "/stream/x", "key-acme", id, nil)
 		must.NoError(t, got.err)
@@ -276,14 +275,14 @@
 	must.SliceNotEmpty(t, good.Resumed())
 }
 
-// Entries of the store that can't be read name no server, and change nothing.
+// Guards against malformed store values: they must register no server and change nothing.
 func TestBadEntries(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	w.PutText(t, "servers/bad", []byte("{"))
-	w.Put(t, "servers/odd", map[string]any{"backend": "app", "address": 7})
-	g := w.start(t, "g1")
-	w.PutText(t, "op/config", []byte(`{"version":"x"}`))
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	d.PutText(t, "servers/bad", []byte("{"))
+	d.Put(t, "servers/odd", map[string]any{"backend": "app", "address": 7})
+	g := d.start(t, "g1")
+	d.PutText(t, "op/config", []byte(`{"version":"x"}`))
 	time.Sleep(200 * time.Millisecond)
 	for range 5 {
 		must.Eq(t, http.StatusOK, g.send(t, http.MethodPost, "/look/x", "key-acme", "r", nil).status)
--- a/test/gateway/metrics_test.go
+++ b/test/gateway/metrics_test.go
@@ -12,13 +12,13 @@
 
 var metricName = regexp.MustCompile(`(?m)^# HELP (bramleyhatch_\w+) `)
 
-// An operator reads of a metric on the page and finds none, or finds one that no
-// page explains.
+// Guards against metrics that the reference page documents but the gateway doesn't export,
+// and the reverse.
 func TestMetricsPage(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	w.NewSampler(t, "s1", "lm", "m")
-	g := w.start(t, "g1")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	d.NewSampler(t, "s1", "lm", "m")
+	g := d.start(t, "g1")
 	g.submit(t, 2)
 	g.awaitResults(t, 2)
 	response, err := http.Get("http://" + g.metrics + "/metrics")
@@ -33,9 +33,9 @@
 		names[match[1]] = true
 		must.StrContains(t, string(page), "`"+match[1]+"`")
 	}
-	told := regexp.MustCompile("`(bramleyhatch_(?:gateway|store|batch|log)_\\w+)`").FindAllStringSubmatch(string(page), -1)
-	must.SliceNotEmpty(t, told)
-	for _, match := range told {
+	documented := regexp.MustCompile("`(bramleyhatch_(?:gateway|store|batch|log)_\\w+)`").FindAllStringSubmatch(string(page), -1)
+	must.SliceNotEmpty(t, documented)
+	for _, match := range documented {
 		must.True(t, names[match[1]], must.Sprint(match[1]))
 	}
 }
--- a/test/gateway/store_test.go
+++ b/test/gateway/store_test.go
@@ -11,112 +11,114 @@
 	"github.com/bramleyhatch/bramleyhatch/platform/wiretest"
 )
 
-// The owner of a batch dies with its texts half made. Another gateway takes the
-// batch over, goes on behind what a keeper has, and lists no item twice.
+// The owner of a batch dies while its texts are incomplete. Another gateway must take over
+// the batch, resume the texts after what a keeper holds, and list no item twice.
 func TestOwnerDies(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	sampler := w.NewSampler(t, "s1", "lm", "m")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	sampler := d.NewSampler(t, "s1", "lm", "m")
 	sampler.SetPace(60, 25*time.Millisecond)
-	w.startKeeper(t, "k1", t.TempDir())
-	gateways := []*gateway{w.start(t, "g1"), w.start(t, "g2")}
+	d.startKeeper(t, "k1", t.TempDir())
+	gateways := []*gateway{d.start(t, "g1"), d.start(t, "g2")}
 	gateways[0].submit(t, 4)
-	await(t, "texts are under way", func() bool { return sampler.Runs("b1-i0") > 0 })
+	await(t, "texts are being generated", func() bool { return sampler.Runs("b1-i0") > 0 })
 	time.Sleep(time.Second)
-	// Which of the two owns it is not told; each is cut off from the store in
-	// turn until one has taken the batch from the other.
-	gateways[0].door.Close(true)
-	gateways[0].stop()
+	// Either gateway may own the batch. The first loses the store and stops, so that the
+	// second has to take over a batch that the first owns.
+	gateways[0].storeEndpoint.Close(true)
+	gateways[0].cancel()
 	page := gateways[1].awaitResults(t, 4)
-	mustBeWhole(t, page, 4, 60)
+	mustBeComplete(t, page, 4, 60)
 }
 
-// All processes end and are back within a second. The keeper reads its disk and
-// comes a little later than the gateways; not waited for, it has all texts for
-// nothing, and each of them is made anew while the trainer waits.
+// Guards against a restarted owner that doesn't wait for the keeper. All processes restart
+// within a second, and the keeper, which reads its disk first, registers a little later than
+// the gateways: its texts would go unused, and all would be generated again while the
+// trainer waits.
 func TestKeeperComesLater(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	sampler := w.NewSampler(t, "s1", "lm", "m")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	sampler := d.NewSampler(t, "s1", "lm", "m")
 	sampler.SetPace(60, 25*time.Millisecond)
-	k := w.startKeeper(t, "k1", t.TempDir())
-	g := w.start(t, "g1")
+	k := d.startKeeper(t, "k1", t.TempDir())
+	g := d.start(t, "g1")
 	g.submit(t, 4)
-	await(t, "texts are under way", func() bool { return sampler.Runs("b1-i0") > 0 })
+	await(t, "texts are being generated", func() bool { return sampler.Runs("b1-i0") > 0 })
 	time.Sleep(1200 * time.Millisecond)
-	g.door.Close(true)
-	g.end()
+	g.storeEndpoint.Close(true)
+	g.shutDown()
 	k.kill()
-	again := w.start(t, "g1")
+	restarted := d.start(t, "g1")
 	time.Sleep(200 * time.Millisecond)
 	k.start(t)
-	page := again.awaitResults(t, 4)
-	mustBeWhole(t, page, 4, 60)
+	page := restarted.awaitResults(t, 4)
+	mustBeComplete(t, page, 4, 60)
 	must.SliceLen(t, 4, sampler.Resumed())
 }
 
-// The store turns one gateway away and serves the others. A key that is
-// withdrawn meanwhile must end there as well, and batches must be taken.
+// The store refuses one gateway and serves the others. A key that is withdrawn meanwhile
+// must be refused there as well, and batches must be accepted.
 func TestTurnedAwayByTheStore(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	w.NewSampler(t, "s1", "lm", "m")
-	away, _ := w.start(t, "g1"), w.start(t, "g2")
-	must.Eq(t, http.StatusOK, away.send(t, http.MethodPost, "/look/x", "key-other", "r1", nil).status)
-	away.awaitMetric(t, "bramleyhatch_gateway_hosts 2")
-	away.door.Close(true)
-	w.PutTable(t, 3, []string{"acme"}, wiretest.Routes()...)
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	d.NewSampler(t, "s1", "lm", "m")
+	refused, _ := d.start(t, "g1"), d.start(t, "g2")
+	must.Eq(t, http.StatusOK, refused.send(t, http.MethodPost, "/look/x", "key-other", "r1", nil).status)
+	refused.awaitMetric(t, "bramleyhatch_gateway_hosts 2")
+	refused.storeEndpoint.Close(true)
+	d.PutTable(t, 3, []string{"acme"}, wiretest.Routes()...)
 	began := time.Now()
-	await(t, "the key has ended", func() bool {
-		return away.send(t, http.MethodPost, "/look/x", "key-other", "r2", nil).status == http.StatusUnauthorized
+	await(t, "the withdrawn key is refused", func() bool {
+		return refused.send(t, http.MethodPost, "/look/x", "key-other", "r2", nil).status == http.StatusUnauthorized
 	})
 	must.Less(t, 2*time.Second, time.Since(began))
-	away.submit(t, 2)
-	mustBeWhole(t, away.awaitResults(t, 2), 2, 5)
+	refused.submit(t, 2)
+	mustBeComplete(t, refused.awaitResults(t, 2), 2, 5)
 }
 
-// The store turns several gateways away. One that asks another for help meets one
-// that is turned away as well; taken for the store's last word, its batches are
-// refused and withdrawn keys go on there, though a third gateway could ask.
+// Guards against treating a failed detour as the store's answer. The store refuses several
+// gateways, and one that asks a peer to make its call may ask another refused one: its
+// batches would be refused and withdrawn keys stay valid there, although a third gateway
+// reaches the store.
 func TestTurnedAwayWithOthers(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	w.NewSampler(t, "s1", "lm", "m")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	d.NewSampler(t, "s1", "lm", "m")
 	var gateways []*gateway
 	for i := range 5 {
-		gateways = append(gateways, w.start(t, "g"+strconv.Itoa(i)))
+		gateways = append(gateways, d.start(t, "g"+strconv.Itoa(i)))
 	}
 	for _, g := range gateways {
 		g.awaitMetric(t, "bramleyhatch_gateway_hosts 5")
 	}
 	for _, g := range gateways[:4] {
-		g.door.Close(true)
+		g.storeEndpoint.Close(true)
 	}
-	w.PutTable(t, 3, []string{"acme"}, wiretest.Routes()...)
+	d.PutTable(t, 3, []string{"acme"}, wiretest.Routes()...)
 	for _, g := range gateways {
-		await(t, "the key has ended", func() bool {
+		await(t, "the withdrawn key is refused", func() bool {
 			return g.send(t, http.MethodPost, "/look/x", "key-other", "r2", nil).status == http.StatusUnauthorized
 		})
 	}
 	for end := time.Now().Add(2 * wiretest.LeaseLength); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		must.True(t, gateways[4].servesMetric("bramleyhatch_gateway_hosts 5"), must.Sprint("a lease has lapsed"))
+		must.True(t, gateways[4].servesMetric("bramleyhatch_gateway_hosts 5"), must.Sprint("a lease has expired"))
 	}
 	gateways[3].submit(t, 2)
-	mustBeWhole(t, gateways[2].awaitResults(t, 2), 2, 5)
+	mustBeComplete(t, gateways[2].awaitResults(t, 2), 2, 5)
 }
 
-// The store drops its history while a watch of it is silent. What has ended
-// meanwhile is in no change any more; the gateway must find it missing.
+// The store compacts its history while a watch is silent. Keys deleted meanwhile appear in
+// no change event; the gateway must notice that they are gone.
 func TestHistoryDropped(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	g := w.start(t, "g1")
-	w.SetSilent(true)
-	w.Take(t, "servers/a1")
-	second := w.NewSampler(t, "a2", "app", "")
-	w.Compact()
-	w.SetSilent(false)
-	await(t, "the new server serves", func() bool {
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	g := d.start(t, "g1")
+	d.SetSilent(true)
+	d.Take(t, "servers/a1")
+	second := d.NewSampler(t, "a2", "app", "")
+	d.Compact()
+	d.SetSilent(false)
+	await(t, "the new server serves requests", func() bool {
 		return g.send(t, http.MethodPost, "/look/x", "key-acme", "r", nil).status == http.StatusOK && second.Runs("r") > 0
 	})
 	before := second.Runs("q")
@@ -126,43 +128,43 @@
 	must.Eq(t, before+5, second.Runs("q"))
 }
 
-// The answer of the store to an accepted batch is lost. The gateway must not say
-// that nothing runs, and the trainer's next try must find the batch there.
+// The store's response to the write of a batch is lost. The gateway must not report that
+// nothing runs, and the trainer's retry must find the batch accepted.
 func TestAcceptedWithoutAnswer(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	sampler := w.NewSampler(t, "s1", "lm", "m")
-	g := w.start(t, "g1")
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	sampler := d.NewSampler(t, "s1", "lm", "m")
+	g := d.start(t, "g1")
 	g.awaitLease(t)
-	w.LoseAnswers(1)
+	d.LoseAnswers(1)
 	status := g.send(t, http.MethodPost, "/batch/b1", "key-acme", "b1", batchBody(t, 2)).status
 	must.NotEq(t, http.StatusServiceUnavailable, status)
 	g.submit(t, 2)
-	mustBeWhole(t, g.awaitResults(t, 2), 2, 5)
+	mustBeComplete(t, g.awaitResults(t, 2), 2, 5)
 	must.Eq(t, 1, sampler.Runs("b1-i0"))
 }
 
-// Guards against a refusal of a batch that runs, and against a trainer that isn't told
-// when to come back, while the store is away.
+// Guards against refusing a batch that runs, and against a response without Retry-After,
+// while the store is unavailable.
 func TestStoreAway(t *testing.T) {
-	w := newWorld(t)
-	w.NewSampler(t, "a1", "app", "")
-	sampler := w.NewSampler(t, "s1", "lm", "m")
-	g := w.start(t, "g1")
-	send := func() answer {
+	d := newDeployment(t)
+	d.NewSampler(t, "a1", "app", "")
+	sampler := d.NewSampler(t, "s1", "lm", "m")
+	g := d.start(t, "g1")
+	send := func() reply {
 		return g.send(t, http.MethodPost, "/batch/b1", "key-acme", "b1", batchBody(t, 2))
 	}
-	g.door.Close(true)
+	g.storeEndpoint.Close(true)
 	got := send()
 	must.SliceContains(t, []int{http.StatusServiceUnavailable, http.StatusGatewayTimeout}, got.status)
 	must.NotEq(t, "", got.header.Get("Retry-After"))
 	must.Eq(t, http.StatusOK, g.send(t, http.MethodPost, "/look/x", "key-acme", "r1", nil).status)
-	g.door.Close(false)
+	g.storeEndpoint.Close(false)
 	time.Sleep(500 * time.Millisecond)
 	if got.status == http.StatusServiceUnavailable {
 		must.Eq(t, 0, sampler.Runs("b1-i0"))
 	}
 	g.submit(t, 2)
-	mustBeWhole(t, g.awaitResults(t, 2), 2, 5)
+	mustBeComplete(t, g.awaitResults(t, 2), 2, 5)
 	must.Eq(t, 1, sampler.Runs("b1-i0"))
 }
--- a/test/gateway/zones_test.go
+++ b/test/gateway/zones_test.go
@@ -9,21 +9,21 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against requests, items and loads at a drained zone's servers, also by a
-// gateway that starts later or saw nothing of the store when the zone was drained.
+// Guards against requests, items and weight loads sent to a drained zone's servers, also by
+// a gateway that starts later or had no connection to the store when the zone was drained.
 func TestZoneIsDrained(t *testing.T) {
-	// The zone of the gateways, whose servers they prefer.
-	const drain = "op/evacuate/z1"
-	w := newWorld(t)
-	near, far := w.NewSampler(t, "a1", "app", ""), w.NewSampler(t, "a2", "app", "")
-	far.Move(t, "z2")
-	drained, sampler := w.NewSampler(t, "m1", "lm", "m"), w.NewSampler(t, "m2", "lm", "m")
+	// drainKey drains the zone of the gateways, whose servers they prefer.
+	const drainKey = "op/evacuate/z1"
+	d := newDeployment(t)
+	localServer, remoteServer := d.NewSampler(t, "a1", "app", ""), d.NewSampler(t, "a2", "app", "")
+	remoteServer.Move(t, "z2")
+	drainedSampler, sampler := d.NewSampler(t, "m1", "lm", "m"), d.NewSampler(t, "m2", "lm", "m")
 	sampler.Move(t, "z2")
-	away := w.start(t, "g0")
-	away.door.Close(true)
-	w.Put(t, drain, map[string]any{})
-	g := w.start(t, "g1")
-	ask := func(from *gateway, first, count int) {
+	disconnected := d.start(t, "g0")
+	disconnected.storeEndpoint.Close(true)
+	d.Put(t, drainKey, map[string]any{})
+	g := d.start(t, "g1")
+	sendLookups := func(from *gateway, first, count int) {
 		t.Helper()
 		for i := range count {
 			id := "r" + strconv.Itoa(first+i)
@@ -31,36 +31,36 @@
 		}
 	}
 	t.Run("a gateway that starts", func(t *testing.T) {
-		ask(g, 0, 20)
+		sendLookups(g, 0, 20)
 		g.submit(t, 6)
 		g.awaitResults(t, 6)
-		must.Eq(t, 0, near.Total())
-		must.Eq(t, 0, drained.Total())
-		// Both gateways may run the items: the first one has no lease once it is cut off.
-		must.GreaterEq(t, 20+6, far.Total())
+		must.Eq(t, 0, localServer.Total())
+		must.Eq(t, 0, drainedSampler.Total())
+		// Both gateways may run the items: the first has no lease once it loses the store.
+		must.GreaterEq(t, 20+6, remoteServer.Total())
 		must.GreaterEq(t, 6, sampler.Total())
 		g.awaitMetric(t, "bramleyhatch_gateway_drained_zones 1")
 	})
 	t.Run("a gateway that is back at the store", func(t *testing.T) {
-		away.door.Close(false)
-		away.awaitMetric(t, "bramleyhatch_gateway_drained_zones 1")
-		ask(away, 100, 20)
-		must.Eq(t, 0, near.Total())
+		disconnected.storeEndpoint.Close(false)
+		disconnected.awaitMetric(t, "bramleyhatch_gateway_drained_zones 1")
+		sendLookups(disconnected, 100, 20)
+		must.Eq(t, 0, localServer.Total())
 	})
 	t.Run("refused at once where no zone is left", func(t *testing.T) {
-		w.Put(t, "op/evacuate/z2", map[string]any{})
+		d.Put(t, "op/evacuate/z2", map[string]any{})
 		g.awaitMetric(t, "bramleyhatch_gateway_drained_zones 2")
 		began := time.Now()
 		got := g.send(t, http.MethodPost, "/look/x", "key-acme", "r200", []byte("ask"))
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
 		must.NotEq(t, "", got.header.Get("Retry-After"))
 		must.Less(t, 500*time.Millisecond, time.Since(began))
-		w.Take(t, "op/evacuate/z2")
+		d.Take(t, "op/evacuate/z2")
 	})
 	t.Run("taken back", func(t *testing.T) {
-		w.Take(t, drain)
+		d.Take(t, drainKey)
 		g.awaitMetric(t, "bramleyhatch_gateway_drained_zones 0")
-		ask(g, 300, 20)
-		must.Positive(t, near.Total())
+		sendLookups(g, 300, 20)
+		must.Positive(t, localServer.Total())
 	})
 }
