--- a/test/soak/deployment_test.go
+++ b/test/soak/deployment_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	gateways = 3
-	samplers = 3
-	plain    = 2
-	events   = 20
+	gatewayCount  = 3
+	samplerCount  = 3
+	plainCount    = 2
+	eventsPerText = 20
 )
 
-// process is a gateway or keeper as a process of its own.
+// process is a gateway or keeper that runs as a child process.
 type process struct {
 	t        *testing.T
 	name     string
@@ -40,8 +40,8 @@
 	finished chan struct{}
 }
 
-// world is a deployment on loopback.
-type world struct {
+// deployment is a set of processes and fake servers on loopback.
+type deployment struct {
 	*wiretest.Platform
 
 	gateways []*process
@@ -51,47 +51,47 @@
 	plain    []*wiretest.Sampler
 }
 
-func newWorld(t *testing.T) *world {
+func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	w := &world{Platform: wiretest.NewPlatform()}
-	w.PutTable(t, 2, []string{"acme", "other"}, wiretest.Routes()...)
-	for i := range samplers {
-		w.samplers = append(w.samplers, w.newServer(t, fmt.Sprintf("s%d", i), "lm", "m"))
+	d := &deployment{Platform: wiretest.NewPlatform()}
+	d.PutTable(t, 2, []string{"acme", "other"}, wiretest.Routes()...)
+	for i := range samplerCount {
+		d.samplers = append(d.samplers, d.newServer(t, fmt.Sprintf("s%d", i), "lm", "m"))
 	}
-	for i := range plain {
-		w.plain = append(w.plain, w.newServer(t, fmt.Sprintf("a%d", i), "app", ""))
+	for i := range plainCount {
+		d.plain = append(d.plain, d.newServer(t, fmt.Sprintf("a%d", i), "app", ""))
 	}
-	for _, sampler := range w.samplers {
-		sampler.SetPace(events, 10*time.Millisecond)
+	for _, sampler := range d.samplers {
+		sampler.SetPace(eventsPerText, 10*time.Millisecond)
 	}
 	folder := t.TempDir()
-	for i := range gateways {
-		w.gateways = append(w.gateways, w.newProcess(t, folder, "gateway", fmt.Sprintf("g%d", i)))
+	for i := range gatewayCount {
+		d.gateways = append(d.gateways, d.newProcess(t, folder, "gateway", fmt.Sprintf("g%d", i)))
 	}
-	w.keeper = w.newProcess(t, folder, "keeper", "k0")
-	for _, p := range append([]*process{w.keeper}, w.gateways...) {
+	d.keeper = d.newProcess(t, folder, "keeper", "k0")
+	for _, p := range append([]*process{d.keeper}, d.gateways...) {
 		p.start()
-		t.Cleanup(p.end)
+		t.Cleanup(p.cleanUp)
 	}
-	for _, p := range w.gateways {
+	for _, p := range d.gateways {
 		p.awaitReady(t)
 	}
-	return w
+	return d
 }
 
-func (w *world) newServer(t *testing.T, id, pool, model string) *wiretest.Sampler {
+func (d *deployment) newServer(t *testing.T, id, pool, model string) *wiretest.Sampler {
 	t.Helper()
-	server := w.NewSampler(t, id, pool, model)
+	server := d.NewSampler(t, id, pool, model)
 	link := newLink(t, server.Address)
 	server.Behind(t, link.address)
-	w.servers = append(w.servers, link)
+	d.servers = append(d.servers, link)
 	return server
 }
 
-func (w *world) newProcess(t *testing.T, folder, kind, name string) *process {
+func (d *deployment) newProcess(t *testing.T, folder, kind, name string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, kind: kind, file: filepath.Join(folder, name+".ini"), folder: filepath.Join(folder, name), front: listentest.Free(t), ready: listentest.Free(t)}
-	p.toStore = newLink(t, w.Open(t).Address)
+	p.toStore = newLink(t, d.Open(t).Address)
 	log, err := os.Create(filepath.Join(folder, name+".log"))
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = log.Close() })
@@ -100,15 +100,15 @@
 		name, listentest.Free(t), p.folder, p.toStore.address)
 	if kind == "gateway" {
 		settings += fmt.Sprintf("orders = %s\n[front]\nlisten = %s\nready = %s\nlinger = 100ms\n[batches]\ngroup = 50ms\n[duty]\nlease = 2s\nmargin = 300ms\ninterval = 200ms\nfenced = true\n[usage]\nwindow = 1s\nsettle = 500ms\nretain = 5s\nkeep = 20s\n",
-			w.Open(t).Address, p.front, p.ready)
+			d.Open(t).Address, p.front, p.ready)
 	}
 	must.NoError(t, os.WriteFile(p.file, []byte(settings), 0o600))
 	return p
 }
 
 func (p *process) start() {
-	p.command = exec.Command(os.Args[0], p.kind, "--settings", p.file) //nolint:gosec // the test's own program
-	p.command.Env = append(os.Environ(), childVariable+"=1")
+	p.command = exec.Command(os.Args[0], p.kind, "--settings", p.file) //nolint:gosec // runs the test binary itself
+	p.command.Env = append(os.Environ(), childEnv+"=1")
 	p.command.Stdout, p.command.Stderr = p.log, p.log
 	must.NoError(p.t, p.command.Start())
 	finished, command := make(chan struct{}), p.command
@@ -119,33 +119,34 @@
 	}()
 }
 
-// signal sends a signal to the process that this test started, by its id.
+// signal sends a signal to the child process.
 func (p *process) signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
 
-// stop ends the process with a signal and starts it again after a while.
-func (p *process) stop(signal syscall.Signal, pause time.Duration) {
-	p.finish(signal)
+// restart terminates the process with a signal and starts it again after a pause.
+func (p *process) restart(signal syscall.Signal, pause time.Duration) {
+	p.terminate(signal)
 	time.Sleep(pause)
 	p.start()
 }
 
-// finish ends the process with a signal and waits for its end.
-func (p *process) finish(signal syscall.Signal) {
+// terminate sends a signal to the process, resuming it if it is stopped, and waits for its
+// exit.
+func (p *process) terminate(signal syscall.Signal) {
 	p.signal(syscall.SIGCONT)
 	p.signal(signal)
 	<-p.finished
 }
 
-// wipe kills the process, takes its folder away and starts it again. Taken away
-// under a process that runs, the folder may be written to meanwhile.
-func (p *process) wipe() {
-	p.finish(syscall.SIGKILL)
+// wipeData kills the process, removes its data folder and starts it again. A running process
+// could write to the folder during the removal.
+func (p *process) wipeData() {
+	p.terminate(syscall.SIGKILL)
 	must.NoError(p.t, os.RemoveAll(p.folder))
 	p.start()
 }
 
-func (p *process) end() {
-	p.finish(syscall.SIGKILL)
+func (p *process) cleanUp() {
+	p.terminate(syscall.SIGKILL)
 	if p.t.Failed() {
 		text, err := os.ReadFile(p.log.Name())
 		if err == nil {
@@ -166,23 +167,23 @@
 	}), wait.Timeout(20*time.Second), wait.Gap(50*time.Millisecond)), must.Sprint(p.name+" is ready"))
 }
 
-// heal ends all faults.
-func (w *world) heal() {
-	w.SetAway(false)
-	w.SetSilent(false)
-	for _, link := range w.servers {
+// clearFaults ends all active faults.
+func (d *deployment) clearFaults() {
+	d.SetAway(false)
+	d.SetSilent(false)
+	for _, link := range d.servers {
 		link.mode.Store(int32(open))
 	}
-	for _, p := range append([]*process{w.keeper}, w.gateways...) {
+	for _, p := range append([]*process{d.keeper}, d.gateways...) {
 		p.toStore.mode.Store(int32(open))
 		p.signal(syscall.SIGCONT)
 	}
-	for _, server := range append(append([]*wiretest.Sampler{}, w.samplers...), w.plain...) {
+	for _, server := range append(append([]*wiretest.Sampler{}, d.samplers...), d.plain...) {
 		server.SetFault(func(string, int) wiretest.Fault { return wiretest.None })
 	}
 }
 
-// group runs goroutines until it is told to stop.
+// group is a group of goroutines with a stop signal.
 type group struct {
 	sync.WaitGroup
 
--- a/test/soak/link_test.go
+++ b/test/soak/link_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// mode is what a link does with what passes.
+// mode is how a link treats the data that it forwards.
 type mode int32
 
 const (
 	open mode = iota
-	// slow delays each part.
+	// slow delays each chunk.
 	slow
-	// silent takes and gives nothing, without an error.
+	// silent forwards nothing in either direction, without an error.
 	silent
-	// oneWay gives no answers back.
+	// oneWay forwards requests but no responses.
 	oneWay
 )
 
-// link is a proxy on loopback between two processes.
+// link is a loopback proxy between two processes.
 type link struct {
 	address string
 	target  string
@@ -48,25 +48,26 @@
 
 func (l *link) serve(listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", l.target)
+		server, err := net.Dial("tcp", l.target)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
 		l.mutex.Lock()
-		l.conns[near], l.conns[far] = true, true
+		l.conns[client], l.conns[server] = true, true
 		l.mutex.Unlock()
-		go l.pass(far, near, silent)
-		go l.pass(near, far, oneWay)
+		go l.forward(server, client, silent)
+		go l.forward(client, server, oneWay)
 	}
 }
 
-// pass gives on what comes, unless the mode is one that stops this direction.
-func (l *link) pass(to, from net.Conn, stop mode) {
+// forward copies data from one connection to the other, and holds it back while the mode is
+// silent or blocked.
+func (l *link) forward(to, from net.Conn, blocked mode) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -75,13 +76,13 @@
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			for now := mode(l.mode.Load()); now == silent || now == stop; now = mode(l.mode.Load()) {
+			for current := mode(l.mode.Load()); current == silent || current == blocked; current = mode(l.mode.Load()) {
 				time.Sleep(5 * time.Millisecond)
 			}
 			if mode(l.mode.Load()) == slow {
 				time.Sleep(40 * time.Millisecond)
 			}
-			if _, failed := to.Write(buffer[:n]); failed != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				return
 			}
 		}
@@ -91,7 +92,7 @@
 	}
 }
 
-// reset ends all connections with a reset.
+// reset closes all connections with a TCP reset.
 func (l *link) reset() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/soak/run_test.go
+++ b/test/soak/run_test.go
@@ -22,94 +22,95 @@
 )
 
 const (
-	faults     = 14
-	faultPause = 700 * time.Millisecond
-	batchItems = 6
-	// settleTime is how long all batches may take once every fault has ended:
-	// leases, takeovers and whole texts.
-	settleTime = 30 * time.Second
+	faultCount    = 14
+	faultInterval = 700 * time.Millisecond
+	itemsPerBatch = 6
+	// settleTimeout limits how long all batches take to complete once every fault has
+	// ended: leases expire, batches are taken over and texts completed.
+	settleTimeout = 30 * time.Second
 )
 
-// run starts a deployment, loads it, injects faults, heals it and checks what is
-// promised. Where drains isn't nil, a zone of servers is drained now and then.
-func run(t *testing.T, random, drains *rand.Rand) {
-	w := newWorld(t)
+// runFaults starts a deployment under load, injects faults, ends them and checks the system's
+// guarantees. If drains isn't nil, a zone of servers is drained at random times.
+func runFaults(t *testing.T, random, drains *rand.Rand) {
+	d := newDeployment(t)
 	g := &group{stopped: make(chan struct{})}
-	trainer := &trainer{w: w, t: t, random: rand.New(rand.NewPCG(random.Uint64(), 2)), seen: map[string][]result{}}
-	callers := &callers{w: w, t: t}
+	trainer := &trainer{d: d, t: t, random: rand.New(rand.NewPCG(random.Uint64(), 2)), seen: map[string][]result{}}
+	callers := &callers{d: d, t: t}
 	g.Go(func() { trainer.run(g) })
 	for i := range 2 {
 		g.Go(func() { callers.run(g, i) })
 	}
 	if drains != nil {
-		w.spread(t)
-		g.Go(func() { w.drain(g, drains) })
+		d.moveOthers(t)
+		g.Go(func() { d.drain(g, drains) })
 	}
-	for range faults {
-		w.inject(t, random)
-		time.Sleep(faultPause)
+	for range faultCount {
+		d.inject(t, random)
+		time.Sleep(faultInterval)
 	}
-	w.heal()
+	d.clearFaults()
 	close(g.stopped)
 	g.Wait()
-	for _, p := range w.gateways {
+	for _, p := range d.gateways {
 		p.awaitReady(t)
 	}
 	trainer.check()
 	callers.check()
 	if drains != nil {
-		w.checkDrain(t)
+		d.checkDrain(t)
 	}
 }
 
-// inject begins one fault; those before it may still last.
-func (w *world) inject(t *testing.T, random *rand.Rand) {
-	p := w.gateways[random.IntN(len(w.gateways))]
-	server := w.servers[random.IntN(len(w.servers))]
-	length := time.Duration(300+random.IntN(2500)) * time.Millisecond
+// inject starts a random fault; earlier ones may still be active.
+func (d *deployment) inject(t *testing.T, random *rand.Rand) {
+	p := d.gateways[random.IntN(len(d.gateways))]
+	server := d.servers[random.IntN(len(d.servers))]
+	duration := time.Duration(300+random.IntN(2500)) * time.Millisecond
 	kind := random.IntN(14)
-	t.Logf("fault %d at %s for %s", kind, p.name, length)
+	t.Logf("fault %d at %s for %s", kind, p.name, duration)
 	switch kind {
 	case 0:
-		p.stop(syscall.SIGKILL, 100*time.Millisecond)
+		p.restart(syscall.SIGKILL, 100*time.Millisecond)
 	case 1:
-		p.stop(syscall.SIGTERM, 100*time.Millisecond)
+		p.restart(syscall.SIGTERM, 100*time.Millisecond)
 	case 2:
 		p.signal(syscall.SIGSTOP)
-		time.AfterFunc(length, func() { p.signal(syscall.SIGCONT) })
+		time.AfterFunc(duration, func() { p.signal(syscall.SIGCONT) })
 	case 3:
-		p.toStore.set(silent, length)
+		p.toStore.set(silent, duration)
 	case 4:
-		p.toStore.set(oneWay, length)
+		p.toStore.set(oneWay, duration)
 	case 5:
 		p.toStore.reset()
 	case 6:
-		server.set(silent, length)
+		server.set(silent, duration)
 	case 7:
 		server.reset()
 	case 8:
-		server.set(slow, length)
+		server.set(slow, duration)
 	case 9:
-		w.SetAway(true)
-		time.AfterFunc(length, func() { w.SetAway(false) })
+		d.SetAway(true)
+		time.AfterFunc(duration, func() { d.SetAway(false) })
 	case 10:
-		w.LoseAnswers(1 + random.IntN(4))
+		d.LoseAnswers(1 + random.IntN(4))
 	case 11:
-		w.SetSilent(true)
-		time.AfterFunc(length/3, func() {
-			w.Compact()
-			w.SetSilent(false)
+		d.SetSilent(true)
+		time.AfterFunc(duration/3, func() {
+			d.Compact()
+			d.SetSilent(false)
 		})
 	case 12:
-		w.spoil(random.Uint64())
+		d.spoilAnswers(random.Uint64())
 	case 13:
-		w.keeper.wipe()
+		d.keeper.wipeData()
 	}
 }
 
-// spoil makes servers spoil a part of their answers.
-func (w *world) spoil(seed uint64) {
-	for _, server := range append(append([]*wiretest.Sampler{}, w.samplers...), w.plain...) {
+// spoilAnswers makes servers fail one in ten requests: cut off, refused or answered with
+// another request's response.
+func (d *deployment) spoilAnswers(seed uint64) {
+	for _, server := range append(append([]*wiretest.Sampler{}, d.samplers...), d.plain...) {
 		var mutex sync.Mutex
 		random := rand.New(rand.NewPCG(seed, 3))
 		server.SetFault(func(string, int) wiretest.Fault {
@@ -123,14 +124,14 @@
 	}
 }
 
-func (l *link) set(mode mode, length time.Duration) {
+func (l *link) set(mode mode, duration time.Duration) {
 	l.mode.Store(int32(mode))
-	time.AfterFunc(length, func() { l.mode.Store(int32(open)) })
+	time.AfterFunc(duration, func() { l.mode.Store(int32(open)) })
 }
 
-// send sends a request to a gateway; status 0 is an answer that never came whole.
-func send(p *process, method, path, id string, body []byte, most time.Duration) (int, string) {
-	ctx, cancel := context.WithTimeout(context.Background(), most)
+// send sends a request to a gateway and returns status 0 if the response is incomplete.
+func send(p *process, method, path, id string, body []byte, timeout time.Duration) (int, string) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+p.front+path, bytes.NewReader(body))
 	if err != nil {
@@ -153,9 +154,9 @@
 	return response.StatusCode, string(text)
 }
 
-// callers send look-ups and postings, and remember what they were told of them.
+// callers send look-ups and postings, and record the status of each posting.
 type callers struct {
-	w *world
+	d *deployment
 	t *testing.T
 
 	mutex    sync.Mutex
@@ -165,7 +166,7 @@
 
 func (c *callers) run(g *group, number int) {
 	for i := 0; !g.isStopped(); i++ {
-		p := c.w.gateways[(i+number)%len(c.w.gateways)]
+		p := c.d.gateways[(i+number)%len(c.d.gateways)]
 		id := fmt.Sprintf("c%d-%d", number, i)
 		path := []string{"/look/x", "/post/x"}[i%2]
 		status, body := send(p, http.MethodPost, path, id, []byte(id), 3*time.Second)
@@ -190,7 +191,7 @@
 	}
 }
 
-// check checks that no posting ran twice, and none that was said not to have run.
+// check checks that no posting ran twice, and that none reported as not run did run.
 func (c *callers) check() {
 	c.t.Helper()
 	c.mutex.Lock()
@@ -198,7 +199,7 @@
 	must.Greater(c.t, 20, c.served)
 	for id, status := range c.statuses {
 		runs := 0
-		for _, server := range c.w.plain {
+		for _, server := range c.d.plain {
 			runs += server.Runs(id)
 		}
 		must.LessEq(c.t, 1, runs, must.Sprint(id, status))
@@ -208,7 +209,7 @@
 	}
 }
 
-// result is an outcome as a trainer reads it.
+// result is an item's result as a trainer reads it.
 type result struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
@@ -216,19 +217,19 @@
 	Score string `json:"score"`
 }
 
-// trainer sends batches in and reads them, at any gateway.
+// trainer submits batches and reads their results at random gateways.
 type trainer struct {
-	w      *world
+	d      *deployment
 	t      *testing.T
 	random *rand.Rand
 
-	// accepted are the batches that were answered 202.
+	// accepted lists the batches that got status 202.
 	accepted []string
-	// seen are the places read so far.
+	// seen holds the results read so far, by batch.
 	seen map[string][]result
 }
 
-func (r *trainer) gateway() *process { return r.w.gateways[r.random.IntN(len(r.w.gateways))] }
+func (r *trainer) gateway() *process { return r.d.gateways[r.random.IntN(len(r.d.gateways))] }
 
 func (r *trainer) run(g *group) {
 	for i := 0; !g.isStopped(); i++ {
@@ -245,10 +246,10 @@
 	}
 }
 
-// submit sends a batch in, again and again as a trainer does, until it is taken.
+// submit retries a batch, as a trainer does, until it is accepted or the load ends.
 func (r *trainer) submit(g *group, id string) bool {
 	items := []map[string]any{}
-	for i := range batchItems {
+	for i := range itemsPerBatch {
 		item := fmt.Sprintf("%s-i%d", id, i)
 		body := base64.StdEncoding.EncodeToString([]byte(item))
 		items = append(items, map[string]any{
@@ -267,11 +268,12 @@
 	return false
 }
 
-// read reads a batch from its start and compares it with what was read before.
+// read reads a batch from its start, compares the results with those read before and
+// reports whether all are present.
 func (r *trainer) read(p *process, id string) bool {
 	status, body := send(p, http.MethodGet, "/bramleyhatch/lots/"+id+"?after=0", id, nil, 3*time.Second)
 	if status == http.StatusNotFound {
-		r.t.Errorf("%s was accepted, and %s knows nothing of it", id, p.name)
+		r.t.Errorf("%s was accepted but is unknown to %s", id, p.name)
 	}
 	if status != http.StatusOK {
 		return false
@@ -284,42 +286,42 @@
 	before := r.seen[id]
 	for i := range min(len(before), len(page.Results)) {
 		if before[i] != page.Results[i] {
-			r.t.Errorf("place %d of %s changed from %v to %v at %s", i, id, before[i], page.Results[i], p.name)
+			r.t.Errorf("result %d of %s changed from %v to %v at %s", i, id, before[i], page.Results[i], p.name)
 		}
 	}
 	if len(page.Results) > len(before) {
 		r.seen[id] = page.Results
 	}
-	return page.Total == batchItems && len(page.Results) == batchItems
+	return page.Total == itemsPerBatch && len(page.Results) == itemsPerBatch
 }
 
-// check checks that every batch that was accepted becomes whole, and that every
-// gateway shows it so.
+// check checks that every accepted batch completes, and that every gateway returns all of
+// its results.
 func (r *trainer) check() {
 	r.t.Helper()
 	must.SliceNotEmpty(r.t, r.accepted)
-	until := time.Now().Add(settleTime)
+	deadline := time.Now().Add(settleTimeout)
 	for _, id := range r.accepted {
-		for _, p := range r.w.gateways {
+		for _, p := range r.d.gateways {
 			must.Wait(r.t, wait.InitialSuccess(wait.BoolFunc(func() bool { return r.read(p, id) }),
-				wait.Timeout(max(time.Second, time.Until(until))), wait.Gap(50*time.Millisecond)), must.Sprint(id+" is whole at "+p.name))
+				wait.Timeout(max(time.Second, time.Until(deadline))), wait.Gap(50*time.Millisecond)), must.Sprint(id+" is complete at "+p.name))
 		}
 		items := map[string]bool{}
 		for _, result := range r.seen[id] {
 			must.False(r.t, items[result.ID])
 			items[result.ID] = true
 			must.Eq(r.t, "completed", result.State)
-			must.Eq(r.t, wiretest.Whole(result.ID, events), result.Text)
+			must.Eq(r.t, wiretest.Whole(result.ID, eventsPerText), result.Text)
 			must.Eq(r.t, "proof.s-"+result.ID, result.Score)
 		}
 	}
-	list, err := r.w.List(context.Background(), "bulk/")
+	list, err := r.d.List(context.Background(), "bulk/")
 	must.NoError(r.t, err)
-	r.mustKnow(list.Values)
+	r.mustHoldOnlySent(list.Values)
 }
 
-// mustKnow checks that the store holds no batch that was never sent.
-func (r *trainer) mustKnow(values []platform.Value) {
+// mustHoldOnlySent checks that the store holds no more batches than were sent.
+func (r *trainer) mustHoldOnlySent(values []platform.Value) {
 	r.t.Helper()
 	must.LessEq(r.t, len(r.accepted)+1, len(values))
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,9 +1,9 @@
 // Package soak_test runs real gateways and keepers as separate processes under
-// random faults, and checks from outside what the system promises.
+// random faults, and checks the system's guarantees from outside.
 //
 //	go test ./test/soak                                  # one fixed seed
 //	SOAK_SEED=17 go test ./test/soak -run TestSoak -v    # one seed
-//	SOAK_SEEDS=50 go test ./test/soak -timeout 60m       # seeds 1 to 50, a few at a time
+//	SOAK_SEEDS=50 go test ./test/soak -timeout 60m       # seeds 1 to 50, a few in parallel
 package soak_test
 
 import (
@@ -17,41 +17,41 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/cmd"
 )
 
-// childVariable marks a process of the test's own program that runs a command.
-const childVariable = "BRAMLEYHATCH_SOAK_CHILD"
+// childEnv is set in child processes, in which the test binary runs a command of the program.
+const childEnv = "BRAMLEYHATCH_SOAK_CHILD"
 
-// atOnce is the number of seeds that run at the same time: ten processes each.
-const atOnce = 4
+// maxParallelSeeds limits the seeds that run concurrently: each starts ten processes.
+const maxParallelSeeds = 4
 
-// regressions are seeds that once failed.
+// regressions are seeds that found faults.
 var regressions = []uint64{
-	105, // as 137, by what was seen
-	137, // a sampler that failed once was asked by an item that learnt nothing, and got none any more
-	21,  // a gateway's port was taken by another connection while it was restarted; the soak's own ports
+	105, // same symptom as 137
+	137, // a sampler failed once, its probe by an item was inconclusive, and it got no more items
+	21,  // another connection took a gateway's port during its restart: a fault of the soak's port choice
 }
 
 func TestMain(m *testing.M) {
-	if os.Getenv(childVariable) != "" {
+	if os.Getenv(childEnv) != "" {
 		os.Exit(cmd.Main(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
 func TestSoak(t *testing.T) {
-	places := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxParallelSeeds)
 	for _, seed := range seeds(t) {
 		t.Run(fmt.Sprintf("seed%d", seed), func(t *testing.T) {
 			t.Parallel()
-			places <- struct{}{}
-			defer func() { <-places }()
-			run(t, rand.New(rand.NewPCG(seed, 1)), drainsOf(seed))
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			runFaults(t, rand.New(rand.NewPCG(seed, 1)), drainRandom(seed))
 		})
 	}
 }
 
-// drainsOf returns what decides when a zone is drained; nil for the regressions, which
-// have one zone.
-func drainsOf(seed uint64) *rand.Rand {
+// drainRandom returns the source of drain times; nil for the regressions, which have one
+// zone.
+func drainRandom(seed uint64) *rand.Rand {
 	if slices.Contains(regressions, seed) {
 		return nil
 	}
@@ -61,15 +61,15 @@
 func seeds(t *testing.T) []uint64 {
 	t.Helper()
 	if text := os.Getenv("SOAK_SEED"); text != "" {
-		return []uint64{number(t, text)}
+		return []uint64{parseSeed(t, text)}
 	}
 	if text := os.Getenv("SOAK_SEEDS"); text != "" {
 		first := uint64(1)
 		if from := os.Getenv("SOAK_FROM"); from != "" {
-			first = number(t, from)
+			first = parseSeed(t, from)
 		}
 		var all []uint64
-		for i := range number(t, text) {
+		for i := range parseSeed(t, text) {
 			all = append(all, first+i)
 		}
 		return all
@@ -77,7 +77,7 @@
 	return append([]uint64{1}, regressions...)
 }
 
-func number(t *testing.T, text string) uint64 {
+func parseSeed(t *testing.T, text string) uint64 {
 	t.Helper()
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
--- a/test/soak/zones_test.go
+++ b/test/soak/zones_test.go
@@ -20,69 +20,71 @@
 	// drainKey drains the zone of the gateways, whose servers they prefer.
 	drainKey  = "op/evacuate/z1"
 	otherZone = "z2"
-	// drainBound is within which every gateway that reaches the store leaves a drained zone.
-	drainBound = 5 * time.Second
+	// drainTimeout limits how long a gateway that reaches the store may use a drained zone.
+	drainTimeout = 5 * time.Second
 )
 
-// drained returns the servers of the zone that is drained.
-func (w *world) drained() []*wiretest.Sampler { return []*wiretest.Sampler{w.samplers[0], w.plain[0]} }
+// drainedServers returns the servers of the zone that is drained.
+func (d *deployment) drainedServers() []*wiretest.Sampler {
+	return []*wiretest.Sampler{d.samplers[0], d.plain[0]}
+}
 
-// spread leaves one server of each pool in the zone that is drained.
-func (w *world) spread(t *testing.T) {
+// moveOthers moves all but one server of each pool out of the zone that is drained.
+func (d *deployment) moveOthers(t *testing.T) {
 	t.Helper()
-	for _, server := range slices.Concat(w.samplers[1:], w.plain[1:]) {
+	for _, server := range slices.Concat(d.samplers[1:], d.plain[1:]) {
 		server.Move(t, otherZone)
 	}
 }
 
-// drain drains the zone and takes it back, by turns, until the load ends.
-func (w *world) drain(g *group, random *rand.Rand) {
+// drain alternately drains the zone and ends the drain until the load ends.
+func (d *deployment) drain(g *group, random *rand.Rand) {
 	for !g.isStopped() {
 		time.Sleep(time.Duration(500+random.IntN(2000)) * time.Millisecond)
-		w.operate(platform.Commit{Writes: []platform.Write{{Key: drainKey, Data: []byte("{}")}}})
+		d.commitWithRetry(platform.Commit{Writes: []platform.Write{{Key: drainKey, Data: []byte("{}")}}})
 		time.Sleep(time.Duration(500+random.IntN(2500)) * time.Millisecond)
-		w.operate(platform.Commit{Remove: []string{drainKey}})
+		d.commitWithRetry(platform.Commit{Remove: []string{drainKey}})
 	}
 }
 
-// operate writes to the store as an operator does, again and again while it is away.
-func (w *world) operate(commit platform.Commit) {
+// commitWithRetry writes to the store as an operator does, and retries until it succeeds.
+func (d *deployment) commitWithRetry(commit platform.Commit) {
 	for {
-		if _, err := w.Commit(context.Background(), commit); err == nil {
+		if _, err := d.Commit(context.Background(), commit); err == nil {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// checkDrain checks that the zone's servers get nothing from any gateway once the
-// bound is over, and are used again after that.
-func (w *world) checkDrain(t *testing.T) {
+// checkDrain checks that the zone's servers get nothing from any gateway once drainTimeout
+// has passed, and are used again after the drain ends.
+func (d *deployment) checkDrain(t *testing.T) {
 	t.Helper()
-	w.Put(t, drainKey, map[string]any{})
-	time.Sleep(drainBound)
-	before := w.drainedRuns()
-	w.ask(t, "d")
-	must.Eq(t, before, w.drainedRuns())
-	w.Take(t, drainKey)
+	d.Put(t, drainKey, map[string]any{})
+	time.Sleep(drainTimeout)
+	before := d.drainedRuns()
+	d.mustServe(t, "d")
+	must.Eq(t, before, d.drainedRuns())
+	d.Take(t, drainKey)
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
-		w.ask(t, fmt.Sprint("e", time.Now().UnixNano()))
-		return w.drainedRuns() > before
-	}), wait.Timeout(drainBound), wait.Gap(50*time.Millisecond)))
+		d.mustServe(t, fmt.Sprint("e", time.Now().UnixNano()))
+		return d.drainedRuns() > before
+	}), wait.Timeout(drainTimeout), wait.Gap(50*time.Millisecond)))
 }
 
-func (w *world) drainedRuns() int {
+func (d *deployment) drainedRuns() int {
 	runs := 0
-	for _, server := range w.drained() {
+	for _, server := range d.drainedServers() {
 		runs += server.Total()
 	}
 	return runs
 }
 
-// ask sends look-ups to every gateway, each of which must serve some.
-func (w *world) ask(t *testing.T, name string) {
+// mustServe sends look-ups to every gateway and requires each to serve some.
+func (d *deployment) mustServe(t *testing.T, name string) {
 	t.Helper()
-	for _, p := range w.gateways {
+	for _, p := range d.gateways {
 		served := 0
 		for i := range 10 {
 			id := fmt.Sprint(name, p.name, "-", i)
