--- a/generate.sh
+++ b/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Generates the Go code of the schema. Commit what it writes.
+# Generates the Go code from the schema. Commit the generated files.
 set -euo pipefail
 cd "$(dirname "$0")"
 go tool -modfile=tools/buf.mod buf lint
