--- a/test/gateway/fixture_test.go
+++ b/test/gateway/fixture_test.go
@@ -49,10 +49,10 @@
 	return d
 }
 
-func storeSettings(door, duties string) *settingspb.Store {
+func storeSettings(storeAddress, dutyAddress string) *settingspb.Store {
 	return settingspb.Store_builder{
-		Address:    door,
-		Orders:     duties,
+		Address:    storeAddress,
+		Orders:     dutyAddress,
 		Timeout:    durationpb.New(300 * time.Millisecond),
 		Lease:      durationpb.New(wiretest.LeaseLength),
 		Watch:      durationpb.New(500 * time.Millisecond),
@@ -76,11 +76,11 @@
 
 func (d *deployment) launch(t *testing.T, name string) *gateway {
 	t.Helper()
-	door := d.Open(t)
-	g := &gateway{name: name, front: listentest.Free(t), ready: listentest.Free(t), metrics: listentest.Free(t), storeEndpoint: door, done: make(chan struct{})}
+	endpoint := d.Open(t)
+	g := &gateway{name: name, front: listentest.Free(t), ready: listentest.Free(t), metrics: listentest.Free(t), storeEndpoint: endpoint, done: make(chan struct{})}
 	settings := settingspb.Gateway_builder{
 		Process:   processSettings(name, listentest.Free(t), ""),
-		Store:     storeSettings(door.Address, d.Open(t).Address),
+		Store:     storeSettings(endpoint.Address, d.Open(t).Address),
 		Front:     settingspb.Front_builder{Listen: g.front, Ready: g.ready, Metrics: g.metrics, Unknown: durationpb.New(time.Second), Linger: durationpb.New(50 * time.Millisecond)}.Build(),
 		Directory: settingspb.Directory_builder{Back: durationpb.New(2 * time.Second)}.Build(),
 		Batches:   settingspb.Batches_builder{Keep: durationpb.New(time.Minute), Group: durationpb.New(50 * time.Millisecond)}.Build(),
