--- a/cmd/measure/processes.go
+++ b/cmd/measure/processes.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = client.Swap(ctx, "config", expect, data, 0)
+	_, err = client.CompareAndSwap(ctx, "config", expect, data, 0)
 	return err
 }
 
--- a/cmd/standin/cmd/certificatescmd.go
+++ b/cmd/standin/cmd/certificatescmd.go
@@ -20,7 +20,7 @@
 // Run writes authority.pem, and NAME.pem and NAME.key of each process.
 func (c *certificatesCmd) Run() error {
 	stand := &authority.Authority{Folder: c.Folder}
-	if err := stand.Start(); err != nil {
+	if err := stand.Init(); err != nil {
 		return err
 	}
 	for _, pair := range c.Names {
--- a/cmd/standin/cmd/platformcmd.go
+++ b/cmd/standin/cmd/platformcmd.go
@@ -15,6 +15,6 @@
 // Run serves until SIGTERM.
 func (p *platformCmd) Run() error {
 	stand := platform.New()
-	stand.StartTime = p.StartTime
+	stand.StartDelay = p.StartTime
 	return p.run(stand.Routes())
 }
--- a/cmd/standin/cmd/trainercmd.go
+++ b/cmd/standin/cmd/trainercmd.go
@@ -38,7 +38,7 @@
 		Samples:   t.Samples,
 		MaxTokens: t.MaxTokens,
 		Staleness: t.Staleness,
-		Announce:  t.Announce,
+		AnnounceAfter:  t.Announce,
 		Version:   t.Version,
 	}
 	for step := range t.Steps {
--- a/cmd/standin/internal/answer/answer.go
+++ b/cmd/standin/internal/answer/answer.go
@@ -30,8 +30,8 @@
 	return true
 }
 
-// Cut closes the caller's connection without an answer.
-func Cut(w http.ResponseWriter) {
+// Abort closes the caller's connection without an answer.
+func Abort(w http.ResponseWriter) {
 	connection, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/cmd/standin/internal/authority/authority.go
+++ b/cmd/standin/internal/authority/authority.go
@@ -59,8 +59,8 @@
 	return a.write(name+".key", "PRIVATE KEY", private)
 }
 
-// Start makes the authority's own key and writes its certificate.
-func (a *Authority) Start() error {
+// Init makes the authority's own key and writes its certificate.
+func (a *Authority) Init() error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
--- a/cmd/standin/internal/demo/demo.go
+++ b/cmd/standin/internal/demo/demo.go
@@ -80,7 +80,7 @@
 		Samples:   groupSamples,
 		MaxTokens: 32,
 		Staleness: 1,
-		Announce:  groups * groupSamples / 2,
+		AnnounceAfter:  groups * groupSamples / 2,
 		Version:   1,
 	}
 	members := &members{entries: d.entries, key: memberKey}
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = platform.NewClient(d.platform, time.Second).Swap(ctx, "config", 0, data, 0)
+	_, err = platform.NewClient(d.platform, time.Second).CompareAndSwap(ctx, "config", 0, data, 0)
 	return err
 }
 
--- a/cmd/standin/internal/engine/generate.go
+++ b/cmd/standin/internal/engine/generate.go
@@ -114,7 +114,7 @@
 		}
 		faults, version := g.engine.now()
 		if faults.Cut > 0 && i >= faults.Cut {
-			answer.Cut(g.w)
+			answer.Abort(g.w)
 			return
 		}
 		g.send(event{Choices: []choice{g.choice(i)}, Version: version})
--- a/cmd/standin/internal/platform/fleet.go
+++ b/cmd/standin/internal/platform/fleet.go
@@ -66,7 +66,7 @@
 		return
 	}
 	p.servers[order.Server] = platform.Server{ID: order.Server, Pool: order.Pool, Zone: order.Zone, State: "starting"}
-	time.AfterFunc(p.StartTime, func() { p.start(order.Server) })
+	time.AfterFunc(p.StartDelay, func() { p.start(order.Server) })
 }
 
 func (p *Platform) start(id string) {
--- a/cmd/standin/internal/platform/platform.go
+++ b/cmd/standin/internal/platform/platform.go
@@ -16,8 +16,8 @@
 
 // Platform is the stand-in. Exported fields are set before Routes is called.
 type Platform struct {
-	// StartTime is how long a backend server takes to start after its order.
-	StartTime time.Duration
+	// StartDelay is how long a backend server takes to start after its order.
+	StartDelay time.Duration
 
 	store   *store
 	control *control
@@ -106,7 +106,7 @@
 
 func (p *Platform) answerChange(w http.ResponseWriter, revision uint64, ok bool) {
 	if p.control.losesAnswer() {
-		answer.Cut(w)
+		answer.Abort(w)
 		return
 	}
 	status := http.StatusOK
@@ -132,7 +132,7 @@
 	}
 	renewed := p.store.renew(request.ID, time.Duration(request.Length)*time.Millisecond, time.Now())
 	if p.control.losesAnswer() {
-		answer.Cut(w)
+		answer.Abort(w)
 		return
 	}
 	if !renewed {
--- a/cmd/standin/internal/trainer/trainer.go
+++ b/cmd/standin/internal/trainer/trainer.go
@@ -30,8 +30,8 @@
 	Samples   int
 	MaxTokens int
 	Staleness uint64
-	// Announce is after how many samples of a step new weights are announced; 0 never.
-	Announce int
+	// AnnounceAfter is after how many samples of a step new weights are announced; 0 never.
+	AnnounceAfter int
 	Version  uint64
 
 	client   client.Trainer
@@ -145,10 +145,10 @@
 
 // announce tells new weights once enough samples of the step have come.
 func (t *Trainer) announce(ctx context.Context, received int) error {
-	if t.Announce == 0 || received < t.Announce {
+	if t.AnnounceAfter == 0 || received < t.AnnounceAfter {
 		return nil
 	}
-	t.Announce = 0
+	t.AnnounceAfter = 0
 	err := t.call(ctx, func() error { return t.client.Announce(ctx, t.Model, t.Version+1) })
 	if err != nil {
 		return err
--- a/cmd/standin/internal/weights/weights.go
+++ b/cmd/standin/internal/weights/weights.go
@@ -33,7 +33,7 @@
 	for left := s.Size; left > 0; left -= chunkBytes {
 		part := chunk[:min(left, chunkBytes)]
 		if err := s.limiter.WaitN(r.Context(), len(part)); err != nil {
-			answer.Cut(w)
+			answer.Abort(w)
 			return
 		}
 		if _, err := w.Write(part); err != nil {
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -37,14 +37,14 @@
 	codeSilent = "backend_silent"
 )
 
-// SilentError says that the backend server sent nothing for too long.
-type SilentError struct {
-	Silence time.Duration
+// ReadTimeoutError says that the backend server sent nothing for too long.
+type ReadTimeoutError struct {
+	Timeout time.Duration
 }
 
 // Error names the bound.
-func (e *SilentError) Error() string {
-	return fmt.Sprintf("nothing was sent for %s", e.Silence)
+func (e *ReadTimeoutError) Error() string {
+	return fmt.Sprintf("nothing was sent for %s", e.Timeout)
 }
 
 // Server is what both kinds of backend server share.
@@ -54,8 +54,8 @@
 	Address string
 	// Name is the identity of the backend server.
 	Name string
-	// Silence is how long the backend server may send nothing.
-	Silence time.Duration
+	// ReadTimeout is how long the backend server may send nothing.
+	ReadTimeout time.Duration
 	// Idle is how long a connection is kept without requests; 0 takes the client's own.
 	Idle time.Duration
 
@@ -166,7 +166,7 @@
 		if known := s.client.Load(); known != nil {
 			return *known
 		}
-		service := listen.ClientWith("backend-"+s.Name, listen.ClientOptions{Idle: s.Idle})
+		service := listen.ClientWithOptions("backend-"+s.Name, listen.ClientOptions{Idle: s.Idle})
 		s.client.CompareAndSwap(nil, &service)
 	}
 }
@@ -178,9 +178,9 @@
 // no error: a resumed generation would take one of them and be silent again.
 func (s *Server) refuse(err error, connected bool) *refusal.Error {
 	if !connected {
-		return refusal.NotRun(http.StatusServiceUnavailable, "backend_unreachable", "%s can't be reached", s.Name).After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "backend_unreachable", "%s can't be reached", s.Name).WithRetryAfter(retryElsewhere)
 	}
-	var silent *SilentError
+	var silent *ReadTimeoutError
 	switch {
 	case errors.As(err, &silent):
 		s.client.Store(nil)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -130,13 +130,13 @@
 
 func newPlain(address string) *backend.Plain {
 	plain := &backend.Plain{}
-	plain.Address, plain.Name, plain.Silence = address, "s1", 300*time.Millisecond
+	plain.Address, plain.Name, plain.ReadTimeout = address, "s1", 300*time.Millisecond
 	return plain
 }
 
 func newEngine(address string) *backend.Engine {
 	engine := &backend.Engine{}
-	engine.Address, engine.Name, engine.Silence = address, "s1", 300*time.Millisecond
+	engine.Address, engine.Name, engine.ReadTimeout = address, "s1", 300*time.Millisecond
 	return engine
 }
 
@@ -298,7 +298,7 @@
 		}
 	}
 	engine := newEngine(script.url())
-	engine.Silence = time.Second
+	engine.ReadTimeout = time.Second
 	var group sync.WaitGroup
 	for range 2 {
 		group.Go(func() { _, _, _, _ = run(engine, generation()) })
--- a/internal/backend/direct.go
+++ b/internal/backend/direct.go
@@ -14,16 +14,16 @@
 const (
 	// CodeFailed says that the server answered that its run failed.
 	CodeFailed = "server_failed"
-	// CodeForeign says that the answer belongs to another request.
-	CodeForeign = "foreign_answer"
+	// CodeWrongRequest says that the answer belongs to another request.
+	CodeWrongRequest = "foreign_answer"
 	// CodeFull says that the server had no room and ran nothing.
 	CodeFull = "server_full"
-	// CodeOther says that another server than the one meant is at the address.
-	CodeOther = "other_server"
+	// CodeWrongServer says that another server than the one meant is at the address.
+	CodeWrongServer = "other_server"
 )
 
-// Send is one request as it is sent to one backend server.
-type Send struct {
+// Request is one request as it is sent to one backend server.
+type Request struct {
 	// ID is the request's identity, under which the server answers.
 	ID string
 	// Server is the identity of the only server that may run it.
@@ -39,10 +39,10 @@
 	Body []byte
 	// Account is the client account; "" for requests without one.
 	Account string
-	// Silence is how long the server may send nothing.
-	Silence time.Duration
-	// Left is how long the caller will wait from now on; 0 if it doesn't say.
-	Left time.Duration
+	// ReadTimeout is how long the server may send nothing.
+	ReadTimeout time.Duration
+	// TimeLeft is how long the caller will wait from now on; 0 if it doesn't say.
+	TimeLeft time.Duration
 	// LastEvent is the last event that the caller has of its stream; 0 for none.
 	LastEvent uint64
 	// Priority from 1, the first, to 9; 0 says nothing.
@@ -53,17 +53,17 @@
 // their answers say of it.
 type Wire interface {
 	// Prepare sets what the system says of a request in its header.
-	Prepare(header http.Header, send Send)
+	Prepare(header http.Header, send Request)
 	// IsAnswerTo reports whether an answer belongs to a request.
 	IsAnswerTo(answer *http.Response, id string) bool
 	// IsNotRun reports whether the server says that it ran nothing.
 	IsNotRun(answer *http.Response) bool
-	// IsOther reports whether another server than the one meant has answered.
-	IsOther(answer *http.Response) bool
-	// WriteLineVersion returns the line of an event that announces a weight version.
-	WriteLineVersion(version uint64) string
-	// LineVersion returns the weight version that a line of an event announces.
-	LineVersion(line string) (uint64, bool)
+	// IsWrongServer reports whether another server than the one meant has answered.
+	IsWrongServer(answer *http.Response) bool
+	// FormatVersionLine returns the line of an event that announces a weight version.
+	FormatVersionLine(version uint64) string
+	// ParseVersionLine returns the weight version that a line of an event announces.
+	ParseVersionLine(line string) (uint64, bool)
 	// Proof returns the server's proof of its answer.
 	Proof(answer *http.Response) string
 	// Version returns the weight version of an answer's first event; 0 if it doesn't say.
@@ -90,7 +90,7 @@
 // Do sends a request once. The error is a *refusal.Error that says "not run"
 // only where that is proved. An answer that isn't of a success is returned too,
 // unless the server says that it ran nothing.
-func (d *Direct) Do(ctx context.Context, send Send) (*Answer, error) {
+func (d *Direct) Do(ctx context.Context, send Request) (*Answer, error) {
 	header := send.Header.Clone()
 	if header == nil {
 		header = http.Header{}
@@ -107,7 +107,7 @@
 		header:  header,
 		body:    send.Body,
 		once:    true,
-		silence: send.Silence,
+		silence: send.ReadTimeout,
 	})
 	if err != nil {
 		return nil, err
@@ -115,36 +115,36 @@
 	if d.Wire.IsNotRun(answer.Response) {
 		defer d.discard(answer.Response)
 		code := CodeFull
-		if d.Wire.IsOther(answer.Response) {
-			code = CodeOther
+		if d.Wire.IsWrongServer(answer.Response) {
+			code = CodeWrongServer
 		}
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, code, "%s answered %d and ran nothing", d.Name, answer.StatusCode).After(retryElsewhere)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, code, "%s answered %d and ran nothing", d.Name, answer.StatusCode).WithRetryAfter(retryElsewhere)
 	}
 	if !d.Wire.IsAnswerTo(answer.Response, send.ID) {
 		// An answer that stands where this one is due belongs to another request:
 		// given on, a caller would get another caller's bytes.
 		_ = answer.Body.Close()
-		return nil, refusal.Unknown(http.StatusBadGateway, CodeForeign, "%s answered another request", d.Name)
+		return nil, refusal.Unknown(http.StatusBadGateway, CodeWrongRequest, "%s answered another request", d.Name)
 	}
 	return &Answer{Response: answer.Response, direct: d, watch: answer.watch}, nil
 }
 
-// Whole reads the body whole, up to a size. It reports false if the answer is
+// ReadAll reads the body whole, up to a size. It reports false if the answer is
 // larger; what was read is returned then, and the rest can be read on.
-func (a *Answer) Whole(most int64) (body []byte, whole bool, err error) {
+func (a *Answer) ReadAll(most int64) (body []byte, whole bool, err error) {
 	body, err = io.ReadAll(io.LimitReader(a.Body, most+1))
 	if err != nil {
-		return nil, false, a.Cut()
+		return nil, false, a.Interrupted()
 	}
 	return body, int64(len(body)) <= most, nil
 }
 
-// Bound bounds from now on how long the server may send nothing.
-func (a *Answer) Bound(silence time.Duration) { a.watch.bound(silence) }
+// SetReadTimeout bounds from now on how long the server may send nothing.
+func (a *Answer) SetReadTimeout(silence time.Duration) { a.watch.bound(silence) }
 
-// Cut returns the refusal for an answer that ended before it was whole.
-func (a *Answer) Cut() error {
-	var silent *SilentError
+// Interrupted returns the refusal for an answer that ended before it was whole.
+func (a *Answer) Interrupted() error {
+	var silent *ReadTimeoutError
 	if errors.As(context.Cause(a.watch.ctx), &silent) {
 		return a.direct.refuse(silent, true)
 	}
--- a/internal/backend/direct_test.go
+++ b/internal/backend/direct_test.go
@@ -19,14 +19,14 @@
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nAttempt-Id: i0\r\nTransfer-Encoding: chunked\r\n\r\n"
 	script := newScript(t, reply{text: head + "f\r\n" + event + "\r\n", hold: true})
 	direct := &backend.Direct{Server: backend.Server{Address: script.url(), Name: "s1"}, Wire: platform.Wire{}}
-	answer, err := direct.Do(t.Context(), backend.Send{ID: "i0", Method: http.MethodPost, Target: "/", Silence: time.Hour})
+	answer, err := direct.Do(t.Context(), backend.Request{ID: "i0", Method: http.MethodPost, Target: "/", ReadTimeout: time.Hour})
 	must.NoError(t, err)
 	defer func() { _ = answer.Body.Close() }()
 	events := answer.Events()
 	first, err := events.Next()
 	must.NoError(t, err)
 	must.Eq(t, "x", first.Data)
-	answer.Bound(20 * time.Millisecond)
+	answer.SetReadTimeout(20 * time.Millisecond)
 	_, err = events.Next()
 	must.Eq(t, "backend_silent", refusal.Of(err).Code)
 }
--- a/internal/backend/directstream.go
+++ b/internal/backend/directstream.go
@@ -49,7 +49,7 @@
 			if errors.Is(err, io.EOF) && !began && line == "" {
 				return Event{}, io.EOF
 			}
-			return Event{}, e.answer.Cut()
+			return Event{}, e.answer.Interrupted()
 		}
 		if len(line) > maxEventBytes {
 			return Event{}, refusal.Unknown(502, "bad_event", "%s sent an event that is too long", e.answer.direct.Name)
@@ -74,7 +74,7 @@
 
 // take reads one line of an event and reports whether it brought data.
 func (e *Events) take(event *Event, line string) bool {
-	if version, ok := e.answer.direct.Wire.LineVersion(line); ok {
+	if version, ok := e.answer.direct.Wire.ParseVersionLine(line); ok {
 		e.version = version
 		return false
 	}
--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -45,7 +45,7 @@
 		return nil, refusal.NotRun(http.StatusBadRequest, "bad_body", "%v", err)
 	}
 	if shown := e.Version(); shown < request.GetVersion() {
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, "old_version", "%s shows version %d, not %d", e.Name, shown, request.GetVersion()).After(retryElsewhere)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, "old_version", "%s shows version %d, not %d", e.Name, shown, request.GetVersion()).WithRetryAfter(retryElsewhere)
 	}
 	end, err := e.generate(ctx, request, prompt, sink)
 	for resumes := 0; resumes < maxResumes && request.GetIdempotent() && prompt.mayResume(err); resumes++ {
@@ -70,7 +70,7 @@
 		path:    enginePath(request.GetKind()),
 		header:  header,
 		body:    body,
-		silence: e.Silence,
+		silence: e.ReadTimeout,
 	})
 	if err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 func afterSend(err error) error {
 	var refused *refusal.Error
 	if errors.As(err, &refused) && refused.Outcome == peerpb.Outcome_OUTCOME_NOT_RUN {
-		return refusal.Unknown(refused.Status, refused.Code, "%s", refused.Message).After(refused.Retry)
+		return refusal.Unknown(refused.Status, refused.Code, "%s", refused.Message).WithRetryAfter(refused.RetryAfter)
 	}
 	return err
 }
@@ -140,7 +140,7 @@
 	isRefusal := err == nil && hasError(body.Error)
 	switch {
 	case answer.StatusCode == http.StatusServiceUnavailable && isRefusal:
-		return refusal.NotRun(http.StatusServiceUnavailable, "engine_full", "%s has no room", e.Name).After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "engine_full", "%s has no room", e.Name).WithRetryAfter(retryElsewhere)
 	case answer.StatusCode >= 400 && answer.StatusCode < 500:
 		return refusal.Unknown(answer.StatusCode, "engine_rejected", "%s rejected the request: %s", e.Name, errorText(body.Error))
 	default:
--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -76,7 +76,7 @@
 
 // look asks the engine which version it shows.
 func (e *Engine) look(ctx context.Context) {
-	answer, err := e.exchange(ctx, call{method: http.MethodGet, path: pathLoad, header: http.Header{"User-Agent": {userAgent}}, silence: e.Silence})
+	answer, err := e.exchange(ctx, call{method: http.MethodGet, path: pathLoad, header: http.Header{"User-Agent": {userAgent}}, silence: e.ReadTimeout})
 	if err != nil {
 		klog.V(1).Infof("backend: %s: %v", e.Name, err)
 		return
--- a/internal/backend/plain.go
+++ b/internal/backend/plain.go
@@ -51,7 +51,7 @@
 		path:    request.GetPath(),
 		header:  plainHeader(request),
 		body:    request.GetBody(),
-		silence: p.Silence,
+		silence: p.ReadTimeout,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/backend/watch.go
+++ b/internal/backend/watch.go
@@ -21,7 +21,7 @@
 	ctx, cancel := context.WithCancelCause(parent)
 	w := &watch{ctx: ctx, cancel: cancel}
 	w.silence.Store(int64(silence))
-	w.timer = time.AfterFunc(silence, func() { cancel(&SilentError{Silence: time.Duration(w.silence.Load())}) })
+	w.timer = time.AfterFunc(silence, func() { cancel(&ReadTimeoutError{Timeout: time.Duration(w.silence.Load())}) })
 	return ctx, w
 }
 
--- a/internal/batch/accept.go
+++ b/internal/batch/accept.go
@@ -34,7 +34,7 @@
 		}
 		acceptance, err := b.askHome(ctx, host, batch)
 		switch {
-		case acceptance == Taken:
+		case acceptance == Accepted:
 			return nil
 		case acceptance == Pending:
 			return errSilent()
@@ -60,7 +60,7 @@
 // whatever it is told itself.
 func (b *Board) acceptOwn(ctx context.Context, batch *statepb.Batch, attempt attempt) error {
 	if b.drains() && b.earlyOf(batch.GetId()) == nil && !attempt.isUnsure {
-		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").After(storeAgain)
+		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").WithRetryAfter(storeAgain)
 	}
 	ctx, cancel := context.WithTimeout(ctx, acceptTime)
 	defer cancel()
@@ -87,7 +87,7 @@
 			return err
 		}
 		if !attempt.isUnsure {
-			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "the store does not take the batch").After(storeAgain)
+			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "the store does not take the batch").WithRetryAfter(storeAgain)
 		}
 		klog.InfoS("batch: not known whether the store holds it", "batch", batch.GetId(), "err", err.Error())
 		if !pause.For(ctx, writePause) {
@@ -104,7 +104,7 @@
 // isNothingDone reports whether an error of the store proves that it changed nothing.
 func isNothingDone(err error) bool {
 	var away *platform.UnavailableError
-	return errors.As(err, &away) && platform.IsTurnedAway(away.Status)
+	return errors.As(err, &away) && platform.IsRejected(away.Status)
 }
 
 func (b *Board) isKnown(id string) bool {
@@ -116,7 +116,7 @@
 func (b *Board) accept(ctx context.Context, batch *statepb.Batch) error {
 	lease := b.Lease()
 	if lease == 0 {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "this process is not known to the store").After(storeAgain)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "this process is not known to the store").WithRetryAfter(storeAgain)
 	}
 	id := batch.GetId()
 	data, err := proto.Marshal(batch)
@@ -155,7 +155,7 @@
 	}
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "the lease of this process has ended").After(storeAgain)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeStoreAway, "the lease of this process has ended").WithRetryAfter(storeAgain)
 	}
 	if err != nil {
 		return err
@@ -163,7 +163,7 @@
 	klog.InfoS("batch: accepted", "batch", id, "account", batch.GetAccount(), "step", batch.GetStep(), "model", batch.GetModel(), "items", len(batch.GetItems()), "owner", revision)
 	b.lock()
 	defer b.mutex.Unlock()
-	b.taken(batch, Title{Revision: revision, Lease: lease})
+	b.taken(batch, Ownership{Revision: revision, Lease: lease})
 	return nil
 }
 
--- a/internal/batch/board.go
+++ b/internal/batch/board.go
@@ -75,23 +75,23 @@
 	Store   Store
 	Roster  *roster.Roster
 	Scorer  Scorer
-	Wire    Wire
+	Wire    HeaderEncoder
 	Routes  Routes
 	// Lease returns the lease under which this process is known to others; 0
 	// while it has none.
 	Lease func() uint64
-	// Order returns the processes that live and don't leave, the one first that
+	// Candidates returns the processes that live and don't leave, the one first that
 	// should do a piece of work.
-	Order func(work string) []string
-	// Leaves reports whether a process was asked to stop.
-	Leaves func(host string) bool
+	Candidates func(work string) []string
+	// IsLeaving reports whether a process was asked to stop.
+	IsLeaving func(host string) bool
 	Peers  Peers
 	// Keeper keeps texts that aren't whole.
 	Keeper Keeper
-	// Keep is how long after its acceptance a batch can be read.
-	Keep time.Duration
-	// Group is how long outcomes are gathered before they are written together.
-	Group time.Duration
+	// Retention is how long after its acceptance a batch can be read.
+	Retention time.Duration
+	// GroupDelay is how long outcomes are gathered before they are written together.
+	GroupDelay time.Duration
 	// ValueBytes is the largest value of the store.
 	ValueBytes int
 	// Metrics takes the board's metrics; nil keeps them to itself.
@@ -236,7 +236,7 @@
 	route, _ := b.Routes(batch)
 	plan := NewPlan(batch, route.Rules, accepted)
 	plan.Restore(state.Listed, state.Partials)
-	plan.Carry(state.Pending)
+	plan.AddPending(state.Pending)
 	if reused := plan.Reuse(b.leftovers.of(itemIDs(batch))); reused > 0 {
 		klog.InfoS("batch: texts of an earlier batch are used", "batch", batch.GetId(), "items", reused)
 	}
@@ -248,7 +248,7 @@
 			roster:  b.Roster,
 			scorer:  b.Scorer,
 			wire:    b.Wire,
-			ledger:  newLedger(b.Store, batch.GetId(), b.Group, b.ValueBytes, state.Owner, state.Listed, b.metrics),
+			ledger:  newLedger(b.Store, batch.GetId(), b.GroupDelay, b.ValueBytes, state.Owner, state.Listed, b.metrics),
 			keeper:  b.Keeper,
 			metrics: b.metrics,
 			leave:   b.leftovers.add,
--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -37,7 +37,7 @@
 	most    atomic.Int32
 }
 
-func (s *scorer) Room(*statepb.Scorer) int { return s.room }
+func (s *scorer) Capacity(*statepb.Scorer) int { return s.room }
 
 func (s *scorer) Score(ctx context.Context, _ *statepb.Scorer) (string, error) {
 	s.most.Store(max(s.most.Load(), s.running.Add(1)))
@@ -85,8 +85,8 @@
 func newBoard(store Store, name string, p *process, hosts ...string) *Board {
 	return &Board{
 		Process: name, Store: store, Roster: &roster.Roster{}, Keeper: noKeeper{}, Peers: noKeeper{}, Scorer: &scorer{room: 4}, Routes: p.routes.get,
-		Lease: p.lease.Load, Order: func(work string) []string { return duty.Order(work, hosts) }, Leaves: func(string) bool { return false },
-		Keep: time.Hour, Group: time.Millisecond, ValueBytes: 1 << 20,
+		Lease: p.lease.Load, Candidates: func(work string) []string { return duty.Order(work, hosts) }, IsLeaving: func(string) bool { return false },
+		Retention: time.Hour, GroupDelay: time.Millisecond, ValueBytes: 1 << 20,
 	}
 }
 
@@ -99,7 +99,7 @@
 // beginWith starts a process that knows these routes from its first moment on.
 func beginWith(t *testing.T, routes *routes, store *platformtest.Store, name string, hosts ...string) *process {
 	t.Helper()
-	lease, err := store.Grant(t.Context(), time.Hour)
+	lease, err := store.GrantLease(t.Context(), time.Hour)
 	must.NoError(t, err)
 	p := &process{routes: routes}
 	p.lease.Store(lease)
@@ -125,7 +125,7 @@
 			continue
 		}
 		revision = max(revision, reply.Revision)
-		p.Take(reply.Values)
+		p.ApplyChanges(reply.Values)
 	}
 }
 
@@ -148,7 +148,7 @@
 
 func (p *process) outcomes(t *testing.T) []*statepb.Outcome {
 	t.Helper()
-	page, isOwn, err := p.ReadOwn(t.Context(), "b1", "", 0, 0)
+	page, isOwn, err := p.ReadOwned(t.Context(), "b1", "", 0, 0)
 	must.NoError(t, err)
 	must.True(t, isOwn)
 	return page.Outcomes
@@ -161,8 +161,8 @@
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	must.True(t, p.holds())
 	t.Run("the store is away", func(t *testing.T) {
-		store.SetAway(true)
-		defer store.SetAway(false)
+		store.SetUnavailable(true)
+		defer store.SetUnavailable(false)
 		other := newBatch(10)
 		other.SetId("b2")
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
@@ -183,9 +183,9 @@
 	list, err := store.List(t.Context(), Prefix)
 	must.NoError(t, err)
 	board := newBoard(store, "g1", first, "g1")
-	board.Take(list.Values)
+	board.ApplyChanges(list.Values)
 	await(t, func() bool {
-		_, isOwn, err := board.ReadOwn(t.Context(), "b1", "", 0, 0)
+		_, isOwn, err := board.ReadOwned(t.Context(), "b1", "", 0, 0)
 		return err == nil && isOwn
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -269,7 +269,7 @@
 	must.NoError(t, first.End(t.Context(), "b1", ""))
 	await(t, func() bool { return second.Owner("b1") == "g1" })
 	first.stop()
-	must.NoError(t, store.End(t.Context(), first.Lease()))
+	must.NoError(t, store.RevokeLease(t.Context(), first.Lease()))
 	await(t, func() bool { return second.Owner("b1") == "" })
 	keys := func() int {
 		list, err := store.List(t.Context(), "")
@@ -278,7 +278,7 @@
 	}
 	must.Positive(t, keys())
 	second.mutex.Lock()
-	second.stored["b1"] = second.stored["b1"].Add(-2 * second.Keep)
+	second.stored["b1"] = second.stored["b1"].Add(-2 * second.Retention)
 	second.mutex.Unlock()
 	await(t, func() bool { return keys() == 0 })
 	t.Run("and nothing of them stays in memory", func(t *testing.T) {
@@ -320,7 +320,7 @@
 	await(t, func() bool { return len(p.outcomes(t)) == 1 })
 	must.NoError(t, p.End(t.Context(), "b1", ""))
 	p.mutex.Lock()
-	p.held["b1"].accepted = p.held["b1"].accepted.Add(-2 * p.Keep)
+	p.held["b1"].accepted = p.held["b1"].accepted.Add(-2 * p.Retention)
 	p.mutex.Unlock()
 	await(t, func() bool {
 		list, err := store.List(t.Context(), "")
@@ -365,7 +365,7 @@
 	must.NoError(t, err)
 	counted := &countingStore{Store: store}
 	other := newBoard(counted, "g2", first, "g1", "g2")
-	other.Take(list.Values)
+	other.ApplyChanges(list.Values)
 	must.Eq(t, http.StatusNotFound, refusal.Of(other.End(t.Context(), "b1", "stranger")).Status)
 	must.NoError(t, other.End(t.Context(), "b1", ""))
 	must.Eq(t, 0, counted.reads.Load())
@@ -387,8 +387,8 @@
 	list, err := store.List(t.Context(), Prefix)
 	must.NoError(t, err)
 	restarted := newBoard(store, "g2", p, "g2")
-	restarted.Take(list.Values)
-	store.SetAway(true)
+	restarted.ApplyChanges(list.Values)
+	store.SetUnavailable(true)
 	must.NoError(t, p.End(t.Context(), "b1", ""))
 	must.Eq(t, http.StatusNotFound, refusal.Of(p.End(t.Context(), "b1", "stranger")).Status)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
--- a/internal/batch/changes.go
+++ b/internal/batch/changes.go
@@ -11,15 +11,15 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Take takes changes of the store's small keys.
-func (b *Board) Take(changes []platform.Value) {
+// ApplyChanges takes changes of the store's small keys.
+func (b *Board) ApplyChanges(changes []platform.Value) {
 	b.lock()
 	defer b.mutex.Unlock()
 	for _, change := range changes {
 		if id, ok := strings.CutPrefix(change.Key, PrefixOpen); ok {
 			b.takeOpen(id, change)
 		}
-		if id, process, ok := ReadOwner(change); ok {
+		if id, process, ok := ParseOwner(change); ok {
 			b.takeOwner(id, process, change)
 		}
 		if id, ok := strings.CutPrefix(change.Key, prefixStored); ok {
@@ -90,17 +90,17 @@
 		delete(b.held, id)
 		b.endEarly(held)
 	case process == b.Process && held != nil:
-		held.ledger.reclaimed(Title{Revision: change.Revision, Lease: change.Lease})
+		held.ledger.reclaimed(Ownership{Revision: change.Revision, Lease: change.Lease})
 		b.endEarly(held)
 	default:
 		b.resume(id)
 	}
 }
 
-// ReadOwner reads which process owns which batch from a change of the store's keys;
+// ParseOwner reads which process owns which batch from a change of the store's keys;
 // the process is "" where the batch has no owner any more. It reports false for
 // changes of other keys, and for a value that can't be read.
-func ReadOwner(change platform.Value) (id, process string, ok bool) {
+func ParseOwner(change platform.Value) (id, process string, ok bool) {
 	id, ok = strings.CutPrefix(change.Key, prefixOwner)
 	if !ok || change.Deleted {
 		return id, "", ok
--- a/internal/batch/claim.go
+++ b/internal/batch/claim.go
@@ -51,8 +51,8 @@
 	if b.held[id] != nil {
 		return 0
 	}
-	wait := time.Duration(duty.Place(b.Process, b.Order(id))) * claimStep
-	if b.Leaves(last) {
+	wait := time.Duration(duty.Place(b.Process, b.Candidates(id))) * claimStep
+	if b.IsLeaving(last) {
 		return wait
 	}
 	return ownerHead + wait
@@ -103,7 +103,7 @@
 }
 
 func hasChunk(conflict *platform.ConflictError, id string) bool {
-	return slices.ContainsFunc(conflict.Present, func(value platform.Value) bool {
+	return slices.ContainsFunc(conflict.Current, func(value platform.Value) bool {
 		return value.Revision != 0 && strings.HasPrefix(value.Key, chunkPrefix(id))
 	})
 }
@@ -131,20 +131,20 @@
 }
 
 // writeOwner makes this process the owner of a batch if the store is as expected.
-func (b *Board) writeOwner(ctx context.Context, id string, expect ...platform.Expect) (Title, error) {
+func (b *Board) writeOwner(ctx context.Context, id string, expect ...platform.Expect) (Ownership, error) {
 	lease := b.Lease()
 	if lease == 0 {
-		return Title{}, errors.New("batch: this process has no lease")
+		return Ownership{}, errors.New("batch: this process has no lease")
 	}
 	data, err := proto.Marshal(statepb.Owner_builder{Process: b.Process}.Build())
 	if err != nil {
-		return Title{}, err
+		return Ownership{}, err
 	}
 	revision, err := b.Store.Commit(ctx, platform.Commit{
 		Expect: expect,
 		Writes: []platform.Write{{Key: ownerKey(id), Data: data, Lease: lease}},
 	})
-	return Title{Revision: revision, Lease: lease}, err
+	return Ownership{Revision: revision, Lease: lease}, err
 }
 
 // takeBack writes the owner's key of a batch that this process owns anew, then reads
@@ -173,7 +173,7 @@
 }
 
 // adopt reads a batch that this process owns from the store, and runs it.
-func (b *Board) adopt(ctx context.Context, id string, title Title) {
+func (b *Board) adopt(ctx context.Context, id string, title Ownership) {
 	batch, listed, partials, err := b.load(ctx, id, nil)
 	for err != nil && ctx.Err() == nil && b.ownsAt(id, title.Revision) {
 		klog.InfoS("batch: not read", "batch", id, "err", err.Error())
--- a/internal/batch/claim_test.go
+++ b/internal/batch/claim_test.go
@@ -51,17 +51,17 @@
 	isOpen := func(value platform.Value) bool { return strings.HasPrefix(value.Key, PrefixOpen) }
 	t.Run("ended", func(t *testing.T) {
 		board := restarted()
-		board.Take(slices.DeleteFunc(slices.Clone(list.Values), isOpen))
+		board.ApplyChanges(slices.DeleteFunc(slices.Clone(list.Values), isOpen))
 		time.Sleep(20 * time.Millisecond)
 		must.Eq(t, 0, store.reads.Load())
 	})
 	t.Run("open, whichever key comes first", func(t *testing.T) {
 		board := restarted()
 		for _, value := range slices.Backward(list.Values) {
-			board.Take([]platform.Value{value})
+			board.ApplyChanges([]platform.Value{value})
 		}
 		await(t, func() bool {
-			_, isOwn, err := board.ReadOwn(t.Context(), "b1", "", 0, 0)
+			_, isOwn, err := board.ReadOwned(t.Context(), "b1", "", 0, 0)
 			return err == nil && isOwn
 		})
 	})
@@ -103,7 +103,7 @@
 	first.stop()
 	p := begin(t, store, "g1", "g2")
 	p.routes.set(Route{}, false)
-	p.Take(list.Values)
+	p.ApplyChanges(list.Values)
 	p.Drain(t.Context())
 	p.routes.set(known, true)
 	await(t, func() bool {
@@ -119,7 +119,7 @@
 func TestTurn(t *testing.T) {
 	hosts := []string{"g1", "g2", "g3"}
 	order := duty.Order("b1", hosts)
-	board := &Board{Process: order[1], Order: func(string) []string { return order }, Leaves: func(host string) bool { return host == "leaving" }}
+	board := &Board{Process: order[1], Candidates: func(string) []string { return order }, IsLeaving: func(host string) bool { return host == "leaving" }}
 	must.Eq(t, ownerHead+claimStep, board.turn("b1", "g1"))
 	must.Eq(t, ownerHead+claimStep, board.turn("b1", "lapsed"))
 	must.Eq(t, claimStep, board.turn("b1", "leaving"))
@@ -134,7 +134,7 @@
 	await(t, func() bool { return second.Owner("b1") == "g1" })
 	old := first.held["b1"].ledger
 	first.stop()
-	must.NoError(t, store.End(t.Context(), first.Lease()))
+	must.NoError(t, store.RevokeLease(t.Context(), first.Lease()))
 	await(t, func() bool { return second.holds() })
 	must.False(t, old.commit(t.Context(), 0, []byte("late")))
 	must.Eq(t, 0, len(second.outcomes(t)))
@@ -147,8 +147,8 @@
 	p := begin(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
 	before := p.held["b1"].ledger.title.Revision
-	must.NoError(t, store.End(t.Context(), p.Lease()))
-	lease, err := store.Grant(t.Context(), time.Hour)
+	must.NoError(t, store.RevokeLease(t.Context(), p.Lease()))
+	lease, err := store.GrantLease(t.Context(), time.Hour)
 	must.NoError(t, err)
 	p.lease.Store(lease)
 	await(t, func() bool {
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -105,7 +105,7 @@
 type Handover struct {
 	Batch *statepb.Batch
 	// Owner is the title of the process that has the batch.
-	Owner Title
+	Owner Ownership
 	// Open is the revision of the key that says that its trainer has not ended it.
 	Open uint64
 	// Listed are the outcomes that the store holds, Pending those that it doesn't yet.
@@ -255,8 +255,8 @@
 	return true
 }
 
-// Carry takes outcomes that an earlier owner had and didn't list.
-func (p *Plan) Carry(outcomes []*statepb.Outcome) {
+// AddPending takes outcomes that an earlier owner had and didn't list.
+func (p *Plan) AddPending(outcomes []*statepb.Outcome) {
 	for _, outcome := range outcomes {
 		if one := p.byID[outcome.GetItem()]; one != nil {
 			p.list(one, outcome)
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	store = &platformtest.Store{}
 	first, second = begin(t, store, "g1", "g1", "g2"), begin(t, store, "g2", "g1", "g2")
-	first.Group = time.Hour
+	first.GroupDelay = time.Hour
 	first.Peers = nextOwner{board: func() *Board { return second.Board }}
 	must.NoError(t, first.AcceptOwn(t.Context(), newBatch(10, 20, 30)))
 	await(t, func() bool { return first.holds() && second.Owner("b1") == "g1" })
@@ -98,7 +98,7 @@
 		_, err := store.Commit(t.Context(), platform.Commit{Remove: []string{openKey("b1")}})
 		must.NoError(t, err)
 		first.mutex.Lock()
-		state := Handover{Batch: first.held["b1"].batch, Owner: Title{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
+		state := Handover{Batch: first.held["b1"].batch, Owner: Ownership{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
 		first.mutex.Unlock()
 		taken, err := second.TakeHandover(t.Context(), state)
 		must.NoError(t, err)
@@ -130,7 +130,7 @@
 // given the batch without that chunk, and listed other results at its places.
 func TestNothingIsGivenUnsure(t *testing.T) {
 	own, first, second := stoppingLate(t)
-	second.Group = time.Hour
+	second.GroupDelay = time.Hour
 	own.set(lost)
 	first.held["b1"].ledger.add(outcome("i0"), true)
 	await(t, func() bool {
@@ -146,7 +146,7 @@
 func TestHandoverAfterAClaim(t *testing.T) {
 	store, first, second := stopping(t)
 	first.mutex.Lock()
-	state := Handover{Batch: first.held["b1"].batch, Owner: Title{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
+	state := Handover{Batch: first.held["b1"].batch, Owner: Ownership{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
 	first.mutex.Unlock()
 	_, err := store.Commit(t.Context(), platform.Commit{Writes: []platform.Write{{Key: ownerKey("b1")}}})
 	must.NoError(t, err)
@@ -224,7 +224,7 @@
 	t.Run("the batch runs on until the store is back", func(t *testing.T) {
 		store, first, second := stopping(t)
 		held := first.held["b1"]
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		drained := make(chan struct{})
 		go func() {
 			first.Drain(context.Background())
@@ -234,7 +234,7 @@
 		time.Sleep(3 * writePause)
 		must.False(t, isClosed(drained))
 		must.False(t, isClosed(held.stopped))
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		<-drained
 		await(t, second.holds)
 		second.mutex.Lock()
@@ -246,7 +246,7 @@
 	})
 	t.Run("but not longer than the process has", func(t *testing.T) {
 		store, first, _ := stopping(t)
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		grace := handoverTime + endTime + 200*time.Millisecond
 		ctx, cancel := context.WithTimeout(t.Context(), grace)
 		defer cancel()
--- a/internal/batch/early.go
+++ b/internal/batch/early.go
@@ -34,8 +34,8 @@
 	Refused Acceptance = iota
 	// Pending says that it runs there and isn't known to be in the store yet.
 	Pending
-	// Taken says that the store holds it.
-	Taken
+	// Accepted says that the store holds it.
+	Accepted
 )
 
 // String names the acceptance.
@@ -69,7 +69,7 @@
 }
 
 // ranked returns all processes as candidates for the batches of a model.
-func (b *Board) ranked(model string) []string { return b.Order("model/" + model) }
+func (b *Board) ranked(model string) []string { return b.Candidates("model/" + model) }
 
 // beginEarly runs a batch that the store isn't known to hold.
 func (b *Board) beginEarly(batch *statepb.Batch) {
@@ -152,7 +152,7 @@
 
 // taken notes that the store holds a batch, of which this process is the owner. The
 // mutex is held.
-func (b *Board) taken(batch *statepb.Batch, title Title) {
+func (b *Board) taken(batch *statepb.Batch, title Ownership) {
 	id, held := batch.GetId(), b.held[batch.GetId()]
 	if held != nil && b.runsEarly(id) == nil {
 		return
@@ -180,15 +180,15 @@
 
 // errSilent says that it isn't known whether the store holds a batch.
 func errSilent() error {
-	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").After(storeAgain)
+	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").WithRetryAfter(storeAgain)
 }
 
-// AcceptFor takes a batch here that another process was sent, and says within a
+// AcceptForPeer takes a batch here that another process was sent, and says within a
 // time what became of it. An error says that this isn't known. The try goes on after
 // that: a large batch takes the store longer than the other process waits.
-func (b *Board) AcceptFor(ctx context.Context, batch *statepb.Batch, wait time.Duration) (Acceptance, error) {
+func (b *Board) AcceptForPeer(ctx context.Context, batch *statepb.Batch, wait time.Duration) (Acceptance, error) {
 	if b.isKnown(batch.GetId()) {
-		return Taken, nil
+		return Accepted, nil
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- b.acceptOwn(ctx, batch, attempt{isHome: true}) }()
@@ -200,7 +200,7 @@
 	}
 	switch {
 	case err == nil:
-		return Taken, nil
+		return Accepted, nil
 	case b.earlyOf(batch.GetId()) != nil:
 		return Pending, nil
 	case refusal.IsNotRun(err):
@@ -218,7 +218,7 @@
 	acceptance, err := b.askOnce(ctx, host, batch)
 	for err == nil && acceptance == Pending {
 		if b.isKnown(batch.GetId()) {
-			return Taken, nil
+			return Accepted, nil
 		}
 		if !pause.For(ctx, pendingLook) {
 			break
--- a/internal/batch/early_test.go
+++ b/internal/batch/early_test.go
@@ -23,7 +23,7 @@
 }
 
 func (p peersOf) Accept(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error) {
-	return p.processes[host].AcceptFor(ctx, batch, 300*time.Millisecond)
+	return p.processes[host].AcceptForPeer(ctx, batch, 300*time.Millisecond)
 }
 
 // mustBeUnknown checks that a trainer was told neither that its batch is taken nor
@@ -47,7 +47,7 @@
 		t.Helper()
 		store := &platformtest.Store{}
 		p := begin(t, store, "g1", "g1")
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		mustBeUnknown(t, p.Accept(brief(t), newBatch(10, 20)))
 		must.NotNil(t, p.earlyOf("b1"))
 		return store, p
@@ -55,7 +55,7 @@
 	t.Run("is taken once the store is back", func(t *testing.T) {
 		store, p := away(t)
 		runs := p.held["b1"]
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 		await(t, func() bool { return p.holds() && p.earlyOf("b1") == nil })
 		must.True(t, p.held["b1"] == runs)
@@ -65,10 +65,10 @@
 	t.Run("shows nothing before", func(t *testing.T) {
 		_, p := away(t)
 		p.held["b1"].ledger.add([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
-		page, isOwn, err := p.ReadOwn(t.Context(), "b1", "", 0, 3*writePause)
+		page, isOwn, err := p.ReadOwned(t.Context(), "b1", "", 0, 3*writePause)
 		must.NoError(t, err)
 		must.True(t, isOwn)
-		must.True(t, page.Unsure)
+		must.True(t, page.MayBeIncomplete)
 		must.SliceEmpty(t, page.Outcomes)
 	})
 	t.Run("is begun without a lease", func(t *testing.T) {
@@ -91,7 +91,7 @@
 	t.Run("is claimed where its owner's key has ended", func(t *testing.T) {
 		store, p := away(t)
 		runs := p.held["b1"]
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		await(t, func() bool { return p.holds() && p.earlyOf("b1") == nil })
 		again := &early{settled: make(chan struct{})}
 		p.mutex.Lock()
@@ -104,9 +104,9 @@
 	})
 	t.Run("ends with its trainer's word", func(t *testing.T) {
 		store, p := away(t)
-		must.True(t, p.StopOwn("b1", ""))
+		must.True(t, p.StopOwned("b1", ""))
 		await(t, func() bool { return p.earlyOf("b1") == nil })
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		list, err := store.List(t.Context(), PrefixOpen)
 		must.NoError(t, err)
 		must.SliceEmpty(t, list.Values)
@@ -120,7 +120,7 @@
 		}()
 		await(t, func() bool { return p.drains() })
 		must.False(t, isClosed(drained))
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		<-drained
 		await(t, func() bool { return p.Owner("b1") == "" })
 	})
@@ -141,11 +141,11 @@
 	for _, p := range processes {
 		p.Peers = peersOf{processes: processes}
 	}
-	store.SetAway(true)
+	store.SetUnavailable(true)
 	mustBeUnknown(t, processes[other].Accept(brief(t), newBatch(10)))
 	must.NotNil(t, processes[home].earlyOf("b1"))
 	must.Nil(t, processes[other].earlyOf("b1"))
-	store.SetAway(false)
+	store.SetUnavailable(false)
 	must.NoError(t, processes[other].Accept(t.Context(), newBatch(10)))
 	await(t, func() bool { return processes[home].holds() })
 }
@@ -194,7 +194,7 @@
 	store := &slowStore{Store: &platformtest.Store{}}
 	p := begin(t, store.Store, "g1", "g1")
 	p.Store = store
-	acceptance, err := p.AcceptFor(t.Context(), newBatch(10), 2*earlyAfter)
+	acceptance, err := p.AcceptForPeer(t.Context(), newBatch(10), 2*earlyAfter)
 	must.NoError(t, err)
 	must.Eq(t, Pending, acceptance)
 	await(t, func() bool { return p.isKnown("b1") })
--- a/internal/batch/keep.go
+++ b/internal/batch/keep.go
@@ -24,9 +24,9 @@
 	keepAfter = time.Second
 )
 
-// ErrOtherKeeper says that a batch's texts go to another keeper from now on, which has
+// ErrKeeperChanged says that a batch's texts go to another keeper from now on, which has
 // none of them yet.
-var ErrOtherKeeper = errors.New("batch: another keeper is used from now on")
+var ErrKeeperChanged = errors.New("batch: another keeper is used from now on")
 
 // Keeper keeps texts that aren't whole on hosts with disks.
 type Keeper interface {
@@ -78,7 +78,7 @@
 // it has it.
 func (o *owner) keepOnce(ctx context.Context, isKept func(index int) bool) bool {
 	err := o.append(ctx, isKept)
-	if errors.Is(err, ErrOtherKeeper) {
+	if errors.Is(err, ErrKeeperChanged) {
 		err = o.append(ctx, isKept)
 	}
 	return err == nil
@@ -98,7 +98,7 @@
 	klog.InfoS("batch: texts not kept", "batch", o.batch.GetId(), "err", err.Error())
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.plan.KeepAll()
+	o.plan.ResendAll()
 	return err
 }
 
@@ -131,9 +131,9 @@
 	return parts
 }
 
-// KeepAll makes Parts return all texts from their start: what a keeper had is
+// ResendAll makes Parts return all texts from their start: what a keeper had is
 // not known any more.
-func (p *Plan) KeepAll() {
+func (p *Plan) ResendAll() {
 	for _, one := range p.items {
 		one.kept = 0
 	}
--- a/internal/batch/keep_test.go
+++ b/internal/batch/keep_test.go
@@ -55,7 +55,7 @@
 	k.calls++
 	switch k.calls {
 	case 1:
-		return ErrOtherKeeper
+		return ErrKeeperChanged
 	case 2:
 		return errors.New("no answer")
 	default:
--- a/internal/batch/ledger.go
+++ b/internal/batch/ledger.go
@@ -46,7 +46,7 @@
 	// urgent ends the gathering of outcomes.
 	urgent chan struct{}
 	// title is what makes this process the batch's owner.
-	title Title
+	title Ownership
 	// isOpen says that a write was sent of which it isn't known whether the store has
 	// done it, or still will.
 	isOpen bool
@@ -55,15 +55,15 @@
 	isStopped   bool
 }
 
-// Title is what makes a process the owner of a batch.
-type Title struct {
+// Ownership is what makes a process the owner of a batch.
+type Ownership struct {
 	// Revision of the key that says who owns the batch; 0 while this isn't known.
 	Revision uint64
 	// Lease with which the key ends; 0 while this isn't known.
 	Lease uint64
 }
 
-func newLedger(store Store, batch string, group time.Duration, valueBytes int, title Title, listed []*statepb.Outcome, metrics *metrics) *ledger {
+func newLedger(store Store, batch string, group time.Duration, valueBytes int, title Ownership, listed []*statepb.Outcome, metrics *metrics) *ledger {
 	return &ledger{store: store, batch: batch, group: group, valueBytes: valueBytes, metrics: metrics, title: title, listed: listed, changed: make(chan struct{}), urgent: make(chan struct{}, 1)}
 }
 
@@ -86,7 +86,7 @@
 }
 
 // reclaimed takes the title after the owner's key was written anew.
-func (l *ledger) reclaimed(title Title) {
+func (l *ledger) reclaimed(title Ownership) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if title.Revision > l.title.Revision {
@@ -96,7 +96,7 @@
 }
 
 // owned returns the title.
-func (l *ledger) owned() Title {
+func (l *ledger) owned() Ownership {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.title
@@ -261,7 +261,7 @@
 }
 
 // begin opens the ledger for a write. It reports whether no earlier write is open.
-func (l *ledger) begin() (title Title, isFirst bool) {
+func (l *ledger) begin() (title Ownership, isFirst bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	isFirst = !l.isOpen
@@ -281,7 +281,7 @@
 // Where the chunk isn't there, the owner's key has changed. No earlier try can be
 // done any more, since revisions don't come back, and what is listed is another
 // owner's to say.
-func (l *ledger) conflict(conflict *platform.ConflictError, title Title, key string, data []byte) bool {
+func (l *ledger) conflict(conflict *platform.ConflictError, title Ownership, key string, data []byte) bool {
 	present, isThere := conflict.Find(key)
 	if isThere && bytes.Equal(present.Data, data) {
 		return true
--- a/internal/batch/outcome.go
+++ b/internal/batch/outcome.go
@@ -73,7 +73,7 @@
 func (p *Plan) Pending() (outcomes []*statepb.Outcome, isUrgent bool) {
 	pending := p.pending
 	p.pending = nil
-	isUrgent = p.urgent || p.IsWhole()
+	isUrgent = p.urgent || p.IsComplete()
 	p.urgent = false
 	return pending, isUrgent
 }
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -32,9 +32,9 @@
 	runTime = 60 * time.Second
 )
 
-// Wire knows how an item's headers are written.
-type Wire interface {
-	WriteItem(headers map[string]string) http.Header
+// HeaderEncoder knows how an item's headers are written.
+type HeaderEncoder interface {
+	EncodeItemHeader(headers map[string]string) http.Header
 }
 
 // Scorer has texts judged.
@@ -42,16 +42,16 @@
 	// Score returns the proof of the scorer's answer. A *ScoreError says that it
 	// answered with a failure.
 	Score(ctx context.Context, scorer *statepb.Scorer) (string, error)
-	// Room returns how many texts may be judged by the scorer's pool at the same time.
-	Room(scorer *statepb.Scorer) int
+	// Capacity returns how many texts may be judged by the scorer's pool at the same time.
+	Capacity(scorer *statepb.Scorer) int
 }
 
 // ScoreError says that the scorer answered with failures.
 type ScoreError struct {
 	// Failures is the number of such answers.
 	Failures int
-	// Most is the number of them after which the text is given up.
-	Most int
+	// MaxFailures is the number of them after which the text is given up.
+	MaxFailures int
 }
 
 // Error names the number.
@@ -66,7 +66,7 @@
 	route  func() (Route, bool)
 	roster *roster.Roster
 	scorer Scorer
-	wire   Wire
+	wire   HeaderEncoder
 	ledger *ledger
 	// keeper keeps the texts that aren't whole; nil keeps them nowhere.
 	keeper  Keeper
@@ -148,7 +148,7 @@
 	o.logFailures(pending)
 	o.ledger.add(pending, isUrgent)
 	o.leaveSlow(pool)
-	if o.plan.IsEnded() || o.plan.IsWhole() {
+	if o.plan.IsEnded() || o.plan.IsComplete() {
 		return true
 	}
 	o.startScores(ctx, now)
@@ -161,7 +161,7 @@
 // The texts of a step become whole in bursts. Judged all at once they would take every
 // slot of a plain service that callers use as well, and the step would be done no sooner.
 func (o *owner) startScores(ctx context.Context, now clock.Boot) {
-	room := o.scorer.Room(o.batch.GetItems()[0].GetScorer())
+	room := o.scorer.Capacity(o.batch.GetItems()[0].GetScorer())
 	for o.scoring < room {
 		job, ok := o.plan.NextScore(now)
 		if !ok {
@@ -209,7 +209,7 @@
 		return false
 	}
 	need := o.need(pool)
-	need.Heard = job.isFaulty
+	need.PreferActive = job.isFaulty
 	server := o.roster.Place(need)
 	if server == nil {
 		return false
@@ -235,7 +235,7 @@
 		return
 	}
 	for index, run := range o.runs {
-		if o.plan.MayMove(index) && o.roster.IsBetter(run.server, o.need(pool)) {
+		if o.plan.MayMove(index) && o.roster.HasFasterServer(run.server, o.need(pool)) {
 			o.plan.Moved(index)
 			run.cancel(errSlow)
 			return
@@ -244,7 +244,7 @@
 }
 
 func (o *owner) need(pool string) roster.Need {
-	return roster.Need{Pool: pool, Model: o.batch.GetModel(), Oldest: o.batch.GetOldest()}
+	return roster.Need{Pool: pool, Model: o.batch.GetModel(), MinVersion: o.batch.GetOldest()}
 }
 
 // score has a whole text judged.
@@ -264,7 +264,7 @@
 		o.plan.ScorerFailed(job, failed, clock.Now())
 		return
 	}
-	o.plan.NotScored(job, clock.Now())
+	o.plan.ScoringFailed(job, clock.Now())
 }
 
 // end stops the batch on the trainer's word.
--- a/internal/batch/plan.go
+++ b/internal/batch/plan.go
@@ -34,8 +34,8 @@
 type Rules struct {
 	// Attempts is the most failed answers of an item, and of its scorer.
 	Attempts int
-	// Keep is when an item may be given up after the batch was accepted; 0 never.
-	Keep time.Duration
+	// GiveUpAfter is when an item may be given up after the batch was accepted; 0 never.
+	GiveUpAfter time.Duration
 	// SingleVersion asks for texts that one weight version made.
 	SingleVersion bool
 }
@@ -112,8 +112,8 @@
 // time of this host's clock.
 func NewPlan(batch *statepb.Batch, rules Rules, accepted clock.Boot) *Plan {
 	plan := &Plan{rules: rules, batch: batch, byID: map[string]*item{}, groups: map[string]int{}}
-	if rules.Keep > 0 {
-		plan.until = accepted.Add(rules.Keep)
+	if rules.GiveUpAfter > 0 {
+		plan.until = accepted.Add(rules.GiveUpAfter)
 	}
 	for index, spec := range batch.GetItems() {
 		one := &item{spec: spec, index: index}
@@ -183,8 +183,8 @@
 // IsEnded reports whether the trainer has ended the batch.
 func (p *Plan) IsEnded() bool { return p.ended }
 
-// IsWhole reports whether every item has its outcome.
-func (p *Plan) IsWhole() bool { return p.open == 0 }
+// IsComplete reports whether every item has its outcome.
+func (p *Plan) IsComplete() bool { return p.open == 0 }
 
 // Waiting returns the number of items that wait for a server.
 func (p *Plan) Waiting() int { return len(p.order) }
@@ -285,8 +285,8 @@
 // Scored notes the proof of the scorer's answer.
 func (p *Plan) Scored(job Job, proof string) { p.settle(p.items[job.index], proof) }
 
-// NotScored notes that the scorer gave no judgement.
-func (p *Plan) NotScored(job Job, now clock.Boot) {
+// ScoringFailed notes that the scorer gave no judgement.
+func (p *Plan) ScoringFailed(job Job, now clock.Boot) {
 	one := p.items[job.index]
 	one.phase = unscored
 	one.notBefore = now.Add(faultPause)
@@ -300,16 +300,16 @@
 func (p *Plan) ScorerFailed(job Job, failed *ScoreError, now clock.Boot) {
 	one := p.items[job.index]
 	one.scorerFailures += failed.Failures
-	if one.scorerFailures >= failed.Most {
+	if one.scorerFailures >= failed.MaxFailures {
 		p.fail(one, "its scorer failed "+strconv.Itoa(one.scorerFailures)+" times")
 		return
 	}
-	p.NotScored(job, now)
+	p.ScoringFailed(job, now)
 }
 
-// Cut notes that a run ended before its text was whole. What came of it stays,
+// Interrupted notes that a run ended before its text was whole. What came of it stays,
 // and the item goes on from there at the next server.
-func (p *Plan) Cut(job Job, pause time.Duration, now clock.Boot) {
+func (p *Plan) Interrupted(job Job, pause time.Duration, now clock.Boot) {
 	one := p.items[job.index]
 	if one.phase != running {
 		return
@@ -322,11 +322,11 @@
 	}
 }
 
-// Fault notes that a server failed under a run; the item waits longer each time.
-func (p *Plan) Fault(job Job, now clock.Boot) {
+// Faulted notes that a server failed under a run; the item waits longer each time.
+func (p *Plan) Faulted(job Job, now clock.Boot) {
 	one := p.items[job.index]
 	one.faults++
-	p.Cut(job, min(faultPause<<min(one.faults-1, 5), greatestPause), now)
+	p.Interrupted(job, min(faultPause<<min(one.faults-1, 5), greatestPause), now)
 }
 
 // Failed notes that a server answered that a run failed. An item that fails
@@ -339,5 +339,5 @@
 		p.fail(one, "its runs failed "+strconv.Itoa(one.failures)+" times")
 		return
 	}
-	p.Fault(job, now)
+	p.Faulted(job, now)
 }
--- a/internal/batch/plan_test.go
+++ b/internal/batch/plan_test.go
@@ -27,7 +27,7 @@
 }
 
 func newPlan(expected ...uint64) *Plan {
-	return NewPlan(newBatch(expected...), Rules{Attempts: 3, Keep: 40 * time.Second}, start)
+	return NewPlan(newBatch(expected...), Rules{Attempts: 3, GiveUpAfter: 40 * time.Second}, start)
 }
 
 // all keeps every item's text.
@@ -80,7 +80,7 @@
 	must.Eq(t, "a\nb", pending[0].GetText())
 	must.Eq(t, []uint64{4}, pending[0].GetVersions())
 	must.Eq(t, "proof", pending[0].GetScore())
-	must.True(t, plan.IsWhole())
+	must.True(t, plan.IsComplete())
 	must.SliceEmpty(t, pendingOf(plan))
 }
 
@@ -90,7 +90,7 @@
 	plan := newPlan(100, 50)
 	job := mustStart(t, plan, start, "i0")
 	must.True(t, plan.Event(job, "a", 3))
-	plan.Fault(job, start)
+	plan.Faulted(job, start)
 	other := mustStart(t, plan, start, "i1")
 	must.Eq(t, 0, other.Events())
 	again := mustStart(t, plan, start.Add(faultPause), "i0")
@@ -111,7 +111,7 @@
 	plan := newPlan(100)
 	job := mustStart(t, plan, start, "i0")
 	must.False(t, plan.Event(job, "a", 2))
-	plan.Cut(job, 0, start)
+	plan.Interrupted(job, 0, start)
 	must.Eq(t, 0, mustStart(t, plan, start, "i0").Events())
 }
 
@@ -122,7 +122,7 @@
 	job := mustStart(t, plan, start, "i0")
 	must.True(t, plan.Event(job, "a", 3))
 	must.False(t, plan.Event(job, "b", 4))
-	plan.Cut(job, 0, start)
+	plan.Interrupted(job, 0, start)
 	job = mustStart(t, plan, start, "i0")
 	must.Eq(t, 0, job.Events())
 	plan.Scored(mustGenerate(t, plan, job, 4, "a", "b"), "proof")
@@ -135,12 +135,12 @@
 func TestScorerThatAlwaysFails(t *testing.T) {
 	plan := newPlan(100)
 	scoring := mustGenerate(t, plan, mustStart(t, plan, start, "i0"), 3, "a")
-	plan.ScorerFailed(scoring, &ScoreError{Failures: 2, Most: 4}, start)
-	must.False(t, plan.IsWhole())
+	plan.ScorerFailed(scoring, &ScoreError{Failures: 2, MaxFailures: 4}, start)
+	must.False(t, plan.IsComplete())
 	again, ok := plan.NextScore(start.Add(faultPause))
 	must.True(t, ok)
-	plan.ScorerFailed(again, &ScoreError{Failures: 2, Most: 4}, start)
-	must.True(t, plan.IsWhole())
+	plan.ScorerFailed(again, &ScoreError{Failures: 2, MaxFailures: 4}, start)
+	must.True(t, plan.IsComplete())
 	must.True(t, pendingOf(plan)[0].GetFailed())
 }
 
@@ -162,7 +162,7 @@
 	t.Run("faults of servers give nothing up", func(t *testing.T) {
 		plan, now := newPlan(100), start
 		for range 10 {
-			plan.Fault(mustStart(t, plan, now, "i0"), now)
+			plan.Faulted(mustStart(t, plan, now, "i0"), now)
 			now = now.Add(greatestPause)
 		}
 		must.SliceEmpty(t, pendingOf(plan))
@@ -182,7 +182,7 @@
 	job := mustStart(t, plan, start, "i0")
 	plan.End()
 	must.False(t, plan.Event(job, "a", 3))
-	plan.Cut(job, 0, start)
+	plan.Interrupted(job, 0, start)
 	_, ok := plan.Next(start)
 	must.False(t, ok)
 	must.SliceEmpty(t, pendingOf(plan))
@@ -231,10 +231,10 @@
 	must.Eq(t, 1, parts[0].GetAfter())
 	must.Eq(t, []string{"b"}, parts[0].GetEvents())
 	must.Eq(t, []uint64{4}, parts[0].GetVersions())
-	plan.KeepAll()
+	plan.ResendAll()
 	must.Eq(t, []string{"a", "b"}, plan.Parts(all)[0].GetEvents())
 	t.Run("one that need not be kept yet is whole when it is", func(t *testing.T) {
-		plan.KeepAll()
+		plan.ResendAll()
 		must.SliceEmpty(t, plan.Parts(func(int) bool { return false }))
 		must.Eq(t, []string{"a", "b"}, plan.Parts(all)[0].GetEvents())
 	})
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -20,11 +20,11 @@
 type Page struct {
 	Total    uint64
 	Outcomes []*statepb.Outcome
-	// Unsure says of a page without outcomes that the store may hold some.
-	Unsure bool
+	// MayBeIncomplete says of a page without outcomes that the store may hold some.
+	MayBeIncomplete bool
 }
 
-// ReadOwn returns the outcomes of a batch that this process owns from a place
+// ReadOwned returns the outcomes of a batch that this process owns from a place
 // on; it waits for one if there is none. It reports false if the batch isn't held here.
 //
 // A reader may have been shown a place that this process doesn't know of: a chunk
@@ -32,7 +32,7 @@
 // lost the batch. Told "nothing is there", the trainer would see a place go away; so
 // this is said only under a lease that stands and with no write open, and the store
 // is to be asked else.
-func (b *Board) ReadOwn(ctx context.Context, id, account string, after uint64, wait time.Duration) (Page, bool, error) {
+func (b *Board) ReadOwned(ctx context.Context, id, account string, after uint64, wait time.Duration) (Page, bool, error) {
 	b.lock()
 	held := b.held[id]
 	b.mutex.Unlock()
@@ -51,7 +51,7 @@
 			return page, true, nil
 		}
 		if isOver || found.isStopped {
-			page.Unsure = found.isStopped || found.isOpen || found.lease == 0 || found.lease != b.Lease()
+			page.MayBeIncomplete = found.isStopped || found.isOpen || found.lease == 0 || found.lease != b.Lease()
 			return page, true, nil
 		}
 		select {
@@ -127,7 +127,7 @@
 		return refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
 	}
 	klog.InfoS("batch: can't be read", "batch", id, "err", err.Error())
-	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").After(storeAgain)
+	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").WithRetryAfter(storeAgain)
 }
 
 // End ends a batch. Its runs here stop at once, before the store knows of it.
@@ -135,7 +135,7 @@
 	if err := b.check(ctx, id, account); err != nil {
 		return err
 	}
-	b.StopOwn(id, account)
+	b.StopOwned(id, account)
 	if b.isEnded(id) {
 		return nil
 	}
@@ -160,8 +160,8 @@
 	return b.ended[id]
 }
 
-// StopOwn stops the runs of a batch that this process owns, and reports whether it does.
-func (b *Board) StopOwn(id, account string) bool {
+// StopOwned stops the runs of a batch that this process owns, and reports whether it does.
+func (b *Board) StopOwned(id, account string) bool {
 	b.lock()
 	held := b.held[id]
 	b.mutex.Unlock()
--- a/internal/batch/remove.go
+++ b/internal/batch/remove.go
@@ -27,12 +27,12 @@
 	defer b.mutex.Unlock()
 	var ids []string
 	for id, held := range b.held {
-		if now.Sub(held.accepted) > b.Keep && b.owners[id] == b.Process {
+		if now.Sub(held.accepted) > b.Retention && b.owners[id] == b.Process {
 			ids = append(ids, id)
 		}
 	}
 	for id, since := range b.stored {
-		if now.Sub(since) > b.Keep && b.owners[id] == "" && !b.open[id] && duty.Place(b.Process, b.Order(id)) == 0 {
+		if now.Sub(since) > b.Retention && b.owners[id] == "" && !b.open[id] && duty.Place(b.Process, b.Candidates(id)) == 0 {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/batch/run.go
+++ b/internal/batch/run.go
@@ -44,21 +44,21 @@
 	refused := refusal.Of(err)
 	switch {
 	case errors.Is(context.Cause(ctx), errSlow):
-		o.plan.Cut(job, 0, now)
+		o.plan.Interrupted(job, 0, now)
 		return endSlow
 	case ctx.Err() != nil:
-		o.plan.Cut(job, 0, now)
+		o.plan.Interrupted(job, 0, now)
 		return endStopped
 	case refused.Code == backend.CodeFailed && isVerdict(refused.Status):
 		o.plan.Failed(job, refused.Status == http.StatusUnprocessableEntity, now)
 		return endFailed
 	case refusal.IsNotRun(err), errors.Is(err, errUnfit):
 		forward.NoteFailure(ctx, o.roster, server, err)
-		o.plan.Cut(job, 0, now)
+		o.plan.Interrupted(job, 0, now)
 		return endRefused
 	default:
 		forward.NoteFailure(ctx, o.roster, server, err)
-		o.plan.Fault(job, now)
+		o.plan.Faulted(job, now)
 		return endFault
 	}
 }
@@ -76,17 +76,17 @@
 func (o *owner) stream(ctx context.Context, job Job, server *roster.Server) error {
 	ctx, cancel := context.WithTimeout(ctx, runTime)
 	defer cancel()
-	answer, err := server.Direct().Do(ctx, backend.Send{
+	answer, err := server.Direct().Do(ctx, backend.Request{
 		ID:        job.spec.GetId(),
 		Server:    server.Name(),
 		Host:      o.batch.GetHost(),
 		Method:    http.MethodPost,
 		Target:    job.spec.GetPath(),
-		Header:    o.wire.WriteItem(job.spec.GetHeaders()),
+		Header:    o.wire.EncodeItemHeader(job.spec.GetHeaders()),
 		Body:      job.spec.GetBody(),
 		Account:   o.batch.GetAccount(),
 		LastEvent: uint64(job.events),
-		Silence:   silence,
+		ReadTimeout:   silence,
 	})
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 	if answer.StatusCode != http.StatusOK {
 		return refusal.Unknown(answer.StatusCode, backend.CodeFailed, "%s answered %d", server.Name(), answer.StatusCode)
 	}
-	o.roster.Answered(server)
+	o.roster.RecordAnswer(server)
 	return o.take(job, server, answer)
 }
 
@@ -109,7 +109,7 @@
 		if errors.Is(err, io.EOF) {
 			if next == 0 {
 				// A whole text has at least one event.
-				return answer.Cut()
+				return answer.Interrupted()
 			}
 			return nil
 		}
@@ -122,7 +122,7 @@
 		}
 		now := clock.Now()
 		if last != 0 {
-			answer.Bound(stallTime(o.roster.Beat(server, now.Sub(last))))
+			answer.SetReadTimeout(stallTime(o.roster.RecordEvent(server, now.Sub(last))))
 		}
 		last = now
 		if !o.event(job, server, event) {
@@ -143,7 +143,7 @@
 }
 
 func (o *owner) event(job Job, server *roster.Server, event backend.Event) bool {
-	o.roster.Show(server, o.batch.GetModel(), event.Version)
+	o.roster.RecordVersion(server, o.batch.GetModel(), event.Version)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.plan.Event(job, event.Data, event.Version)
--- a/internal/batch/shown_test.go
+++ b/internal/batch/shown_test.go
@@ -55,7 +55,7 @@
 }
 
 func (l *lateStore) Commit(ctx context.Context, commit platform.Commit) (uint64, error) {
-	if !strings.HasPrefix(commit.Name(), prefixOut) || len(commit.Writes) == 0 {
+	if !strings.HasPrefix(commit.FirstKey(), prefixOut) || len(commit.Writes) == 0 {
 		return l.Store.Commit(ctx, commit)
 	}
 	l.mutex.Lock()
@@ -115,13 +115,13 @@
 // readAt reads as a gateway does: from itself, else from the owner, else from the
 // store. An owner that isn't among the others is silent.
 func readAt(ctx context.Context, p *process, others map[string]*process, after uint64) ([]*statepb.Outcome, error) {
-	page, isOwn, err := p.ReadOwn(ctx, "b1", "", after, 0)
-	if isOwn && !page.Unsure || err != nil {
+	page, isOwn, err := p.ReadOwned(ctx, "b1", "", after, 0)
+	if isOwn && !page.MayBeIncomplete || err != nil {
 		return page.Outcomes, err
 	}
 	if owner := others[p.Owner("b1")]; owner != nil && owner != p {
-		page, isOwn, err = owner.ReadOwn(ctx, "b1", "", after, 0)
-		if err == nil && isOwn && !page.Unsure {
+		page, isOwn, err = owner.ReadOwned(ctx, "b1", "", after, 0)
+		if err == nil && isOwn && !page.MayBeIncomplete {
 			return page.Outcomes, nil
 		}
 	}
@@ -154,16 +154,16 @@
 	t.Run("nothing is said of places that nobody could have read", func(t *testing.T) {
 		own.finish()
 		await(t, func() bool {
-			page, _, err := first.ReadOwn(t.Context(), "b1", "", 1, 0)
-			return err == nil && len(page.Outcomes) == 0 && !page.Unsure
+			page, _, err := first.ReadOwned(t.Context(), "b1", "", 1, 0)
+			return err == nil && len(page.Outcomes) == 0 && !page.MayBeIncomplete
 		})
 	})
 	t.Run("a lease that has lapsed says nothing", func(t *testing.T) {
 		first.lease.Store(0)
-		page, isOwn, err := first.ReadOwn(t.Context(), "b1", "", 1, 0)
+		page, isOwn, err := first.ReadOwned(t.Context(), "b1", "", 1, 0)
 		must.NoError(t, err)
 		must.True(t, isOwn)
-		must.True(t, page.Unsure)
+		must.True(t, page.MayBeIncomplete)
 	})
 }
 
@@ -182,12 +182,12 @@
 	owner.mutex.Unlock()
 	_, err := store.Commit(t.Context(), platform.Commit{Writes: []platform.Write{{Key: chunkKey("b1", 0), Data: encode(t, 0, outcome("i0"))}}})
 	must.NoError(t, err)
-	must.NoError(t, store.End(t.Context(), first.Lease()))
-	lease, err := store.Grant(t.Context(), time.Hour)
+	must.NoError(t, store.RevokeLease(t.Context(), first.Lease()))
+	lease, err := store.GrantLease(t.Context(), time.Hour)
 	must.NoError(t, err)
 	first.lease.Store(lease)
 	await(t, func() bool {
-		page, isOwn, err := first.ReadOwn(t.Context(), "b1", "", 0, 0)
+		page, isOwn, err := first.ReadOwned(t.Context(), "b1", "", 0, 0)
 		return err == nil && isOwn && len(page.Outcomes) == 1
 	})
 	t.Run("and goes on with what it has", func(t *testing.T) {
@@ -241,13 +241,13 @@
 	_, first, second := stopping(t)
 	read := make(chan Page, 1)
 	go func() {
-		page, _, _ := first.ReadOwn(context.Background(), "b1", "", 0, time.Minute)
+		page, _, _ := first.ReadOwned(context.Background(), "b1", "", 0, time.Minute)
 		read <- page
 	}()
 	first.Drain(t.Context())
 	select {
 	case page := <-read:
-		must.True(t, page.Unsure)
+		must.True(t, page.MayBeIncomplete)
 	case <-time.After(5 * time.Second):
 		t.Fatal("the reader still waits")
 	}
@@ -342,8 +342,8 @@
 // lapse ends the process's lease and gives it another one.
 func (p *process) lapse(t *testing.T, store *platformtest.Store) {
 	t.Helper()
-	must.NoError(t, store.End(t.Context(), p.lease.Swap(0)))
-	lease, err := store.Grant(t.Context(), time.Hour)
+	must.NoError(t, store.RevokeLease(t.Context(), p.lease.Swap(0)))
+	lease, err := store.GrantLease(t.Context(), time.Hour)
 	must.NoError(t, err)
 	p.lease.Store(lease)
 }
--- a/internal/bramleyhatch/coldusers.go
+++ b/internal/bramleyhatch/coldusers.go
@@ -22,16 +22,16 @@
 	now  func() clock.Boot
 
 	mutex  sync.Mutex
-	hosts  cold.Users
-	owners cold.Users
+	hosts  cold.Senders
+	owners cold.Senders
 	// owned are the batches that have an owner, and their owners.
 	owned map[string]string
 }
 
-var _ roster.Cold = &coldUsers{}
+var _ roster.ColdLimits = &coldUsers{}
 
 func newColdUsers(self string, view *table.View) *coldUsers {
-	return &coldUsers{view: view, now: clock.Now, hosts: cold.Users{Self: self}, owners: cold.Users{Self: self}, owned: map[string]string{}}
+	return &coldUsers{view: view, now: clock.Now, hosts: cold.Senders{Self: self}, owners: cold.Senders{Self: self}, owned: map[string]string{}}
 }
 
 // Share returns how many requests this gateway may send to a cold server.
@@ -41,7 +41,7 @@
 		return 0, true
 	}
 	rate, users := known.ColdRate, &c.hosts
-	if sender == roster.ByBatch {
+	if sender == roster.SenderBatch {
 		users = &c.owners
 	}
 	if callers, batches := known.Senders(); callers && batches {
@@ -49,11 +49,11 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return users.Share(server, rate, c.now()), false
+	return users.Quota(server, rate, c.now()), false
 }
 
-// Length returns how long a server of a pool is cold.
-func (c *coldUsers) Length(pool string) time.Duration {
+// Duration returns how long a server of a pool is cold.
+func (c *coldUsers) Duration(pool string) time.Duration {
 	known := c.pool(pool)
 	if known == nil {
 		return 0
@@ -78,7 +78,7 @@
 		if host, isHost := strings.CutPrefix(change.Key, gateway.PrefixHost); isHost {
 			c.takeHost(host, change.Deleted, now)
 		}
-		if id, owner, isOwner := batch.ReadOwner(change); isOwner {
+		if id, owner, isOwner := batch.ParseOwner(change); isOwner {
 			c.takeOwner(id, owner, now)
 		}
 	}
@@ -122,6 +122,6 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.now()
-	c.hosts.Heard(now)
-	c.owners.Heard(now)
+	c.hosts.MarkCurrent(now)
+	c.owners.MarkCurrent(now)
 }
--- a/internal/bramleyhatch/coldusers_test.go
+++ b/internal/bramleyhatch/coldusers_test.go
@@ -36,7 +36,7 @@
 	}
 	now.Index()
 	view := &table.View{}
-	view.Take(now)
+	view.Update(now)
 	return view
 }
 
@@ -56,22 +56,22 @@
 	}
 	t.Run("none just after a start", func(t *testing.T) {
 		users.heard()
-		must.Eq(t, 0, share("batches", roster.ByBatch))
+		must.Eq(t, 0, share("batches", roster.SenderBatch))
 	})
 	now = now.Add(time.Minute)
 	users.heard()
-	t.Run("batches are sent by owners", func(t *testing.T) { must.Eq(t, 6, share("batches", roster.ByBatch)) })
+	t.Run("batches are sent by owners", func(t *testing.T) { must.Eq(t, 6, share("batches", roster.SenderBatch)) })
 	t.Run("a rate for both is divided", func(t *testing.T) {
-		must.Eq(t, 3, share("both", roster.ByBatch))
-		must.Eq(t, 2, share("both", roster.ByCaller))
+		must.Eq(t, 3, share("both", roster.SenderBatch))
+		must.Eq(t, 2, share("both", roster.SenderCaller))
 	})
 	t.Run("a pool without a rate", func(t *testing.T) {
-		_, isUnbounded := users.Share("free", "s1", roster.ByCaller)
+		_, isUnbounded := users.Share("free", "s1", roster.SenderCaller)
 		must.True(t, isUnbounded)
 	})
 	t.Run("an owner of nothing counts for a while", func(t *testing.T) {
 		take(ownerChange(t, "b3", ""))
-		must.Eq(t, 6, share("batches", roster.ByBatch))
+		must.Eq(t, 6, share("batches", roster.SenderBatch))
 	})
-	t.Run("how long a server is cold", func(t *testing.T) { must.Eq(t, time.Second, users.Length("batches")) })
+	t.Run("how long a server is cold", func(t *testing.T) { must.Eq(t, time.Second, users.Duration("batches")) })
 }
--- a/internal/bramleyhatch/counting.go
+++ b/internal/bramleyhatch/counting.go
@@ -12,9 +12,9 @@
 
 // countServers orders how many servers the pools have until the term ends, where
 // the configuration leaves their number to the system.
-func (g *Gateway) countServers(ctx context.Context, term *duty.Term, duties *platform.Duties) error {
+func (g *Gateway) countServers(ctx context.Context, term *duty.Term, duties *platform.DutyClient) error {
 	settings := g.Settings.GetDuty()
-	demands := &gateway.Demands{Hosts: g.hosts, Own: g.peerServer}
+	demands := &gateway.DemandCollector{Hosts: g.hosts, Own: g.peerServer}
 	counter := &fleet.Counter{
 		Platform:  duties,
 		Pools:     func(ctx context.Context) []fleet.CountedPool { return g.countedPools(ctx, demands) },
@@ -31,7 +31,7 @@
 
 // countedPools returns the pools whose servers are ordered by number. Where there
 // are none, no other process is asked.
-func (g *Gateway) countedPools(ctx context.Context, demands *gateway.Demands) []fleet.CountedPool {
+func (g *Gateway) countedPools(ctx context.Context, demands *gateway.DemandCollector) []fleet.CountedPool {
 	now := g.view.Current()
 	if now == nil {
 		return nil
@@ -53,7 +53,7 @@
 		census, need := g.roster.Census(pool.Name), needs[pool.Name]
 		need.Slots = census.Slots
 		pools = append(pools, fleet.CountedPool{
-			Name: pool.Name, Least: pool.Scale.Least, Most: pool.Scale.Most, Boot: pool.Scale.Boot,
+			Name: pool.Name, Min: pool.Scale.Min, Max: pool.Scale.Max, StartupTime: pool.Scale.Boot,
 			Present: census.Present, Need: need,
 		})
 	}
--- a/internal/bramleyhatch/entry.go
+++ b/internal/bramleyhatch/entry.go
@@ -37,7 +37,7 @@
 		Members:     e.members,
 		Credentials: e.credentials(),
 		Decisions:   e.Decisions,
-		Silence:     e.Settings.GetCaller().GetSilence().AsDuration(),
+		ReadTimeout:     e.Settings.GetCaller().GetSilence().AsDuration(),
 	}
 	e.AddRoutes(e.healthRoutes()...)
 	if err := e.addOperators(); err != nil {
--- a/internal/bramleyhatch/entrycallers.go
+++ b/internal/bramleyhatch/entrycallers.go
@@ -12,21 +12,21 @@
 func (e *Entry) addCallers() {
 	e.pool.Metrics = e.Metrics
 	e.pool.Homes = &sidecar.FleetHomes{Members: e.members, Choose: claim.Home}
-	e.AddDuty("route", e.pool.Serve)
-	admission := &caller.Admission{Neighbours: e.members}
-	e.AddDuty("limit", admission.Run)
+	e.AddTask("route", e.pool.Serve)
+	admission := &caller.Admission{Peers: e.members}
+	e.AddTask("limit", admission.Run)
 	settings := e.Settings.GetCaller()
 	handler := &caller.Handler{
 		Grants:       e.view,
 		Runner:       e.pool,
 		Admission:    admission,
-		Isolated:     e.members.Isolated,
+		Isolated:     e.members.IsIsolated,
 		Decisions:    e.Decisions,
 		Metrics:      e.Metrics,
 		MaxBodyBytes: settings.GetMaxBodyBytes(),
 		Timeout:      settings.GetTimeout().AsDuration(),
 	}
-	handler.Open()
+	handler.RegisterMetrics()
 	e.AddRoutes(handler.Routes()...)
 	e.notFound = http.HandlerFunc(handler.NotFound)
 	e.notAllowed = http.HandlerFunc(handler.NotAllowed)
--- a/internal/bramleyhatch/entryduties.go
+++ b/internal/bramleyhatch/entryduties.go
@@ -28,7 +28,7 @@
 func (e *Entry) addLedger() {
 	settings := e.Settings.GetUsage()
 	e.ledger = &usage.Ledger{}
-	e.pool.Counted = e.ledger.Merge
+	e.pool.OnCounts = e.ledger.Merge
 	server := &usage.Server{Ledger: e.ledger}
 	e.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterUsageServer(registrar, server) })
 	pusher := &usage.Pusher{
@@ -38,12 +38,12 @@
 		Retain:    settings.GetRetain().AsDuration(),
 		Keep:      settings.GetKeep().AsDuration(),
 	}
-	e.AddDuty("usage", pusher.Run)
+	e.AddTask("usage", pusher.Run)
 }
 
 // addReporter adds the duty that closes and reports usage windows.
 func (e *Entry) addReporter() {
-	e.AddDuty("report", func(ctx context.Context) error {
+	e.AddTask("report", func(ctx context.Context) error {
 		if err := checkDuty(e.Settings.GetDuty()); err != nil {
 			return err
 		}
@@ -73,7 +73,7 @@
 		Keep:      settings.GetKeep().AsDuration(),
 		Interval:  duties.GetInterval().AsDuration(),
 		Lease:     duties.GetLease().AsDuration(),
-		Bound:     duties.GetOrder().AsDuration(),
+		ReportTimeout:     duties.GetOrder().AsDuration(),
 	}
 }
 
@@ -84,7 +84,7 @@
 		Run:      e.runZone,
 		Interval: e.Settings.GetDuty().GetInterval().AsDuration(),
 	}
-	e.AddDuty("order", group.Start)
+	e.AddTask("order", group.Start)
 }
 
 // zoneDuties returns the duties of all zones that the lists or a process name.
@@ -112,14 +112,14 @@
 		Process:   e.Process.Settings.GetName(),
 		Platform:  e.platform,
 		Members:   e.members,
-		Sidecars:  &fleet.Peers{Credentials: e.credentials()},
+		Sidecars:  &fleet.SidecarClient{Credentials: e.credentials()},
 		Decisions: e.Decisions,
 		Pools:     e.pools,
 		Scale: fleet.Scale{
 			Target: settings.GetTarget(),
-			Calm:   settings.GetCalm().AsDuration(),
+			ScaleDownDelay:   settings.GetCalm().AsDuration(),
 			Slack:  settings.GetSlack(),
-			Loss:   settings.GetLoss().AsDuration(),
+			ZoneLossTimeout:   settings.GetLoss().AsDuration(),
 		},
 		Interval:   settings.GetInterval().AsDuration(),
 		Lease:      settings.GetLease().AsDuration(),
@@ -136,9 +136,9 @@
 }
 
 // keeper returns this entry's part in a duty.
-func (e *Entry) keeper(name string) *duty.Keeper {
+func (e *Entry) keeper(name string) *duty.Elector {
 	settings := e.Settings.GetDuty()
-	return &duty.Keeper{
+	return &duty.Elector{
 		Store:     e.platform,
 		Name:      name,
 		Process:   e.Process.Settings.GetName(),
--- a/internal/bramleyhatch/entryoperators.go
+++ b/internal/bramleyhatch/entryoperators.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return err
 	}
-	e.members.OnFact(member.FactConfig, e.view.Take)
+	e.members.OnFact(member.FactConfig, e.view.Apply)
 	e.members.OnWithdrawal(func(withdrawal *peerpb.Withdrawal) { e.view.Withdraw(withdrawal.GetKey()) })
 	editor := &lists.Editor{Store: e.platform, Accepted: e.members.Offer, InForce: e.revision}
 	e.addWatchers(editor)
@@ -25,7 +25,7 @@
 		Store:   e.platform,
 		Members: e.members,
 		View:    e.view,
-		Peers:   &operator.Peers{Members: e.members, Credentials: e.credentials(), Own: func() string { return e.Addresses().Peer }},
+		Peers:   &operator.Peers{Members: e.members, Credentials: e.credentials(), OwnAddress: func() string { return e.Addresses().Peer }},
 		Tokens:  tokens,
 		Timeout: e.Settings.GetOperator().GetTimeout().AsDuration(),
 	}
@@ -41,11 +41,11 @@
 
 // addWatchers adds the duties between the store and the other processes.
 func (e *Entry) addWatchers(editor *lists.Editor) {
-	watches := func() bool { return e.members.InCharge("watch", watcherCount) }
+	watches := func() bool { return e.members.IsResponsible("watch", watcherCount) }
 	for _, prefix := range []string{member.FactConfig, member.FactFleet} {
 		watcher := &lists.Watcher{Store: e.platform, Prefix: prefix, Offer: e.members.Offer, InCharge: watches}
-		e.AddDuty("watch "+prefix, watcher.Run)
+		e.AddTask("watch "+prefix, watcher.Run)
 	}
-	settler := &lists.Settler{Members: e.members, Editor: editor, InCharge: watches}
-	e.AddDuty("settle", settler.Run)
+	settler := &lists.WithdrawalSyncer{Members: e.members, Editor: editor, InCharge: watches}
+	e.AddTask("settle", settler.Run)
 }
--- a/internal/bramleyhatch/entrytrainers.go
+++ b/internal/bramleyhatch/entrytrainers.go
@@ -51,24 +51,24 @@
 	replicas := &rollout.Replicas{}
 	t.peers = &rollout.Peers{Directory: e.members, Replicas: replicas, Credentials: e.credentials()}
 	t.service = &rollout.Service{
-		New:      t.newHolder,
+		NewHolder:      t.newHolder,
 		Replicas: replicas,
 		Locate:   t.locate,
 		Process:  e.Process.Settings.GetName(),
 		Weights:  t.coordinators,
-		Wanted:   t.wanted,
+		IsListed:   t.wanted,
 	}
 	handler := &trainer.Handler{
 		Grants:       e.view,
-		Steps:        &rollout.Client{Locate: t.locate, Peers: t.peers, Patience: trainerPatience},
+		Steps:        &rollout.Client{Locate: t.locate, Peers: t.peers, HolderTimeout: trainerPatience},
 		MaxBodyBytes: e.Settings.GetCaller().GetMaxBodyBytes(),
-		Poll:         e.Settings.GetTrainer().GetPoll().AsDuration(),
+		MaxPullWait:         e.Settings.GetTrainer().GetPoll().AsDuration(),
 	}
 	e.AddRoutes(handler.Routes()...)
 	e.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterStepServer(registrar, t.service) })
-	e.AddDuty("step", t.service.Run)
+	e.AddTask("step", t.service.Run)
 	group := &duty.Group{Names: t.names, Run: t.run, Interval: e.Settings.GetDuty().GetInterval().AsDuration()}
-	e.AddDuty("trainer", func(ctx context.Context) error {
+	e.AddTask("trainer", func(ctx context.Context) error {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		defer context.AfterFunc(t.draining, cancel)()
@@ -83,13 +83,13 @@
 	holder := rollout.NewHolder(name, t.entry.platform)
 	holder.Process = t.entry.Process.Settings.GetName()
 	holder.Runner = t.entry.pool
-	holder.Keeping = t.peers
+	holder.Replicator = t.peers
 	holder.Decisions = t.entry.Decisions
-	holder.Attempts = int(settings.GetAttempts())
+	holder.MaxAttempts = int(settings.GetAttempts())
 	holder.Capacity = t.capacity
 	holder.Timeout = settings.GetTimeout().AsDuration()
-	holder.Batch = settings.GetBatch().AsDuration()
-	holder.Poll = settings.GetPoll().AsDuration()
+	holder.WriteInterval = settings.GetBatch().AsDuration()
+	holder.MaxPullWait = settings.GetPoll().AsDuration()
 	holder.Metrics = t.metrics
 	if settings.GetScorer() != "" {
 		holder.Scorer = rollout.NewHTTPScorer(settings.GetScorer())
--- a/internal/bramleyhatch/gateway.go
+++ b/internal/bramleyhatch/gateway.go
@@ -99,7 +99,7 @@
 	g.hosts = &gateway.Hosts{Name: g.Process.Settings.GetName()}
 	direct := &detour.Direct{Address: settings.GetAddress()}
 	g.caller = &detour.Caller{Direct: direct, Peers: g.hosts, Metrics: g.Metrics}
-	g.store = &platform.Store{Caller: g.caller, Timeout: settings.GetTimeout().AsDuration()}
+	g.store = &platform.Store{Transport: g.caller, Timeout: settings.GetTimeout().AsDuration()}
 	g.session = g.addSession(g.store, gateway.PrefixHost, settings.GetLease().AsDuration())
 }
 
@@ -112,8 +112,8 @@
 		Region: g.Process.Settings.GetRegion(),
 		Wire:   platform.Wire{},
 		Idle:   idleConnection,
-		Cold:   g.cold,
-		Back:   g.Settings.GetDirectory().GetBack().AsDuration(),
+		ColdLimits:   g.cold,
+		ReregisterTimeout:   g.Settings.GetDirectory().GetBack().AsDuration(),
 	}
 	g.forwarder = &forward.Forwarder{Roster: g.roster}
 }
@@ -130,17 +130,17 @@
 		Routes:  gateway.Routes(g.view),
 		Metrics: g.Metrics,
 		Lease:   g.session.Lease,
-		Order:   g.hosts.Order,
-		Leaves:  g.hosts.IsLeaving,
+		Candidates:   g.hosts.Candidates,
+		IsLeaving:  g.hosts.IsLeaving,
 		Peers:   &gateway.Peers{Hosts: g.hosts},
 		Keeper: &gateway.Keepers{
-			Hosts: g.hosts, Zone: g.Process.Settings.GetZone(), Apart: settings.GetZones() > 0, Losses: int(settings.GetLosses()), Retired: g.retirements.has,
+			Hosts: g.hosts, Zone: g.Process.Settings.GetZone(), PreferOtherZones: settings.GetZones() > 0, Losses: int(settings.GetLosses()), Retired: g.retirements.has,
 		},
-		Keep:       settings.GetKeep().AsDuration(),
-		Group:      settings.GetGroup().AsDuration(),
+		Retention:       settings.GetKeep().AsDuration(),
+		GroupDelay:      settings.GetGroup().AsDuration(),
 		ValueBytes: int(g.Settings.GetStore().GetValueBytes()),
 	}
-	g.AddDuty("batches", g.board.Run)
+	g.AddTask("batches", g.board.Run)
 	g.peerServer = &gateway.Server{
 		Board: g.board, Direct: g.caller.Direct, Roster: g.roster, Incarnation: g.Incarnation, Mirrors: map[string]*mirror.Mirror{},
 	}
@@ -150,24 +150,24 @@
 // addMirrors adds the copies of what the store holds.
 func (g *Gateway) addMirrors() {
 	wait := g.Settings.GetStore().GetWatch().AsDuration()
-	operator := &mirror.Mirror{Store: g.store, Prefix: platform.PrefixOperator, Wait: wait, Take: g.takeOperator}
+	operator := &mirror.Mirror{Store: g.store, Prefix: platform.PrefixOperator, Wait: wait, OnChanges: g.takeOperator}
 	servers := &mirror.Mirror{
-		Store: g.store, Prefix: platform.PrefixServer, Wait: wait, Take: g.takeServers, Pause: registrationPause,
-		Listed: g.roster.Listed, Lost: g.roster.Lost, Regained: g.roster.Regained,
+		Store: g.store, Prefix: platform.PrefixServer, Wait: wait, OnChanges: g.takeServers, Pause: registrationPause,
+		OnListed: g.roster.MarkListed, OnLost: g.roster.RecordStoreLost, OnRegained: g.roster.RecordStoreRegained,
 	}
-	live := &mirror.Mirror{Store: g.store, Prefix: batch.Prefix, Wait: wait, Take: g.takeLive, Pause: livePause, Heard: g.cold.heard}
+	live := &mirror.Mirror{Store: g.store, Prefix: batch.Prefix, Wait: wait, OnChanges: g.takeLive, Pause: livePause, OnUpToDate: g.cold.heard}
 	for name, one := range map[string]*mirror.Mirror{"operator": operator, "servers": servers, "live": live} {
 		one.Follow, one.IsWatcher = g.hosts.Follow, g.hosts.IsWatcher
 		g.peerServer.Mirrors[one.Prefix] = one
-		g.AddDuty(name, one.Run)
+		g.AddTask(name, one.Run)
 	}
 }
 
 // takeLive takes changes of what gateways tell each other through the store.
 func (g *Gateway) takeLive(changes []store.Value) {
-	g.hosts.Take(changes)
+	g.hosts.ApplyChanges(changes)
 	g.holder.take(changes)
-	g.board.Take(changes)
+	g.board.ApplyChanges(changes)
 	g.cold.take(changes)
 	takeSteps(&g.steps, changes)
 }
@@ -210,7 +210,7 @@
 				klog.ErrorS(err, "weight: a named version can't be read", "revision", change.Revision)
 				continue
 			}
-			if g.steps.Name(model, version) {
+			if g.steps.RecordVersion(model, version) {
 				klog.InfoS("weight: named", "model", model, "version", version)
 			}
 			continue
@@ -223,7 +223,7 @@
 			klog.ErrorS(err, "table: a version can't be read, the one in force stays", "revision", change.Revision)
 			continue
 		}
-		g.view.Take(next)
+		g.view.Update(next)
 	}
 }
 
@@ -256,13 +256,13 @@
 func (g *Gateway) addCallers() {
 	handler := &gateway.Handler{
 		Wire:      platform.Wire{},
-		Formats:   gateway.Formats{ReadBatch: platform.ReadBatch, WriteOutcomes: platform.WriteOutcomes},
+		Formats:   gateway.Formats{ReadBatch: platform.ReadBatch, WriteOutcomes: platform.EncodeOutcomes},
 		View:      g.view,
 		Forwarder: g.forwarder,
 		Board:     g.board,
 		Hosts:     g.hosts,
-		Unknown:   g.Settings.GetFront().GetUnknown().AsDuration(),
-		Count:     g.count,
+		NoConfigRetry:   g.Settings.GetFront().GetUnknown().AsDuration(),
+		CountStart:     g.count,
 		Metrics:   g.Metrics,
 	}
 	g.notFound = g.closing(handler)
@@ -334,7 +334,7 @@
 
 func (g *Gateway) addListener(name, address string, routes ...rest.Route) {
 	server := &listen.HTTP{Address: address, Routes: routes}
-	g.AddDuty(name, func(ctx context.Context) error { return server.Run(ctx, time.Second) })
+	g.AddTask(name, func(ctx context.Context) error { return server.Run(ctx, time.Second) })
 }
 
 func (g *Gateway) answerReady(w http.ResponseWriter, _ *http.Request) {
--- a/internal/bramleyhatch/gatewayduties.go
+++ b/internal/bramleyhatch/gatewayduties.go
@@ -32,7 +32,7 @@
 // holderStore is what the holder of the duty speaks to.
 type holderStore struct {
 	*platform.Store
-	*platform.Duties
+	*platform.DutyClient
 }
 
 // addDuty adds the duty that one gateway has at a time, and the counters for it.
@@ -54,24 +54,24 @@
 		Retain:    g.Settings.GetUsage().GetRetain().AsDuration(),
 		Keep:      g.Settings.GetUsage().GetKeep().AsDuration(),
 	}
-	g.AddDuty("usage", pusher.Run)
-	keeper := &duty.Keeper{
+	g.AddTask("usage", pusher.Run)
+	keeper := &duty.Elector{
 		Store:   g.store,
 		Name:    dutyName,
 		Process: g.Process.Settings.GetName(),
 		Address: g.Process.Settings.GetPeer(),
 		Prefix:  holderPrefix,
-		Free:    g.holder.free,
-		Left: func() duty.Left {
+		IsFree:    g.holder.free,
+		PriorClaim: func() duty.PriorClaim {
 			return g.holder.leftBy(g.Process.Settings.GetName(), g.Process.Settings.GetPeer())
 		},
-		Look:      dutyLook,
+		PollInterval:      dutyLook,
 		Lease:     settings.GetLease().AsDuration(),
 		Margin:    settings.GetMargin().AsDuration(),
-		Rank:      func() int { return duty.Place(g.Process.Settings.GetName(), g.hosts.Order(dutyName)) },
+		Rank:      func() int { return duty.Place(g.Process.Settings.GetName(), g.hosts.Candidates(dutyName)) },
 		Decisions: g.Decisions,
 	}
-	g.AddDuty("control", func(ctx context.Context) error { return keeper.Run(ctx, g.hold) })
+	g.AddTask("control", func(ctx context.Context) error { return keeper.Run(ctx, g.hold) })
 }
 
 // count counts a request that a backend server has begun.
@@ -109,17 +109,17 @@
 }
 
 // newDuties returns the way to what only the holder of the duty may tell the platform.
-func (g *Gateway) newDuties() *platform.Duties {
-	return &platform.Duties{
+func (g *Gateway) newDuties() *platform.DutyClient {
+	return &platform.DutyClient{
 		Address: g.Settings.GetStore().GetOrders(),
 		Holder:  g.Process.Settings.GetName(),
 		Timeout: g.Settings.GetDuty().GetOrder().AsDuration(),
 	}
 }
 
-func (g *Gateway) newReporter(way *platform.Duties) *usage.Reporter {
+func (g *Gateway) newReporter(way *platform.DutyClient) *usage.Reporter {
 	reporter := g.Process.newReporter(g.Settings.GetUsage(), g.Settings.GetDuty())
-	reporter.Platform = holderStore{Store: g.store, Duties: way}
+	reporter.Platform = holderStore{Store: g.store, DutyClient: way}
 	reporter.Collector = &usage.Collector{Directory: g.hosts, Peers: &usage.GRPCPeers{}}
 	reporter.Offer = func(*peerpb.Fact) bool { return true }
 	reporter.Fenced = g.Settings.GetDuty().GetFenced()
@@ -127,9 +127,9 @@
 	return reporter
 }
 
-func (g *Gateway) newSteering() *weight.Steering {
-	return &weight.Steering{
-		Samplers:  &platform.Samplers{Holder: g.Process.Settings.GetName(), Timeout: g.Settings.GetStore().GetTimeout().AsDuration(), Idle: idleConnection},
+func (g *Gateway) newSteering() *weight.PoolCoordinator {
+	return &weight.PoolCoordinator{
+		Samplers:  &platform.SamplerClient{Holder: g.Process.Settings.GetName(), Timeout: g.Settings.GetStore().GetTimeout().AsDuration(), IdleTimeout: idleConnection},
 		Pools:     g.samplerPools,
 		Loaded:    g.loaded,
 		Decisions: g.Decisions,
@@ -140,7 +140,7 @@
 // loaded notes that a sampler has a version.
 func (g *Gateway) loaded(sampler, model string, version uint64) {
 	if server := g.roster.Find(sampler); server != nil {
-		g.roster.Show(server, model, version)
+		g.roster.RecordVersion(server, model, version)
 	}
 }
 
@@ -171,12 +171,12 @@
 func (g *Gateway) samplerPool(now *table.Table, pool *table.Pool) weight.Pool {
 	next := weight.Pool{Name: pool.Name, Targets: map[string]weight.Target{}}
 	for _, model := range pool.Models {
-		next.Work = append(next.Work, g.steps.Work(model))
+		next.Demand = append(next.Demand, g.steps.Demand(model))
 	}
-	next.Whole = asksWhole(now, pool.Name)
-	for _, entry := range g.roster.Seats(pool.Name) {
-		next.Seats = append(next.Seats, weight.Seat{ID: entry.ID, Zone: entry.Zone, Born: entry.Born, Slots: entry.Slots, Versions: entry.Versions})
-		next.Targets[entry.ID] = weight.Target{ID: entry.ID, Address: entry.Address, Born: entry.Born}
+	next.DrainFirst = asksWhole(now, pool.Name)
+	for _, entry := range g.roster.EntriesWithVersions(pool.Name) {
+		next.Samplers = append(next.Samplers, weight.SamplerState{ID: entry.ID, Zone: entry.Zone, StartedAtMillis: entry.StartedAtMillis, Slots: entry.Slots, Versions: entry.Versions})
+		next.Targets[entry.ID] = weight.Target{ID: entry.ID, Address: entry.Address, StartedAtMillis: entry.StartedAtMillis}
 	}
 	return next
 }
--- a/internal/bramleyhatch/health.go
+++ b/internal/bramleyhatch/health.go
@@ -43,7 +43,7 @@
 		return "no configuration yet"
 	case e.members.Replaced():
 		return "a later process has this process's name"
-	case e.members.Isolated(now):
+	case e.members.IsIsolated(now):
 		return "isolated: neither the store nor most processes of the region answer"
 	default:
 		return ""
--- a/internal/bramleyhatch/holder.go
+++ b/internal/bramleyhatch/holder.go
@@ -64,11 +64,11 @@
 
 // leftBy returns what a process of this name and address holds. A host that has
 // taken another one's name has an address of its own, and the other one may live.
-func (h *holder) leftBy(process, address string) duty.Left {
+func (h *holder) leftBy(process, address string) duty.PriorClaim {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.last == nil || h.last.GetProcess() != process || h.last.GetAddress() != address {
-		return duty.Left{}
+		return duty.PriorClaim{}
 	}
-	return duty.Left{Revision: h.revision, Fence: h.last.GetFence()}
+	return duty.PriorClaim{Revision: h.revision, Fence: h.last.GetFence()}
 }
--- a/internal/bramleyhatch/identity.go
+++ b/internal/bramleyhatch/identity.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		return err
 	}
-	callerTLS, err := secure.ForCallers(p.Secure)
+	callerTLS, err := secure.CallerTLSConfig(p.Secure)
 	if err != nil {
 		return err
 	}
--- a/internal/bramleyhatch/keeper.go
+++ b/internal/bramleyhatch/keeper.go
@@ -28,10 +28,10 @@
 		return err
 	}
 	k.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterKeeperServer(registrar, server) })
-	k.AddDuty("texts", server.Run)
+	k.AddTask("texts", server.Run)
 	settings := k.Settings.GetStore()
 	store := &platform.Store{
-		Caller:  &detour.Caller{Direct: &detour.Direct{Address: settings.GetAddress()}},
+		Transport:  &detour.Caller{Direct: &detour.Direct{Address: settings.GetAddress()}},
 		Timeout: settings.GetTimeout().AsDuration(),
 	}
 	session := k.addSession(store, gateway.PrefixKeeper, settings.GetLease().AsDuration())
--- a/internal/bramleyhatch/members.go
+++ b/internal/bramleyhatch/members.go
@@ -29,26 +29,26 @@
 		Kind:        backend.GetKind(),
 	}.Build()
 	p.members = member.NewMembers(self)
-	p.members.Isolation = settings.GetIsolated().AsDuration()
-	client.Heard = func() { p.members.StoreHeard(time.Now()) }
+	p.members.IsolationTimeout = settings.GetIsolated().AsDuration()
+	client.OnResponse = func() { p.members.RecordStoreAnswer(time.Now()) }
 	exchanger := &member.Exchanger{
 		Members:     p.members,
 		Credentials: p.credentials(),
 		Seeds:       settings.GetSeeds(),
 		Interval:    settings.GetInterval().AsDuration(),
-		Suspect:     settings.GetSuspect().AsDuration(),
+		SuspectTimeout:     settings.GetSuspect().AsDuration(),
 		Hosts:       client.Hosts,
 		Decisions:   p.Decisions,
 	}
 	p.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterMemberServer(registrar, exchanger) })
-	p.AddDuty("member", func(ctx context.Context) error {
+	p.AddTask("member", func(ctx context.Context) error {
 		p.members.SetAddress(p.advertised())
 		return exchanger.Run(ctx)
 	})
 	p.AddDrain(func(ctx context.Context) { p.announce(ctx, settings.GetAnnounce().AsDuration()) })
 	if role == peerpb.Role_ROLE_SIDECAR {
-		settler := &lists.Settler{Members: p.members}
-		p.AddDuty("settle", settler.Run)
+		settler := &lists.WithdrawalSyncer{Members: p.members}
+		p.AddTask("settle", settler.Run)
 	}
 	p.addMemberMetrics()
 }
@@ -80,7 +80,7 @@
 }
 
 func (p *Process) isolated() float64 {
-	if p.members.Isolated(time.Now()) {
+	if p.members.IsIsolated(time.Now()) {
 		return 1
 	}
 	return 0
--- a/internal/bramleyhatch/process.go
+++ b/internal/bramleyhatch/process.go
@@ -26,9 +26,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/secure"
 )
 
-// Duty is one thing that a process does until its context ends.
+// Task is one thing that a process does until its context ends.
 // Each runs in a goroutine of its own.
-type Duty struct {
+type Task struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
@@ -47,7 +47,7 @@
 
 	routes   []rest.Route
 	services []func(grpc.ServiceRegistrar)
-	duties   []Duty
+	duties   []Task
 	drains   []func(ctx context.Context)
 
 	// notFound and notAllowed answer paths and methods without a route.
@@ -91,9 +91,9 @@
 	p.drains = append(p.drains, drain)
 }
 
-// AddDuty adds a goroutine of the process.
-func (p *Process) AddDuty(name string, run func(ctx context.Context) error) {
-	p.duties = append(p.duties, Duty{Name: name, Run: run})
+// AddTask adds a goroutine of the process.
+func (p *Process) AddTask(name string, run func(ctx context.Context) error) {
+	p.duties = append(p.duties, Task{Name: name, Run: run})
 }
 
 // AddRoutes adds HTTP routes.
@@ -139,7 +139,7 @@
 	return first
 }
 
-func runDuty(ctx context.Context, duty Duty) error {
+func runDuty(ctx context.Context, duty Task) error {
 	err := duty.Run(ctx)
 	if err == nil || errors.Is(err, context.Canceled) {
 		return nil
--- a/internal/bramleyhatch/process_test.go
+++ b/internal/bramleyhatch/process_test.go
@@ -42,19 +42,19 @@
 		process, broken := newTestProcess(), errors.New("broken")
 		drained := false
 		process.AddDrain(func(context.Context) { drained = true })
-		process.AddDuty("bad", func(context.Context) error { return broken })
-		process.AddDuty("good", func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() })
+		process.AddTask("bad", func(context.Context) error { return broken })
+		process.AddTask("good", func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() })
 		must.ErrorIs(t, mustEndWithin(t, process, 5*time.Second), broken)
 		must.True(t, drained)
 	})
 	t.Run("an address is taken", func(t *testing.T) {
-		process, address := newTestProcess(), listentest.Free(t)
+		process, address := newTestProcess(), listentest.FreeAddress(t)
 		for _, name := range []string{"first", "second"} {
-			process.AddDuty(name, func(ctx context.Context) error {
+			process.AddTask(name, func(ctx context.Context) error {
 				return (&listen.HTTP{Address: address}).Run(ctx, time.Second)
 			})
 		}
-		var fault *listen.AddressError
+		var fault *listen.Error
 		must.True(t, errors.As(mustEndWithin(t, process, 5*time.Second), &fault))
 		must.Eq(t, address, fault.Address)
 	})
@@ -63,7 +63,7 @@
 // A process whose duties have nothing left to do serves on until it is stopped.
 func TestDoneDutiesLeaveProcess(t *testing.T) {
 	process := newTestProcess()
-	process.AddDuty("short", func(context.Context) error { return nil })
+	process.AddTask("short", func(context.Context) error { return nil })
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	must.NoError(t, process.run(ctx, nil))
--- a/internal/bramleyhatch/retirement.go
+++ b/internal/bramleyhatch/retirement.go
@@ -81,7 +81,7 @@
 			if !term.Valid(time.Now()) {
 				return nil
 			}
-			commit, err := platform.WriteRetired(host)
+			commit, err := platform.RetiredCommit(host)
 			if err != nil {
 				return err
 			}
--- a/internal/bramleyhatch/session.go
+++ b/internal/bramleyhatch/session.go
@@ -18,7 +18,7 @@
 	session := &gateway.Session{
 		Store:  store,
 		Prefix: prefix,
-		Length: length,
+		LeaseLength: length,
 		Host: statepb.Host_builder{
 			Name:        p.Settings.GetName(),
 			Zone:        p.Settings.GetZone(),
@@ -28,7 +28,7 @@
 			Cores:       p.Settings.GetShare() * p.Settings.GetCores(),
 		}.Build(),
 	}
-	p.AddDuty("session", session.Run)
+	p.AddTask("session", session.Run)
 	return session
 }
 
--- a/internal/bramleyhatch/sidecarbackend.go
+++ b/internal/bramleyhatch/sidecarbackend.go
@@ -26,22 +26,22 @@
 	server := &entry.Server{
 		Claims:    s.newClaims(),
 		Counter:   s.counter,
-		Draining:  s.setDraining,
+		OnDraining:  s.setDraining,
 		Name:      settings.GetServer(),
 		Pool:      settings.GetPool(),
 		Backend:   s.newBackend(),
 		Decisions: s.Decisions,
 		Metrics:   s.Metrics,
 		Loads:     s.members,
-		Slots:     int(settings.GetSlots()),
-		Queue:     int(settings.GetQueue()),
-		Remember:  settings.GetRemember().AsDuration(),
-		Beat:      settings.GetBeat().AsDuration(),
+		MaxRunning:     int(settings.GetSlots()),
+		MaxQueued:     int(settings.GetQueue()),
+		Retention:  settings.GetRemember().AsDuration(),
+		HeartbeatInterval:      settings.GetBeat().AsDuration(),
 	}
 	server.Open()
 	s.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterSidecarServer(registrar, server) })
-	s.AddDuty("backend", server.Maintain)
-	s.AddDuty("claim", server.Claims.Learn)
+	s.AddTask("backend", server.Maintain)
+	s.AddTask("claim", server.Claims.Restore)
 	s.AddDrain(server.Drain)
 }
 
@@ -51,14 +51,14 @@
 	address, name, silence := settings.GetAddress(), settings.GetServer(), settings.GetSilence().AsDuration()
 	if settings.GetKind() == kindEngine {
 		engine := &backend.Engine{Decisions: s.Decisions}
-		engine.Address, engine.Name, engine.Silence = address, name, silence
-		s.AddDuty("engine", engine.Watch)
+		engine.Address, engine.Name, engine.ReadTimeout = address, name, silence
+		s.AddTask("engine", engine.Watch)
 		return engine
 	}
 	known := &keys{}
 	s.members.OnFact(member.FactConfig, known.take)
 	plain := &backend.Plain{Keys: known}
-	plain.Address, plain.Name, plain.Silence = address, name, silence
+	plain.Address, plain.Name, plain.ReadTimeout = address, name, silence
 	return plain
 }
 
@@ -79,7 +79,7 @@
 		Pool:     settings.GetPool(),
 		Members:  &membership{Members: s.members},
 		Peers:    &entry.Sidecars{Members: s.members, Credentials: s.credentials()},
-		Remember: settings.GetRemember().AsDuration(),
+		Retention: settings.GetRemember().AsDuration(),
 		Started:  time.Now(),
 		RunAlone: settings.GetAlone() == aloneRun,
 	}
@@ -106,8 +106,8 @@
 	return fleet
 }
 
-// Others returns the number of other known sidecars of a pool.
-func (m *membership) Others(pool string) int {
+// CountOthers returns the number of other known sidecars of a pool.
+func (m *membership) CountOthers(pool string) int {
 	others := 0
 	for _, process := range m.Processes(peerpb.Role_ROLE_SIDECAR) {
 		if process.GetPool() == pool && process.GetName() != m.Self().GetName() {
--- a/internal/bramleyhatch/sidecarusage.go
+++ b/internal/bramleyhatch/sidecarusage.go
@@ -25,5 +25,5 @@
 		Retain:    settings.GetRetain().AsDuration(),
 		Keep:      settings.GetKeep().AsDuration(),
 	}
-	s.AddDuty("usage", pusher.Run)
+	s.AddTask("usage", pusher.Run)
 }
--- a/internal/caller/admission.go
+++ b/internal/caller/admission.go
@@ -16,19 +16,19 @@
 // tellInterval is the time between two tellings of demands.
 const tellInterval = 500 * time.Millisecond
 
-// Neighbours are the other entries, to which demands are told.
-type Neighbours interface {
+// Peers are the other entries, to which demands are told.
+type Peers interface {
 	Demands(now time.Time) []*peerpb.Demand
 	OfferDemands(demands []*peerpb.Demand, now time.Time)
 	Processes(role peerpb.Role) []*peerpb.Process
 	Self() *peerpb.Process
 }
 
-var _ Neighbours = &member.Members{}
+var _ Peers = &member.Members{}
 
 // Admission keeps the limits of plans. Exported fields are set before Run.
 type Admission struct {
-	Neighbours Neighbours
+	Peers Peers
 
 	mutex   sync.Mutex
 	limiter limit.Limiter
@@ -43,7 +43,7 @@
 	verdict := a.limiter.Admit(account, limits, tokens, time.Now())
 	if verdict.Limit != "" {
 		code := "limit_" + verdict.Limit
-		return nil, refusal.NotRun(http.StatusTooManyRequests, code, "the plan's limit on %s is used up", verdict.Limit).After(verdict.Wait)
+		return nil, refusal.NotRun(http.StatusTooManyRequests, code, "the plan's limit on %s is used up", verdict.Limit).WithRetryAfter(verdict.Wait)
 	}
 	return func(used int64) { a.finish(account, limits, tokens, used) }, nil
 }
@@ -63,15 +63,15 @@
 }
 
 func (a *Admission) exchange(now time.Time) {
-	entries := len(a.Neighbours.Processes(peerpb.Role_ROLE_ENTRY))
-	heard := a.Neighbours.Demands(now)
+	entries := len(a.Peers.Processes(peerpb.Role_ROLE_ENTRY))
+	heard := a.Peers.Demands(now)
 	a.mutex.Lock()
-	a.limiter.Self = a.Neighbours.Self().GetName()
+	a.limiter.Self = a.Peers.Self().GetName()
 	a.limiter.Entries = entries
-	a.limiter.Learn(heard, now)
+	a.limiter.Receive(heard, now)
 	told := a.limiter.Demands(now)
 	a.mutex.Unlock()
-	a.Neighbours.OfferDemands(told, now)
+	a.Peers.OfferDemands(told, now)
 }
 
 func (a *Admission) finish(account string, limits limit.Limits, tokens, used int64) {
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -120,7 +120,7 @@
 func (c *call) mayRun(tokens int64) (done func(used int64), err error) {
 	if c.handler.Isolated != nil && c.handler.Isolated(time.Now()) {
 		return nil, refusal.NotRun(http.StatusServiceUnavailable, "isolated",
-			"this entry hears neither the store nor most of its peers").After(isolatedRetry)
+			"this entry hears neither the store nor most of its peers").WithRetryAfter(isolatedRetry)
 	}
 	if c.handler.Admission == nil {
 		return func(int64) {}, nil
@@ -170,8 +170,8 @@
 func withRetry(refused *refusal.Error) *refusal.Error {
 	switch refused.Status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if refused.Retry <= 0 {
-			refused.Retry = defaultRetry
+		if refused.RetryAfter <= 0 {
+			refused.RetryAfter = defaultRetry
 		}
 	}
 	return refused
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -59,8 +59,8 @@
 	metrics *metrics
 }
 
-// Open registers the metrics. It is called once, before the first request.
-func (h *Handler) Open() {
+// RegisterMetrics registers the metrics. It is called once, before the first request.
+func (h *Handler) RegisterMetrics() {
 	h.metrics = newMetrics(h.Metrics)
 }
 
--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -83,7 +83,7 @@
 	t.Helper()
 	value, err := proto.Marshal(config)
 	must.NoError(t, err)
-	s.view.Take(peerpb.Fact_builder{Name: "config", Revision: revision, Value: value}.Build())
+	s.view.Apply(peerpb.Fact_builder{Name: "config", Revision: revision, Value: value}.Build())
 }
 
 func serve(t *testing.T, play func(context.Context, *peerpb.RunRequest, sidecar.Sink) (*peerpb.End, error)) *served {
@@ -93,14 +93,14 @@
 	handler := &caller.Handler{
 		Grants:       s.view,
 		Runner:       s.runner,
-		Admission:    &caller.Admission{Neighbours: member.NewMembers(&peerpb.Process{})},
+		Admission:    &caller.Admission{Peers: member.NewMembers(&peerpb.Process{})},
 		Isolated:     func(time.Time) bool { return s.isolated.Load() },
 		Decisions:    &decision.Log{},
 		Metrics:      prometheus.NewRegistry(),
 		MaxBodyBytes: 4096,
 		Timeout:      10 * time.Second,
 	}
-	handler.Open()
+	handler.RegisterMetrics()
 	listening := make(chan string, 1)
 	server := &listen.HTTP{
 		Address:    "127.0.0.1:0",
--- a/internal/claim/claim_property_test.go
+++ b/internal/claim/claim_property_test.go
@@ -141,7 +141,7 @@
 		return false
 	}
 	for key, record := range partner.journal.All(w.now) {
-		_, _, _ = node.journal.Hold(key, record, w.now)
+		_, _, _ = node.journal.Add(key, record, w.now)
 	}
 	return true
 }
@@ -193,7 +193,7 @@
 }
 
 func newNode(now time.Time, isFirst bool) *node {
-	return &node{journal: &claim.Journal{Keep: claim.Window(remember)}, started: now, isFirst: isFirst}
+	return &node{journal: &claim.Journal{Retention: claim.Window(remember)}, started: now, isFirst: isFirst}
 }
 
 func (n *node) isFirm(now time.Time) bool {
@@ -202,7 +202,7 @@
 
 // isReady reports whether the sidecar runs claims.
 func (n *node) isReady(now time.Time) bool {
-	return !n.isDown && (n.isFirst || now.Sub(n.started) > claim.Slack)
+	return !n.isDown && (n.isFirst || now.Sub(n.started) > claim.MaxFleetLag)
 }
 
 // attempt is one send of the request to the home that an entry sees.
@@ -221,7 +221,7 @@
 	if home == "" || home != claim.Home(w.claim, a.fleet) || !w.nodes[home].isReady(w.now) {
 		return a
 	}
-	if _, isNew, _ := w.nodes[home].journal.Hold(w.claim, claim.NewRecord(a.id, home, ""), w.now); isNew {
+	if _, isNew, _ := w.nodes[home].journal.Add(w.claim, claim.NewRecord(a.id, home, ""), w.now); isNew {
 		a.home = home
 	}
 	return a
@@ -232,7 +232,7 @@
 		return
 	}
 	switch claim.NewPlan(a.claim, a.fleet, a.now, remember).Check(a.ask) {
-	case claim.Pass, claim.Alone:
+	case claim.Pass, claim.NoOtherServer:
 		a.runs++
 	default:
 	}
@@ -241,18 +241,18 @@
 func (a *attempt) ask(server string) claim.Answer {
 	node := a.nodes[server]
 	if node.isDown || a.fleet.GetEpoch() < a.view("witness's view").GetEpoch() && server != a.home {
-		return claim.Silent
+		return claim.NoAnswer
 	}
 	if server != a.home {
-		if _, isNew, _ := node.journal.Hold(a.claim, claim.NewRecord(a.id, a.home, ""), a.now); !isNew {
-			return claim.KnownThere
+		if _, isNew, _ := node.journal.Add(a.claim, claim.NewRecord(a.id, a.home, ""), a.now); !isNew {
+			return claim.AlreadyKnown
 		}
 		if rapid.IntRange(0, 9).Draw(a.T, "lost reply") == 0 {
-			return claim.Silent
+			return claim.NoAnswer
 		}
 	}
 	if !node.isFirm(a.now) {
-		return claim.KeptUnsure
+		return claim.KeptAfterRestart
 	}
 	return claim.Kept
 }
--- a/internal/claim/journal.go
+++ b/internal/claim/journal.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// DefaultSize is the number of claims that a Journal keeps if nothing else is
+// DefaultCapacity is the number of claims that a Journal keeps if nothing else is
 // set. A claim takes 370 bytes (BenchmarkKeptClaim in internal/entry).
-const DefaultSize = 8192
+const DefaultCapacity = 8192
 
 // FullError says that a journal keeps as many claims as it may.
 type FullError struct {
-	Size int
+	Capacity int
 }
 
 // Error names the bound.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("%d claims are kept, no more fit", e.Size)
+	return fmt.Sprintf("%d claims are kept, no more fit", e.Capacity)
 }
 
 // Record is a claim that is kept.
@@ -46,10 +46,10 @@
 // Journal keeps claims, each for a bounded time. It is not safe for concurrent use.
 // Exported fields are set before the first Hold.
 type Journal struct {
-	// Keep is how long a claim is kept.
-	Keep time.Duration
-	// Size is the most claims kept; 0 keeps DefaultSize.
-	Size int
+	// Retention is how long a claim is kept.
+	Retention time.Duration
+	// Capacity is the most claims kept; 0 keeps DefaultSize.
+	Capacity int
 
 	records map[string]*Record
 	order   []kept
@@ -80,15 +80,15 @@
 	return *record, true
 }
 
-// Hold keeps a claim for a server's request unless it is known. It returns the
+// Add keeps a claim for a server's request unless it is known. It returns the
 // claim as it is kept and whether it is new, or a *FullError.
-func (j *Journal) Hold(claim string, record Record, now time.Time) (Record, bool, error) {
+func (j *Journal) Add(claim string, record Record, now time.Time) (Record, bool, error) {
 	j.sweep(now)
 	if known := j.records[claim]; known != nil {
 		return *known, false, nil
 	}
 	if len(j.records) >= j.size() {
-		return Record{}, false, &FullError{Size: j.size()}
+		return Record{}, false, &FullError{Capacity: j.size()}
 	}
 	if j.records == nil {
 		j.records = map[string]*Record{}
@@ -125,16 +125,16 @@
 }
 
 func (j *Journal) extend(claim string, now time.Time) {
-	until := now.Add(j.Keep)
+	until := now.Add(j.Retention)
 	j.records[claim].until = until
 	j.order = append(j.order, kept{claim: claim, until: until})
 }
 
 func (j *Journal) size() int {
-	if j.Size > 0 {
-		return j.Size
+	if j.Capacity > 0 {
+		return j.Capacity
 	}
-	return DefaultSize
+	return DefaultCapacity
 }
 
 // sweep forgets claims whose time is over.
--- a/internal/claim/past.go
+++ b/internal/claim/past.go
@@ -7,13 +7,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// Slack is how long after a change a process may still use the fleet before it,
+// MaxFleetLag is how long after a change a process may still use the fleet before it,
 // clocks that differ included.
 //
 // A home that was started again without its memory runs no claims for so long:
 // with a fleet that lacks the newest server it would not ask the witness that
 // kept a claim.
-const Slack = 10 * time.Second
+const MaxFleetLag = 10 * time.Second
 
 // past is a server that may have been a claim's home lately.
 type past struct {
@@ -118,7 +118,7 @@
 // time in it at which a server may have come into use or gone out of it.
 func moments(servers []*statepb.Server, begin, now int64) []int64 {
 	found := []int64{begin}
-	lag := int64(Slack / time.Second)
+	lag := int64(MaxFleetLag / time.Second)
 	for _, server := range servers {
 		for _, at := range []int64{server.GetBorn(), server.GetSince(), server.GetBorn() + lag, server.GetSince() + lag} {
 			if at > begin && at <= now {
@@ -134,7 +134,7 @@
 
 // isSurelyLive reports whether every process used the server at a moment.
 func isSurelyLive(server *statepb.Server, moment int64) bool {
-	return server.GetState() == stateLive && server.GetSince()+int64(Slack/time.Second) <= moment
+	return server.GetState() == stateLive && server.GetSince()+int64(MaxFleetLag/time.Second) <= moment
 }
 
 // mayBeLive reports whether some process may have used the server at a moment.
@@ -142,7 +142,7 @@
 	if server.GetBorn() > moment {
 		return false
 	}
-	return server.GetState() == stateLive || server.GetSince()+int64(Slack/time.Second) > moment
+	return server.GetState() == stateLive || server.GetSince()+int64(MaxFleetLag/time.Second) > moment
 }
 
 // wasLiveAt reports whether the server was live at a moment by the fleet's own times.
@@ -159,8 +159,8 @@
 	case stateLive:
 		return true
 	case stateDraining, stateRemoved:
-		return server.GetSince()+int64(Slack/time.Second) > begin
+		return server.GetSince()+int64(MaxFleetLag/time.Second) > begin
 	default:
-		return server.GetBorn() > 0 && server.GetSince()+int64(Slack/time.Second) > begin
+		return server.GetBorn() > 0 && server.GetSince()+int64(MaxFleetLag/time.Second) > begin
 	}
 }
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -19,8 +19,8 @@
 	Lost
 	// NoWitness: the claim was not passed on before, and its witness doesn't answer.
 	NoWitness
-	// Alone: the claim was not passed on before, and the pool has no other server.
-	Alone
+	// NoOtherServer: the claim was not passed on before, and the pool has no other server.
+	NoOtherServer
 )
 
 // Answer is what a sidecar says when it is asked to keep a claim.
@@ -31,13 +31,13 @@
 	// Kept: the claim is kept there now and was not known. The sidecar has all
 	// its memory.
 	Kept Answer = iota
-	// KeptUnsure: as Kept, but the sidecar was started again lately and has lost
+	// KeptAfterRestart: as Kept, but the sidecar was started again lately and has lost
 	// what it kept before.
-	KeptUnsure
-	// KnownThere: the claim was known there.
-	KnownThere
-	// Silent: the sidecar didn't answer, or refused.
-	Silent
+	KeptAfterRestart
+	// AlreadyKnown: the claim was known there.
+	AlreadyKnown
+	// NoAnswer: the sidecar didn't answer, or refused.
+	NoAnswer
 )
 
 // Asker asks a server's sidecar to keep the claim; the home itself is asked too.
@@ -62,7 +62,7 @@
 
 // Window returns how long sidecars have to keep a claim so that a retry within
 // remember finds it.
-func Window(remember time.Duration) time.Duration { return remember + 2*Slack }
+func Window(remember time.Duration) time.Duration { return remember + 2*MaxFleetLag }
 
 // Home returns the claim's home.
 func (p *Plan) Home() string { return p.home }
@@ -84,9 +84,9 @@
 		return p.checkAlone(&c)
 	}
 	switch c.answer(p.witness) {
-	case KnownThere:
+	case AlreadyKnown:
 		return Known
-	case Silent:
+	case NoAnswer:
 		return NoWitness
 	default:
 		return Pass
@@ -97,7 +97,7 @@
 	if c.answer(p.home) != Kept {
 		return Lost
 	}
-	return Alone
+	return NoOtherServer
 }
 
 // checker asks each server once.
@@ -121,7 +121,7 @@
 		switch c.answer(past.home) {
 		case Kept:
 			return Pass
-		case KnownThere:
+		case AlreadyKnown:
 			return Known
 		default:
 		}
@@ -144,7 +144,7 @@
 	switch c.answer(witness.home) {
 	case Kept:
 		return Pass
-	case KnownThere:
+	case AlreadyKnown:
 		return Known
 	default:
 		return Lost
--- a/internal/cmd/configapplycmd.go
+++ b/internal/cmd/configapplycmd.go
@@ -119,7 +119,7 @@
 func waitInForce(client *operator.Client, revision uint64, wait time.Duration) ([]*operatorpb.Force, int) {
 	deadline := time.Now().Add(wait)
 	for {
-		reply, err := client.Force(context.Background())
+		reply, err := client.RevisionsInForce(context.Background())
 		missing := countMissing(reply.GetProcesses(), revision)
 		if err != nil {
 			missing = 1
--- a/internal/cmd/entryflags.go
+++ b/internal/cmd/entryflags.go
@@ -19,7 +19,7 @@
 	if f.Authority == "" {
 		return operator.NewClient(f.Entry, f.Token, f.Timeout, nil), nil
 	}
-	config, err := secure.ForOperators(f.Authority)
+	config, err := secure.OperatorTLSConfig(f.Authority)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cold/users.go
+++ b/internal/cold/users.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// Span is the time in which a process's requests to a cold server are counted: the
+	// Window is the time in which a process's requests to a cold server are counted: the
 	// second of the rate, and what requests sent in it may differ on their way.
-	Span = 1250 * time.Millisecond
+	Window = 1250 * time.Millisecond
 	// viewAge is how old the view of other processes may be while a process sends
 	// to cold servers.
 	viewAge = 1500 * time.Millisecond
@@ -26,7 +26,7 @@
 	// settle is how long a process counts as a user before it sends as one: until
 	// then every other process has seen it, and has sent its last request as one
 	// of fewer users.
-	settle = lag + Span + 350*time.Millisecond
+	settle = lag + Window + 350*time.Millisecond
 	// linger is how long a process that is a user no more may send: owners of batches
 	// have none between two of them. forget is how long the others count it, which may
 	// have seen its end first, and see last that it is a user again. A process that has
@@ -35,7 +35,7 @@
 	forget = linger + lag + settle
 )
 
-// Users are the processes that send to the servers of a pool, as one of them
+// Senders are the processes that send to the servers of a pool, as one of them
 // sees them. Exported fields are set before the first call; it is not safe for
 // concurrent use.
 //
@@ -43,7 +43,7 @@
 // Two processes that don't count each other send twice the rate. So a user is counted
 // from when it is seen until long after it was seen last, and sends only once all others
 // must count it.
-type Users struct {
+type Senders struct {
 	// Self is the name of this process.
 	Self string
 
@@ -60,7 +60,7 @@
 }
 
 // Add notes that a process is a user.
-func (u *Users) Add(name string, now clock.Boot) {
+func (u *Senders) Add(name string, now clock.Boot) {
 	if u.known == nil {
 		u.known = map[string]user{}
 	}
@@ -73,7 +73,7 @@
 }
 
 // Remove notes that a process is a user no more.
-func (u *Users) Remove(name string, now clock.Boot) {
+func (u *Senders) Remove(name string, now clock.Boot) {
 	one, isKnown := u.known[name]
 	if !isKnown || one.gone != 0 {
 		return
@@ -82,20 +82,20 @@
 	u.known[name] = one
 }
 
-// Heard notes that all changes of users up to now are known.
-func (u *Users) Heard(now clock.Boot) {
+// MarkCurrent notes that all changes of users up to now are known.
+func (u *Senders) MarkCurrent(now clock.Boot) {
 	if u.began == 0 {
 		u.began = now
 	}
 	u.heard = now
 }
 
-// Share returns how many requests this process may send to a server within Span,
+// Quota returns how many requests this process may send to a server within Span,
 // where all processes together may send rate requests in a second.
 //
 // Where there are more users than requests, each server has its own users, by
 // rendezvous hashing: all processes agree on them without a word.
-func (u *Users) Share(server string, rate float64, now clock.Boot) int {
+func (u *Senders) Quota(server string, rate float64, now clock.Boot) int {
 	if !u.mayUse(now) {
 		return 0
 	}
@@ -111,7 +111,7 @@
 }
 
 // mayUse reports whether all other users count this process, and it counts them.
-func (u *Users) mayUse(now clock.Boot) bool {
+func (u *Senders) mayUse(now clock.Boot) bool {
 	if u.heard == 0 || now.Sub(u.heard) > viewAge || now.Sub(u.began) < forget {
 		return false
 	}
@@ -123,7 +123,7 @@
 }
 
 // counted returns the users that may send, and forgets those that can't any more.
-func (u *Users) counted(now clock.Boot) []string {
+func (u *Senders) counted(now clock.Boot) []string {
 	names := make([]string, 0, len(u.known))
 	for name, one := range u.known {
 		if one.gone != 0 && now.Sub(one.gone) >= forget {
--- a/internal/cold/users_test.go
+++ b/internal/cold/users_test.go
@@ -20,21 +20,21 @@
 )
 
 // settled returns users that have known of each other for long.
-func settled(self string, names ...string) (*cold.Users, clock.Boot) {
-	users := &cold.Users{Self: self}
+func settled(self string, names ...string) (*cold.Senders, clock.Boot) {
+	users := &cold.Senders{Self: self}
 	for _, name := range names {
 		users.Add(name, start)
 	}
-	users.Heard(start)
+	users.MarkCurrent(start)
 	now := start.Add(time.Minute)
-	users.Heard(now)
+	users.MarkCurrent(now)
 	return users, now
 }
 
 func TestShare(t *testing.T) {
 	t.Run("divided among users", func(t *testing.T) {
 		users, now := settled("a", "a", "b", "c")
-		must.Eq(t, 4, users.Share("s", 13.5, now))
+		must.Eq(t, 4, users.Quota("s", 13.5, now))
 	})
 	t.Run("with more users than requests each server has its own", func(t *testing.T) {
 		names := []string{"a", "b", "c", "d", "e"}
@@ -42,48 +42,48 @@
 			total := 0
 			for _, name := range names {
 				users, now := settled(name, names...)
-				total += users.Share(server, 2, now)
+				total += users.Quota(server, 2, now)
 			}
 			must.Eq(t, 2, total)
 		}
 	})
 	t.Run("one for a rate below one", func(t *testing.T) {
 		users, now := settled("a", "a")
-		must.Eq(t, 1, users.Share("s", 0.4, now))
+		must.Eq(t, 1, users.Quota("s", 0.4, now))
 	})
 	t.Run("none before all others count this process", func(t *testing.T) {
-		users := &cold.Users{Self: "a"}
-		users.Heard(start)
+		users := &cold.Senders{Self: "a"}
+		users.MarkCurrent(start)
 		now := start.Add(time.Minute)
 		users.Add("a", now)
-		users.Heard(now)
-		must.Eq(t, 0, users.Share("s", 13, now))
+		users.MarkCurrent(now)
+		must.Eq(t, 0, users.Quota("s", 13, now))
 	})
 	t.Run("none before a process that started counts all others", func(t *testing.T) {
-		users := &cold.Users{Self: "a"}
+		users := &cold.Senders{Self: "a"}
 		users.Add("a", start)
 		for now := start; now < start.Add(13*time.Second); now = now.Add(time.Second) {
-			users.Heard(now)
-			must.Eq(t, 0, users.Share("s", 13, now))
+			users.MarkCurrent(now)
+			must.Eq(t, 0, users.Quota("s", 13, now))
 		}
 	})
 	t.Run("none with an old view", func(t *testing.T) {
 		users, now := settled("a", "a")
-		must.Eq(t, 0, users.Share("s", 13, now.Add(2*time.Second)))
+		must.Eq(t, 0, users.Quota("s", 13, now.Add(2*time.Second)))
 	})
 	t.Run("none for a process that isn't a user", func(t *testing.T) {
 		users, now := settled("a", "b")
-		must.Eq(t, 0, users.Share("s", 13, now))
+		must.Eq(t, 0, users.Quota("s", 13, now))
 	})
 	t.Run("a user that has gone counts still", func(t *testing.T) {
 		users, now := settled("a", "a", "b")
 		users.Remove("b", now)
 		now = now.Add(10 * time.Second)
-		users.Heard(now)
-		must.Eq(t, 6, users.Share("s", 13, now))
+		users.MarkCurrent(now)
+		must.Eq(t, 6, users.Quota("s", 13, now))
 		now = now.Add(15 * time.Second)
-		users.Heard(now)
-		must.Eq(t, 13, users.Share("s", 13, now))
+		users.MarkCurrent(now)
+		must.Eq(t, 13, users.Quota("s", 13, now))
 	})
 }
 
@@ -120,14 +120,14 @@
 
 // process is one of a fleet with its own view.
 type process struct {
-	*cold.Users
+	*cold.Senders
 
 	seen int
 	lag  time.Duration
 	// mute is until when it does nothing, deaf until when it hears nothing.
 	mute, deaf clock.Boot
 
-	sent  map[string]*cold.Sent
+	sent  map[string]*cold.RequestWindow
 	known clock.Boot
 }
 
@@ -155,7 +155,7 @@
 
 // begin starts a process, for the first time or anew: it has forgotten all.
 func (f *fleet) begin(name string) {
-	f.processes[name] = &process{Users: &cold.Users{Self: name}, sent: map[string]*cold.Sent{}}
+	f.processes[name] = &process{Senders: &cold.Senders{Self: name}, sent: map[string]*cold.RequestWindow{}}
 }
 
 func (f *fleet) toggle(name string) {
@@ -207,17 +207,17 @@
 			one.Remove(f.changes[one.seen].name, f.now)
 		}
 	}
-	one.Heard(f.now)
+	one.MarkCurrent(f.now)
 }
 
 func (f *fleet) send(one *process, rate float64) {
 	for _, server := range []string{"s1", "s2"} {
 		sent := one.sent[server]
 		if sent == nil {
-			sent = &cold.Sent{}
+			sent = &cold.RequestWindow{}
 			one.sent[server] = sent
 		}
-		for sent.Within(one.Share(server, rate, f.now), f.now) {
+		for sent.Allows(one.Quota(server, rate, f.now), f.now) {
 			sent.Add(f.now)
 			f.sent[server] = append(f.sent[server], f.now)
 		}
--- a/internal/detour/detour.go
+++ b/internal/detour/detour.go
@@ -47,30 +47,30 @@
 type Peers interface {
 	// Detour makes the call through another process. It reports a call that was
 	// answered, one that may have been made without an answer, or none.
-	Detour(ctx context.Context, call Call) (Answer, Made)
+	Detour(ctx context.Context, call Call) (Answer, RelayResult)
 }
 
-// Made says what became of a call that was given to another process.
-type Made int
+// RelayResult says what became of a call that was given to another process.
+type RelayResult int
 
 // What became of it.
 const (
-	// NotMade calls reached no process.
-	NotMade Made = iota
-	// Unsure calls may have been made, or may be made later.
-	Unsure
+	// NotSent calls reached no process.
+	NotSent RelayResult = iota
+	// OutcomeUnknown calls may have been made, or may be made later.
+	OutcomeUnknown
 	// Answered calls have their answer.
 	Answered
 )
 
-// UnsureError says that a call was turned away on one way and may have been made
+// OutcomeUnknownError says that a call was turned away on one way and may have been made
 // on another.
-type UnsureError struct {
+type OutcomeUnknownError struct {
 	Status int
 }
 
 // Error names the status.
-func (e *UnsureError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return "turned away with " + strconv.Itoa(e.Status) + " after a try without an answer"
 }
 
@@ -107,10 +107,10 @@
 		if made == Answered {
 			return answer, nil
 		}
-		isUnsure = made == Unsure
+		isUnsure = made == OutcomeUnknown
 	}
 	answer, err := c.direct(ctx, call)
-	if err == nil && !platform.IsTurnedAway(answer.Status) {
+	if err == nil && !platform.IsRejected(answer.Status) {
 		c.reached()
 		return answer, nil
 	}
@@ -124,15 +124,15 @@
 	if made == Answered {
 		return sure(detoured, nil, isUnsure)
 	}
-	return sure(answer, err, isUnsure || made == Unsure)
+	return sure(answer, err, isUnsure || made == OutcomeUnknown)
 }
 
 // sure keeps a refusal from standing for a call of which another try may have
 // been made: the caller would take it that nothing was done, while the store
 // does it a second later.
 func sure(answer Answer, err error, isUnsure bool) (Answer, error) {
-	if err == nil && isUnsure && platform.IsTurnedAway(answer.Status) {
-		return Answer{}, &UnsureError{Status: answer.Status}
+	if err == nil && isUnsure && platform.IsRejected(answer.Status) {
+		return Answer{}, &OutcomeUnknownError{Status: answer.Status}
 	}
 	return answer, err
 }
@@ -142,7 +142,7 @@
 	switch {
 	case err != nil:
 		c.calls.WithLabelValues(wayDirect, resultNone).Inc()
-	case platform.IsTurnedAway(answer.Status):
+	case platform.IsRejected(answer.Status):
 		c.calls.WithLabelValues(wayDirect, resultAway).Inc()
 	default:
 		c.calls.WithLabelValues(wayDirect, resultDone).Inc()
@@ -151,9 +151,9 @@
 }
 
 // detour makes a call through another process.
-func (c *Caller) detour(ctx context.Context, call Call) (Answer, Made) {
+func (c *Caller) detour(ctx context.Context, call Call) (Answer, RelayResult) {
 	if c.Peers == nil {
-		return Answer{}, NotMade
+		return Answer{}, NotSent
 	}
 	answer, made := c.Peers.Detour(ctx, call)
 	if made == Answered {
@@ -188,7 +188,7 @@
 // whole timeout on each direct call, and callers of its batches would with it.
 func (c *Caller) look(ctx context.Context, call Call) {
 	answer, err := c.Direct.ask(ctx, call)
-	if err == nil && !platform.IsTurnedAway(answer.Status) {
+	if err == nil && !platform.IsRejected(answer.Status) {
 		c.reached()
 	}
 }
--- a/internal/detour/detour_test.go
+++ b/internal/detour/detour_test.go
@@ -18,12 +18,12 @@
 // way is a peer that makes calls, or can't.
 type way struct {
 	calls atomic.Int64
-	made  Made
+	made  RelayResult
 	// status is that of its answers; 0 is 200.
 	status int
 }
 
-func (w *way) Detour(context.Context, Call) (Answer, Made) {
+func (w *way) Detour(context.Context, Call) (Answer, RelayResult) {
 	w.calls.Add(1)
 	return Answer{Status: max(http.StatusOK, w.status), Body: []byte("by a peer")}, w.made
 }
@@ -117,18 +117,18 @@
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
 	refusing, _ := newStore(t, status)
-	var unsure *UnsureError
+	var unsure *OutcomeUnknownError
 	t.Run("direct without an answer, refused through a peer", func(t *testing.T) {
 		caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &way{made: Answered, status: http.StatusServiceUnavailable}}
 		_, err := do(t, caller)
 		must.True(t, errors.As(err, &unsure))
 	})
 	t.Run("refused directly, without an answer through a peer", func(t *testing.T) {
-		_, err := do(t, &Caller{Direct: refusing, Peers: &way{made: Unsure}})
+		_, err := do(t, &Caller{Direct: refusing, Peers: &way{made: OutcomeUnknown}})
 		must.True(t, errors.As(err, &unsure))
 	})
 	t.Run("refused on both ways", func(t *testing.T) {
-		answer, err := do(t, &Caller{Direct: refusing, Peers: &way{made: NotMade}})
+		answer, err := do(t, &Caller{Direct: refusing, Peers: &way{made: NotSent}})
 		must.NoError(t, err)
 		must.Eq(t, http.StatusServiceUnavailable, answer.Status)
 	})
--- a/internal/detour/direct.go
+++ b/internal/detour/direct.go
@@ -78,7 +78,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	switch {
-	case err == nil && !platform.IsTurnedAway(answer.Status):
+	case err == nil && !platform.IsRejected(answer.Status):
 		d.refused, d.resets = 0, 0
 	case err == nil, isNoConnection(err):
 		d.refused = clock.Now()
@@ -114,7 +114,7 @@
 	d.once.Do(func() { d.client = listen.Client("store " + d.Address) })
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
-	request, err := listen.JSON(ctx, call.Method, "http://"+d.Address+call.Target, call.Body)
+	request, err := listen.NewJSONRequest(ctx, call.Method, "http://"+d.Address+call.Target, call.Body)
 	if err != nil {
 		return Answer{}, err
 	}
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -28,9 +28,9 @@
 type Store interface {
 	Reader
 	Delete(ctx context.Context, key string, expect uint64) error
-	Grant(ctx context.Context, length time.Duration) (uint64, error)
-	Renew(ctx context.Context, lease uint64, length time.Duration) error
-	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
+	GrantLease(ctx context.Context, length time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, lease uint64, length time.Duration) error
+	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
 // Key returns the store's key of a duty.
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -26,13 +26,13 @@
 	releaseTimeout = 2 * time.Second
 )
 
-// Work does a duty until its context ends, which it does at the end of the term.
+// WorkFunc does a duty until its context ends, which it does at the end of the term.
 // A nil error within the term says that the duty has nothing left to do.
-type Work func(ctx context.Context, term *Term) error
+type WorkFunc func(ctx context.Context, term *Term) error
 
-// Keeper takes part in one duty for a process: it takes it when it is free,
+// Elector takes part in one duty for a process: it takes it when it is free,
 // works while it holds it, and gives it up. Exported fields are set before Run.
-type Keeper struct {
+type Elector struct {
 	Store Store
 	// Name of the duty.
 	Name    string
@@ -44,18 +44,18 @@
 	Margin time.Duration
 	// Prefix of the duty's key; "" takes the package's.
 	Prefix string
-	// Free reports whether nobody holds the duty, where that is known without
+	// IsFree reports whether nobody holds the duty, where that is known without
 	// asking the store; nil asks it.
-	Free func() bool
-	// Left returns what an earlier start of this process holds; nil is nothing.
-	Left func() Left
-	// Look is the wait between two looks at a duty that another process holds; 0
+	IsFree func() bool
+	// PriorClaim returns what an earlier start of this process holds; nil is nothing.
+	PriorClaim func() PriorClaim
+	// PollInterval is the wait between two looks at a duty that another process holds; 0
 	// takes a half of the lease.
-	Look time.Duration
+	PollInterval time.Duration
 	// Rank returns this process's place among the candidates; nil is 0.
 	Rank func() int
-	// Held is told when the duty is taken and given up; nil is allowed.
-	Held      func(name string, held bool)
+	// OnHeld is told when the duty is taken and given up; nil is allowed.
+	OnHeld      func(name string, held bool)
 	Decisions *decision.Log
 
 	// hasHeld is true once this start of the process has held the duty.
@@ -64,8 +64,8 @@
 	revision uint64
 }
 
-// Left is what an earlier start of a process has left of a duty; its zero value is nothing.
-type Left struct {
+// PriorClaim is what an earlier start of a process has left of a duty; its zero value is nothing.
+type PriorClaim struct {
 	// Revision of the duty's key.
 	Revision uint64
 	// Fence of the term.
@@ -73,7 +73,7 @@
 }
 
 // Run takes part until the context ends or the work has nothing left to do.
-func (k *Keeper) Run(ctx context.Context, work Work) error {
+func (k *Elector) Run(ctx context.Context, work WorkFunc) error {
 	for ctx.Err() == nil {
 		term, lease := k.take(ctx)
 		if term == nil {
@@ -92,15 +92,15 @@
 	return nil
 }
 
-func (k *Keeper) look() time.Duration {
-	if k.Look > 0 {
-		return k.Look
+func (k *Elector) look() time.Duration {
+	if k.PollInterval > 0 {
+		return k.PollInterval
 	}
 	return k.Lease / polls
 }
 
 // key returns the store's key of the duty.
-func (k *Keeper) key() string {
+func (k *Elector) key() string {
 	if k.Prefix != "" {
 		return k.Prefix + k.Name
 	}
@@ -108,7 +108,7 @@
 }
 
 // take returns a term if the duty was free and is now held here.
-func (k *Keeper) take(ctx context.Context) (*Term, uint64) {
+func (k *Elector) take(ctx context.Context) (*Term, uint64) {
 	rank, left := k.rank(), k.left()
 	if left.Revision == 0 {
 		if rank >= maxCandidates || !k.isFree(ctx) {
@@ -117,7 +117,7 @@
 		pause.For(ctx, time.Duration(rank)*k.Lease/(2*renewals))
 	}
 	sent := time.Now()
-	lease, err := k.Store.Grant(ctx, k.Lease)
+	lease, err := k.Store.GrantLease(ctx, k.Lease)
 	if err != nil {
 		return nil, 0
 	}
@@ -146,23 +146,23 @@
 // a platform that takes such calls has to be left alone for a while first, and usage
 // windows were reported too late. A term that this start has had goes on by regain,
 // or not at all.
-func (k *Keeper) left() Left {
-	if k.Left == nil || k.hasHeld {
-		return Left{}
+func (k *Elector) left() PriorClaim {
+	if k.PriorClaim == nil || k.hasHeld {
+		return PriorClaim{}
 	}
-	return k.Left()
+	return k.PriorClaim()
 }
 
-func (k *Keeper) rank() int {
+func (k *Elector) rank() int {
 	if k.Rank == nil {
 		return 0
 	}
 	return k.Rank()
 }
 
-func (k *Keeper) isFree(ctx context.Context) bool {
-	if k.Free != nil {
-		return k.Free()
+func (k *Elector) isFree(ctx context.Context) bool {
+	if k.IsFree != nil {
+		return k.IsFree()
 	}
 	_, err := k.Store.Get(ctx, k.key())
 	var missing *platform.NotFoundError
@@ -175,12 +175,12 @@
 // The answer may be lost after the change took effect; giving up then would
 // leave the duty held by nobody for a whole lease. The lease's number is known
 // to this process alone, so a key that carries it is its own write.
-func (k *Keeper) write(ctx context.Context, left Left, lease uint64, until time.Time) (uint64, error) {
+func (k *Elector) write(ctx context.Context, left PriorClaim, lease uint64, until time.Time) (uint64, error) {
 	data, err := k.holder(left.Fence)
 	if err != nil {
 		return 0, err
 	}
-	revision, err := k.Store.Swap(ctx, k.key(), left.Revision, data, lease)
+	revision, err := k.Store.CompareAndSwap(ctx, k.key(), left.Revision, data, lease)
 	var lost *platform.UnavailableError
 	for errors.As(err, &lost) && ctx.Err() == nil && time.Now().Before(until) {
 		pause.For(ctx, k.Lease/(2*renewals))
@@ -191,7 +191,7 @@
 
 // holder returns the value of the duty's key. A new term's fence is the revision
 // that the key gets, so only that of a term that goes on is in it.
-func (k *Keeper) holder(fence uint64) ([]byte, error) {
+func (k *Elector) holder(fence uint64) ([]byte, error) {
 	holder := statepb.Holder_builder{
 		Process: k.Process,
 		Fence:   fence,
@@ -203,7 +203,7 @@
 	return data, eris.Wrap(err, "encode holder")
 }
 
-func (k *Keeper) readBack(ctx context.Context, lease uint64) (uint64, error) {
+func (k *Elector) readBack(ctx context.Context, lease uint64) (uint64, error) {
 	value, err := k.Store.Get(ctx, k.key())
 	if err != nil {
 		return 0, err
@@ -216,7 +216,7 @@
 
 // serve works through a term and all that follow it under the same lease, then
 // gives the duty up. It returns the last term.
-func (k *Keeper) serve(ctx context.Context, term *Term, lease uint64, work Work) (*Term, error) {
+func (k *Elector) serve(ctx context.Context, term *Term, lease uint64, work WorkFunc) (*Term, error) {
 	for {
 		hasRunOut, err := k.hold(ctx, term, lease, work)
 		if !hasRunOut || ctx.Err() != nil {
@@ -238,10 +238,10 @@
 // holder then waited, as all others did, for its own lease to lapse, and nothing of
 // the duty was done for a lease more. As long as the lease stands, and the key with
 // it, nobody else has held the duty; so the holder goes on under its own fence.
-func (k *Keeper) regain(ctx context.Context, term *Term, lease uint64) *Term {
+func (k *Elector) regain(ctx context.Context, term *Term, lease uint64) *Term {
 	for ctx.Err() == nil {
 		sent := time.Now()
-		err := k.Store.Renew(ctx, lease, k.Lease)
+		err := k.Store.RenewLease(ctx, lease, k.Lease)
 		var revision uint64
 		if err == nil {
 			revision, err = k.readBack(ctx, lease)
@@ -270,7 +270,7 @@
 // hold works until the term ends, and reports whether it has run out with nothing
 // known of its lease. It returns only once the work has, so that a successor never
 // meets it.
-func (k *Keeper) hold(ctx context.Context, term *Term, lease uint64, work Work) (hasRunOut bool, err error) {
+func (k *Elector) hold(ctx context.Context, term *Term, lease uint64, work WorkFunc) (hasRunOut bool, err error) {
 	k.tell(true)
 	defer k.tell(false)
 	working, cancel := context.WithCancel(ctx)
@@ -287,19 +287,19 @@
 	return <-watched, err
 }
 
-func (k *Keeper) tell(held bool) {
-	if k.Held != nil {
-		k.Held(k.Name, held)
+func (k *Elector) tell(held bool) {
+	if k.OnHeld != nil {
+		k.OnHeld(k.Name, held)
 	}
 }
 
 // renew lengthens the lease until the context ends or the lease is gone.
 // A term is counted from before the renewal is sent: the store may have counted
 // the lease from any moment since, and an answer may come late.
-func (k *Keeper) renew(ctx context.Context, term *Term, lease uint64, cancel func()) {
+func (k *Elector) renew(ctx context.Context, term *Term, lease uint64, cancel func()) {
 	for pause.For(ctx, k.Lease/renewals) {
 		sent := time.Now()
-		err := k.Store.Renew(ctx, lease, k.Lease)
+		err := k.Store.RenewLease(ctx, lease, k.Lease)
 		var gone *platform.NotFoundError
 		switch {
 		case err == nil:
@@ -329,7 +329,7 @@
 }
 
 // release removes the duty's key if it is still this term's.
-func (k *Keeper) release(term *Term) {
+func (k *Elector) release(term *Term) {
 	term.End()
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
--- a/internal/duty/keeper_test.go
+++ b/internal/duty/keeper_test.go
@@ -68,8 +68,8 @@
 	return r.terms[i]
 }
 
-func newKeeper(store duty.Store, process string, rank int) *duty.Keeper {
-	return &duty.Keeper{
+func newKeeper(store duty.Store, process string, rank int) *duty.Elector {
+	return &duty.Elector{
 		Store:   store,
 		Name:    "order-a",
 		Process: process,
@@ -80,7 +80,7 @@
 }
 
 // start runs a keeper and returns a function that stops it and waits.
-func start(t *testing.T, keeper *duty.Keeper, work duty.Work) (stop func()) {
+func start(t *testing.T, keeper *duty.Elector, work duty.WorkFunc) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -148,8 +148,8 @@
 	*store
 }
 
-func (l *lateStore) Renew(ctx context.Context, lease uint64, length time.Duration) error {
-	err := l.store.Renew(ctx, lease, length)
+func (l *lateStore) RenewLease(ctx context.Context, lease uint64, length time.Duration) error {
+	err := l.store.RenewLease(ctx, lease, length)
 	time.Sleep(2 * time.Second)
 	return err
 }
@@ -173,8 +173,8 @@
 	lost bool
 }
 
-func (l *losingStore) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
-	revision, err := l.store.Swap(ctx, key, expect, data, lease)
+func (l *losingStore) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+	revision, err := l.store.CompareAndSwap(ctx, key, expect, data, lease)
 	if !l.lost {
 		l.lost = true
 		return 0, errCut
@@ -259,13 +259,13 @@
 func TestResumesWhatItsLastStartHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
-		granted, err := store.Grant(t.Context(), lease)
+		granted, err := store.GrantLease(t.Context(), lease)
 		must.NoError(t, err)
-		left, err := store.Swap(t.Context(), duty.Key("order-a"), 0, []byte("an earlier start"), granted)
+		left, err := store.CompareAndSwap(t.Context(), duty.Key("order-a"), 0, []byte("an earlier start"), granted)
 		must.NoError(t, err)
 		resuming, waiting := &record{}, &record{}
 		restarted := newKeeper(store, "p1", 2)
-		restarted.Left = func() duty.Left { return duty.Left{Revision: left, Fence: left} }
+		restarted.PriorClaim = func() duty.PriorClaim { return duty.PriorClaim{Revision: left, Fence: left} }
 		stop := start(t, restarted, resuming.work)
 		other := start(t, newKeeper(store, "p2", 0), waiting.work)
 		defer other()
@@ -299,10 +299,10 @@
 		defer start(t, newKeeper(store, "p2", 1), other.work)()
 		time.Sleep(lease/4 + tick)
 		must.Eq(t, 1, held.count())
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		time.Sleep(lease - margin + tick)
 		must.Eq(t, 0, held.working())
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		time.Sleep(margin / 2)
 		must.Eq(t, 2, held.count())
 		must.Eq(t, held.term(0).Fence(), held.term(1).Fence())
@@ -324,11 +324,11 @@
 		defer start(t, first, held.work)()
 		time.Sleep(lease/4 + tick)
 		must.Eq(t, 1, held.count())
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		time.Sleep(lease + tick)
 		must.Eq(t, 0, held.working())
 		rank.Store(2)
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		defer start(t, newKeeper(store, "p2", 0), other.work)()
 		time.Sleep(lease)
 		must.Eq(t, 1, other.count())
--- a/internal/duty/store_test.go
+++ b/internal/duty/store_test.go
@@ -51,7 +51,7 @@
 	return value, err
 }
 
-func (s *store) Grant(_ context.Context, length time.Duration) (uint64, error) {
+func (s *store) GrantLease(_ context.Context, length time.Duration) (uint64, error) {
 	var lease uint64
 	err := s.do(func() error {
 		lease = uint64(len(s.leases) + 1)
@@ -61,7 +61,7 @@
 	return lease, err
 }
 
-func (s *store) Renew(_ context.Context, lease uint64, length time.Duration) error {
+func (s *store) RenewLease(_ context.Context, lease uint64, length time.Duration) error {
 	return s.do(func() error {
 		if !time.Now().Before(s.leases[lease]) {
 			return &platform.NotFoundError{Key: "lease"}
@@ -71,7 +71,7 @@
 	})
 }
 
-func (s *store) Swap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+func (s *store) CompareAndSwap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	var revision uint64
 	err := s.do(func() error {
 		if s.values[key].Revision != expect {
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -31,12 +31,12 @@
 type Membership interface {
 	// Fleet returns the pool's servers, or nil if they are not known.
 	Fleet(pool string) *statepb.Fleet
-	// IsFirst reports whether no earlier process stood beside this backend server.
-	IsFirst() bool
-	// Isolated reports whether neither the store nor most processes answer.
-	Isolated(now time.Time) bool
-	// Others returns the number of other sidecars of the pool that are known.
-	Others(pool string) int
+	// IsFirstProcess reports whether no earlier process stood beside this backend server.
+	IsFirstProcess() bool
+	// IsIsolated reports whether neither the store nor most processes answer.
+	IsIsolated(now time.Time) bool
+	// CountOthers returns the number of other sidecars of the pool that are known.
+	CountOthers(pool string) int
 }
 
 // Claims keeps the claims of idempotency keys, as a home and as a witness.
@@ -48,8 +48,8 @@
 
 	Members Membership
 	Peers   Peers
-	// Remember is how long after a request its retries may come.
-	Remember time.Duration
+	// Retention is how long after a request its retries may come.
+	Retention time.Duration
 	// Started is when this process began to keep claims.
 	Started time.Time
 	// RunAlone says whether a claim runs while no other server can witness it.
@@ -68,7 +68,7 @@
 	}
 	record, isNew, err := c.keep(request.GetClaim(), claim.NewRecord(request.GetId(), c.Server, digest(request)))
 	if err != nil {
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "%v", err).After(retryElsewhere)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "%v", err).WithRetryAfter(retryElsewhere)
 	}
 	known := find(record.ID())
 	switch {
@@ -129,11 +129,11 @@
 
 func (c *Claims) inquire(ctx context.Context, inquiry *inquiry) *refusal.Error {
 	now := time.Now()
-	if c.Members.Isolated(now) {
-		return refusal.NotRun(http.StatusServiceUnavailable, "isolated", "the sidecar of %s is cut off and may know an old fleet", c.Server).After(retryElsewhere)
+	if c.Members.IsIsolated(now) {
+		return refusal.NotRun(http.StatusServiceUnavailable, "isolated", "the sidecar of %s is cut off and may know an old fleet", c.Server).WithRetryAfter(retryElsewhere)
 	}
-	if !c.isFirm(now) && now.Sub(c.Started) < claim.Slack {
-		return refusal.NotRun(http.StatusServiceUnavailable, "restarted", "the sidecar of %s has just started and learns what ran before", c.Server).After(retryElsewhere)
+	if !c.isFirm(now) && now.Sub(c.Started) < claim.MaxFleetLag {
+		return refusal.NotRun(http.StatusServiceUnavailable, "restarted", "the sidecar of %s has just started and learns what ran before", c.Server).WithRetryAfter(retryElsewhere)
 	}
 	fleet := c.Members.Fleet(c.Pool)
 	if fleet == nil {
@@ -143,7 +143,7 @@
 		return refused
 	}
 	inquiry.epoch = fleet.GetEpoch()
-	plan := claim.NewPlan(inquiry.request.GetClaim(), fleet, now, c.Remember)
+	plan := claim.NewPlan(inquiry.request.GetClaim(), fleet, now, c.Retention)
 	return c.refuse(plan.Check(func(server string) claim.Answer { return inquiry.ask(ctx, server) }))
 }
 
@@ -152,7 +152,7 @@
 // here, so an entry that is behind does no harm as long as it found the home.
 func (c *Claims) checkHome(request *peerpb.RunRequest, fleet *statepb.Fleet) *refusal.Error {
 	if home := claim.Home(request.GetClaim(), fleet); home != c.Server {
-		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_home", "requests with this idempotency key go to %q by epoch %d, sent by epoch %d", home, fleet.GetEpoch(), request.GetEpoch()).After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_home", "requests with this idempotency key go to %q by epoch %d, sent by epoch %d", home, fleet.GetEpoch(), request.GetEpoch()).WithRetryAfter(retryElsewhere)
 	}
 	return nil
 }
@@ -160,25 +160,25 @@
 // confirmWithoutFleet decides while the pool's servers are not known.
 func (c *Claims) confirmWithoutFleet(now time.Time) *refusal.Error {
 	switch {
-	case c.Members.Others(c.Pool) > 0:
-		return refusal.NotRun(http.StatusServiceUnavailable, "no_fleet", "the servers of %s are not known yet", c.Pool).After(retryElsewhere)
+	case c.Members.CountOthers(c.Pool) > 0:
+		return refusal.NotRun(http.StatusServiceUnavailable, "no_fleet", "the servers of %s are not known yet", c.Pool).WithRetryAfter(retryElsewhere)
 	case !c.isFirm(now):
 		return c.refuse(claim.Lost)
 	default:
-		return c.refuse(claim.Alone)
+		return c.refuse(claim.NoOtherServer)
 	}
 }
 
 func (c *Claims) refuse(verdict claim.Verdict) *refusal.Error {
 	switch {
-	case verdict == claim.Pass, verdict == claim.Alone && c.RunAlone:
+	case verdict == claim.Pass, verdict == claim.NoOtherServer && c.RunAlone:
 		return nil
 	case verdict == claim.Known:
 		return refusal.Unknown(http.StatusConflict, "claimed_elsewhere", "the idempotency key was used for a request to another server")
 	case verdict == claim.Lost:
 		return refusal.Unknown(http.StatusServiceUnavailable, "claim_lost", "the servers that may have run a request with this idempotency key are gone")
 	default:
-		return refusal.NotRun(http.StatusServiceUnavailable, "no_witness", "no other server can witness the request").After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "no_witness", "no other server can witness the request").WithRetryAfter(retryElsewhere)
 	}
 }
 
@@ -217,8 +217,8 @@
 }
 
 func (c *Claims) keep(key string, record claim.Record) (claim.Record, bool, error) {
-	c.journal.Keep = claim.Window(c.Remember)
-	return c.journal.Hold(key, record, time.Now())
+	c.journal.Retention = claim.Window(c.Retention)
+	return c.journal.Add(key, record, time.Now())
 }
 
 // isFirm reports whether this process knows every claim that its backend
@@ -226,19 +226,19 @@
 // those of the process before it until it has learned them from the others, or
 // their time is over.
 func (c *Claims) isFirm(now time.Time) bool {
-	return c.learned.Load() || now.Sub(c.Started) >= claim.Window(c.Remember) || c.Members.IsFirst()
+	return c.learned.Load() || now.Sub(c.Started) >= claim.Window(c.Retention) || c.Members.IsFirstProcess()
 }
 
 // hasAllMemory reads the start of a witness's memory; 0 is that of its server.
 func (c *Claims) hasAllMemory(since uint64) bool {
-	return since == 0 || time.Since(time.Unix(0, int64(since))) >= claim.Window(c.Remember)
+	return since == 0 || time.Since(time.Unix(0, int64(since))) >= claim.Window(c.Retention)
 }
 
 func firmness(isFirm bool) claim.Answer {
 	if isFirm {
 		return claim.Kept
 	}
-	return claim.KeptUnsure
+	return claim.KeptAfterRestart
 }
 
 func refuseClaim(code, format string, arguments ...any) *peerpb.ClaimReply {
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -17,7 +17,7 @@
 // Open lets requests through; it is called once before the service is served.
 func (s *Server) Open() {
 	s.metrics = newMetrics(s)
-	s.gate.open(s.Slots, s.Queue)
+	s.gate.open(s.MaxRunning, s.MaxQueued)
 }
 
 // Drain takes no new work and returns once all running requests have ended and
--- a/internal/entry/execute.go
+++ b/internal/entry/execute.go
@@ -103,5 +103,5 @@
 
 // unsure returns a refusal that doesn't say "not run".
 func unsure(refused *refusal.Error) *refusal.Error {
-	return refusal.Unknown(refused.Status, refused.Code, "%s", refused.Message).After(refused.Retry)
+	return refusal.Unknown(refused.Status, refused.Code, "%s", refused.Message).WithRetryAfter(refused.RetryAfter)
 }
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -74,10 +74,10 @@
 // newServer returns the service of a sidecar beside a plain service.
 func newServer(address string) *entry.Server {
 	plain := &backend.Plain{}
-	plain.Address, plain.Name, plain.Silence = address, "s1", 5*time.Second
+	plain.Address, plain.Name, plain.ReadTimeout = address, "s1", 5*time.Second
 	return &entry.Server{
 		Name: "s1", Pool: "ledger", Backend: plain, Loads: loads{},
-		Slots: 4, Queue: 4, Remember: time.Minute, Beat: 20 * time.Millisecond,
+		MaxRunning: 4, MaxQueued: 4, Retention: time.Minute, HeartbeatInterval: 20 * time.Millisecond,
 	}
 }
 
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -144,13 +144,13 @@
 }
 
 func drainingRefusal() *refusal.Error {
-	return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this backend server takes no new work").After(retryElsewhere)
+	return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this backend server takes no new work").WithRetryAfter(retryElsewhere)
 }
 
 func refuseQueue(err error) *refusal.Error {
 	var full *fair.FullError
 	if errors.As(err, &full) {
-		return refusal.NotRun(http.StatusServiceUnavailable, "queue_full", "%v", err).After(full.Retry)
+		return refusal.NotRun(http.StatusServiceUnavailable, "queue_full", "%v", err).WithRetryAfter(full.Retry)
 	}
-	return refusal.NotRun(http.StatusServiceUnavailable, "deadline", "the request's time would end while it waits").After(retryElsewhere)
+	return refusal.NotRun(http.StatusServiceUnavailable, "deadline", "the request's time would end while it waits").WithRetryAfter(retryElsewhere)
 }
--- a/internal/entry/inquiry.go
+++ b/internal/entry/inquiry.go
@@ -40,10 +40,10 @@
 	}.Build())
 	switch {
 	case err != nil || reply.HasRefusal():
-		return claim.Silent
+		return claim.NoAnswer
 	case !reply.GetRecorded() && !c.isOwnVoid(i.request.GetClaim(), reply):
 		i.holder = &holder{server: reply.GetServer(), id: reply.GetId(), digest: reply.GetDigest()}
-		return claim.KnownThere
+		return claim.AlreadyKnown
 	default:
 		return firmness(c.hasAllMemory(reply.GetSince()))
 	}
--- a/internal/entry/learn.go
+++ b/internal/entry/learn.go
@@ -14,9 +14,9 @@
 // learnInterval is the time between two tries to learn what was kept before.
 const learnInterval = time.Second
 
-// Learn brings back the claims that the process before this one kept, from the
+// Restore brings back the claims that the process before this one kept, from the
 // sidecars that kept them too. It returns once nothing is left to learn.
-func (c *Claims) Learn(ctx context.Context) error {
+func (c *Claims) Restore(ctx context.Context) error {
 	ticker := time.NewTicker(learnInterval)
 	defer ticker.Stop()
 	for !c.isFirm(time.Now()) {
@@ -36,10 +36,10 @@
 // learn asks each partner once. It waits until the fleet that this process
 // knows is as new as the one by which claims were kept before.
 func (c *Claims) learn(ctx context.Context, now time.Time) error {
-	if now.Sub(c.Started) < claim.Slack {
+	if now.Sub(c.Started) < claim.MaxFleetLag {
 		return eris.New("the fleet may be an old one")
 	}
-	partners, isWhole := claim.Partners(c.Server, c.Members.Fleet(c.Pool), now, c.Remember)
+	partners, isWhole := claim.Partners(c.Server, c.Members.Fleet(c.Pool), now, c.Retention)
 	if !isWhole {
 		return eris.New("a server that kept claims too is gone")
 	}
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -30,7 +30,7 @@
 		Server:   s.Name,
 		Running:  uint32(running),
 		Queued:   uint32(queued),
-		Slots:    uint32(s.Slots),
+		Slots:    uint32(s.MaxRunning),
 		Version:  s.Backend.Version(),
 		Draining: s.gate.isClosed(),
 		Seq:      s.loads.next(),
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -14,8 +14,8 @@
 // longestOrder bounds orders that come without a time.
 const longestOrder = 2 * time.Minute
 
-// Loader is a backend server that loads weight versions on order.
-type Loader interface {
+// WeightLoader is a backend server that loads weight versions on order.
+type WeightLoader interface {
 	// Load returns the version that the backend server shows afterwards. The
 	// error is a *refusal.Error.
 	Load(ctx context.Context, order *peerpb.OrderRequest, timeout time.Duration) (uint64, error)
@@ -67,7 +67,7 @@
 // that a newer fence has overtaken meanwhile is not passed on: an engine that
 // ignores fencing numbers would load the older order's version last.
 func (s *Server) loadVersion(ctx context.Context, order *peerpb.OrderRequest) (uint64, error) {
-	loader, ok := s.Backend.(Loader)
+	loader, ok := s.Backend.(WeightLoader)
 	if !ok {
 		return 0, refusal.NotRun(http.StatusBadRequest, "no_weights", "%s loads no weights", s.Name)
 	}
@@ -95,10 +95,10 @@
 	if draining {
 		s.gate.close()
 	} else {
-		s.gate.open(s.Slots, s.Queue)
+		s.gate.open(s.MaxRunning, s.MaxQueued)
 	}
-	if s.Draining != nil {
-		s.Draining(draining)
+	if s.OnDraining != nil {
+		s.OnDraining(draining)
 	}
 	s.Loads.OfferLoad(s.load())
 }
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -28,9 +28,9 @@
 func TestDrainByOrder(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	server := newServer(service.URL)
-	server.Slots = 1
+	server.MaxRunning = 1
 	var told atomic.Bool
-	server.Draining = told.Store
+	server.OnDraining = told.Store
 	client := serve(t, server)
 	running := sendAsync(client, posting("running"))
 	receive(t, service.arrived)
@@ -162,7 +162,7 @@
 // newEngineServer returns the service of a sidecar beside an engine.
 func newEngineServer(address string) *entry.Server {
 	engine := &backend.Engine{}
-	engine.Address, engine.Name, engine.Silence = address, "s1", bound
+	engine.Address, engine.Name, engine.ReadTimeout = address, "s1", bound
 	server := newServer(address)
 	server.Backend = engine
 	return server
--- a/internal/entry/pool_test.go
+++ b/internal/entry/pool_test.go
@@ -65,14 +65,14 @@
 // start starts a sidecar; one that isn't the first has lost its memory.
 func (p *pool) start(id string, isFirst bool) {
 	plain := &backend.Plain{}
-	plain.Address, plain.Name, plain.Silence = p.URL, id, p.silence
+	plain.Address, plain.Name, plain.ReadTimeout = p.URL, id, p.silence
 	server := &entry.Server{
 		Name: id, Pool: "ledger", Backend: plain, Loads: loads{},
-		Slots: 1, Queue: 1, Remember: time.Minute, Beat: 20 * time.Millisecond,
+		MaxRunning: 1, MaxQueued: 1, Retention: time.Minute, HeartbeatInterval: 20 * time.Millisecond,
 	}
 	server.Claims = &entry.Claims{
 		Server: id, Pool: "ledger", Members: &members{pool: p, isFirst: isFirst}, Peers: &lossy{Sidecars: &entry.Sidecars{Members: p}, pool: p},
-		Remember: time.Minute, Started: time.Now().Add(-claim.Slack), RunAlone: true,
+		Retention: time.Minute, Started: time.Now().Add(-claim.MaxFleetLag), RunAlone: true,
 	}
 	p.claims[id] = server.Claims
 	p.serve(id, server)
@@ -83,7 +83,7 @@
 	p.start(id, false)
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	p.t.Cleanup(cancel)
-	go func() { _ = p.claims[id].Learn(ctx) }()
+	go func() { _ = p.claims[id].Restore(ctx) }()
 	for {
 		reply, err := p.clients[id].Recall(ctx, peerpb.RecallRequest_builder{Pool: "ledger"}.Build())
 		must.NoError(p.t, err)
@@ -159,9 +159,9 @@
 var _ entry.Membership = &members{}
 
 func (m *members) Fleet(string) *statepb.Fleet { return m.fleet.Load() }
-func (m *members) IsFirst() bool               { return m.isFirst }
-func (m *members) Others(string) int           { return 1 }
-func (m *members) Isolated(time.Time) bool     { return m.isolated.Load() }
+func (m *members) IsFirstProcess() bool               { return m.isFirst }
+func (m *members) CountOthers(string) int           { return 1 }
+func (m *members) IsIsolated(time.Time) bool     { return m.isolated.Load() }
 
 // lossy reaches the other sidecar; the answer gets lost while the pool says so.
 type lossy struct {
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -29,7 +29,7 @@
 func (r *reader) follow(run *run) error {
 	run.attach()
 	defer run.detach()
-	beat := time.NewTimer(r.server.Beat)
+	beat := time.NewTimer(r.server.HeartbeatInterval)
 	defer beat.Stop()
 	for {
 		frames, isLast, changed, refused := run.after(r.position)
@@ -39,7 +39,7 @@
 		if err := r.sendAll(run, frames); err != nil || isLast {
 			return err
 		}
-		beat.Reset(r.server.Beat)
+		beat.Reset(r.server.HeartbeatInterval)
 		select {
 		case <-changed:
 		case <-beat.C:
--- a/internal/entry/registry.go
+++ b/internal/entry/registry.go
@@ -111,7 +111,7 @@
 	case request.GetFrom() > 0:
 		return refusal.Unknown(http.StatusBadGateway, "not_known", "the answer to go on with is not known here")
 	case !request.GetIdempotent() && len(r.postings.runs) >= maxPostings:
-		return refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "too many requests are remembered").After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "too many requests are remembered").WithRetryAfter(retryElsewhere)
 	default:
 		return nil
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -38,13 +38,13 @@
 	Version() uint64
 }
 
-// Counter counts usage and returns the counters that changed.
-type Counter interface {
+// UsageCounter counts usage and returns the counters that changed.
+type UsageCounter interface {
 	Add(account, pool string, now time.Time, prompt, output uint64) []*peerpb.Count
 }
 
-// LoadTable takes the server's own load for other processes.
-type LoadTable interface {
+// LoadReporter takes the server's own load for other processes.
+type LoadReporter interface {
 	OfferLoad(load *peerpb.Load)
 }
 
@@ -61,22 +61,22 @@
 	Decisions *decision.Log
 	// Metrics may be nil.
 	Metrics prometheus.Registerer
-	Loads   LoadTable
+	Loads   LoadReporter
 	// Claims keeps the claims of idempotency keys; without it requests that come
 	// with one are refused.
 	Claims *Claims
 	// Counter may be nil.
-	Counter Counter
-	// Draining is told when an order starts or ends a drain; it may be nil.
-	Draining func(draining bool)
-	// Slots are the requests passed to the backend server at the same time.
-	Slots int
-	// Queue is the most requests that wait.
-	Queue int
-	// Remember is how long a finished request stays known.
-	Remember time.Duration
-	// Beat is the longest time without a frame on a stream.
-	Beat time.Duration
+	Counter UsageCounter
+	// OnDraining is told when an order starts or ends a drain; it may be nil.
+	OnDraining func(draining bool)
+	// MaxRunning are the requests passed to the backend server at the same time.
+	MaxRunning int
+	// MaxQueued is the most requests that wait.
+	MaxQueued int
+	// Retention is how long a finished request stays known.
+	Retention time.Duration
+	// HeartbeatInterval is the longest time without a frame on a stream.
+	HeartbeatInterval time.Duration
 
 	gate     gate
 	registry registry
@@ -141,7 +141,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			s.registry.sweep(now, s.Remember)
+			s.registry.sweep(now, s.Retention)
 			s.Loads.OfferLoad(s.load())
 		}
 	}
@@ -155,7 +155,7 @@
 	case isClaimed(request) && s.Claims == nil:
 		return refusal.NotRun(http.StatusServiceUnavailable, "no_claims", "%s keeps no claims", s.Name)
 	case request.GetPool() != s.Pool:
-		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_pool", "%s serves %s", s.Name, s.Pool).After(retryElsewhere)
+		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_pool", "%s serves %s", s.Name, s.Pool).WithRetryAfter(retryElsewhere)
 	default:
 		return nil
 	}
@@ -217,7 +217,7 @@
 // server may have got and that may still be sent again: no process was before
 // it, or it is older than any request.
 func (s *Server) remembersAll(now time.Time) bool {
-	return s.Claims != nil && (s.Claims.Members.IsFirst() || now.Sub(s.Claims.Started) >= longestRun)
+	return s.Claims != nil && (s.Claims.Members.IsFirstProcess() || now.Sub(s.Claims.Started) >= longestRun)
 }
 
 func timeLeft(request *peerpb.RunRequest) time.Duration {
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -92,7 +92,7 @@
 func TestCancelWaiting(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	server := newServer(service.URL)
-	server.Slots = 1
+	server.MaxRunning = 1
 	client := serve(t, server)
 	running := sendAsync(client, posting("running"))
 	receive(t, service.arrived)
--- a/internal/entry/size_test.go
+++ b/internal/entry/size_test.go
@@ -28,11 +28,11 @@
 
 // BenchmarkKeptClaim measures the memory of a claim, in bytes a claim.
 func BenchmarkKeptClaim(b *testing.B) {
-	journal := &claim.Journal{Keep: time.Hour, Size: 1 << 30}
+	journal := &claim.Journal{Retention: time.Hour, Capacity: 1 << 30}
 	measureHeap(b, func(i int) {
 		request := peerpb.RunRequest_builder{Body: fmt.Append(nil, i)}.Build()
 		record := claim.NewRecord(fmt.Sprintf("90bc38b1-6ff1-49cc-9ec9-%012d", i), "server-s1", digest(request))
-		_, _, _ = journal.Hold(digest(request), record, time.Now())
+		_, _, _ = journal.Add(digest(request), record, time.Now())
 	})
 	runtime.KeepAlive(journal)
 }
--- a/internal/fleet/capacity_test.go
+++ b/internal/fleet/capacity_test.go
@@ -91,7 +91,7 @@
 			Interval: time.Second, Lease: lease, OrderBound: bound, DrainBound: drainBound,
 		}
 		rank := duty.Rank(fleet.DutyPrefix+zone, name, candidates)
-		keeper := &duty.Keeper{
+		keeper := &duty.Elector{
 			Store: process, Name: fleet.DutyPrefix + zone, Process: name, Lease: lease, Margin: margin,
 			Rank: func() int { return rank },
 		}
--- a/internal/fleet/counter.go
+++ b/internal/fleet/counter.go
@@ -14,10 +14,10 @@
 
 // CountPlatform is told how many servers a zone is to have of a pool.
 type CountPlatform interface {
-	// Count orders a number under a term's fencing number. The guard is asked as
+	// SetServerCount orders a number under a term's fencing number. The guard is asked as
 	// the last thing before the order goes out. A *platform.ConflictError says that
 	// a newer holder has sent orders.
-	Count(ctx context.Context, count Count, fence uint64, guard func() error) error
+	SetServerCount(ctx context.Context, count Count, fence uint64, guard func() error) error
 }
 
 // Counter keeps pools at their size while this process is in charge, where the
@@ -46,7 +46,7 @@
 	if !c.Fenced && !pause.For(ctx, c.Lease+c.Bound) {
 		return nil
 	}
-	numbers := &Numbers{Target: c.Target, Slack: c.Slack}
+	numbers := &CountPlanner{Target: c.Target, Slack: c.Slack}
 	for {
 		for _, pool := range c.Pools(ctx) {
 			if err := c.order(ctx, term, numbers, pool); err != nil {
@@ -60,20 +60,20 @@
 }
 
 // order sends what is due for a pool. An error says that the term is over.
-func (c *Counter) order(ctx context.Context, term Term, numbers *Numbers, pool CountedPool) error {
+func (c *Counter) order(ctx context.Context, term Term, numbers *CountPlanner, pool CountedPool) error {
 	for _, count := range numbers.Due(time.Now(), pool) {
 		err := c.send(ctx, term, count)
 		c.Decisions.Record(count.Pool, "order", "zone %s is to have %d servers, has %d; running %.1f, waiting %.1f, slots %.0f; term %d (%v)",
 			count.Zone, count.Servers, pool.Present[count.Zone], pool.Need.Running, pool.Need.Queued, pool.Need.Slots, term.Fence(), err)
 		var conflict *platform.ConflictError
-		var ended *EndedError
+		var ended *TermEndedError
 		if errors.As(err, &conflict) || errors.As(err, &ended) {
 			return err
 		}
 		if err != nil {
 			klog.InfoS("order: not known whether a number was taken", "pool", count.Pool, "zone", count.Zone, "servers", count.Servers, "err", err.Error())
 		}
-		numbers.Sent(time.Now(), count, err == nil)
+		numbers.RecordSent(time.Now(), count, err == nil)
 	}
 	return nil
 }
@@ -83,9 +83,9 @@
 	defer cancel()
 	guard := func() error {
 		if !term.Valid(time.Now()) {
-			return &EndedError{Zone: count.Zone, Fence: term.Fence()}
+			return &TermEndedError{Zone: count.Zone, Fence: term.Fence()}
 		}
 		return nil
 	}
-	return c.Platform.Count(ctx, count, term.Fence(), guard)
+	return c.Platform.SetServerCount(ctx, count, term.Fence(), guard)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -35,8 +35,8 @@
 // maxRemoved bounds the removed servers that a pool remembers.
 const maxRemoved = 64
 
-// Seen is what a zone's duty sees of its backend servers.
-type Seen struct {
+// ZoneView is what a zone's duty sees of its backend servers.
+type ZoneView struct {
 	// Listed are the servers in the platform's list.
 	Listed []platform.Server
 	// Addresses are those of the sidecars that are known, by server.
@@ -48,7 +48,7 @@
 // Update returns a pool's servers after the platform has listed those of one
 // zone, and whether anything changed; a change raises the epoch by one.
 // A server that leaves drains from then on.
-func Update(known *statepb.Fleet, pool, zone string, seen Seen, now time.Time) (*statepb.Fleet, bool) {
+func Update(known *statepb.Fleet, pool, zone string, seen ZoneView, now time.Time) (*statepb.Fleet, bool) {
 	next, ok := proto.Clone(known).(*statepb.Fleet)
 	if !ok {
 		next = &statepb.Fleet{}
@@ -78,7 +78,7 @@
 	return next, true
 }
 
-func take(servers map[string]*statepb.Server, listed platform.Server, seen Seen, now time.Time) {
+func take(servers map[string]*statepb.Server, listed platform.Server, seen ZoneView, now time.Time) {
 	server := servers[listed.ID]
 	if server == nil {
 		server = statepb.Server_builder{Id: listed.ID, Pool: listed.Pool, Zone: listed.Zone}.Build()
--- a/internal/fleet/numbers.go
+++ b/internal/fleet/numbers.go
@@ -23,41 +23,41 @@
 // when it is told how many a zone is to have.
 type CountedPool struct {
 	Name string
-	// Least and Most bound the servers of each zone.
-	Least int
-	Most  int
-	// Boot is the time from an order to the first request served.
-	Boot time.Duration
+	// Min and Most bound the servers of each zone.
+	Min int
+	Max  int
+	// StartupTime is the time from an order to the first request served.
+	StartupTime time.Duration
 	// Present are the servers that may get work, by the zones that have or had one.
 	Present map[string]int
 	Need    Need
 }
 
-// Subject is what one order is about.
-type Subject struct {
+// PoolZone is what one order is about.
+type PoolZone struct {
 	Pool string
 	Zone string
 }
 
 // Count is the number of servers that a zone is to have of a pool.
 type Count struct {
-	Subject
+	PoolZone
 
 	Servers int
 }
 
-// Numbers decides how many servers each zone is to have of each pool, and when
+// CountPlanner decides how many servers each zone is to have of each pool, and when
 // that has to be ordered. It has no clock and does no input or output. Exported
 // fields are set before use; it is not safe for concurrent use.
-type Numbers struct {
+type CountPlanner struct {
 	// Target and Slack are those of a Sizer.
 	Target float64
 	Slack  float64
 
 	sizers map[string]*Sizer
-	orders map[Subject]order
+	orders map[PoolZone]order
 	// empty is since when a zone has had no server though it was to have some.
-	empty map[Subject]time.Time
+	empty map[PoolZone]time.Time
 }
 
 // order is the last one sent for a subject.
@@ -68,23 +68,23 @@
 }
 
 // Due returns the orders that are to be sent now for a pool.
-func (n *Numbers) Due(now time.Time, pool CountedPool) []Count {
+func (n *CountPlanner) Due(now time.Time, pool CountedPool) []Count {
 	n.prepare()
 	var due []Count
 	for zone, servers := range n.wanted(now, pool) {
-		subject := Subject{Pool: pool.Name, Zone: zone}
+		subject := PoolZone{Pool: pool.Name, Zone: zone}
 		if n.isDue(now, subject, servers, pool) {
-			due = append(due, Count{Subject: subject, Servers: servers})
+			due = append(due, Count{PoolZone: subject, Servers: servers})
 		}
 	}
 	slices.SortFunc(due, func(a, b Count) int { return cmp.Compare(a.Zone, b.Zone) })
 	return due
 }
 
-// Sent notes that an order was sent, and whether the platform is known to have taken it.
-func (n *Numbers) Sent(now time.Time, count Count, isTaken bool) {
+// RecordSent notes that an order was sent, and whether the platform is known to have taken it.
+func (n *CountPlanner) RecordSent(now time.Time, count Count, isTaken bool) {
 	n.prepare()
-	n.orders[count.Subject] = order{servers: count.Servers, at: now, isTaken: isTaken}
+	n.orders[count.PoolZone] = order{servers: count.Servers, at: now, isTaken: isTaken}
 }
 
 // isDue reports whether a number has to be ordered.
@@ -93,7 +93,7 @@
 // and would leave a zone with an old number for good. So the number is ordered
 // again until the platform says that it took it, and once more where the
 // registrations still differ when every earlier order must have been carried out.
-func (n *Numbers) isDue(now time.Time, subject Subject, servers int, pool CountedPool) bool {
+func (n *CountPlanner) isDue(now time.Time, subject PoolZone, servers int, pool CountedPool) bool {
 	last, isKnown := n.orders[subject]
 	switch {
 	case !isKnown:
@@ -101,12 +101,12 @@
 	case last.servers != servers, !last.isTaken:
 		return true
 	default:
-		return servers != pool.Present[subject.Zone] && now.Sub(last.at) > pool.Boot+lateBound
+		return servers != pool.Present[subject.Zone] && now.Sub(last.at) > pool.StartupTime+lateBound
 	}
 }
 
 // wanted returns the servers that each zone is to have.
-func (n *Numbers) wanted(now time.Time, pool CountedPool) map[string]int {
+func (n *CountPlanner) wanted(now time.Time, pool CountedPool) map[string]int {
 	present := map[string]int{}
 	for zone, servers := range pool.Present {
 		if !n.isLost(now, zone, pool) {
@@ -114,7 +114,7 @@
 		}
 	}
 	sizer := n.sizer(now, pool)
-	sizer.Min, sizer.Max = pool.Least*len(present), pool.Most*len(present)
+	sizer.Min, sizer.Max = pool.Min*len(present), pool.Max*len(present)
 	shares := Spread(sizer.Decide(now, pool.Need), present)
 	n.keep(pool, shares)
 	for zone := range pool.Present {
@@ -122,7 +122,7 @@
 			// One server is asked for all the same: it shows when the zone is back.
 			shares[zone] = 1
 		}
-		shares[zone] = min(max(shares[zone], pool.Least), pool.Most)
+		shares[zone] = min(max(shares[zone], pool.Min), pool.Max)
 	}
 	return shares
 }
@@ -132,13 +132,13 @@
 //
 // When a lost zone is back, the others give up what they had in its place. Given
 // up at once, that is missing until the zone's own servers have started.
-func (n *Numbers) keep(pool CountedPool, shares map[string]int) {
+func (n *CountPlanner) keep(pool CountedPool, shares map[string]int) {
 	missing := 0
 	for zone, share := range shares {
 		missing += max(0, share-pool.Present[zone])
 	}
 	for zone, share := range shares {
-		last := n.orders[Subject{Pool: pool.Name, Zone: zone}].servers
+		last := n.orders[PoolZone{Pool: pool.Name, Zone: zone}].servers
 		kept := min(last, pool.Present[zone], share+missing)
 		shares[zone] = max(share, kept)
 	}
@@ -146,19 +146,19 @@
 
 // isLost reports whether a zone has had no server for longer than one takes to
 // start. The others get its share.
-func (n *Numbers) isLost(now time.Time, zone string, pool CountedPool) bool {
-	subject := Subject{Pool: pool.Name, Zone: zone}
-	if pool.Present[zone] > 0 || pool.Least == 0 && n.orders[subject].servers == 0 {
+func (n *CountPlanner) isLost(now time.Time, zone string, pool CountedPool) bool {
+	subject := PoolZone{Pool: pool.Name, Zone: zone}
+	if pool.Present[zone] > 0 || pool.Min == 0 && n.orders[subject].servers == 0 {
 		delete(n.empty, subject)
 		return false
 	}
 	if n.empty[subject].IsZero() {
 		n.empty[subject] = now
 	}
-	return now.Sub(n.empty[subject]) > pool.Boot+lateBound
+	return now.Sub(n.empty[subject]) > pool.StartupTime+lateBound
 }
 
-func (n *Numbers) sizer(now time.Time, pool CountedPool) *Sizer {
+func (n *CountPlanner) sizer(now time.Time, pool CountedPool) *Sizer {
 	sizer := n.sizers[pool.Name]
 	if sizer == nil {
 		sizer = &Sizer{Target: n.Target, Slack: n.Slack}
@@ -169,15 +169,15 @@
 		sizer.Begin(now, total)
 		n.sizers[pool.Name] = sizer
 	}
-	sizer.Calm = max(calmBoots*pool.Boot, leastCalm)
+	sizer.ScaleDownDelay = max(calmBoots*pool.StartupTime, leastCalm)
 	return sizer
 }
 
-func (n *Numbers) prepare() {
+func (n *CountPlanner) prepare() {
 	if n.sizers != nil {
 		return
 	}
 	n.sizers = map[string]*Sizer{}
-	n.orders = map[Subject]order{}
-	n.empty = map[Subject]time.Time{}
+	n.orders = map[PoolZone]order{}
+	n.empty = map[PoolZone]time.Time{}
 }
--- a/internal/fleet/numbers_test.go
+++ b/internal/fleet/numbers_test.go
@@ -12,7 +12,7 @@
 
 // counted is a pool in two zones whose platform carries out what is ordered.
 type counted struct {
-	numbers *fleet.Numbers
+	numbers *fleet.CountPlanner
 	pool    fleet.CountedPool
 	now     time.Time
 	// taken says whether the platform answers orders.
@@ -22,9 +22,9 @@
 
 func newCounted() *counted {
 	return &counted{
-		numbers: &fleet.Numbers{Target: 0.75, Slack: 0.1},
+		numbers: &fleet.CountPlanner{Target: 0.75, Slack: 0.1},
 		pool: fleet.CountedPool{
-			Name: "lm", Least: 1, Most: 4, Boot: 2 * time.Second,
+			Name: "lm", Min: 1, Max: 4, StartupTime: 2 * time.Second,
 			Present: map[string]int{"a": 1, "b": 1}, Need: fleet.Need{Slots: 8},
 		},
 		now:   time.Unix(0, 0),
@@ -38,7 +38,7 @@
 	for range seconds {
 		due := c.numbers.Due(c.now, c.pool)
 		for _, count := range due {
-			c.numbers.Sent(c.now, count, c.taken)
+			c.numbers.RecordSent(c.now, count, c.taken)
 			c.sent = append(c.sent, count)
 			for _, zone := range zones {
 				if c.taken && zone == count.Zone {
@@ -103,7 +103,7 @@
 func TestNumbersLateOrder(t *testing.T) {
 	c := newCounted()
 	c.pass(1, "a", "b")
-	c.numbers.Sent(c.now, fleet.Count{Subject: fleet.Subject{Pool: "lm", Zone: "a"}, Servers: 1}, true)
+	c.numbers.RecordSent(c.now, fleet.Count{PoolZone: fleet.PoolZone{Pool: "lm", Zone: "a"}, Servers: 1}, true)
 	c.pool.Present["a"] = 4
 	c.pass(30, "a", "b")
 	mustHave(t, c, 1, 1)
@@ -131,7 +131,7 @@
 // A zone that is lost is not ordered below what the operators allow.
 func TestNumbersZoneLostKeepsLeast(t *testing.T) {
 	c := newCounted()
-	c.pool.Least = 2
+	c.pool.Min = 2
 	c.pass(20, "a", "b")
 	c.pool.Present["b"] = 0
 	c.pass(20, "a")
@@ -145,7 +145,7 @@
 func TestNumbersSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCounted()
-		c.pool.Least = rapid.IntRange(0, 2).Draw(t, "least")
+		c.pool.Min = rapid.IntRange(0, 2).Draw(t, "least")
 		for range rapid.IntRange(1, 10).Draw(t, "changes") {
 			c.pool.Need.Running = rapid.Float64Range(0, 100).Draw(t, "running")
 			c.taken = rapid.Bool().Draw(t, "taken")
@@ -154,7 +154,7 @@
 		c.taken = true
 		c.pass(60, "a", "b")
 		for _, count := range c.sent {
-			must.Between(t, c.pool.Least, count.Servers, c.pool.Most)
+			must.Between(t, c.pool.Min, count.Servers, c.pool.Max)
 		}
 		before := len(c.sent)
 		c.pass(60, "a", "b")
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -49,14 +49,14 @@
 	return fmt.Sprintf("order: zone %s: term %d is superseded by %d", e.Zone, e.Fence, e.Newer)
 }
 
-// EndedError says that a term ended before an order was sent.
-type EndedError struct {
+// TermEndedError says that a term ended before an order was sent.
+type TermEndedError struct {
 	Zone  string
 	Fence uint64
 }
 
 // Error names the zone and the term.
-func (e *EndedError) Error() string {
+func (e *TermEndedError) Error() string {
 	return "order: zone " + e.Zone + ": term " + strconv.FormatUint(e.Fence, 10) + " has ended"
 }
 
@@ -64,7 +64,7 @@
 type OrderPlatform interface {
 	Get(ctx context.Context, key string) (platform.Value, error)
 	Order(ctx context.Context, order platform.Order, guard func() error) error
-	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
+	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
 // Term is the time during which a process holds a zone's duty.
@@ -173,7 +173,7 @@
 	guard := func() error {
 		now := time.Now()
 		if !o.Term.Valid(now) || !now.Before(until) {
-			return &EndedError{Zone: o.Zone, Fence: o.Term.Fence()}
+			return &TermEndedError{Zone: o.Zone, Fence: o.Term.Fence()}
 		}
 		return nil
 	}
@@ -259,7 +259,7 @@
 			return &SupersededError{Zone: o.Zone, Fence: o.Term.Fence(), Newer: o.orders.GetFence()}
 		}
 		if !o.Term.Valid(time.Now()) {
-			return &EndedError{Zone: o.Zone, Fence: o.Term.Fence()}
+			return &TermEndedError{Zone: o.Zone, Fence: o.Term.Fence()}
 		}
 		err := o.swap(ctx, change)
 		if err == nil {
@@ -285,7 +285,7 @@
 	if err != nil {
 		return eris.Wrap(err, "encode orders")
 	}
-	revision, err := o.Platform.Swap(ctx, orderPrefix+o.Zone, o.revision, data, 0)
+	revision, err := o.Platform.CompareAndSwap(ctx, orderPrefix+o.Zone, o.revision, data, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/orders_test.go
+++ b/internal/fleet/orders_test.go
@@ -31,7 +31,7 @@
 
 // run takes part in the zone's duty and sends an order every two seconds of a term.
 func run(ctx context.Context, world *process, name string, rank int) {
-	keeper := &duty.Keeper{
+	keeper := &duty.Elector{
 		Store: world, Name: "order-a", Process: name, Lease: lease, Margin: margin,
 		Rank: func() int { return rank },
 	}
@@ -43,7 +43,7 @@
 		for ctx.Err() == nil {
 			err := orderer.Send(ctx, orderer.New(fleet.ActionStart, "m", "", "test"))
 			var superseded *fleet.SupersededError
-			var ended *fleet.EndedError
+			var ended *fleet.TermEndedError
 			if errors.As(err, &superseded) || errors.As(err, &ended) {
 				return err
 			}
--- a/internal/fleet/resize.go
+++ b/internal/fleet/resize.go
@@ -12,9 +12,9 @@
 
 // resize brings a pool nearer to its size in the zone: it marks the servers that
 // are too many for draining, and orders those that are missing.
-func (z *Zone) resize(ctx context.Context, name string, fleet *statepb.Fleet, seen Seen) (*statepb.Fleet, error) {
+func (z *Zone) resize(ctx context.Context, name string, fleet *statepb.Fleet, seen ZoneView) (*statepb.Fleet, error) {
 	pool := z.pool(name)
-	observed := Observation{Fleet: fleet, Heard: z.heard(), Load: z.Members.Load}
+	observed := Observation{Fleet: fleet, ReachableZones: z.heard(), Load: z.Members.Load}
 	share, kept := z.Scale.Share(time.Now(), pool, observed)
 	if !kept {
 		return fleet, nil
@@ -39,7 +39,7 @@
 		if err := z.send(ctx, order); err != nil {
 			return err
 		}
-		z.Scale.Ordered(time.Now(), pool, order.GetServer())
+		z.Scale.RecordOrdered(time.Now(), pool, order.GetServer())
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 }
 
 // with returns what is seen with more servers that are to drain.
-func (s Seen) with(servers []string) Seen {
+func (s ZoneView) with(servers []string) ZoneView {
 	leaving := maps.Clone(s.Leaving)
 	if leaving == nil {
 		leaving = map[string]bool{}
--- a/internal/fleet/scale.go
+++ b/internal/fleet/scale.go
@@ -23,10 +23,10 @@
 type Scale struct {
 	// Target, Calm and Slack are those of a Sizer.
 	Target float64
-	Calm   time.Duration
+	ScaleDownDelay   time.Duration
 	Slack  float64
-	// Loss is how long none of a zone's processes is heard before it is lost.
-	Loss time.Duration
+	// ZoneLossTimeout is how long none of a zone's processes is heard before it is lost.
+	ZoneLossTimeout time.Duration
 
 	zone    string
 	sizers  map[string]*Sizer
@@ -37,8 +37,8 @@
 // Observation is what is known of a pool and of the zones at one moment.
 type Observation struct {
 	Fleet *statepb.Fleet
-	// Heard are the zones of which a process is present.
-	Heard map[string]bool
+	// ReachableZones are the zones of which a process is present.
+	ReachableZones map[string]bool
 	// Load returns the newest load known of a server, or nil.
 	Load func(server string) *peerpb.Load
 }
@@ -73,8 +73,8 @@
 	return share
 }
 
-// Ordered notes that a server was ordered; the platform's list may lag.
-func (s *Scale) Ordered(now time.Time, pool, server string) {
+// RecordOrdered notes that a server was ordered; the platform's list may lag.
+func (s *Scale) RecordOrdered(now time.Time, pool, server string) {
 	if s.ordered[pool] == nil {
 		s.ordered[pool] = map[string]time.Time{}
 	}
@@ -131,20 +131,20 @@
 // isLost reports whether a zone that has servers was not heard for Loss. A new
 // holder hears nobody at first, so the time counts from its own first look.
 func (s *Scale) isLost(now time.Time, zone string, servers int, observed Observation) bool {
-	if zone == s.zone || servers == 0 || observed.Heard[zone] {
+	if zone == s.zone || servers == 0 || observed.ReachableZones[zone] {
 		delete(s.silent, zone)
 		return false
 	}
 	if s.silent[zone].IsZero() {
 		s.silent[zone] = now
 	}
-	return now.Sub(s.silent[zone]) >= s.Loss
+	return now.Sub(s.silent[zone]) >= s.ZoneLossTimeout
 }
 
 func (s *Scale) sizer(now time.Time, pool *listpb.Pool, present map[string]int) *Sizer {
 	sizer := s.sizers[pool.GetName()]
 	if sizer == nil {
-		sizer = &Sizer{Target: s.Target, Calm: s.Calm, Slack: s.Slack}
+		sizer = &Sizer{Target: s.Target, ScaleDownDelay: s.ScaleDownDelay, Slack: s.Slack}
 		total := 0
 		for _, servers := range present {
 			total += servers
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -16,7 +16,7 @@
 
 func newScale(t *testing.T) *fleet.Scale {
 	t.Helper()
-	scale := &fleet.Scale{Target: 0.75, Calm: time.Minute, Slack: 0, Loss: time.Minute}
+	scale := &fleet.Scale{Target: 0.75, ScaleDownDelay: time.Minute, Slack: 0, ZoneLossTimeout: time.Minute}
 	scale.Begin("a")
 	return scale
 }
@@ -33,7 +33,7 @@
 		state.SetServers(append(state.GetServers(), server))
 	}
 	load := peerpb.Load_builder{Running: running, Slots: 10}.Build()
-	return fleet.Observation{Fleet: state, Heard: map[string]bool{"a": true, "b": true}, Load: func(string) *peerpb.Load { return load }}
+	return fleet.Observation{Fleet: state, ReachableZones: map[string]bool{"a": true, "b": true}, Load: func(string) *peerpb.Load { return load }}
 }
 
 func mustShare(t *testing.T, scale *fleet.Scale, now time.Time, observed fleet.Observation, want int) {
@@ -68,10 +68,10 @@
 	scale, now := newScale(t), time.Unix(1000, 0)
 	observed := observe(2, 2, 7)
 	mustShare(t, scale, now, observed, 2)
-	observed.Heard = map[string]bool{"a": true}
+	observed.ReachableZones = map[string]bool{"a": true}
 	mustShare(t, scale, now, observed, 2)
 	mustShare(t, scale, now.Add(61*time.Second), observed, 4)
-	observed.Heard = map[string]bool{"a": true, "b": true}
+	observed.ReachableZones = map[string]bool{"a": true, "b": true}
 	mustShare(t, scale, now.Add(62*time.Second), observed, 2)
 }
 
@@ -81,7 +81,7 @@
 	scale, now := newScale(t), time.Unix(1000, 0)
 	observed := observe(1, 1, 7)
 	must.Eq(t, 1, scale.Missing(now, "p", 2, observed.Fleet))
-	scale.Ordered(now, "p", "new")
+	scale.RecordOrdered(now, "p", "new")
 	must.Eq(t, 0, scale.Missing(now, "p", 2, observed.Fleet))
 	must.Eq(t, 1, scale.Missing(now.Add(2*time.Minute), "p", 2, observed.Fleet))
 }
--- a/internal/fleet/sidecars.go
+++ b/internal/fleet/sidecars.go
@@ -14,16 +14,16 @@
 
 const askTimeout = time.Second
 
-// Peers gives orders to sidecars over gRPC. A connection is closed after each
+// SidecarClient gives orders to sidecars over gRPC. A connection is closed after each
 // order, since few servers drain at a time.
-type Peers struct {
+type SidecarClient struct {
 	Credentials credentials.TransportCredentials
 }
 
-var _ Sidecars = &Peers{}
+var _ Sidecars = &SidecarClient{}
 
 // Drain makes a sidecar take no new work and returns its load afterwards.
-func (p *Peers) Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error) {
+func (p *SidecarClient) Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error) {
 	connection, err := listen.Dial(process.GetAddress(), p.Credentials)
 	if err != nil {
 		return nil, err
--- a/internal/fleet/sizer.go
+++ b/internal/fleet/sizer.go
@@ -30,8 +30,8 @@
 	Max int
 	// Target is the share of slots in use that is aimed at.
 	Target float64
-	// Calm is how long fewer servers must have been enough before one is stopped.
-	Calm time.Duration
+	// ScaleDownDelay is how long fewer servers must have been enough before one is stopped.
+	ScaleDownDelay time.Duration
 	// Slack is the share of servers that must be too many before any is stopped.
 	Slack float64
 
@@ -75,7 +75,7 @@
 		s.wanted = s.wanted[:len(s.wanted)-1]
 	}
 	s.wanted = append(s.wanted, count{at: now, servers: servers})
-	for now.Sub(s.wanted[0].at) > s.Calm {
+	for now.Sub(s.wanted[0].at) > s.ScaleDownDelay {
 		s.wanted = s.wanted[1:]
 	}
 	return s.wanted[0].servers
--- a/internal/fleet/sizer_test.go
+++ b/internal/fleet/sizer_test.go
@@ -11,7 +11,7 @@
 )
 
 func newSizer() *fleet.Sizer {
-	return &fleet.Sizer{Min: 2, Max: 20, Target: 0.7, Calm: 10 * time.Minute, Slack: 0.3}
+	return &fleet.Sizer{Min: 2, Max: 20, Target: 0.7, ScaleDownDelay: 10 * time.Minute, Slack: 0.3}
 }
 
 // feed decides every ten seconds for a while and returns the last decision.
--- a/internal/fleet/world_test.go
+++ b/internal/fleet/world_test.go
@@ -174,7 +174,7 @@
 	return value, err
 }
 
-func (p *process) Grant(_ context.Context, length time.Duration) (uint64, error) {
+func (p *process) GrantLease(_ context.Context, length time.Duration) (uint64, error) {
 	var lease uint64
 	err := p.call(func() error {
 		p.next++
@@ -206,7 +206,7 @@
 	return p.take(order)
 }
 
-func (p *process) Renew(_ context.Context, lease uint64, length time.Duration) error {
+func (p *process) RenewLease(_ context.Context, lease uint64, length time.Duration) error {
 	return p.call(func() error {
 		if !time.Now().Before(p.leases[lease]) {
 			return &platform.NotFoundError{Key: "lease"}
@@ -230,7 +230,7 @@
 	return servers, err
 }
 
-func (p *process) Swap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+func (p *process) CompareAndSwap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	var revision uint64
 	err := p.call(func() error {
 		if p.values[key].Revision != expect {
--- a/internal/fleet/zone.go
+++ b/internal/fleet/zone.go
@@ -101,7 +101,7 @@
 // isOver reports whether an error says that the term is over.
 func isOver(err error) bool {
 	var superseded *SupersededError
-	var ended *EndedError
+	var ended *TermEndedError
 	return errors.As(err, &superseded) || errors.As(err, &ended)
 }
 
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	seen := Seen{Listed: listed, Addresses: z.addresses(), Leaving: z.leaving(ctx)}
+	seen := ZoneView{Listed: listed, Addresses: z.addresses(), Leaving: z.leaving(ctx)}
 	faults := []error{z.sendPending(ctx)}
 	for _, pool := range z.pools(listed) {
 		fleet, err := z.update(ctx, pool, seen)
@@ -186,7 +186,7 @@
 }
 
 // update brings the pool's key in line with what is seen and returns its value.
-func (z *Zone) update(ctx context.Context, pool string, seen Seen) (*statepb.Fleet, error) {
+func (z *Zone) update(ctx context.Context, pool string, seen ZoneView) (*statepb.Fleet, error) {
 	key := member.FactFleet + pool
 	known, revision, err := z.read(ctx, key)
 	if err != nil {
@@ -200,7 +200,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "encode "+key)
 	}
-	revision, err = z.Platform.Swap(ctx, key, revision, data, 0)
+	revision, err = z.Platform.CompareAndSwap(ctx, key, revision, data, 0)
 	if err != nil {
 		return nil, errors.Join(err, z.refresh(ctx, key))
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -47,7 +47,7 @@
 		forwarder: f,
 		request:   request,
 		pool:      request.Route.Pool(rand.Float64()),
-		policy:    policy{attempts: request.Route.Attempts, repeats: request.mayRepeat(), target: request.Route.Target},
+		policy:    policy{attempts: request.Route.Attempts, repeats: request.mayRepeat(), target: request.Route.LatencyTarget},
 		tried:     map[string]bool{},
 	}
 	ctx, cancel := context.WithTimeout(ctx, request.left())
@@ -102,8 +102,8 @@
 func (r *run) noServer(ctx context.Context, last error) (bool, error) {
 	if last == nil {
 		klog.InfoS("route: no server", "id", r.request.ID, "pool", r.pool)
-		r.forwarder.Roster.Refused(r.pool)
-		return false, refusal.NotRun(http.StatusServiceUnavailable, "no_server", "no backend server of the pool gets work").After(serverAgain)
+		r.forwarder.Roster.RecordRefusal(r.pool)
+		return false, refusal.NotRun(http.StatusServiceUnavailable, "no_server", "no backend server of the pool gets work").WithRetryAfter(serverAgain)
 	}
 	if !refusal.IsNotRun(last) || r.request.left() < 2*waitForRoom {
 		return false, r.refuse(ctx, last)
@@ -120,7 +120,7 @@
 func (r *run) try(ctx context.Context, server *roster.Server) (*Answer, error) {
 	left := r.request.left()
 	if left <= 0 {
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, "no_time", "the request's time was over before it was sent").After(roomAgain)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, "no_time", "the request's time was over before it was sent").WithRetryAfter(roomAgain)
 	}
 	answer, err := r.send(ctx, server)
 	if err != nil {
@@ -137,9 +137,9 @@
 		r.start()
 	}
 	if err == nil {
-		r.forwarder.Roster.Answered(server)
-		if target := r.request.Route.Target; target > 0 {
-			r.forwarder.Roster.Timed(server, clock.Now().Sub(began) > target)
+		r.forwarder.Roster.RecordAnswer(server)
+		if target := r.request.Route.LatencyTarget; target > 0 {
+			r.forwarder.Roster.RecordLatency(server, clock.Now().Sub(began) > target)
 		}
 	}
 	return answer, err
@@ -159,8 +159,8 @@
 		return
 	}
 	r.began = true
-	if r.request.Began != nil {
-		r.request.Began()
+	if r.request.OnBegan != nil {
+		r.request.OnBegan()
 	}
 }
 
@@ -177,19 +177,19 @@
 		}
 		return got, nil
 	}
-	body, whole, err := answer.Whole(heldBytes)
+	body, whole, err := answer.ReadAll(heldBytes)
 	if err != nil {
 		_ = answer.Body.Close()
 		return nil, err
 	}
-	if answer.StatusCode == http.StatusInternalServerError && r.request.Failed != nil {
-		r.request.Failed()
+	if answer.StatusCode == http.StatusInternalServerError && r.request.OnFailed != nil {
+		r.request.OnFailed()
 	}
 	if answer.StatusCode >= http.StatusInternalServerError && r.policy.repeats && r.policy.sent+1 < r.policy.attempts {
 		_ = answer.Body.Close()
 		return nil, refusal.Unknown(http.StatusBadGateway, backend.CodeFailed, "%s answered %d", server.Name(), answer.StatusCode)
 	}
-	got.Body, got.Whole = body, whole
+	got.Body, got.Complete = body, whole
 	return got, nil
 }
 
@@ -203,14 +203,14 @@
 func NoteFailure(ctx context.Context, servers *roster.Roster, server *roster.Server, err error) {
 	refused := refusal.Of(err)
 	switch {
-	case refused.Code == backend.CodeOther:
-		servers.Replaced(server)
+	case refused.Code == backend.CodeWrongServer:
+		servers.RecordReplaced(server)
 	case refused.Code == backend.CodeFull:
-		servers.Full(server)
-	case refused.Code == backend.CodeFailed, refused.Code == backend.CodeForeign:
+		servers.RecordFull(server)
+	case refused.Code == backend.CodeFailed, refused.Code == backend.CodeWrongRequest:
 	case ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded):
 	default:
-		servers.Failed(server, refused.Code)
+		servers.RecordFailure(server, refused.Code)
 	}
 }
 
@@ -223,14 +223,14 @@
 		if refused.Status == http.StatusServiceUnavailable {
 			refused.Status = http.StatusBadGateway
 		}
-	} else if refused.Retry == 0 {
-		refused.Retry = roomAgain
+	} else if refused.RetryAfter == 0 {
+		refused.RetryAfter = roomAgain
 	}
 	if ctx.Err() != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && r.policy.ran {
 		refused.Status = http.StatusGatewayTimeout
 	}
 	if refused.Code == backend.CodeFull {
-		r.forwarder.Roster.Refused(r.pool)
+		r.forwarder.Roster.RecordRefusal(r.pool)
 	}
 	klog.InfoS("route: refused", "id", r.request.ID, "status", refused.Status, "code", refused.Code, "tried", len(r.tried), "left", r.request.left(), "at", clock.Now())
 	return &refused
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -14,16 +14,16 @@
 type Request struct {
 	// Send is what each backend server is sent, but for Server, Left and Silence,
 	// which differ from try to try.
-	backend.Send
+	backend.Request
 
 	Route *table.Route
-	// Until is when the caller or the route gives the request up.
-	Until clock.Boot
-	// Failed is called for each answer by which a backend server says that the
+	// Deadline is when the caller or the route gives the request up.
+	Deadline clock.Boot
+	// OnFailed is called for each answer by which a backend server says that the
 	// request failed there; nil is allowed.
-	Failed func()
-	// Began is called when a backend server has the request for the first time; nil is allowed.
-	Began func()
+	OnFailed func()
+	// OnBegan is called when a backend server has the request for the first time; nil is allowed.
+	OnBegan func()
 }
 
 // mayRepeat reports whether the request may run more than once.
@@ -32,12 +32,12 @@
 }
 
 // left returns how long the request may still take.
-func (r *Request) left() time.Duration { return r.Until.Sub(clock.Now()) }
+func (r *Request) left() time.Duration { return r.Deadline.Sub(clock.Now()) }
 
 // to returns what one server is sent.
-func (r *Request) to(server string, left, silence time.Duration) backend.Send {
-	send := r.Send
-	send.Server, send.Left, send.Silence = server, left, silence
+func (r *Request) to(server string, left, silence time.Duration) backend.Request {
+	send := r.Request
+	send.Server, send.TimeLeft, send.ReadTimeout = server, left, silence
 	return send
 }
 
@@ -47,7 +47,7 @@
 
 	// Body is what was read of it; Whole says that this is all.
 	Body  []byte
-	Whole bool
+	Complete bool
 	// Next returns the next part of an answer that comes in events, and io.EOF after
 	// the last one; nil where the rest is read from the answer's own body.
 	Next func() ([]byte, error)
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -42,7 +42,7 @@
 			return nil, io.EOF
 		}
 		if err == nil && event.Number != s.last+1 {
-			err = s.answer.Cut()
+			err = s.answer.Interrupted()
 		}
 		if err == nil {
 			s.last = event.Number
@@ -61,7 +61,7 @@
 		return event.Raw
 	}
 	s.version = event.Version
-	line := s.server.Direct().Wire.WriteLineVersion(event.Version)
+	line := s.server.Direct().Wire.FormatVersionLine(event.Version)
 	if len(event.Raw) >= len(line) && string(event.Raw[:len(line)]) == line {
 		return event.Raw
 	}
