--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -12,9 +12,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Demands adds up what all gateways ask of pools. Exported fields are set before
+// DemandCollector adds up what all gateways ask of pools. Exported fields are set before
 // the first call; it is not safe for concurrent use.
-type Demands struct {
+type DemandCollector struct {
 	Hosts *Hosts
 	// Own is this gateway's server.
 	Own *Server
@@ -33,7 +33,7 @@
 //
 // A gateway that does not answer counts with what it needed last until its lease
 // ends: its callers are still there, and come to the others once it is gone.
-func (d *Demands) Collect(ctx context.Context, pools []string) map[string]fleet.Need {
+func (d *DemandCollector) Collect(ctx context.Context, pools []string) map[string]fleet.Need {
 	request := peerpb.DemandRequest_builder{Pools: pools}.Build()
 	next, sums := map[string]sample{}, map[string]fleet.Need{}
 	for name, reply := range d.ask(ctx, request) {
@@ -55,7 +55,7 @@
 }
 
 // ask returns the answers of all gateways; nil for those that did not answer.
-func (d *Demands) ask(ctx context.Context, request *peerpb.DemandRequest) map[string]*peerpb.DemandReply {
+func (d *DemandCollector) ask(ctx context.Context, request *peerpb.DemandRequest) map[string]*peerpb.DemandReply {
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	var mutex sync.Mutex
@@ -73,7 +73,7 @@
 	return replies
 }
 
-func (d *Demands) askOne(ctx context.Context, name string, request *peerpb.DemandRequest) *peerpb.DemandReply {
+func (d *DemandCollector) askOne(ctx context.Context, name string, request *peerpb.DemandRequest) *peerpb.DemandReply {
 	if name == d.Hosts.Name {
 		// The own answer can't fail.
 		reply, _ := d.Own.Demand(ctx, request)
--- a/internal/gateway/detour.go
+++ b/internal/gateway/detour.go
@@ -30,11 +30,11 @@
 // The store may turn several gateways away. The word of one of them is not the
 // store's last: taken for it, gateways that asked each other lost their leases,
 // though others were served all the while.
-func (h *Hosts) Detour(ctx context.Context, call detour.Call) (detour.Answer, detour.Made) {
+func (h *Hosts) Detour(ctx context.Context, call detour.Call) (detour.Answer, detour.RelayResult) {
 	request := peerpb.DetourRequest_builder{
 		Method: call.Method, Target: call.Target, Body: call.Body, Timeout: call.Timeout.Milliseconds(),
 	}.Build()
-	answer, made := detour.Answer{}, detour.NotMade
+	answer, made := detour.Answer{}, detour.NotSent
 	for tries, name := range h.ways() {
 		if tries == detourTries {
 			break
@@ -50,10 +50,10 @@
 		switch {
 		case err != nil:
 			klog.InfoS("hosts: no detour", "host", name, "err", err.Error())
-			made = detour.Unsure
-		case platform.IsTurnedAway(status):
+			made = detour.OutcomeUnknown
+		case platform.IsRejected(status):
 			h.turnedAway(name)
-			if made == detour.NotMade {
+			if made == detour.NotSent {
 				answer, made = detour.Answer{Status: status}, detour.Answered
 			}
 		default:
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -62,16 +62,16 @@
 
 // Wire reads what callers say.
 type Wire interface {
-	// Call tells what a request asks.
-	Call(request *http.Request) Call
+	// ClassifyCall tells what a request asks.
+	ClassifyCall(request *http.Request) Call
 	// ID returns the request's identity; "" if it has none.
 	ID(request *http.Request) string
 	// Key returns the caller's key; "" if it has none.
 	Key(request *http.Request) string
 	// LastEvent returns the last event that a caller has of its stream.
 	LastEvent(request *http.Request) uint64
-	// Left returns how long the caller will wait; 0 if it doesn't say.
-	Left(request *http.Request) time.Duration
+	// TimeLeft returns how long the caller will wait; 0 if it doesn't say.
+	TimeLeft(request *http.Request) time.Duration
 }
 
 // Formats reads and writes the bodies of trainers' calls.
@@ -88,12 +88,12 @@
 	Forwarder *forward.Forwarder
 	Board     *batch.Board
 	Hosts     *Hosts
-	// Unknown is when a caller should come back before the first configuration is known.
-	Unknown time.Duration
+	// NoConfigRetry is when a caller should come back before the first configuration is known.
+	NoConfigRetry time.Duration
 	// Metrics takes the handler's metrics; nil keeps them to itself.
 	Metrics prometheus.Registerer
-	// Count is told of a request that a backend server has begun; nil is allowed.
-	Count func(account, pool string)
+	// CountStart is told of a request that a backend server has begun; nil is allowed.
+	CountStart func(account, pool string)
 
 	once    sync.Once
 	metrics *metrics
@@ -110,7 +110,7 @@
 // ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.once.Do(func() { h.metrics = newMetrics(h.Metrics) })
-	call := h.Wire.Call(r)
+	call := h.Wire.ClassifyCall(r)
 	answer := &observed{ResponseWriter: w}
 	began := clock.Now()
 	defer func() { h.metrics.observe(call.Kind, answer.status, began) }()
@@ -146,7 +146,7 @@
 	now := h.View.Current()
 	if now == nil {
 		// A refusal for want of a route would be final, though the route may well be there.
-		return nil, refusal.NotRun(http.StatusServiceUnavailable, "no_configuration", "no configuration is known yet").After(h.Unknown)
+		return nil, refusal.NotRun(http.StatusServiceUnavailable, "no_configuration", "no configuration is known yet").WithRetryAfter(h.NoConfigRetry)
 	}
 	admitted := &caller{id: h.Wire.ID(r), began: began}
 	if call.Kind == CallRun {
@@ -224,7 +224,7 @@
 		return err
 	}
 	request := &forward.Request{
-		Send: backend.Send{
+		Request: backend.Request{
 			ID:        caller.id,
 			Host:      r.Host,
 			Method:    r.Method,
@@ -236,10 +236,10 @@
 			LastEvent: h.Wire.LastEvent(r),
 		},
 		Route: caller.route,
-		Until: caller.began.Add(h.allowed(r, caller.route)),
+		Deadline: caller.began.Add(h.allowed(r, caller.route)),
 	}
-	if h.Count != nil && caller.account.Name != "" {
-		request.Began = func() { h.Count(caller.account.Name, caller.route.Name) }
+	if h.CountStart != nil && caller.account.Name != "" {
+		request.OnBegan = func() { h.CountStart(caller.account.Name, caller.route.Name) }
 	}
 	answer, err := h.Forwarder.Run(r.Context(), request)
 	if err != nil {
@@ -254,7 +254,7 @@
 // route's, whichever is shorter.
 func (h *Handler) allowed(r *http.Request, route *table.Route) time.Duration {
 	allowed := routeTime(route)
-	if left := h.Wire.Left(r); left > 0 {
+	if left := h.Wire.TimeLeft(r); left > 0 {
 		allowed = min(allowed, left)
 	}
 	return allowed
@@ -322,8 +322,8 @@
 
 func (h *Handler) refuse(w http.ResponseWriter, r *http.Request, err error) {
 	refused := refusal.Of(err)
-	klog.InfoS("caller: refused", "id", h.Wire.ID(r), "path", r.URL.Path, "status", refused.Status, "code", refused.Code, "reason", refused.Message, "outcome", refused.OutcomeText(), "after", refused.Retry)
-	refusal.WriteExact(w, err)
+	klog.InfoS("caller: refused", "id", h.Wire.ID(r), "path", r.URL.Path, "status", refused.Status, "code", refused.Code, "reason", refused.Message, "outcome", refused.OutcomeText(), "after", refused.RetryAfter)
+	refusal.WriteFractional(w, err)
 }
 
 func writeJSON(w http.ResponseWriter, text []byte) {
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -58,8 +58,8 @@
 
 var _ detour.Peers = &Hosts{}
 
-// Take takes changes of the store's keys.
-func (h *Hosts) Take(changes []platform.Value) {
+// ApplyChanges takes changes of the store's keys.
+func (h *Hosts) ApplyChanges(changes []platform.Value) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.hosts == nil {
@@ -118,11 +118,11 @@
 	return slices.Sorted(maps.Keys(h.hosts))
 }
 
-// Order returns the gateways that may do a piece of work, the one first that should.
+// Candidates returns the gateways that may do a piece of work, the one first that should.
 //
 // In a rolling stop several stop at the same time; those that can take a batch over
 // must not wait for their turns.
-func (h *Hosts) Order(work string) []string {
+func (h *Hosts) Candidates(work string) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return duty.OrderBySize(work, h.candidates(func(host *statepb.Host) bool { return !host.GetLeaving() }))
--- a/internal/gateway/keepers.go
+++ b/internal/gateway/keepers.go
@@ -49,9 +49,9 @@
 type Keepers struct {
 	Hosts *Hosts
 	Zone  string
-	// Apart keeps texts in other zones than Zone where there are keepers, so that a zone
+	// PreferOtherZones keeps texts in other zones than Zone where there are keepers, so that a zone
 	// that is lost doesn't take an owner and its texts.
-	Apart bool
+	PreferOtherZones bool
 	// Losses is how many hosts may be lost at once. Texts are kept by one keeper more,
 	// so that they outlive all gateways and that many disks.
 	Losses int
@@ -81,7 +81,7 @@
 		return errNoKeeper
 	}
 	if k.isChanged(id, chosen) {
-		return batch.ErrOtherKeeper
+		return batch.ErrKeeperChanged
 	}
 	within, cancel := context.WithTimeout(ctx, keepTime)
 	defer cancel()
@@ -126,7 +126,7 @@
 
 // clients returns clients of the keepers, those that are to be used first.
 func (k *Keepers) clients() []namedKeeper {
-	return k.Hosts.keeperClients(func(zone string) bool { return (zone == k.Zone) != k.Apart })
+	return k.Hosts.keeperClients(func(zone string) bool { return (zone == k.Zone) != k.PreferOtherZones })
 }
 
 // isChanged notes the keepers of a batch, and reports whether one of them lacks texts
--- a/internal/gateway/keepers_test.go
+++ b/internal/gateway/keepers_test.go
@@ -36,7 +36,7 @@
 		running[name] = one
 		data, err := proto.Marshal(statepb.Host_builder{Name: name, Zone: zone, Address: address}.Build())
 		must.NoError(t, err)
-		hosts.Take([]platform.Value{{Key: PrefixKeeper + name, Data: data, Revision: 1}})
+		hosts.ApplyChanges([]platform.Value{{Key: PrefixKeeper + name, Data: data, Revision: 1}})
 	}
 	return running, &Keepers{Hosts: hosts, Zone: zones[0], Retired: func(string) bool { return false }}
 }
@@ -89,7 +89,7 @@
 	must.NoError(t, keepers.Append(t.Context(), "b1", part(0, "x")))
 	running["k-a"].stop()
 	must.Error(t, keepers.Append(t.Context(), "b1", part(1, "y")))
-	must.ErrorIs(t, keepers.Append(t.Context(), "b1", part(0, "x", "y")), batch.ErrOtherKeeper)
+	must.ErrorIs(t, keepers.Append(t.Context(), "b1", part(0, "x", "y")), batch.ErrKeeperChanged)
 	must.NoError(t, keepers.Append(t.Context(), "b1", part(0, "x", "y")))
 	must.True(t, running["k-b"].has(t, "y") != running["k-c"].has(t, "y"))
 }
@@ -107,7 +107,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, keepers := beginKeepers(t, test.zones...)
-			keepers.Apart = test.apart
+			keepers.PreferOtherZones = test.apart
 			must.Eq(t, test.want, keepers.choose("b1")[0].name)
 		})
 	}
@@ -133,7 +133,7 @@
 		left := keepers.choose("b1")[0].name
 		running[left].stop()
 		must.Error(t, keepers.Append(t.Context(), "b1", part(3, "u")))
-		must.ErrorIs(t, keepers.Append(t.Context(), "b1", part(3, "u")), batch.ErrOtherKeeper)
+		must.ErrorIs(t, keepers.Append(t.Context(), "b1", part(3, "u")), batch.ErrKeeperChanged)
 		must.NoError(t, keepers.Append(t.Context(), "b1", part(0, "x", "y", "z", "u")))
 		must.Eq(t, 1, holders(t, running, "u"))
 	})
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -32,8 +32,8 @@
 // owner, else from the store.
 func (h *Handler) page(ctx context.Context, caller *caller, call Call) (batch.Page, error) {
 	wait := min(call.Wait, greatestWait)
-	page, isOwn, err := h.Board.ReadOwn(ctx, call.Batch, caller.account.Name, call.After, wait)
-	if isOwn && !page.Unsure || err != nil {
+	page, isOwn, err := h.Board.ReadOwned(ctx, call.Batch, caller.account.Name, call.After, wait)
+	if isOwn && !page.MayBeIncomplete || err != nil {
 		return page, err
 	}
 	if client := h.Hosts.Client(h.Board.Owner(call.Batch)); client != nil {
@@ -80,7 +80,7 @@
 	reply, err := client.Accept(ctx, peerpb.AcceptRequest_builder{Batch: accepted}.Build())
 	switch {
 	case reply.GetAccepted():
-		return batch.Taken, err
+		return batch.Accepted, err
 	case reply.GetPending():
 		return batch.Pending, err
 	default:
@@ -117,17 +117,17 @@
 
 // Accept takes a batch that another gateway was sent.
 func (s *Server) Accept(ctx context.Context, request *peerpb.AcceptRequest) (*peerpb.AcceptReply, error) {
-	acceptance, err := s.Board.AcceptFor(context.WithoutCancel(ctx), request.GetBatch(), acceptTime)
+	acceptance, err := s.Board.AcceptForPeer(context.WithoutCancel(ctx), request.GetBatch(), acceptTime)
 	if err != nil {
 		return nil, err
 	}
-	return peerpb.AcceptReply_builder{Accepted: acceptance == batch.Taken, Pending: acceptance == batch.Pending}.Build(), nil
+	return peerpb.AcceptReply_builder{Accepted: acceptance == batch.Accepted, Pending: acceptance == batch.Pending}.Build(), nil
 }
 
 // HandOver goes on with a batch of another gateway.
 func (s *Server) HandOver(ctx context.Context, request *peerpb.HandOverRequest) (*peerpb.HandOverReply, error) {
 	taken, err := s.Board.TakeHandover(context.WithoutCancel(ctx), batch.Handover{
-		Batch: request.GetBatch(), Owner: batch.Title{Revision: request.GetOwner()}, Open: request.GetOpen(),
+		Batch: request.GetBatch(), Owner: batch.Ownership{Revision: request.GetOwner()}, Open: request.GetOpen(),
 		Listed: request.GetListed(), Pending: request.GetPending(), Partials: request.GetPartials(),
 	})
 	if err != nil {
@@ -162,18 +162,18 @@
 
 // End stops a batch that is owned here.
 func (s *Server) End(_ context.Context, request *peerpb.EndRequest) (*peerpb.EndReply, error) {
-	owned := s.Board.StopOwn(request.GetBatch(), request.GetAccount())
+	owned := s.Board.StopOwned(request.GetBatch(), request.GetAccount())
 	return peerpb.EndReply_builder{Owned: owned}.Build(), nil
 }
 
 // Read returns results of a batch that is owned here.
 func (s *Server) Read(ctx context.Context, request *peerpb.ReadRequest) (*peerpb.ReadReply, error) {
 	wait := min(time.Duration(request.GetWait())*time.Millisecond, greatestWait)
-	page, isOwn, err := s.Board.ReadOwn(ctx, request.GetBatch(), request.GetAccount(), request.GetAfter(), wait)
+	page, isOwn, err := s.Board.ReadOwned(ctx, request.GetBatch(), request.GetAccount(), request.GetAfter(), wait)
 	if err != nil && refusal.Of(err).Code != "no_batch" {
 		return nil, err
 	}
-	return peerpb.ReadReply_builder{Owned: isOwn && !page.Unsure, Allowed: err == nil, Total: page.Total, Outcomes: page.Outcomes}.Build(), nil
+	return peerpb.ReadReply_builder{Owned: isOwn && !page.MayBeIncomplete, Allowed: err == nil, Total: page.Total, Outcomes: page.Outcomes}.Build(), nil
 }
 
 // Watch waits for changes that this gateway has seen by watches of its own.
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -18,7 +18,7 @@
 	for name, values := range forwarded(answer.Header) {
 		header[name] = values
 	}
-	if answer.Whole {
+	if answer.Complete {
 		header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
 		w.WriteHeader(answer.StatusCode)
 		_, err := w.Write(answer.Body)
--- a/internal/gateway/scorer.go
+++ b/internal/gateway/scorer.go
@@ -31,9 +31,9 @@
 
 var _ batch.Scorer = &Scorer{}
 
-// Room returns how many texts may be judged by the scorer's pool at the same
+// Capacity returns how many texts may be judged by the scorer's pool at the same
 // time: a half of its slots, so that callers of the same pool find the others.
-func (s *Scorer) Room(scorer *statepb.Scorer) int {
+func (s *Scorer) Capacity(scorer *statepb.Scorer) int {
 	now := s.View.Current()
 	if now == nil {
 		return leastScores
@@ -68,7 +68,7 @@
 	// the server is slow, and nothing of the text.
 	failures := 0
 	answer, err := s.Forwarder.Run(ctx, &forward.Request{
-		Send: backend.Send{
+		Request: backend.Request{
 			ID:     scorer.GetId(),
 			Host:   scorer.GetHost(),
 			Method: http.MethodPost,
@@ -76,23 +76,23 @@
 			Header: http.Header{},
 			Body:   scorer.GetBody(),
 		},
-		Failed: func() { failures++ },
+		OnFailed: func() { failures++ },
 		Route:  &repeatable,
-		Until:  clock.Now().Add(routeTime(route)),
+		Deadline:  clock.Now().Add(routeTime(route)),
 	})
 	if err != nil && failures > 0 {
-		return "", &batch.ScoreError{Failures: failures, Most: route.Attempts}
+		return "", &batch.ScoreError{Failures: failures, MaxFailures: route.Attempts}
 	}
 	if err != nil {
 		return "", err
 	}
 	defer answer.Finish()
 	proof := s.Proof(answer.Response)
-	if answer.StatusCode < http.StatusMultipleChoices && proof != "" && answer.Whole {
+	if answer.StatusCode < http.StatusMultipleChoices && proof != "" && answer.Complete {
 		return proof, nil
 	}
 	if failures > 0 {
-		return "", &batch.ScoreError{Failures: failures, Most: route.Attempts}
+		return "", &batch.ScoreError{Failures: failures, MaxFailures: route.Attempts}
 	}
 	return "", refusal.Unknown(http.StatusBadGateway, "not_judged", "the scorer answered %d without a whole proof", answer.StatusCode)
 }
@@ -109,8 +109,8 @@
 			return batch.Route{}, true
 		}
 		return batch.Route{
-			Pool:  route.Pool(table.Draw(accepted.GetId())),
-			Rules: batch.Rules{Attempts: route.Attempts, Keep: route.Keep, SingleVersion: route.SingleVersion},
+			Pool:  route.Pool(table.HashFraction(accepted.GetId())),
+			Rules: batch.Rules{Attempts: route.Attempts, GiveUpAfter: route.GiveUpAfter, SingleVersion: route.SingleVersion},
 		}, true
 	}
 }
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -26,9 +26,9 @@
 // SessionStore is what a Session needs of the platform's store.
 type SessionStore interface {
 	Commit(ctx context.Context, commit platform.Commit) (uint64, error)
-	End(ctx context.Context, lease uint64) error
-	Grant(ctx context.Context, length time.Duration) (uint64, error)
-	Renew(ctx context.Context, lease uint64, length time.Duration) error
+	RevokeLease(ctx context.Context, lease uint64) error
+	GrantLease(ctx context.Context, length time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, lease uint64, length time.Duration) error
 }
 
 // Session keeps a process known to the others: it holds a lease, and under it
@@ -38,7 +38,7 @@
 	Host  *statepb.Host
 	// Prefix of the key that tells where the process is reached.
 	Prefix string
-	Length time.Duration
+	LeaseLength time.Duration
 
 	lease   atomic.Uint64
 	until   atomic.Int64
@@ -72,7 +72,7 @@
 				continue
 			}
 		}
-		wait := s.Length / renewals
+		wait := s.LeaseLength / renewals
 		if isLate {
 			wait = sessionPause
 		}
@@ -89,7 +89,7 @@
 	if lease == 0 {
 		return
 	}
-	if err := s.Store.End(ctx, lease); err != nil {
+	if err := s.Store.RevokeLease(ctx, lease); err != nil {
 		klog.InfoS("session: lease was not given up, it will lapse", "lease", lease, "err", err.Error())
 	}
 }
@@ -124,15 +124,15 @@
 
 func (s *Session) begin(ctx context.Context) error {
 	sent := clock.Now()
-	lease, err := s.Store.Grant(ctx, s.Length)
+	lease, err := s.Store.GrantLease(ctx, s.LeaseLength)
 	if err != nil {
 		return err
 	}
 	if err := s.write(ctx, lease); err != nil {
 		return err
 	}
-	klog.InfoS("session: lease", "lease", lease, "length", s.Length)
-	s.until.Store(int64(sent.Add(s.Length)))
+	klog.InfoS("session: lease", "lease", lease, "length", s.LeaseLength)
+	s.until.Store(int64(sent.Add(s.LeaseLength)))
 	s.lease.Store(lease)
 	return nil
 }
@@ -141,11 +141,11 @@
 func (s *Session) renew(ctx context.Context) bool {
 	lease := s.lease.Load()
 	sent := clock.Now()
-	err := s.Store.Renew(ctx, lease, s.Length)
+	err := s.Store.RenewLease(ctx, lease, s.LeaseLength)
 	var gone *platform.NotFoundError
 	switch {
 	case err == nil:
-		s.until.Store(int64(sent.Add(s.Length)))
+		s.until.Store(int64(sent.Add(s.LeaseLength)))
 	case errors.As(err, &gone):
 		klog.InfoS("session: lease has lapsed", "lease", lease)
 		s.lease.Store(0)
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -23,14 +23,14 @@
 
 func (l *leaseStore) Commit(context.Context, platform.Commit) (uint64, error) { return 1, nil }
 
-func (l *leaseStore) End(context.Context, uint64) error { return nil }
+func (l *leaseStore) RevokeLease(context.Context, uint64) error { return nil }
 
-func (l *leaseStore) Grant(context.Context, time.Duration) (uint64, error) {
+func (l *leaseStore) GrantLease(context.Context, time.Duration) (uint64, error) {
 	l.renewed = time.Now()
 	return 7, nil
 }
 
-func (l *leaseStore) Renew(context.Context, uint64, time.Duration) error {
+func (l *leaseStore) RenewLease(context.Context, uint64, time.Duration) error {
 	now := time.Now()
 	if !now.Before(l.awayFrom) && now.Before(l.awayTo) {
 		return errors.New("away")
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const length = 3 * time.Second
 		store := &leaseStore{awayFrom: time.Now().Add(2200 * time.Millisecond), awayTo: time.Now().Add(4200 * time.Millisecond)}
-		session := &Session{Store: store, Prefix: PrefixHost, Length: length, Host: statepb.Host_builder{Name: "g1"}.Build()}
+		session := &Session{Store: store, Prefix: PrefixHost, LeaseLength: length, Host: statepb.Host_builder{Name: "g1"}.Build()}
 		ctx, cancel := context.WithTimeout(t.Context(), 8*time.Second)
 		defer cancel()
 		must.NoError(t, session.Run(ctx))
--- a/internal/limit/bench_test.go
+++ b/internal/limit/bench_test.go
@@ -16,7 +16,7 @@
 	for i := range 400 {
 		demands = append(demands, peerpb.Demand_builder{Entry: fmt.Sprint("e", i), Account: "astana", Seq: 1, Rate: 10, Running: 5}.Build())
 	}
-	one.Learn(demands, now)
+	one.Receive(demands, now)
 	limits := limit.Limits{Rate: 1e9, Concurrency: 1e6, Tokens: 1e9}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -121,8 +121,8 @@
 	a.tokens.level += float64(tokens - used)
 }
 
-// Learn takes demands of other entries.
-func (l *Limiter) Learn(demands []*peerpb.Demand, now time.Time) {
+// Receive takes demands of other entries.
+func (l *Limiter) Receive(demands []*peerpb.Demand, now time.Time) {
 	for _, demand := range demands {
 		if demand.GetEntry() != l.Self {
 			l.account(demand.GetAccount()).learn(demand, now)
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -63,7 +63,7 @@
 	}
 	for len(e.told) > 0 && !e.told[0].at.After(e.now) {
 		for _, one := range e.all {
-			one.Learn(e.told[0].demands, e.now)
+			one.Receive(e.told[0].demands, e.now)
 		}
 		e.told = e.told[1:]
 	}
--- a/internal/listen/client.go
+++ b/internal/listen/client.go
@@ -22,12 +22,12 @@
 // GetBody and without an Idempotency-Key header is never sent twice by
 // net/http; callers that send a request which may not be repeated clear both.
 func Client(name string) httpc.Service {
-	return ClientWith(name, ClientOptions{})
+	return ClientWithOptions(name, ClientOptions{})
 }
 
 // ClientTLS returns a Client with TLS settings of its own; nil takes the system's.
 func ClientTLS(name string, config *tls.Config) httpc.Service {
-	return ClientWith(name, ClientOptions{TLS: config})
+	return ClientWithOptions(name, ClientOptions{TLS: config})
 }
 
 // ClientOptions differ from service to service.
@@ -38,8 +38,8 @@
 	Idle time.Duration
 }
 
-// ClientWith returns a Client with options.
-func ClientWith(name string, options ClientOptions) httpc.Service {
+// ClientWithOptions returns a Client with options.
+func ClientWithOptions(name string, options ClientOptions) httpc.Service {
 	setupOnce.Do(setup)
 	logx.SetWriter(klogWriter{})
 	breaker.NoBreakerFor(name)
--- a/internal/listen/exchange.go
+++ b/internal/listen/exchange.go
@@ -9,9 +9,9 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// JSON returns a request with a JSON body, or without one where it is nil, that
+// NewJSONRequest returns a request with a JSON body, or without one where it is nil, that
 // net/http never sends twice by itself.
-func JSON(ctx context.Context, method, address string, body []byte) (*http.Request, error) {
+func NewJSONRequest(ctx context.Context, method, address string, body []byte) (*http.Request, error) {
 	var reader io.Reader = http.NoBody
 	if body != nil {
 		reader = bytes.NewReader(body)
--- a/internal/listen/grpc.go
+++ b/internal/listen/grpc.go
@@ -54,7 +54,7 @@
 func (g *GRPC) Run(ctx context.Context, grace time.Duration) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", g.Address)
 	if err != nil {
-		return &AddressError{Address: g.Address, Problem: err.Error()}
+		return &Error{Address: g.Address, Problem: err.Error()}
 	}
 	server := g.build()
 	if g.Listening != nil {
--- a/internal/listen/http.go
+++ b/internal/listen/http.go
@@ -33,14 +33,14 @@
 
 var setupOnce sync.Once
 
-// AddressError says that an address can't be listened on.
-type AddressError struct {
+// Error says that an address can't be listened on.
+type Error struct {
 	Address string
 	Problem string
 }
 
 // Error names the address.
-func (e *AddressError) Error() string {
+func (e *Error) Error() string {
 	return "listen on " + e.Address + ": " + e.Problem
 }
 
@@ -87,11 +87,11 @@
 	setupOnce.Do(setup)
 	host, portText, err := net.SplitHostPort(h.Address)
 	if err != nil {
-		return nil, &AddressError{Address: h.Address, Problem: err.Error()}
+		return nil, &Error{Address: h.Address, Problem: err.Error()}
 	}
 	port, err := strconv.Atoi(portText)
 	if err != nil {
-		return nil, &AddressError{Address: h.Address, Problem: err.Error()}
+		return nil, &Error{Address: h.Address, Problem: err.Error()}
 	}
 	options := []rest.RunOption{}
 	if h.NotFound != nil {
@@ -118,7 +118,7 @@
 func (h *HTTP) serve(server *rest.Server, failed chan<- error) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			failed <- &AddressError{Address: h.Address, Problem: fmt.Sprint(fault)}
+			failed <- &Error{Address: h.Address, Problem: fmt.Sprint(fault)}
 		}
 	}()
 	server.StartWithOpts(func(s *http.Server) {
--- a/internal/listen/listentest/address.go
+++ b/internal/listen/listentest/address.go
@@ -34,13 +34,13 @@
 	block int
 }
 
-// Free returns an IP address and port on which nothing listens.
+// FreeAddress returns an IP address and port on which nothing listens.
 //
 // A port that the system chooses, and that is closed again until the process
 // under test listens on it, may be taken meanwhile by an outgoing connection: the
 // process then fails to start, or to start again. Ports of a block of its own,
 // below those for outgoing connections, are taken by nobody else.
-func Free(t testing.TB) string {
+func FreeAddress(t testing.TB) string {
 	t.Helper()
 	blocks.mutex.Lock()
 	defer blocks.mutex.Unlock()
--- a/internal/listen/listentest/address_test.go
+++ b/internal/listen/listentest/address_test.go
@@ -14,7 +14,7 @@
 func TestFree(t *testing.T) {
 	seen := map[string]bool{}
 	for range blockPorts + 1 {
-		address := Free(t)
+		address := FreeAddress(t)
 		must.False(t, seen[address])
 		seen[address] = true
 		_, text, err := net.SplitHostPort(address)
--- a/internal/listen/post.go
+++ b/internal/listen/post.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		return err
 	}
-	request, err := JSON(ctx, http.MethodPost, address, text)
+	request, err := NewJSONRequest(ctx, http.MethodPost, address, text)
 	if err != nil {
 		return err
 	}
--- a/internal/lists/distribution_test.go
+++ b/internal/lists/distribution_test.go
@@ -41,7 +41,7 @@
 func startView(t *testing.T, store *platformtest.Store) (*member.Members, *lists.View) {
 	t.Helper()
 	members, view := newMembers(), &lists.View{}
-	members.OnFact(member.FactConfig, view.Take)
+	members.OnFact(member.FactConfig, view.Apply)
 	members.OnWithdrawal(func(w *peerpb.Withdrawal) { view.Withdraw(w.GetKey()) })
 	watcher := &lists.Watcher{Store: store, Prefix: member.FactConfig, Offer: members.Offer, Wait: shortWait}
 	run(t, watcher.Run)
@@ -71,7 +71,7 @@
 	_, view := startView(t, store)
 	mustPut(t, editor, 0, 1)
 	mustBecome(t, func() bool { return numberOf(view) == 1 })
-	store.SetSilent(true)
+	store.SetWatchesSilent(true)
 	mustPut(t, editor, 1, 2)
 	mustBecome(t, func() bool { return numberOf(view) == 2 })
 }
@@ -84,11 +84,11 @@
 	_, view := startView(t, store)
 	mustPut(t, editor, 0, 1)
 	mustBecome(t, func() bool { return numberOf(view) == 1 })
-	store.SetAway(true)
+	store.SetUnavailable(true)
 	calls := store.Calls()
 	mustBecome(t, func() bool { return store.Calls() > calls+1 })
 	must.Eq(t, 1, numberOf(view))
-	store.SetAway(false)
+	store.SetUnavailable(false)
 	mustPut(t, editor, 1, 2)
 	mustBecome(t, func() bool { return numberOf(view) == 2 })
 }
@@ -100,8 +100,8 @@
 	must.NoError(t, err)
 	next, err := proto.Marshal(listsWith(2))
 	must.NoError(t, err)
-	view.Take(peerpb.Fact_builder{Name: "config", Revision: 7, Value: next}.Build())
-	view.Take(peerpb.Fact_builder{Name: "config", Revision: 6, Value: old}.Build())
+	view.Apply(peerpb.Fact_builder{Name: "config", Revision: 7, Value: next}.Build())
+	view.Apply(peerpb.Fact_builder{Name: "config", Revision: 6, Value: old}.Build())
 	config, revision := view.Config()
 	must.Eq(t, 7, revision)
 	must.Eq(t, 2.0, config.GetPlans()[0].GetWeight())
@@ -136,16 +136,16 @@
 	must.NoError(t, err)
 	mustBecome(t, func() bool { _, granted := view.Grant(hash); return granted })
 
-	store.SetAway(true)
+	store.SetUnavailable(true)
 	members.Withdraw(peerpb.Withdrawal_builder{Key: hash, Operator: "bob"}.Build())
-	settler := &lists.Settler{Members: members, Editor: editor, InCharge: func() bool { return true }, Interval: shortWait}
+	settler := &lists.WithdrawalSyncer{Members: members, Editor: editor, InCharge: func() bool { return true }, Interval: shortWait}
 	run(t, settler.Run)
 	_, granted := view.Grant(hash)
 	must.False(t, granted)
 	calls := store.Calls()
 	mustBecome(t, func() bool { return store.Calls() > calls+3 })
 	must.Len(t, 1, members.Withdrawals())
-	store.SetAway(false)
+	store.SetUnavailable(false)
 	mustBecome(t, func() bool { return len(members.Withdrawals()) == 0 })
 
 	config, _, err := editor.Config(ctx)
--- a/internal/lists/editor.go
+++ b/internal/lists/editor.go
@@ -69,7 +69,7 @@
 // Swapper is what an Editor needs of the platform's store.
 type Swapper interface {
 	Get(ctx context.Context, key string) (platform.Value, error)
-	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
+	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
 // Editor changes the configuration in the store by compare-and-swap.
@@ -269,7 +269,7 @@
 	if len(data) > maxConfigBytes {
 		return 0, &InvalidError{Problem: fmt.Sprintf("the configuration would take %d bytes; the store holds %d", len(data), maxConfigBytes)}
 	}
-	revision, err = e.Store.Swap(ctx, KeyConfig, revision, data, 0)
+	revision, err = e.Store.CompareAndSwap(ctx, KeyConfig, revision, data, 0)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/lists/editor_test.go
+++ b/internal/lists/editor_test.go
@@ -63,7 +63,7 @@
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
 	mustPut(t, editor, 0, 1)
-	store.Before(func() { mustPut(t, editor, 1, 2) })
+	store.BeforeNextSwap(func() { mustPut(t, editor, 1, 2) })
 	_, _, err := editor.Put(ctx, lists.Edit{Base: 1, Lists: listsWith(3), Operator: "bob", ID: "x"})
 	var stale *lists.StaleError
 	must.True(t, errors.As(err, &stale))
@@ -92,7 +92,7 @@
 	_, err := editor.Grant(ctx, lists.HashKey("k"), "a", "ann")
 	must.NoError(t, err)
 	mustHave(t, editor, 1, 1, 1)
-	must.Eq(t, 2, store.Swaps())
+	must.Eq(t, 2, store.Writes())
 }
 
 // While one operator edits the lists, another grants a key: both change the
@@ -101,7 +101,7 @@
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
 	mustPut(t, editor, 0, 1)
-	store.Before(func() {
+	store.BeforeNextSwap(func() {
 		_, err := editor.Grant(ctx, lists.HashKey("k"), "a", "bob")
 		must.NoError(t, err)
 	})
@@ -129,7 +129,7 @@
 func TestOutageIsUncertain(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
-	store.SetAway(true)
+	store.SetUnavailable(true)
 	_, _, err := editor.Put(ctx, lists.Edit{Lists: listsWith(1), Operator: "ann", ID: "x"})
 	var uncertain *lists.UncertainError
 	must.True(t, errors.As(err, &uncertain))
--- a/internal/lists/settler.go
+++ b/internal/lists/settler.go
@@ -33,14 +33,14 @@
 
 var _ Withdrawer = &Editor{}
 
-// Settler brings withdrawals from the processes to the store and forgets those
+// WithdrawalSyncer brings withdrawals from the processes to the store and forgets those
 // that the configuration in force holds.
 //
 // An operator's word must end a key while the store is away, so it goes from
 // process to process first. It is forgotten only once a configuration with it
 // is in force here: were it dropped earlier, a process that restarts from
 // older facts would let the key in again.
-type Settler struct {
+type WithdrawalSyncer struct {
 	Members Withdrawals
 	// Editor writes to the store; nil only forgets, as sidecars do.
 	Editor Withdrawer
@@ -51,7 +51,7 @@
 }
 
 // Run settles until the context ends.
-func (s *Settler) Run(ctx context.Context) error {
+func (s *WithdrawalSyncer) Run(ctx context.Context) error {
 	for pause.For(ctx, jitter(cmp.Or(s.Interval, settlePause))) {
 		open := s.forget()
 		if len(open) == 0 || s.Editor == nil || !s.InCharge() {
@@ -68,7 +68,7 @@
 }
 
 // forget drops the withdrawals that the configuration holds and returns the others.
-func (s *Settler) forget() []*peerpb.Withdrawal {
+func (s *WithdrawalSyncer) forget() []*peerpb.Withdrawal {
 	waiting := s.Members.Withdrawals()
 	if len(waiting) == 0 {
 		return nil
--- a/internal/lists/view.go
+++ b/internal/lists/view.go
@@ -96,8 +96,8 @@
 	return now.grant(now.accounts[key.GetAccount()], hash)
 }
 
-// Take reads a fact and makes it the current configuration if its revision is higher.
-func (v *View) Take(fact *peerpb.Fact) {
+// Apply reads a fact and makes it the current configuration if its revision is higher.
+func (v *View) Apply(fact *peerpb.Fact) {
 	config := &listpb.Config{}
 	if err := proto.Unmarshal(fact.GetValue(), config); err != nil {
 		klog.Errorf("lists: revision %d can't be read: %v", fact.GetRevision(), err)
--- a/internal/measure/experiments.go
+++ b/internal/measure/experiments.go
@@ -13,7 +13,7 @@
 		Weights(),
 		Fleet(),
 	}
-	for _, site := range LoadsSites() {
+	for _, site := range LoadsDeployments() {
 		all = append(all, Loads(site))
 	}
 	return all
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -45,7 +45,7 @@
 type sizePolicy func(now time.Time, need fleet.Need, present int) int
 
 func newSizerPolicy(target float64, calm time.Duration, slack float64) sizePolicy {
-	sizer := &fleet.Sizer{Min: fleetMin, Max: fleetMax, Target: target, Calm: calm, Slack: slack}
+	sizer := &fleet.Sizer{Min: fleetMin, Max: fleetMax, Target: target, ScaleDownDelay: calm, Slack: slack}
 	return func(now time.Time, need fleet.Need, _ int) int { return sizer.Decide(now, need) }
 }
 
--- a/internal/measure/limits.go
+++ b/internal/measure/limits.go
@@ -88,7 +88,7 @@
 	return true
 }
 
-func (s *sharedLimit) learn(demands []*peerpb.Demand, now time.Time) { s.Learn(demands, now) }
+func (s *sharedLimit) learn(demands []*peerpb.Demand, now time.Time) { s.Receive(demands, now) }
 func (s *sharedLimit) tell(now time.Time) []*peerpb.Demand           { return s.Demands(now) }
 
 // fixedLimit is a token bucket for each account, with one second's burst.
--- a/internal/measure/loads.go
+++ b/internal/measure/loads.go
@@ -30,44 +30,44 @@
 	loadsGiveUp = 12 * time.Second
 )
 
-// LoadsSite is a pool of samplers and the trainers that share it.
-type LoadsSite struct {
+// LoadsDeployment is a pool of samplers and the trainers that share it.
+type LoadsDeployment struct {
 	Name     string
 	Samplers int
 	Slots    int
-	// Steps are the numbers of generations of each trainer's steps.
-	Steps []int
-	// Load is the time of a load, AtOnce how many go on at full speed.
-	Load   time.Duration
-	AtOnce int
-	// Slow is the share of samplers that take four times as long to load.
-	Slow float64
-	// Late is how late the end of a load may be seen.
-	Late time.Duration
+	// StepSizes are the numbers of generations of each trainer's steps.
+	StepSizes []int
+	// LoadTime is the time of a load, AtOnce how many go on at full speed.
+	LoadTime   time.Duration
+	FullSpeedLoads int
+	// SlowShare is the share of samplers that take four times as long to load.
+	SlowShare float64
+	// MaxObserveDelay is how late the end of a load may be seen.
+	MaxObserveDelay time.Duration
 }
 
-// LoadsSites are the deployments on which loads are measured: they differ in all
+// LoadsDeployments are the deployments on which loads are measured: they differ in all
 // that the decision must not depend on.
-func LoadsSites() []LoadsSite {
-	return []LoadsSite{
-		{Name: "3 models", Samplers: 11, Slots: 12, Steps: []int{70, 70, 70}, Load: 900 * time.Millisecond, AtOnce: 2},
-		{Name: "1 model", Samplers: 11, Slots: 12, Steps: []int{150}, Load: 900 * time.Millisecond, AtOnce: 2},
-		{Name: "2 models", Samplers: 9, Slots: 8, Steps: []int{60, 40}, Load: 900 * time.Millisecond, AtOnce: 2},
-		{Name: "5 models", Samplers: 20, Slots: 12, Steps: []int{60, 60, 60, 60, 60}, Load: 900 * time.Millisecond, AtOnce: 4},
-		{Name: "9 models", Samplers: 6, Slots: 24, Steps: []int{20, 20, 20, 20, 20, 20, 20, 20, 20}, Load: 300 * time.Millisecond, AtOnce: 2},
-		{Name: "large beside small", Samplers: 20, Slots: 8, Steps: []int{240, 24, 24}, Load: 900 * time.Millisecond, AtOnce: 4},
-		{Name: "fast loads", Samplers: 11, Slots: 12, Steps: []int{80, 80, 80}, Load: 300 * time.Millisecond, AtOnce: 2},
-		{Name: "slow loads", Samplers: 12, Slots: 24, Steps: []int{60, 60}, Load: 3 * time.Second, AtOnce: 3},
-		{Name: "5 samplers", Samplers: 5, Slots: 24, Steps: []int{50, 50}, Load: 900 * time.Millisecond, AtOnce: 2},
-		{Name: "200 samplers", Samplers: 200, Slots: 8, Steps: []int{900, 900, 900}, Load: 900 * time.Millisecond, AtOnce: 40},
-		{Name: "slow samplers", Samplers: 11, Slots: 12, Steps: []int{70, 70, 70}, Load: 900 * time.Millisecond, AtOnce: 2, Slow: 0.2},
-		{Name: "ends seen late", Samplers: 46, Slots: 6, Steps: []int{112, 128, 160}, Load: 900 * time.Millisecond, AtOnce: 9, Late: 300 * time.Millisecond},
-		{Name: "few samplers, ends seen late", Samplers: 11, Slots: 12, Steps: []int{70, 70, 70}, Load: 900 * time.Millisecond, AtOnce: 2, Late: 300 * time.Millisecond},
+func LoadsDeployments() []LoadsDeployment {
+	return []LoadsDeployment{
+		{Name: "3 models", Samplers: 11, Slots: 12, StepSizes: []int{70, 70, 70}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "1 model", Samplers: 11, Slots: 12, StepSizes: []int{150}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "2 models", Samplers: 9, Slots: 8, StepSizes: []int{60, 40}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "5 models", Samplers: 20, Slots: 12, StepSizes: []int{60, 60, 60, 60, 60}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 4},
+		{Name: "9 models", Samplers: 6, Slots: 24, StepSizes: []int{20, 20, 20, 20, 20, 20, 20, 20, 20}, LoadTime: 300 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "large beside small", Samplers: 20, Slots: 8, StepSizes: []int{240, 24, 24}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 4},
+		{Name: "fast loads", Samplers: 11, Slots: 12, StepSizes: []int{80, 80, 80}, LoadTime: 300 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "slow loads", Samplers: 12, Slots: 24, StepSizes: []int{60, 60}, LoadTime: 3 * time.Second, FullSpeedLoads: 3},
+		{Name: "5 samplers", Samplers: 5, Slots: 24, StepSizes: []int{50, 50}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2},
+		{Name: "200 samplers", Samplers: 200, Slots: 8, StepSizes: []int{900, 900, 900}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 40},
+		{Name: "slow samplers", Samplers: 11, Slots: 12, StepSizes: []int{70, 70, 70}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2, SlowShare: 0.2},
+		{Name: "ends seen late", Samplers: 46, Slots: 6, StepSizes: []int{112, 128, 160}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 9, MaxObserveDelay: 300 * time.Millisecond},
+		{Name: "few samplers, ends seen late", Samplers: 11, Slots: 12, StepSizes: []int{70, 70, 70}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2, MaxObserveDelay: 300 * time.Millisecond},
 	}
 }
 
 // Loads measures which sampler loads which version next, on one deployment.
-func Loads(site LoadsSite) Experiment {
+func Loads(site LoadsDeployment) Experiment {
 	return Experiment{Name: "Loads, " + site.Name, Run: func(seed uint64) []Result {
 		var results []Result
 		for _, policy := range []loadsPolicy{
@@ -84,7 +84,7 @@
 
 // loadsSampler is a sampler with the weights of every model.
 type loadsSampler struct {
-	weight.Seat
+	weight.SamplerState
 
 	slow float64
 	// left is the time of a load that is left at full speed; 0 while none is under way.
@@ -130,7 +130,7 @@
 
 // loadsRun is one seed of one policy.
 type loadsRun struct {
-	site     LoadsSite
+	site     LoadsDeployment
 	policy   loadsPolicy
 	random   *rand.Rand
 	now      time.Time
@@ -142,22 +142,22 @@
 	loads    int
 }
 
-func newLoadsRun(site LoadsSite, policy loadsPolicy, seed uint64) *loadsRun {
+func newLoadsRun(site LoadsDeployment, policy loadsPolicy, seed uint64) *loadsRun {
 	run := &loadsRun{
 		site: site, policy: policy, random: rand.New(rand.NewPCG(seed, 3)),
 		now: time.Unix(1000, 0), start: time.Unix(1000, 0),
 		schedule: weight.Schedule{Share: 0.5, Lag: weight.DefaultLag},
 	}
 	for i := range site.Samplers {
-		one := &loadsSampler{slow: 1, Seat: weight.Seat{
+		one := &loadsSampler{slow: 1, SamplerState: weight.SamplerState{
 			ID: fmt.Sprintf("s%03d", i), Zone: fmt.Sprintf("z%d", i%3), Slots: site.Slots, Versions: map[string]uint64{},
 		}}
-		if run.random.Float64() < site.Slow {
+		if run.random.Float64() < site.SlowShare {
 			one.slow = 4
 		}
 		run.samplers = append(run.samplers, one)
 	}
-	for i, size := range site.Steps {
+	for i, size := range site.StepSizes {
 		run.trainers = append(run.trainers, &loadsTrainer{model: fmt.Sprintf("m%d", i), size: size, named: 1})
 	}
 	return run
@@ -201,7 +201,7 @@
 	for len(t.trained) > 0 && !r.now.Before(t.trained[0]) {
 		t.trained = t.trained[1:]
 		t.named++
-		r.steps.Name(t.model, t.named)
+		r.steps.RecordVersion(t.model, t.named)
 	}
 	due := r.start.Add(time.Duration(t.next) * loadsPeriod)
 	if t.next < loadsSteps && !r.now.Before(due) && t.named >= uint64(max(1, t.next)) {
@@ -243,7 +243,7 @@
 
 // begin starts a load at a sampler.
 func (r *loadsRun) begin(sampler *loadsSampler, model string, version uint64) {
-	sampler.left = time.Duration(sampler.slow * float64(r.site.Load))
+	sampler.left = time.Duration(sampler.slow * float64(r.site.LoadTime))
 	sampler.model, sampler.version = model, version
 	r.loads++
 }
@@ -251,7 +251,7 @@
 // load lets the loads under way go on; they share what the store carries.
 func (r *loadsRun) load() {
 	under := r.loading()
-	speed := min(1, float64(r.site.AtOnce)/float64(max(1, under)))
+	speed := min(1, float64(r.site.FullSpeedLoads)/float64(max(1, under)))
 	for _, sampler := range r.samplers {
 		if sampler.left > 0 {
 			r.goOn(sampler, speed)
@@ -271,8 +271,8 @@
 	}
 	sampler.Versions[sampler.model] = sampler.version
 	sampler.seen = r.now
-	if r.site.Late > 0 {
-		sampler.seen = r.now.Add(time.Duration(r.random.Int64N(int64(r.site.Late))))
+	if r.site.MaxObserveDelay > 0 {
+		sampler.seen = r.now.Add(time.Duration(r.random.Int64N(int64(r.site.MaxObserveDelay))))
 	}
 }
 
--- a/internal/measure/loads_test.go
+++ b/internal/measure/loads_test.go
@@ -26,10 +26,10 @@
 // steps are late than under any of the simple ways.
 func TestLoadsOnManyDeployments(t *testing.T) {
 	const worst, late = "worst model p90 s", "late share"
-	for _, site := range LoadsSites() {
+	for _, site := range LoadsDeployments() {
 		t.Run(site.Name, func(t *testing.T) {
 			table := Run(Loads(site), 3)
-			bound := figure(t, table, "no loads needed", worst) + site.Load.Seconds()
+			bound := figure(t, table, "no loads needed", worst) + site.LoadTime.Seconds()
 			must.LessEq(t, bound, figure(t, table, "by lack", worst))
 			for _, baseline := range []string{"equal parts in order", "all everywhere"} {
 				must.LessEq(t, figure(t, table, baseline, late), figure(t, table, "by lack", late))
--- a/internal/measure/loadspolicy.go
+++ b/internal/measure/loadspolicy.go
@@ -16,18 +16,18 @@
 
 // decideByLack orders what weight.Schedule says.
 func decideByLack(r *loadsRun) {
-	var work []weight.Work
+	var work []weight.Demand
 	for _, trainer := range r.trainers {
-		work = append(work, r.steps.Work(trainer.model))
+		work = append(work, r.steps.Demand(trainer.model))
 	}
-	var seats []weight.Seat
+	var seats []weight.SamplerState
 	for _, sampler := range r.samplers {
-		seats = append(seats, sampler.Seat)
+		seats = append(seats, sampler.SamplerState)
 	}
-	r.schedule.Want(work)
+	r.schedule.SetDemand(work)
 	r.schedule.Observe(seats, r.now)
 	for _, change := range r.schedule.Next(r.now) {
-		at := slices.IndexFunc(r.samplers, func(one *loadsSampler) bool { return one.ID == change.Seat })
+		at := slices.IndexFunc(r.samplers, func(one *loadsSampler) bool { return one.ID == change.Sampler })
 		r.begin(r.samplers[at], change.Model, change.Version)
 	}
 }
@@ -53,7 +53,7 @@
 // decideEverywhere brings every version to every sampler, the one that is furthest
 // behind first, as many at a time as the store carries.
 func decideEverywhere(r *loadsRun) {
-	for r.loading() < r.site.AtOnce {
+	for r.loading() < r.site.FullSpeedLoads {
 		var best *loadsSampler
 		var of *loadsTrainer
 		for _, sampler := range r.samplers {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -35,9 +35,9 @@
 
 // Spread is a figure over all seeds.
 type Spread struct {
-	Least    float64
+	Min    float64
 	Median   float64
-	Greatest float64
+	Max float64
 }
 
 // Table holds an experiment's figures over its seeds.
@@ -76,7 +76,7 @@
 		values[i] = run[row].Figures[column].Value
 	}
 	slices.Sort(values)
-	return Spread{Least: values[0], Median: values[len(values)/2], Greatest: values[len(values)-1]}
+	return Spread{Min: values[0], Median: values[len(values)/2], Max: values[len(values)-1]}
 }
 
 // Print writes the table as text: the median, then least and greatest in brackets.
@@ -91,7 +91,7 @@
 	for row, policy := range t.Policies {
 		fmt.Fprint(writer, policy)
 		for _, cell := range t.Cells[row] {
-			fmt.Fprintf(writer, "\t%.4g [%.4g..%.4g]", cell.Median, cell.Least, cell.Greatest)
+			fmt.Fprintf(writer, "\t%.4g [%.4g..%.4g]", cell.Median, cell.Min, cell.Max)
 		}
 		fmt.Fprintln(writer)
 	}
@@ -103,7 +103,7 @@
 	writer := csv.NewWriter(w)
 	for row, policy := range t.Policies {
 		for column, cell := range t.Cells[row] {
-			record := []string{t.Name, policy, t.Columns[column], format(cell.Least), format(cell.Median), format(cell.Greatest)}
+			record := []string{t.Name, policy, t.Columns[column], format(cell.Min), format(cell.Median), format(cell.Max)}
 			if err := writer.Write(record); err != nil {
 				return eris.Wrap(err, "write table")
 			}
--- a/internal/measure/routing.go
+++ b/internal/measure/routing.go
@@ -90,7 +90,7 @@
 			return entry.chooser.Choose(entry.servers, route.Request{Now: entry.now}).Server
 		}},
 		{name: "least reported load", reports: true, choose: func(entry *routingEntry, _ uint64) *route.Server {
-			return slices.MinFunc(entry.servers, func(a, b *route.Server) int { return int(a.Reported() - b.Reported()) })
+			return slices.MinFunc(entry.servers, func(a, b *route.Server) int { return int(a.ReportedLoad() - b.ReportedLoad()) })
 		}},
 		{name: "round robin", choose: func(entry *routingEntry, _ uint64) *route.Server {
 			entry.next++
@@ -253,7 +253,7 @@
 	for i, server := range entry.servers {
 		report := r.samplers[i].told[newest]
 		report.Time = r.time(float64(newest)*r.interval.Seconds() + r.lag.Seconds())
-		server.TakeReport(report)
+		server.UpdateReport(report)
 		r.reports++
 	}
 }
@@ -324,7 +324,7 @@
 		// The end of an answer carries the load.
 		report := one.report(uint64(r.now * reportsPerSecond))
 		report.Time = r.time(r.now)
-		r.entries[request.entry].servers[request.server].TakeReport(report)
+		r.entries[request.entry].servers[request.server].UpdateReport(report)
 		r.reports++
 	}
 }
--- a/internal/measure/staleness.go
+++ b/internal/measure/staleness.go
@@ -28,5 +28,5 @@
 
 // isDoomed tells an attempt that is stopped as stale from one whose slot is filled.
 func isDoomed(one *stragglerAttempt) bool {
-	return slices.ContainsFunc(one.step.Doomed(), func(doomed rollout.Attempt) bool { return doomed.ID() == one.attempt.ID() })
+	return slices.ContainsFunc(one.step.StaleAttempts(), func(doomed rollout.Attempt) bool { return doomed.ID() == one.attempt.ID() })
 }
--- a/internal/measure/stragglers.go
+++ b/internal/measure/stragglers.go
@@ -82,7 +82,7 @@
 	reported int
 	length   float64
 	failsAt  time.Time
-	answer   rollout.Answer
+	answer   rollout.SampleBuilder
 }
 
 // stragglerRun is one seed of one policy.
@@ -156,7 +156,7 @@
 	}
 	r.step = rollout.NewStep(request, r.next, 1, r.newest)
 	if r.policy.without {
-		r.step.WithoutSeconds()
+		r.step.DisableSecondRuns()
 	}
 	r.leasts = append(r.leasts, r.least())
 	r.opened, r.whole = r.now, false
@@ -252,7 +252,7 @@
 	}
 	if one.step.Finish(one.attempt, sample, r.now) {
 		r.useful += one.length
-		one.step.Kept(one.attempt, []string{"a", "b"})
+		one.step.MarkReplicated(one.attempt, []string{"a", "b"})
 	}
 }
 
@@ -269,7 +269,7 @@
 		if !ok {
 			return
 		}
-		sampler := r.free(attempt.Oldest())
+		sampler := r.free(attempt.MinVersion())
 		if sampler == nil {
 			r.step.Refuse(attempt, 0, r.now)
 			continue
@@ -289,7 +289,7 @@
 	for _, one := range r.running {
 		late := r.now.Sub(one.start) > fixedTimeout*time.Duration(one.attempt.Number())
 		if one.step == r.step && late && one.attempt.Number() <= fixedRetries && !r.hasLater(one) {
-			return r.step.Second(one.attempt.Slot(), r.now)
+			return r.step.StartSecondRun(one.attempt.Slot(), r.now)
 		}
 	}
 	return rollout.Attempt{}, false
--- a/internal/member/charge.go
+++ b/internal/member/charge.go
@@ -4,17 +4,17 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Differs reports whether the last message came from a table unlike this one.
-func (m *Members) Differs() bool {
+// TableDiffers reports whether the last message came from a table unlike this one.
+func (m *Members) TableDiffers() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.differs
 }
 
-// InCharge reports whether this process is one of the first number entries of
+// IsResponsible reports whether this process is one of the first number entries of
 // its zone for a task, ranked by rendezvous hashing among the live ones. Two
 // processes can both believe so for a while: it saves work, it decides nothing.
-func (m *Members) InCharge(task string, number int) bool {
+func (m *Members) IsResponsible(task string, number int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.self.GetRole() != peerpb.Role_ROLE_ENTRY {
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -36,7 +36,7 @@
 	Members     *Members
 	Seeds       []string
 	Interval    time.Duration
-	Suspect     time.Duration
+	SuspectTimeout     time.Duration
 	Credentials credentials.TransportCredentials
 	// Hosts returns the platform's lagging host list; nil uses the seeds alone.
 	Hosts func(ctx context.Context) ([]platform.Host, error)
@@ -69,7 +69,7 @@
 	e.prober = &Prober{
 		Members:  e.Members,
 		Interval: e.Interval,
-		Suspect:  e.Suspect,
+		SuspectTimeout:  e.SuspectTimeout,
 		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 	e.targets = make(chan *peerpb.Process, probesAtOnce)
@@ -91,7 +91,7 @@
 	defer ticker.Stop()
 	for {
 		e.mutex.Lock()
-		target := e.prober.Next(time.Now())
+		target := e.prober.NextTarget(time.Now())
 		e.mutex.Unlock()
 		if target != nil {
 			select {
@@ -134,7 +134,7 @@
 	}
 	if ctx.Err() == nil {
 		e.mutex.Lock()
-		e.prober.Missed(time.Now(), target)
+		e.prober.ProbeFailed(time.Now(), target)
 		e.mutex.Unlock()
 	}
 }
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	e.Members.Take(time.Now(), answer)
+	e.Members.MergeAnswer(time.Now(), answer)
 	return nil
 }
 
@@ -227,7 +227,7 @@
 func (e *Exchanger) pushTargets() []*peerpb.Process {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.prober.Push(time.Now())
+	return e.prober.PushTargets(time.Now())
 }
 
 func (e *Exchanger) leave() {
--- a/internal/member/exchange_bench_test.go
+++ b/internal/member/exchange_bench_test.go
@@ -79,7 +79,7 @@
 		record.SetAddress("10.0.0.1:7400")
 		gossip.SetProcesses(append(gossip.GetProcesses(), record))
 	}
-	members.Take(start, gossip)
+	members.MergeAnswer(start, gossip)
 	answering := member.NewMembersFrom(newMembers("a").Self(), members)
 	asking := member.NewMembersFrom(newMembers("b").Self(), members)
 	asking.Request(start)
--- a/internal/member/exchange_test.go
+++ b/internal/member/exchange_test.go
@@ -75,8 +75,8 @@
 // A process stops in good order: the others know at once, not after the time
 // that it takes to suspect it.
 func TestStoppedProcessHasLeft(t *testing.T) {
-	first := startNodeWith(t, "a", 1, &member.Exchanger{Suspect: time.Hour})
-	second := startNodeWith(t, "b", 1, &member.Exchanger{Suspect: time.Hour, Seeds: []string{first.address}})
+	first := startNodeWith(t, "a", 1, &member.Exchanger{SuspectTimeout: time.Hour})
+	second := startNodeWith(t, "b", 1, &member.Exchanger{SuspectTimeout: time.Hour, Seeds: []string{first.address}})
 	mustKnow(t, first, "b", peerpb.State_STATE_LIVE)
 	second.SetState(peerpb.State_STATE_DRAINING)
 	mustKnow(t, first, "b", peerpb.State_STATE_DRAINING)
--- a/internal/member/fixture_test.go
+++ b/internal/member/fixture_test.go
@@ -49,7 +49,7 @@
 	members := member.NewMembers(entryRecord(name, incarnation))
 	exchanger.Members = members
 	exchanger.Interval = 20 * time.Millisecond
-	exchanger.Suspect = cmp.Or(exchanger.Suspect, 200*time.Millisecond)
+	exchanger.SuspectTimeout = cmp.Or(exchanger.SuspectTimeout, 200*time.Millisecond)
 	n := &node{Members: members, exchanger: exchanger}
 	serving, stopServing := context.WithCancel(context.Background())
 	running, stopRunning := context.WithCancel(context.Background())
--- a/internal/member/isolation.go
+++ b/internal/member/isolation.go
@@ -6,20 +6,20 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Isolated reports whether this process can't know of changes by others: the
+// IsIsolated reports whether this process can't know of changes by others: the
 // store has answered neither this process nor, as far as is known, any other,
 // and most processes of its region can't be heard either.
 //
 // A key may be withdrawn, or a non-idempotent request run, where a process
 // that is alone can't see it; its own silence looks to it like an outage of
 // the store. The difference is the other processes: in an outage they answer.
-func (m *Members) Isolated(now time.Time) bool {
+func (m *Members) IsIsolated(now time.Time) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.Isolation <= 0 || now.Sub(m.stamps.heard()) < m.Isolation {
+	if m.IsolationTimeout <= 0 || now.Sub(m.stamps.heard()) < m.IsolationTimeout {
 		return false
 	}
-	if now.Sub(m.exchanged) >= m.Isolation {
+	if now.Sub(m.exchanged) >= m.IsolationTimeout {
 		return true
 	}
 	heard, lost := m.heardInRegion()
--- a/internal/member/isolation_test.go
+++ b/internal/member/isolation_test.go
@@ -33,8 +33,8 @@
 		add("r", i, own(i))
 		add("s", i, other(i))
 	}
-	members.Take(start, gossip)
-	members.StoreHeard(start)
+	members.MergeAnswer(start, gossip)
+	members.RecordStoreAnswer(start)
 	return members
 }
 
@@ -70,9 +70,9 @@
 		t.Run(name, func(t *testing.T) {
 			members := region(firstFail(test.own), firstFail(test.other))
 			now := start.Add(2 * minute)
-			members.StoreHeard(now.Add(-test.store))
-			members.Take(now.Add(-test.peers), &peerpb.Gossip{})
-			must.Eq(t, test.isolated, members.Isolated(now))
+			members.RecordStoreAnswer(now.Add(-test.store))
+			members.MergeAnswer(now.Add(-test.peers), &peerpb.Gossip{})
+			must.Eq(t, test.isolated, members.IsIsolated(now))
 		})
 	}
 }
@@ -82,7 +82,7 @@
 // and round, it would never grow, and nobody would notice being cut off.
 func TestStoreAgeGrowsWhileToldAround(t *testing.T) {
 	a, b := newMembers("a"), newMembers("b")
-	a.StoreHeard(start)
+	a.RecordStoreAnswer(start)
 	now := start
 	for range 20 {
 		request := a.Request(now)
@@ -98,7 +98,7 @@
 // Only one process of three still reaches the store: its word counts for all.
 func TestStoreHeardByAnother(t *testing.T) {
 	a, b, c := newMembers("a"), newMembers("b"), newMembers("c")
-	c.StoreHeard(start)
+	c.RecordStoreAnswer(start)
 	exchange(c, b, start)
 	exchange(b, a, start)
 	must.Eq(t, 0, a.StoreAge(start))
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -33,7 +33,7 @@
 func (e *Exchanger) join(ctx context.Context) {
 	gap := alonePause
 	for {
-		if e.isAlone() || e.Members.InCharge("hosts", hostReaders) {
+		if e.isAlone() || e.Members.IsResponsible("hosts", hostReaders) {
 			e.contact(ctx)
 		}
 		if e.isAlone() {
@@ -67,7 +67,7 @@
 			klog.Warningf("member: no answer from %s, which is a seed or in the host list: %v", address, err)
 			return
 		}
-		if !e.Members.Differs() {
+		if !e.Members.TableDiffers() {
 			return
 		}
 	}
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -31,8 +31,8 @@
 
 // Members is what a process knows of the others. It is safe for concurrent use.
 type Members struct {
-	// Isolation is the time for Isolated; set it before use. 0 turns it off.
-	Isolation time.Duration
+	// IsolationTimeout is the time for Isolated; set it before use. 0 turns it off.
+	IsolationTimeout time.Duration
 
 	mutex        sync.Mutex
 	self         *peerpb.Process
@@ -244,8 +244,8 @@
 	})
 }
 
-// StoreHeard notes that the platform's store has answered just now.
-func (m *Members) StoreHeard(now time.Time) {
+// RecordStoreAnswer notes that the platform's store has answered just now.
+func (m *Members) RecordStoreAnswer(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.stamps.add(m.self.GetName(), now)
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -95,8 +95,8 @@
 	return request
 }
 
-// Take takes an answer that needs no message after it.
-func (m *Members) Take(now time.Time, gossip *peerpb.Gossip) {
+// MergeAnswer takes an answer that needs no message after it.
+func (m *Members) MergeAnswer(now time.Time, gossip *peerpb.Gossip) {
 	m.take(now, gossip)
 }
 
--- a/internal/member/predecessors.go
+++ b/internal/member/predecessors.go
@@ -30,10 +30,10 @@
 	p.older = p.older || isOlder && other.GetName() != ""
 }
 
-// IsFirst reports whether this is known to be the first process of its name and
+// IsFirstProcess reports whether this is known to be the first process of its name and
 // backend server: others were heard of, and none knows an earlier one. A
 // process that was started again has lost what it kept in memory.
-func (m *Members) IsFirst() bool {
+func (m *Members) IsFirstProcess() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.predecessors.heard && !m.predecessors.earlier && (m.predecessors.older || m.isOldest())
--- a/internal/member/predecessors_test.go
+++ b/internal/member/predecessors_test.go
@@ -32,9 +32,9 @@
 		t.Run(name, func(t *testing.T) {
 			members := NewMembers(process("s1", "server", 5))
 			for _, heard := range test.heard {
-				members.Take(time.Unix(10, 0), peerpb.Gossip_builder{Sender: older, Processes: []*peerpb.Process{heard}}.Build())
+				members.MergeAnswer(time.Unix(10, 0), peerpb.Gossip_builder{Sender: older, Processes: []*peerpb.Process{heard}}.Build())
 			}
-			must.Eq(t, test.isFirst, members.IsFirst())
+			must.Eq(t, test.isFirst, members.IsFirstProcess())
 		})
 	}
 }
--- a/internal/member/prober.go
+++ b/internal/member/prober.go
@@ -29,8 +29,8 @@
 	Members *Members
 	// Interval is the time between two calls of Next.
 	Interval time.Duration
-	// Suspect is the time after which a suspected process has failed.
-	Suspect time.Duration
+	// SuspectTimeout is the time after which a suspected process has failed.
+	SuspectTimeout time.Duration
 	Rand    *rand.Rand
 
 	turn     int
@@ -49,7 +49,7 @@
 	m := p.Members
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	paused := !p.last.IsZero() && now.Sub(p.last) > max(pauseFactor*p.Interval, p.Suspect/2)
+	paused := !p.last.IsZero() && now.Sub(p.last) > max(pauseFactor*p.Interval, p.SuspectTimeout/2)
 	p.last = now
 	m.forgetReplaced(now)
 	for name := range m.table.unsettled {
@@ -60,7 +60,7 @@
 		case state == peerpb.State_STATE_SUSPECT && paused:
 			known.since = now
 			m.table.records[name] = known
-		case state == peerpb.State_STATE_SUSPECT && age >= p.Suspect:
+		case state == peerpb.State_STATE_SUSPECT && age >= p.SuspectTimeout:
 			p.mark(known.process, peerpb.State_STATE_FAILED, now)
 		case hasExpired(known.process, now):
 			m.table.remove(name)
@@ -84,8 +84,8 @@
 	return found
 }
 
-// Missed takes note that neither this process nor its helpers got an answer.
-func (p *Prober) Missed(now time.Time, target *peerpb.Process) {
+// ProbeFailed takes note that neither this process nor its helpers got an answer.
+func (p *Prober) ProbeFailed(now time.Time, target *peerpb.Process) {
 	m := p.Members
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -112,14 +112,14 @@
 	return m.rings.all()
 }
 
-// Push returns the processes to which news is sent at once: all neighbours for
+// PushTargets returns the processes to which news is sent at once: all neighbours for
 // facts, withdrawals and this process's own state, for changes of others as
 // many as the rate allows.
 //
 // Where a zone fails, hundreds of processes change within seconds. Sent at once
 // by everybody to all neighbours, that would take many times the bytes that a
 // process may spend; so what goes beyond the rate waits for the next exchange.
-func (p *Prober) Push(now time.Time) []*peerpb.Process {
+func (p *Prober) PushTargets(now time.Time) []*peerpb.Process {
 	targets := p.Neighbours()
 	m := p.Members
 	m.mutex.Lock()
@@ -137,9 +137,9 @@
 	return targets[:allowed]
 }
 
-// Next returns the process to ask now: each of the successors in turn, now and
+// NextTarget returns the process to ask now: each of the successors in turn, now and
 // then one that has failed. It returns nil if no other is known.
-func (p *Prober) Next(now time.Time) *peerpb.Process {
+func (p *Prober) NextTarget(now time.Time) *peerpb.Process {
 	p.Expire(now)
 	m := p.Members
 	m.mutex.Lock()
--- a/internal/member/prober_test.go
+++ b/internal/member/prober_test.go
@@ -25,7 +25,7 @@
 	p.prober = &member.Prober{
 		Members:  p.a,
 		Interval: time.Second,
-		Suspect:  4 * time.Second,
+		SuspectTimeout:  4 * time.Second,
 		Rand:     rand.New(rand.NewPCG(1, 1)),
 	}
 	p.exchange()
@@ -37,7 +37,7 @@
 	record := entryRecord(name, 1)
 	record.SetAddress(name)
 	members := member.NewMembers(record)
-	members.Isolation = 10 * time.Second
+	members.IsolationTimeout = 10 * time.Second
 	return members
 }
 
@@ -49,14 +49,14 @@
 func exchange(from, to *member.Members, now time.Time) {
 	next := from.FollowUp(now, to.Answer(now, from.Request(now)))
 	if next != nil {
-		from.Take(now, to.Answer(now, next))
+		from.MergeAnswer(now, to.Answer(now, next))
 	}
 }
 
 func (p *pair) pass(length time.Duration) {
 	for range length / time.Second {
 		p.now = p.now.Add(time.Second)
-		p.prober.Next(p.now)
+		p.prober.NextTarget(p.now)
 	}
 }
 
@@ -72,7 +72,7 @@
 
 func TestSuspectThenFailed(t *testing.T) {
 	p := newPair()
-	p.prober.Missed(p.now, find(p.a, "b"))
+	p.prober.ProbeFailed(p.now, find(p.a, "b"))
 	p.mustSee(t, peerpb.State_STATE_SUSPECT)
 	p.pass(3 * time.Second)
 	p.mustSee(t, peerpb.State_STATE_SUSPECT)
@@ -86,7 +86,7 @@
 	for name, length := range map[string]time.Duration{"suspect": time.Second, "failed": 6 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			p := newPair()
-			p.prober.Missed(p.now, find(p.a, "b"))
+			p.prober.ProbeFailed(p.now, find(p.a, "b"))
 			p.pass(length)
 			p.exchange()
 			p.mustSee(t, peerpb.State_STATE_LIVE)
@@ -100,9 +100,9 @@
 func TestPauseFailsNobody(t *testing.T) {
 	p := newPair()
 	p.pass(2 * time.Second)
-	p.prober.Missed(p.now, find(p.a, "b"))
+	p.prober.ProbeFailed(p.now, find(p.a, "b"))
 	p.now = p.now.Add(time.Minute)
-	p.prober.Next(p.now)
+	p.prober.NextTarget(p.now)
 	p.mustSee(t, peerpb.State_STATE_SUSPECT)
 }
 
@@ -113,7 +113,7 @@
 	p.b.SetState(peerpb.State_STATE_DRAINING)
 	p.exchange()
 	p.mustSee(t, peerpb.State_STATE_DRAINING)
-	p.prober.Missed(p.now, find(p.a, "b"))
+	p.prober.ProbeFailed(p.now, find(p.a, "b"))
 	p.mustSee(t, peerpb.State_STATE_FAILED)
 	p.exchange()
 	p.mustSee(t, peerpb.State_STATE_DRAINING)
@@ -166,7 +166,7 @@
 	for _, members := range all {
 		prober := &member.Prober{Members: members, Interval: time.Second, Rand: rand.New(rand.NewPCG(1, 1))}
 		for range 8 {
-			asked[prober.Next(start).GetName()] = true
+			asked[prober.NextTarget(start).GetName()] = true
 		}
 	}
 	must.MapLen(t, len(all), asked)
@@ -196,20 +196,20 @@
 			exchange(member.NewMembers(sidecarRecord("s1", 1)), p.a, p.now)
 			again := member.NewMembers(sidecarRecord(restart(p), 2))
 			exchange(again, p.a, p.now)
-			must.False(t, again.IsFirst())
+			must.False(t, again.IsFirstProcess())
 		})
 	}
 	t.Run("first one", func(t *testing.T) {
 		p := newPair()
 		first := member.NewMembers(sidecarRecord("x", 2))
 		exchange(first, p.a, p.now)
-		must.True(t, first.IsFirst())
+		must.True(t, first.IsFirstProcess())
 	})
 }
 
 func (p *pair) failEarlier(t *testing.T) {
 	t.Helper()
-	p.prober.Missed(p.now, find(p.a, "s1"))
+	p.prober.ProbeFailed(p.now, find(p.a, "s1"))
 	p.pass(5 * time.Second)
 	must.Nil(t, find(p.a, "s1"))
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -36,12 +36,12 @@
 	Prefix string
 	// Wait is the longest wait of one watch.
 	Wait time.Duration
-	// Take is called with what has changed, in the order of the store's revisions.
-	Take func(changes []platform.Value)
-	// Listed is called after a whole list was taken; nil is allowed. After a
+	// OnChanges is called with what has changed, in the order of the store's revisions.
+	OnChanges func(changes []platform.Value)
+	// OnListed is called after a whole list was taken; nil is allowed. After a
 	// history that was lost, values that are missing from the list were reported
 	// to Take as deleted before.
-	Listed func()
+	OnListed func()
 	// Follow waits for changes that another process has seen; it reports false
 	// where this process is to watch the store itself. nil always does.
 	Follow func(ctx context.Context, prefix string, after uint64) (platform.ListReply, bool)
@@ -50,12 +50,12 @@
 	// Pause is the wait between two watches of the store: changes that come close
 	// to each other cost one call.
 	Pause time.Duration
-	// Lost is called when the store stops answering, and Regained once it does
+	// OnLost is called when the store stops answering, and Regained once it does
 	// again, before what has changed meanwhile is taken; nil is allowed.
-	Lost     func()
-	Regained func()
-	// Heard is called once all changes up to now are taken; nil is allowed.
-	Heard func()
+	OnLost     func()
+	OnRegained func()
+	// OnUpToDate is called once all changes up to now are taken; nil is allowed.
+	OnUpToDate func()
 
 	known    map[string]uint64
 	revision uint64
@@ -123,8 +123,8 @@
 	m.take(append(changes, reply.Values...))
 	m.revision = max(m.revision, reply.Revision)
 	m.history.restart(m.revision)
-	if m.Listed != nil {
-		m.Listed()
+	if m.OnListed != nil {
+		m.OnListed()
 	}
 	m.heard()
 	return nil
@@ -157,8 +157,8 @@
 }
 
 func (m *Mirror) heard() {
-	if m.Heard != nil {
-		m.Heard()
+	if m.OnUpToDate != nil {
+		m.OnUpToDate()
 	}
 }
 
@@ -188,7 +188,7 @@
 		changes = append(changes, value)
 	}
 	if len(changes) > 0 {
-		m.Take(changes)
+		m.OnChanges(changes)
 	}
 }
 
@@ -198,8 +198,8 @@
 	}
 	m.isLost = true
 	klog.InfoS("mirror: the store does not answer", "prefix", m.Prefix, "revision", m.revision, "err", err)
-	if m.Lost != nil {
-		m.Lost()
+	if m.OnLost != nil {
+		m.OnLost()
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	m.isLost = false
 	klog.InfoS("mirror: the store answers again", "prefix", m.Prefix, "revision", m.revision)
-	if m.Regained != nil {
-		m.Regained()
+	if m.OnRegained != nil {
+		m.OnRegained()
 	}
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -42,7 +42,7 @@
 func run(t *testing.T, store *platformtest.Store, change func(*mirror.Mirror)) (*mirror.Mirror, *copied) {
 	t.Helper()
 	taken := &copied{values: map[string]string{}}
-	m := &mirror.Mirror{Store: store, Prefix: "p/", Wait: 50 * time.Millisecond, Take: taken.take}
+	m := &mirror.Mirror{Store: store, Prefix: "p/", Wait: 50 * time.Millisecond, OnChanges: taken.take}
 	if change != nil {
 		change(m)
 	}
@@ -87,12 +87,12 @@
 	put(t, store, "p/a", "1")
 	_, taken := run(t, store, nil)
 	awaitValue(t, taken, "p/a", "1")
-	store.SetSilent(true)
+	store.SetWatchesSilent(true)
 	_, err := store.Commit(t.Context(), platform.Commit{Remove: []string{"p/a"}})
 	must.NoError(t, err)
 	put(t, store, "p/b", "1")
 	store.Compact()
-	store.SetSilent(false)
+	store.SetWatchesSilent(false)
 	awaitValue(t, taken, "p/b", "1")
 	awaitValue(t, taken, "p/a", "")
 }
@@ -108,16 +108,16 @@
 			told = append(told, text)
 		}
 	}
-	_, taken := run(t, store, func(m *mirror.Mirror) { m.Lost, m.Regained = tell("lost"), tell("regained") })
+	_, taken := run(t, store, func(m *mirror.Mirror) { m.OnLost, m.OnRegained = tell("lost"), tell("regained") })
 	put(t, store, "p/a", "1")
 	awaitValue(t, taken, "p/a", "1")
-	store.SetAway(true)
+	store.SetUnavailable(true)
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return len(told) == 1
 	}), wait.Timeout(5*time.Second), wait.Gap(5*time.Millisecond)))
-	store.SetAway(false)
+	store.SetUnavailable(false)
 	put(t, store, "p/a", "2")
 	awaitValue(t, taken, "p/a", "2")
 	mutex.Lock()
@@ -179,11 +179,11 @@
 		put(t, store, "p/a", "1")
 		_, taken := run(t, store, func(m *mirror.Mirror) { m.IsWatcher = func() bool { return isWatcher } })
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return taken.get("p/a") == "1" }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
-		store.SetAway(true)
+		store.SetUnavailable(true)
 		before := store.Calls()
 		time.Sleep(1200 * time.Millisecond)
 		made := store.Calls() - before
-		store.SetAway(false)
+		store.SetUnavailable(false)
 		put(t, store, "p/a", "2")
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return taken.get("p/a") == "2" }), wait.Timeout(2*time.Second), wait.Gap(time.Millisecond)))
 		return made
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -81,8 +81,8 @@
 	return reply, c.call(ctx, http.MethodGet, PathExplain, url.Values{"id": {id}}, nil, reply)
 }
 
-// Force returns the revision in force at each entry.
-func (c *Client) Force(ctx context.Context) (*operatorpb.ForceReply, error) {
+// RevisionsInForce returns the revision in force at each entry.
+func (c *Client) RevisionsInForce(ctx context.Context) (*operatorpb.ForceReply, error) {
 	reply := &operatorpb.ForceReply{}
 	return reply, c.call(ctx, http.MethodGet, PathForce, nil, nil, reply)
 }
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -69,7 +69,7 @@
 }
 
 func (s *Server) force(ctx context.Context, _ string, _ *http.Request) (proto.Message, error) {
-	return operatorpb.ForceReply_builder{Processes: s.Peers.Force(ctx, peerpb.Role_ROLE_ENTRY)}.Build(), nil
+	return operatorpb.ForceReply_builder{Processes: s.Peers.RevisionsInForce(ctx, peerpb.Role_ROLE_ENTRY)}.Build(), nil
 }
 
 func (s *Server) grant(ctx context.Context, operator string, r *http.Request) (proto.Message, error) {
@@ -135,12 +135,12 @@
 func (s *Server) status(ctx context.Context, _ string, _ *http.Request) (proto.Message, error) {
 	now := time.Now()
 	reply := operatorpb.StatusReply_builder{
-		Isolated: s.Members.Isolated(now),
+		Isolated: s.Members.IsIsolated(now),
 		StoreAge: s.Members.StoreAge(now).Milliseconds(),
 	}.Build()
 	reply.SetProcesses(s.Members.All())
 	reply.SetServers(s.servers())
-	reply.SetForce(s.Peers.Force(ctx, peerpb.Role_ROLE_ENTRY))
+	reply.SetForce(s.Peers.RevisionsInForce(ctx, peerpb.Role_ROLE_ENTRY))
 	holders, err := s.holders(ctx)
 	if err != nil {
 		reply.SetProblem(err.Error())
--- a/internal/operator/peers.go
+++ b/internal/operator/peers.go
@@ -25,9 +25,9 @@
 type Peers struct {
 	Members     *member.Members
 	Credentials credentials.TransportCredentials
-	// Own returns the address on which this process itself listens: it answers
+	// OwnAddress returns the address on which this process itself listens: it answers
 	// for itself also where the one that it tells others can't be reached from here.
-	Own func() string
+	OwnAddress func() string
 }
 
 // Drain makes a process drain, or take work again.
@@ -74,9 +74,9 @@
 	return decisions, silent
 }
 
-// Force asks the processes of a role which revision of the configuration is in
+// RevisionsInForce asks the processes of a role which revision of the configuration is in
 // force there.
-func (p *Peers) Force(ctx context.Context, role peerpb.Role) []*operatorpb.Force {
+func (p *Peers) RevisionsInForce(ctx context.Context, role peerpb.Role) []*operatorpb.Force {
 	processes := p.Members.Processes(role)
 	found := make([]*operatorpb.Force, len(processes))
 	index := map[string]int{}
@@ -136,8 +136,8 @@
 }
 
 func (p *Peers) address(process *peerpb.Process) string {
-	if p.Own != nil && process.GetName() == p.Members.Self().GetName() {
-		return p.Own()
+	if p.OwnAddress != nil && process.GetName() == p.Members.Self().GetName() {
+		return p.OwnAddress()
 	}
 	return process.GetAddress()
 }
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	self := peerpb.Process_builder{Name: "e1", Role: peerpb.Role_ROLE_ENTRY}.Build()
 	f := &fixture{store: &platformtest.Store{}, members: member.NewMembers(self), view: &lists.View{}}
-	f.members.OnFact(member.FactConfig, f.view.Take)
+	f.members.OnFact(member.FactConfig, f.view.Apply)
 	f.members.OnWithdrawal(func(w *peerpb.Withdrawal) { f.view.Withdraw(w.GetKey()) })
 	tokens, err := operator.ParseTokens([]string{"ann:" + lists.HashKey("ann-token"), "bob:" + lists.HashKey("bob-token")})
 	must.NoError(t, err)
@@ -125,7 +125,7 @@
 	stop := f.view.UntilWithdrawn(hash, func() { ended = true })
 	defer stop()
 
-	f.store.SetAway(true)
+	f.store.SetUnavailable(true)
 	reply, err := client.Withdraw(ctx, operatorpb.WithdrawRequest_builder{Hash: hash[:12]}.Build())
 	must.NoError(t, err)
 	must.False(t, reply.GetStored())
--- a/internal/operator/usage.go
+++ b/internal/operator/usage.go
@@ -39,13 +39,13 @@
 		return nil, err
 	}
 	if start != 0 && len(windows) == 0 {
-		return nil, &NotFoundError{Name: usage.Key(start)}
+		return nil, &NotFoundError{Name: usage.WindowKey(start)}
 	}
 	return operatorpb.UsageReply_builder{Windows: windows}.Build(), nil
 }
 
 func (s *Server) windows(ctx context.Context, start int64) ([]*statepb.Window, error) {
-	reply, err := s.Store.List(ctx, usage.Prefix)
+	reply, err := s.Store.List(ctx, usage.KeyPrefix)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/usage_test.go
+++ b/internal/operator/usage_test.go
@@ -17,7 +17,7 @@
 		window := statepb.Window_builder{Start: start, Length: 3600, Reported: start == 3600}.Build()
 		data, err := proto.Marshal(window)
 		must.NoError(t, err)
-		_, err = fixture.store.Swap(ctx, usage.Key(start), 0, data, 0)
+		_, err = fixture.store.CompareAndSwap(ctx, usage.WindowKey(start), 0, data, 0)
 		must.NoError(t, err)
 	}
 	all, err := fixture.client("ann-token").Usage(ctx, 0)
--- a/internal/platform/api.go
+++ b/internal/platform/api.go
@@ -138,8 +138,8 @@
 	Remove []string
 }
 
-// Name names the commit in errors by the first key that it changes.
-func (c *Commit) Name() string {
+// FirstKey names the commit in errors by the first key that it changes.
+func (c *Commit) FirstKey() string {
 	switch {
 	case len(c.Writes) > 0:
 		return c.Writes[0].Key
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -26,15 +26,15 @@
 	Key string
 	// Revision is the present one.
 	Revision uint64
-	// Present holds the keys of a commit's expectations as they are, where the
+	// Current holds the keys of a commit's expectations as they are, where the
 	// store tells them; a key that doesn't exist is left out.
-	Present []Value
+	Current []Value
 }
 
 // Find returns the present value of one of the commit's keys; false if the key
 // doesn't exist or the store doesn't tell.
 func (e *ConflictError) Find(key string) (Value, bool) {
-	for _, value := range e.Present {
+	for _, value := range e.Current {
 		if value.Key == key && value.Revision != 0 {
 			return value, true
 		}
@@ -83,8 +83,8 @@
 	return "platform: " + e.Operation + ": status " + strconv.Itoa(e.Status)
 }
 
-// IsTurnedAway reports whether a status of the store says that it did nothing.
-func IsTurnedAway(status int) bool {
+// IsRejected reports whether a status of the store says that it did nothing.
+func IsRejected(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
@@ -98,8 +98,8 @@
 	Address string
 	// Timeout bounds each call but Watch.
 	Timeout time.Duration
-	// Heard is called after each answer of the key-value service; nil is allowed.
-	Heard func()
+	// OnResponse is called after each answer of the key-value service; nil is allowed.
+	OnResponse func()
 
 	service httpc.Service
 }
@@ -122,8 +122,8 @@
 	return value, err
 }
 
-// Grant makes a lease.
-func (c *Client) Grant(ctx context.Context, length time.Duration) (uint64, error) {
+// GrantLease makes a lease.
+func (c *Client) GrantLease(ctx context.Context, length time.Duration) (uint64, error) {
 	var reply LeaseReply
 	err := c.call(ctx, http.MethodPost, PathLease, nil, "lease", LeaseRequest{Length: length.Milliseconds()}, &reply)
 	return reply.ID, err
@@ -149,8 +149,8 @@
 	return c.guarded(ctx, PathOrder, "order "+order.ID, order, guard)
 }
 
-// Renew lengthens a lease from now on, or returns a NotFoundError if it has lapsed.
-func (c *Client) Renew(ctx context.Context, lease uint64, length time.Duration) error {
+// RenewLease lengthens a lease from now on, or returns a NotFoundError if it has lapsed.
+func (c *Client) RenewLease(ctx context.Context, lease uint64, length time.Duration) error {
 	request := LeaseRequest{ID: lease, Length: length.Milliseconds()}
 	return c.call(ctx, http.MethodPut, PathLease, nil, "lease", request, &LeaseReply{})
 }
@@ -167,9 +167,9 @@
 	return servers, err
 }
 
-// Swap writes a value if the key has the expected revision; 0 means that it
+// CompareAndSwap writes a value if the key has the expected revision; 0 means that it
 // must not exist. Lease 0 is none. It returns the new revision.
-func (c *Client) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	var reply SwapReply
 	request := SwapRequest{Key: key, Data: data, Expect: expect, Lease: lease}
 	err := c.call(ctx, http.MethodPut, PathValue, nil, key, request, &reply)
@@ -282,7 +282,7 @@
 }
 
 func (c *Client) heard() {
-	if c.Heard != nil {
-		c.Heard()
+	if c.OnResponse != nil {
+		c.OnResponse()
 	}
 }
--- a/internal/platform/platformtest/store.go
+++ b/internal/platform/platformtest/store.go
@@ -74,7 +74,7 @@
 	}
 	for _, expect := range commit.Expect {
 		if value, found := s.values[expect.Key]; found {
-			failed.Present = append(failed.Present, value)
+			failed.Current = append(failed.Current, value)
 		}
 	}
 	return failed
@@ -88,8 +88,8 @@
 	s.deleted = nil
 }
 
-// End ends a lease and removes its keys.
-func (s *Store) End(_ context.Context, lease uint64) error {
+// RevokeLease ends a lease and removes its keys.
+func (s *Store) RevokeLease(_ context.Context, lease uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err := s.call("end"); err != nil {
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// Grant makes a lease.
-func (s *Store) Grant(_ context.Context, length time.Duration) (uint64, error) {
+// GrantLease makes a lease.
+func (s *Store) GrantLease(_ context.Context, length time.Duration) (uint64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err := s.call("grant"); err != nil {
@@ -133,8 +133,8 @@
 	return lease, nil
 }
 
-// Renew lengthens a lease.
-func (s *Store) Renew(_ context.Context, lease uint64, length time.Duration) error {
+// RenewLease lengthens a lease.
+func (s *Store) RenewLease(_ context.Context, lease uint64, length time.Duration) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err := s.call("renew"); err != nil {
@@ -161,8 +161,8 @@
 	s.wake()
 }
 
-// Before calls do once, just before the next swap: the place of a racing writer.
-func (s *Store) Before(do func()) {
+// BeforeNextSwap calls do once, just before the next swap: the place of a racing writer.
+func (s *Store) BeforeNextSwap(do func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.before = do
@@ -220,23 +220,23 @@
 	s.lose = number
 }
 
-// SetAway begins or ends an outage.
-func (s *Store) SetAway(away bool) {
+// SetUnavailable begins or ends an outage.
+func (s *Store) SetUnavailable(away bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.away = away
 	s.wake()
 }
 
-// SetSilent makes watches show nothing although values change.
-func (s *Store) SetSilent(silent bool) {
+// SetWatchesSilent makes watches show nothing although values change.
+func (s *Store) SetWatchesSilent(silent bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.silent = silent
 }
 
-// Swap writes a value if its key has the expected revision.
-func (s *Store) Swap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+// CompareAndSwap writes a value if its key has the expected revision.
+func (s *Store) CompareAndSwap(_ context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	s.mutex.Lock()
 	before := s.before
 	s.before = nil
@@ -260,8 +260,8 @@
 	return s.revision, nil
 }
 
-// Swaps returns the number of swaps that took effect.
-func (s *Store) Swaps() int {
+// Writes returns the number of swaps that took effect.
+func (s *Store) Writes() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.swaps
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -13,17 +13,17 @@
 // Store is what a record needs of the platform's key-value service.
 type Store interface {
 	Get(ctx context.Context, key string) (platform.Value, error)
-	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
+	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
-// LostError says that another process has changed the value: this one is no
+// OverwrittenError says that another process has changed the value: this one is no
 // longer its writer, whatever its lease says.
-type LostError struct {
+type OverwrittenError struct {
 	Key string
 }
 
 // Error names the key.
-func (e *LostError) Error() string { return "record: another process has changed " + e.Key }
+func (e *OverwrittenError) Error() string { return "record: another process has changed " + e.Key }
 
 // Record reads and writes one value. Exported fields are set before Load. It is
 // not safe for concurrent use.
@@ -38,8 +38,8 @@
 	kept []byte
 }
 
-// IsSure reports whether it is known what became of every write.
-func (r *Record) IsSure() bool { return r.unsure == nil }
+// IsSettled reports whether it is known what became of every write.
+func (r *Record) IsSettled() bool { return r.unsure == nil }
 
 // Load reads the value; nil if there is none.
 func (r *Record) Load(ctx context.Context) ([]byte, error) {
@@ -68,7 +68,7 @@
 	if unsure != nil && bytes.Equal(unsure, data) && bytes.Equal(r.kept, data) {
 		return nil
 	}
-	revision, err := r.Store.Swap(ctx, r.Key, r.revision, data, 0)
+	revision, err := r.Store.CompareAndSwap(ctx, r.Key, r.revision, data, 0)
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
@@ -114,6 +114,6 @@
 		r.revision, r.kept, r.unsure = value.Revision, r.unsure, nil
 		return nil
 	default:
-		return &LostError{Key: r.Key}
+		return &OverwrittenError{Key: r.Key}
 	}
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -28,7 +28,7 @@
 	return s.value, nil
 }
 
-func (s *fakeStore) Swap(_ context.Context, _ string, expect uint64, data []byte, _ uint64) (uint64, error) {
+func (s *fakeStore) CompareAndSwap(_ context.Context, _ string, expect uint64, data []byte, _ uint64) (uint64, error) {
 	fate := s.fate
 	s.fate = ""
 	if fate == "away" {
@@ -51,7 +51,7 @@
 
 func mustBeLost(t *testing.T, err error) {
 	t.Helper()
-	var lost *LostError
+	var lost *OverwrittenError
 	must.True(t, errors.As(err, &lost))
 }
 
@@ -67,7 +67,7 @@
 		store := &fakeStore{fate: "lost"}
 		record := &Record{Store: store, Key: "k"}
 		must.Error(t, record.Write(t.Context(), []byte("a")))
-		must.False(t, record.IsSure())
+		must.False(t, record.IsSettled())
 		mustWrite(t, record, "a")
 		must.Eq(t, 1, store.value.Revision, must.Sprint("not written twice"))
 		mustWrite(t, record, "b")
--- a/internal/refusal/http.go
+++ b/internal/refusal/http.go
@@ -45,10 +45,10 @@
 	})
 }
 
-// WriteExact answers like Write, with fractions of seconds for the return: for
+// WriteFractional answers like Write, with fractions of seconds for the return: for
 // callers that read them, a request that finds room in 100 ms need not stay
 // away for a second.
-func WriteExact(w http.ResponseWriter, err error) {
+func WriteFractional(w http.ResponseWriter, err error) {
 	write(w, err, func(retry time.Duration) string {
 		return strconv.FormatFloat(retry.Seconds(), 'f', 3, 64)
 	})
@@ -64,8 +64,8 @@
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderOutcome, refusal.outcome())
-	if refusal.Retry > 0 {
-		header.Set("Retry-After", after(refusal.Retry))
+	if refusal.RetryAfter > 0 {
+		header.Set("Retry-After", after(refusal.RetryAfter))
 	}
 	if refusal.Status == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -21,8 +21,8 @@
 	// Code is a short name of the reason, such as "rate_limited".
 	Code    string
 	Message string
-	// Retry tells the caller when to come back; 0 says nothing.
-	Retry time.Duration
+	// RetryAfter tells the caller when to come back; 0 says nothing.
+	RetryAfter time.Duration
 }
 
 // NotRun returns a refusal of a request that no backend server has seen.
@@ -42,7 +42,7 @@
 		Status:  int(message.GetStatus()),
 		Code:    message.GetCode(),
 		Message: message.GetMessage(),
-		Retry:   message.GetRetry().AsDuration(),
+		RetryAfter:   message.GetRetry().AsDuration(),
 	}
 }
 
@@ -58,7 +58,7 @@
 		Status:  int32(e.Status),
 		Code:    e.Code,
 		Message: e.Message,
-		Retry:   durationpb.New(e.Retry),
+		Retry:   durationpb.New(e.RetryAfter),
 	}.Build()
 }
 
@@ -70,9 +70,9 @@
 	return "outcome unknown"
 }
 
-// After sets when the caller should come back.
-func (e *Error) After(retry time.Duration) *Error {
-	e.Retry = retry
+// WithRetryAfter sets when the caller should come back.
+func (e *Error) WithRetryAfter(retry time.Duration) *Error {
+	e.RetryAfter = retry
 	return e
 }
 
--- a/internal/rollout/answer.go
+++ b/internal/rollout/answer.go
@@ -6,19 +6,19 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// AnswerError says that an attempt's answer isn't a whole sample.
-type AnswerError struct {
+// SampleError says that an attempt's answer isn't a whole sample.
+type SampleError struct {
 	Request string
 	Problem string
 }
 
 // Error names the attempt.
-func (e *AnswerError) Error() string {
+func (e *SampleError) Error() string {
 	return "sample " + e.Request + ": " + e.Problem
 }
 
-// Answer gathers the chunks of one attempt.
-type Answer struct {
+// SampleBuilder gathers the chunks of one attempt.
+type SampleBuilder struct {
 	text     []byte
 	tokens   []int32
 	logprobs []float32
@@ -27,10 +27,10 @@
 
 // Add takes a chunk. Its version is the one that the engine showed for these
 // tokens, never the one that was ordered. It refuses tokens without a version.
-func (a *Answer) Add(request string, chunk *peerpb.Chunk) error {
+func (a *SampleBuilder) Add(request string, chunk *peerpb.Chunk) error {
 	tokens := uint32(len(chunk.GetTokens()))
 	if tokens > 0 && chunk.GetVersion() == 0 {
-		return &AnswerError{Request: request, Problem: "the engine showed no weight version"}
+		return &SampleError{Request: request, Problem: "the engine showed no weight version"}
 	}
 	a.text = append(a.text, chunk.GetData()...)
 	from := uint32(len(a.tokens))
@@ -52,7 +52,7 @@
 // An engine that resumes another one's answer may leave tokens out or repeat
 // some; the sample would then teach what no version produced. The count in the
 // end frame shows it, and the slot runs again.
-func (a *Answer) Sample(attempt Attempt, open *peerpb.OpenRequest, end *peerpb.End) (*peerpb.Sample, error) {
+func (a *SampleBuilder) Sample(attempt Attempt, open *peerpb.OpenRequest, end *peerpb.End) (*peerpb.Sample, error) {
 	if err := a.check(attempt.ID(), end); err != nil {
 		return nil, err
 	}
@@ -73,15 +73,15 @@
 	}.Build(), nil
 }
 
-func (a *Answer) check(request string, end *peerpb.End) error {
+func (a *SampleBuilder) check(request string, end *peerpb.End) error {
 	if len(a.tokens) == 0 {
-		return &AnswerError{Request: request, Problem: "the answer has no tokens"}
+		return &SampleError{Request: request, Problem: "the answer has no tokens"}
 	}
 	if end.GetOutputTokens() != uint64(len(a.tokens)) {
-		return &AnswerError{Request: request, Problem: fmt.Sprintf("%d of %d tokens came", len(a.tokens), end.GetOutputTokens())}
+		return &SampleError{Request: request, Problem: fmt.Sprintf("%d of %d tokens came", len(a.tokens), end.GetOutputTokens())}
 	}
 	if len(a.logprobs) > 0 && len(a.logprobs) != len(a.tokens) {
-		return &AnswerError{Request: request, Problem: fmt.Sprintf("%d log probabilities for %d tokens", len(a.logprobs), len(a.tokens))}
+		return &SampleError{Request: request, Problem: fmt.Sprintf("%d log probabilities for %d tokens", len(a.logprobs), len(a.tokens))}
 	}
 	return checkRanges(request, a.ranges, uint32(len(a.tokens)))
 }
@@ -91,12 +91,12 @@
 	var until uint32
 	for _, part := range ranges {
 		if part.GetFrom() != until || part.GetUntil() <= part.GetFrom() {
-			return &AnswerError{Request: request, Problem: fmt.Sprintf("no version for tokens from %d on", until)}
+			return &SampleError{Request: request, Problem: fmt.Sprintf("no version for tokens from %d on", until)}
 		}
 		until = part.GetUntil()
 	}
 	if until != tokens {
-		return &AnswerError{Request: request, Problem: fmt.Sprintf("versions for %d of %d tokens", until, tokens)}
+		return &SampleError{Request: request, Problem: fmt.Sprintf("versions for %d of %d tokens", until, tokens)}
 	}
 	return nil
 }
--- a/internal/rollout/attempt.go
+++ b/internal/rollout/attempt.go
@@ -26,14 +26,14 @@
 // Number returns the attempt's number among those of its slot and term, from 1.
 func (a Attempt) Number() uint32 { return a.number }
 
-// Oldest returns the oldest version that a sampler may show to run the attempt.
-func (a Attempt) Oldest() uint64 { return a.oldest }
+// MinVersion returns the oldest version that a sampler may show to run the attempt.
+func (a Attempt) MinVersion() uint64 { return a.oldest }
 
 // Prompt returns the text to complete.
 func (a Attempt) Prompt() string { return a.prompt }
 
-// Second reports whether another attempt at the slot was running.
-func (a Attempt) Second() bool { return a.second }
+// IsSecondRun reports whether another attempt at the slot was running.
+func (a Attempt) IsSecondRun() bool { return a.second }
 
 // Slot returns the number of the slot in the step.
 func (a Attempt) Slot() uint32 { return a.slot }
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -46,8 +46,8 @@
 type Client struct {
 	Locate func(duty string) (*Location, bool)
 	Peers  *Peers
-	// Patience is how long a call waits for a holder.
-	Patience time.Duration
+	// HolderTimeout is how long a call waits for a holder.
+	HolderTimeout time.Duration
 }
 
 // Announce tells the holder of the trainer's steps of a newer version, then
@@ -87,7 +87,7 @@
 // call sends a call to the holder of a duty, again and to the newest known one
 // as long as there is none or it gives no answer.
 func (c *Client) call(ctx context.Context, duty string, send func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
-	end := time.Now().Add(c.Patience)
+	end := time.Now().Add(c.HolderTimeout)
 	gap := leastPause
 	for {
 		err := c.try(duty, send)
@@ -101,7 +101,7 @@
 func (c *Client) try(duty string, send func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
 	location, ok := c.Locate(duty)
 	if !ok {
-		return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds %s yet", duty).After(retry)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds %s yet", duty).WithRetryAfter(retry)
 	}
 	client, err := c.Peers.Client(location.Address())
 	if err != nil {
@@ -119,7 +119,7 @@
 }
 
 func unreachable(duty string) error {
-	return refusal.Unknown(http.StatusServiceUnavailable, codeUnreachable, "the holder of %s gave no answer, send the same again", duty).After(retry)
+	return refusal.Unknown(http.StatusServiceUnavailable, codeUnreachable, "the holder of %s gave no answer, send the same again", duty).WithRetryAfter(retry)
 }
 
 func mayTryAgain(err error) bool {
--- a/internal/rollout/deliver.go
+++ b/internal/rollout/deliver.go
@@ -15,7 +15,7 @@
 // Pull acknowledges what comes before a place and returns the samples from it
 // on, waiting for the first of them.
 func (h *Holder) Pull(ctx context.Context, request *peerpb.PullRequest) (*peerpb.PullReply, error) {
-	wait := min(request.GetWait().AsDuration(), h.Poll)
+	wait := min(request.GetWait().AsDuration(), h.MaxPullWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -36,27 +36,27 @@
 	}
 }
 
-func pullReply(pulled Pulled, waiting string) *peerpb.PullReply {
+func pullReply(pulled PullResult, waiting string) *peerpb.PullReply {
 	return peerpb.PullReply_builder{Samples: pulled.Samples(), Next: pulled.Next(), Done: pulled.Done(), Waiting: waiting}.Build()
 }
 
-func (h *Holder) pullNow(request *peerpb.PullRequest) (Pulled, <-chan struct{}, string, error) {
+func (h *Holder) pullNow(request *peerpb.PullRequest) (PullResult, <-chan struct{}, string, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.step == nil {
-		return Pulled{}, nil, "", noHolder(h.Trainer)
+		return PullResult{}, nil, "", noHolder(h.Trainer)
 	}
-	if !h.step.IsOpenFor(request.GetAccount()) {
-		return Pulled{}, nil, "", otherAccount(h.Trainer)
+	if !h.step.IsUsableBy(request.GetAccount()) {
+		return PullResult{}, nil, "", otherAccount(h.Trainer)
 	}
-	before := h.step.Newest()
+	before := h.step.NewestVersion()
 	pulled, err := h.step.Pull(request.GetPlace(), int(request.GetMax()), request.GetVersion())
-	h.stop(h.step.Doomed(), "its tokens are too old")
+	h.stop(h.step.StaleAttempts(), "its tokens are too old")
 	h.forget = append(h.forget, h.step.Released()...)
 	for _, sample := range pulled.Samples() {
-		h.Metrics.handedOver(lag(h.step.Newest(), OldestVersion(sample)))
+		h.Metrics.handedOver(lag(h.step.NewestVersion(), OldestVersion(sample)))
 	}
-	if h.step.Newest() != before {
+	if h.step.NewestVersion() != before {
 		h.notify()
 	}
 	waiting := "running"
@@ -90,7 +90,7 @@
 }
 
 func notKept() error {
-	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the version is in force but not kept yet, announce it again").After(retry)
+	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the version is in force but not kept yet, announce it again").WithRetryAfter(retry)
 }
 
 func (h *Holder) announce(account string, version uint64) error {
@@ -99,12 +99,12 @@
 	if h.step == nil {
 		return noHolder(h.Trainer)
 	}
-	if !h.step.IsOpenFor(account) {
+	if !h.step.IsUsableBy(account) {
 		return otherAccount(h.Trainer)
 	}
 	h.step.Announce(version)
-	h.stop(h.step.Doomed(), "its tokens are too old")
-	h.Decisions.Record(h.Trainer, "step", "version %d is the newest of the trainer", h.step.Newest())
+	h.stop(h.step.StaleAttempts(), "its tokens are too old")
+	h.Decisions.Record(h.Trainer, "step", "version %d is the newest of the trainer", h.step.NewestVersion())
 	h.notify()
 	return nil
 }
--- a/internal/rollout/entries_test.go
+++ b/internal/rollout/entries_test.go
@@ -79,15 +79,15 @@
 	one := &entry{name: name, directory: directory, runner: &fakeRunner{version: 1}}
 	replicas := &Replicas{}
 	one.peers = &Peers{Directory: view{fakeDirectory: directory, name: name}, Replicas: replicas}
-	one.client = &Client{Locate: directory.locate, Peers: one.peers, Patience: 10 * time.Second}
+	one.client = &Client{Locate: directory.locate, Peers: one.peers, HolderTimeout: 10 * time.Second}
 	one.service = &Service{
-		New: func(string) *Holder {
+		NewHolder: func(string) *Holder {
 			return newTestHolder(name, store, one.runner, one.peers)
 		},
 		Replicas: replicas,
 		Locate:   directory.locate,
 		Process:  name,
-		Wanted:   func(string) bool { return true },
+		IsListed:   func(string) bool { return true },
 	}
 	one.start(t, zone)
 	return one
--- a/internal/rollout/execution.go
+++ b/internal/rollout/execution.go
@@ -35,7 +35,7 @@
 	step    *Step
 	attempt Attempt
 	open    *peerpb.OpenRequest
-	answer  Answer
+	answer  SampleBuilder
 }
 
 func (e *execution) run(ctx context.Context) {
@@ -51,7 +51,7 @@
 
 // generate returns a whole, scored sample.
 func (e *execution) generate(ctx context.Context) (*peerpb.Sample, error) {
-	e.holder.Decisions.Record(e.attempt.ID(), "sample", "slot %d of step %d starts, second run %t", e.attempt.Slot(), e.open.GetStep(), e.attempt.Second())
+	e.holder.Decisions.Record(e.attempt.ID(), "sample", "slot %d of step %d starts, second run %t", e.attempt.Slot(), e.open.GetStep(), e.attempt.IsSecondRun())
 	end, err := e.holder.Runner.Run(ctx, e.request(), e.take)
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 		Priority:   e.open.GetPriority(),
 		Timeout:    durationpb.New(e.holder.Timeout),
 		Idempotent: true,
-		Version:    e.attempt.Oldest(),
+		Version:    e.attempt.MinVersion(),
 	}.Build()
 }
 
@@ -149,9 +149,9 @@
 	case !errors.As(err, &refused):
 		e.step.Fail(e.attempt, 0, time.Now())
 	case refusal.IsNotRun(err):
-		e.step.Refuse(e.attempt, refused.Retry, time.Now())
+		e.step.Refuse(e.attempt, refused.RetryAfter, time.Now())
 	default:
-		e.step.Fail(e.attempt, refused.Retry, time.Now())
+		e.step.Fail(e.attempt, refused.RetryAfter, time.Now())
 	}
 }
 
@@ -183,9 +183,9 @@
 	forget := h.forget
 	h.forget = nil
 	h.mutex.Unlock()
-	holders := h.Keeping.Keep(ctx, sample, forget)
+	holders := h.Replicator.Replicate(ctx, sample, forget)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	e.step.Kept(e.attempt, append([]string{h.Process}, holders...))
+	e.step.MarkReplicated(e.attempt, append([]string{h.Process}, holders...))
 	h.notify()
 }
--- a/internal/rollout/fake_test.go
+++ b/internal/rollout/fake_test.go
@@ -76,7 +76,7 @@
 	return reply, nil
 }
 
-func (s *fakeStore) Swap(_ context.Context, key string, expect uint64, data []byte, _ uint64) (uint64, error) {
+func (s *fakeStore) CompareAndSwap(_ context.Context, key string, expect uint64, data []byte, _ uint64) (uint64, error) {
 	if s.beforeSwap != nil {
 		s.beforeSwap(key)
 	}
@@ -147,7 +147,7 @@
 	replicas map[string]*Replicas
 }
 
-var _ Keeping = &fakeKeeping{}
+var _ Replicator = &fakeKeeping{}
 
 func newFakeKeeping(names ...string) *fakeKeeping {
 	keeping := &fakeKeeping{replicas: map[string]*Replicas{}}
@@ -157,12 +157,12 @@
 	return keeping
 }
 
-func (k *fakeKeeping) Keep(_ context.Context, sample *peerpb.Sample, forget []uint32) []string {
+func (k *fakeKeeping) Replicate(_ context.Context, sample *peerpb.Sample, forget []uint32) []string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	var holders []string
 	for name, replicas := range k.replicas {
-		if replicas.Keep(sample, forget) {
+		if replicas.Put(sample, forget) {
 			holders = append(holders, name)
 		}
 	}
@@ -193,14 +193,14 @@
 	return request
 }
 
-func newTestHolder(process string, store Store, runner Runner, keeping Keeping) *Holder {
+func newTestHolder(process string, store Store, runner Runner, keeping Replicator) *Holder {
 	holder := NewHolder("drafts", store)
 	holder.Process = process
 	holder.Runner = runner
-	holder.Keeping = keeping
-	holder.Attempts = 64
+	holder.Replicator = keeping
+	holder.MaxAttempts = 64
 	holder.Timeout = time.Minute
-	holder.Batch = time.Millisecond
-	holder.Poll = 10 * time.Second
+	holder.WriteInterval = time.Millisecond
+	holder.MaxPullWait = 10 * time.Second
 	return holder
 }
--- a/internal/rollout/holder.go
+++ b/internal/rollout/holder.go
@@ -37,11 +37,11 @@
 	Score(ctx context.Context, prompt, text string) (float64, error)
 }
 
-// Keeping holds the bytes of finished samples in other processes.
-type Keeping interface {
-	// Keep returns the names of the processes that hold the sample now, which
+// Replicator holds the bytes of finished samples in other processes.
+type Replicator interface {
+	// Replicate returns the names of the processes that hold the sample now, which
 	// may be none.
-	Keep(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string
+	Replicate(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string
 	// Fetch returns what a process holds of the given slots.
 	Fetch(ctx context.Context, process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error)
 }
@@ -58,20 +58,20 @@
 	Store     Store
 	Runner    Runner
 	Scorer    Scorer
-	Keeping   Keeping
+	Replicator   Replicator
 	Decisions *decision.Log
-	// Attempts is the number of samples that run at the same time.
-	Attempts int
+	// MaxAttempts is the number of samples that run at the same time.
+	MaxAttempts int
 	// Capacity returns how many requests a model's samplers run at the same time,
 	// 0 if it isn't known; nil never knows. An attempt beyond it would wait in a
 	// queue, bound to its sampler too early, and begin under older weights.
 	Capacity func(model string) int
 	// Timeout bounds one attempt.
 	Timeout time.Duration
-	// Batch is the shortest time between two writes of the state.
-	Batch time.Duration
-	// Poll is the longest wait of a pull.
-	Poll time.Duration
+	// WriteInterval is the shortest time between two writes of the state.
+	WriteInterval time.Duration
+	// MaxPullWait is the longest wait of a pull.
+	MaxPullWait time.Duration
 	// Metrics may be nil.
 	Metrics *Metrics
 
@@ -222,16 +222,16 @@
 // room returns how many attempts may run at the same time.
 func (h *Holder) room(model string) int {
 	if h.Capacity == nil {
-		return h.Attempts
+		return h.MaxAttempts
 	}
 	if now := time.Now(); now.Sub(h.looked) >= capacityAge || h.looked.IsZero() {
 		h.looked = now
 		h.capacity = h.Capacity(model)
 	}
 	if h.capacity == 0 {
-		return h.Attempts
+		return h.MaxAttempts
 	}
-	return min(h.Attempts, h.capacity)
+	return min(h.MaxAttempts, h.capacity)
 }
 
 // ended forgets a running attempt.
@@ -256,7 +256,7 @@
 
 // write brings the state into the store, at most once in a batch's time.
 func (h *Holder) write(ctx context.Context) {
-	gap := h.Batch
+	gap := h.WriteInterval
 	for {
 		changed := h.wait()
 		wrote, err := h.writeOnce(ctx)
@@ -264,7 +264,7 @@
 		case err != nil:
 			gap = min(max(2*gap, storePause), greatestStorePause)
 		case wrote:
-			gap = h.Batch
+			gap = h.WriteInterval
 		default:
 			select {
 			case <-ctx.Done():
@@ -307,7 +307,7 @@
 	if h.step != step {
 		return
 	}
-	var lost *record.LostError
+	var lost *record.OverwrittenError
 	if errors.As(err, &lost) {
 		h.Decisions.Record(h.Trainer, "step", "%s is no longer the holder: %v", h.Process, err)
 		h.replace(nil)
--- a/internal/rollout/holder_test.go
+++ b/internal/rollout/holder_test.go
@@ -270,12 +270,12 @@
 	thaw   chan struct{}
 }
 
-func (s *freezingStore) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
+func (s *freezingStore) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	if s.armed.CompareAndSwap(true, false) {
 		close(s.frozen)
 		<-s.thaw
 	}
-	return s.fakeStore.Swap(ctx, key, expect, data, lease)
+	return s.fakeStore.CompareAndSwap(ctx, key, expect, data, lease)
 }
 
 // An engine's answer is cut short by a resume that left tokens out. The sample
--- a/internal/rollout/interleaving_test.go
+++ b/internal/rollout/interleaving_test.go
@@ -88,12 +88,12 @@
 	attempt := one.running[at]
 	one.running = append(one.running[:at:at], one.running[at+1:]...)
 	version := i.newest - min(i.newest-1, uint64(rapid.IntRange(0, 2).Draw(t, "lag")))
-	var answer Answer
+	var answer SampleBuilder
 	must.NoError(t, answer.Add(attempt.ID(), peerpb.Chunk_builder{Tokens: []int32{1}, Version: version}.Build()))
 	sample, err := answer.Sample(attempt, one.step.open, peerpb.End_builder{OutputTokens: 1}.Build())
 	must.NoError(t, err)
 	if one.step.Finish(attempt, sample, i.now) {
-		one.step.Kept(attempt, i.keeping.Keep(context.Background(), sample, nil))
+		one.step.MarkReplicated(attempt, i.keeping.Replicate(context.Background(), sample, nil))
 	}
 }
 
@@ -114,7 +114,7 @@
 	i.store.loseNext = rapid.Bool().Draw(t, "lose")
 	err := one.record.Write(context.Background(), one.proposed)
 	i.store.loseNext = false
-	var lost *record.LostError
+	var lost *record.OverwrittenError
 	switch {
 	case errors.As(err, &lost):
 		i.remove(one)
@@ -130,7 +130,7 @@
 	if state == nil || one.written {
 		return
 	}
-	var lost *record.LostError
+	var lost *record.OverwrittenError
 	switch err := one.record.Write(context.Background(), encode(state)); {
 	case errors.As(err, &lost):
 		i.remove(one)
@@ -180,10 +180,10 @@
 	for process, slots := range next.step.Missing() {
 		samples, _ := i.keeping.Fetch(context.Background(), process, "drafts", 1, slots)
 		for _, sample := range samples {
-			next.step.Found(sample)
+			next.step.RestoreSample(sample)
 		}
 	}
-	next.step.GiveUp()
+	next.step.ResetMissing()
 	i.actors = append(i.actors, next)
 }
 
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -38,7 +38,7 @@
 	m.places.WithLabelValues(trainer).Set(float64(step.bound))
 	for outcome, count := range map[string]uint64{
 		"started":  counts.Started(),
-		"second":   counts.Seconds(),
+		"second":   counts.SecondRuns(),
 		"failed":   counts.Failed(),
 		"refused":  counts.Refused(),
 		"stale":    counts.Stale(),
--- a/internal/rollout/open.go
+++ b/internal/rollout/open.go
@@ -32,7 +32,7 @@
 	if current.Matches(request) {
 		return opened(current), nil
 	}
-	step := NewStep(request, current.End(), current.term, current.Newest())
+	step := NewStep(request, current.End(), current.term, current.NewestVersion())
 	step.write = current.write
 	if err := h.keepStep(ctx, step); err != nil {
 		return nil, h.openFailed(err)
@@ -43,7 +43,7 @@
 }
 
 func opened(step *Step) *peerpb.OpenReply {
-	return peerpb.OpenReply_builder{Slots: uint32(step.Slots()), Place: step.Place()}.Build()
+	return peerpb.OpenReply_builder{Slots: uint32(step.Slots()), Place: step.FirstPlace()}.Build()
 }
 
 // mayOpen returns the present step if the request may follow it or is the same.
@@ -56,14 +56,14 @@
 	switch {
 	case h.step.Slots() == 0 || h.step.Matches(request):
 		return h.step, nil
-	case !h.step.IsOpenFor(request.GetAccount()) && !h.step.IsAcknowledged():
+	case !h.step.IsUsableBy(request.GetAccount()) && !h.step.IsAcknowledged():
 		return nil, otherAccount(h.Trainer)
 	case request.GetStep() == h.step.Number():
 		return nil, refusal.NotRun(http.StatusConflict, "step_differs", "step %d is open with other content", request.GetStep())
 	case request.GetStep() < h.step.Number():
 		return nil, refusal.NotRun(http.StatusConflict, "step_past", "step %d is past, step %d is open", request.GetStep(), h.step.Number())
 	case !h.step.IsWhole():
-		return nil, refusal.NotRun(http.StatusConflict, "step_open", "step %d is not whole yet", h.step.Number()).After(retry)
+		return nil, refusal.NotRun(http.StatusConflict, "step_open", "step %d is not whole yet", h.step.Number()).WithRetryAfter(retry)
 	default:
 		return h.step, nil
 	}
@@ -74,7 +74,7 @@
 }
 
 func noHolder(trainer string) *refusal.Error {
-	return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds the steps of %s yet", trainer).After(retry)
+	return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds the steps of %s yet", trainer).WithRetryAfter(retry)
 }
 
 // keepStep writes the prompts, then the state, which opens the step.
@@ -114,12 +114,12 @@
 	if errors.As(err, &refused) {
 		return err
 	}
-	var lost *record.LostError
+	var lost *record.OverwrittenError
 	if errors.As(err, &lost) {
 		h.Drop(err.Error())
 		h.signalLost()
 	}
-	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the step can't be kept now, open it again: %v", err).After(retry)
+	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the step can't be kept now, open it again: %v", err).WithRetryAfter(retry)
 }
 
 func (h *Holder) signalLost() {
@@ -136,9 +136,9 @@
 	if h.step != current {
 		return
 	}
-	step.Announce(current.Newest())
+	step.Announce(current.NewestVersion())
 	h.replace(step)
-	h.Decisions.Record(h.Trainer, "step", "step %d is open with %d slots from place %d on", step.Number(), step.Slots(), step.Place())
+	h.Decisions.Record(h.Trainer, "step", "step %d is open with %d slots from place %d on", step.Number(), step.Slots(), step.FirstPlace())
 }
 
 // forgetPrompts removes the prompts of other steps; what fails is tried again
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -40,13 +40,13 @@
 	connections map[string]*grpc.ClientConn
 }
 
-var _ Keeping = &Peers{}
+var _ Replicator = &Peers{}
 
-// Keep gives a sample to an entry in another zone, or to one in this zone if no
+// Replicate gives a sample to an entry in another zone, or to one in this zone if no
 // other zone has one. Without any, the sample has one holder: losing it costs
 // another run of its slot.
-func (p *Peers) Keep(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string {
-	p.Replicas.Keep(sample, forget)
+func (p *Peers) Replicate(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string {
+	p.Replicas.Put(sample, forget)
 	request := peerpb.KeepSampleRequest_builder{Samples: []*peerpb.Sample{sample}, Forget: forget}.Build()
 	for _, process := range p.candidates(sample.GetSlot()) {
 		if err := p.keep(ctx, process, request); err != nil {
--- a/internal/rollout/proposal.go
+++ b/internal/rollout/proposal.go
@@ -202,9 +202,9 @@
 	return missing
 }
 
-// Found takes a sample that another process kept, if it is the one that the
+// RestoreSample takes a sample that another process kept, if it is the one that the
 // store binds to its slot, byte for byte.
-func (s *Step) Found(sample *peerpb.Sample) bool {
+func (s *Step) RestoreSample(sample *peerpb.Sample) bool {
 	if int(sample.GetSlot()) >= len(s.slots) {
 		return false
 	}
@@ -220,9 +220,9 @@
 	return true
 }
 
-// GiveUp empties the slots whose bytes no process has any more; they run again
+// ResetMissing empties the slots whose bytes no process has any more; they run again
 // for the same places. It returns their number.
-func (s *Step) GiveUp() int {
+func (s *Step) ResetMissing() int {
 	lost := 0
 	for _, slot := range s.slots {
 		if slot.isMissing() {
--- a/internal/rollout/pull.go
+++ b/internal/rollout/pull.go
@@ -12,21 +12,21 @@
 // maxPullBytes bounds an answer below the largest message between processes.
 const maxPullBytes = 8 << 20
 
-// Pulled is the answer to a pull.
-type Pulled struct {
+// PullResult is the answer to a pull.
+type PullResult struct {
 	samples []*peerpb.Sample
 	next    uint64
 	done    bool
 }
 
 // Done reports whether the trainer now has the whole step.
-func (p Pulled) Done() bool { return p.done }
+func (p PullResult) Done() bool { return p.done }
 
 // Next returns the place from which to pull next.
-func (p Pulled) Next() uint64 { return p.next }
+func (p PullResult) Next() uint64 { return p.next }
 
 // Samples returns the samples by place, without gaps.
-func (p Pulled) Samples() []*peerpb.Sample { return p.samples }
+func (p PullResult) Samples() []*peerpb.Sample { return p.samples }
 
 // Pull acknowledges all places before place and returns the samples from there
 // on, at most most, up to the first place that is not fixed. Version is the
@@ -36,9 +36,9 @@
 // gets it again. It is dropped only if it has grown too old since: then the
 // same slot fills the place again, and the trainer, which counts by place, has
 // each slot once all the same.
-func (s *Step) Pull(place uint64, most int, version uint64) (Pulled, error) {
+func (s *Step) Pull(place uint64, most int, version uint64) (PullResult, error) {
 	if err := s.checkPlace(place); err != nil {
-		return Pulled{}, err
+		return PullResult{}, err
 	}
 	s.Announce(version)
 	s.acknowledge(place)
@@ -48,7 +48,7 @@
 			s.dropStale(slot)
 		}
 	}
-	pulled := Pulled{next: place}
+	pulled := PullResult{next: place}
 	size := 0
 	for pulled.next < s.End() && len(pulled.samples) < most {
 		slot := placed[pulled.next-s.place]
--- a/internal/rollout/replicas.go
+++ b/internal/rollout/replicas.go
@@ -24,9 +24,9 @@
 	size    int
 }
 
-// Keep takes a sample and forgets the given slots. It reports false if the
+// Put takes a sample and forgets the given slots. It reports false if the
 // sample is of an older step or there is no room.
-func (r *Replicas) Keep(sample *peerpb.Sample, forget []uint32) bool {
+func (r *Replicas) Put(sample *peerpb.Sample, forget []uint32) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	held := r.of(sample.GetTrainer(), sample.GetStep())
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -23,15 +23,15 @@
 type Service struct {
 	peerpb.UnimplementedStepServer
 
-	// New returns a holder for a trainer.
-	New      func(trainer string) *Holder
+	// NewHolder returns a holder for a trainer.
+	NewHolder      func(trainer string) *Holder
 	Replicas *Replicas
 	// Locate returns the process that holds a duty, as far as is known.
 	Locate  func(duty string) (*Location, bool)
 	Process string
 	Weights Weights
-	// Wanted reports whether a plan lists the trainer.
-	Wanted func(trainer string) bool
+	// IsListed reports whether a plan lists the trainer.
+	IsListed func(trainer string) bool
 
 	mutex   sync.Mutex
 	holders map[string]*Holder
@@ -117,7 +117,7 @@
 // Keep holds samples for another process.
 func (s *Service) Keep(_ context.Context, request *peerpb.KeepSampleRequest) (*peerpb.KeepSampleReply, error) {
 	for _, sample := range request.GetSamples() {
-		if !s.Replicas.Keep(sample, request.GetForget()) {
+		if !s.Replicas.Put(sample, request.GetForget()) {
 			return nil, refusal.NotRun(http.StatusInsufficientStorage, "replicas_full", "no room for samples of %s", sample.GetTrainer())
 		}
 	}
@@ -147,7 +147,7 @@
 		s.holders = map[string]*Holder{}
 	}
 	if s.holders[trainer] == nil {
-		holder := s.New(trainer)
+		holder := s.NewHolder(trainer)
 		s.holders[trainer] = holder
 		ctx := s.run
 		s.group.Go(func() { _ = holder.Run(ctx) })
@@ -170,7 +170,7 @@
 	if ok && location.Process() != s.Process {
 		holder.Drop(location.Process() + " is the holder")
 	}
-	if !s.Wanted(holder.Trainer) {
+	if !s.IsListed(holder.Trainer) {
 		holder.Drop("no plan lists the trainer")
 	}
 }
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -65,8 +65,8 @@
 // Refused returns the number of attempts that were not run.
 func (c Counts) Refused() uint64 { return c.refused }
 
-// Seconds returns the number of second runs.
-func (c Counts) Seconds() uint64 { return c.seconds }
+// SecondRuns returns the number of second runs.
+func (c Counts) SecondRuns() uint64 { return c.seconds }
 
 // Stale returns the number of samples and attempts dropped as stale.
 func (c Counts) Stale() uint64 { return c.stale }
@@ -101,10 +101,10 @@
 // IsAcknowledged reports whether the trainer has acknowledged the whole step.
 func (s *Step) IsAcknowledged() bool { return s.acknowledged == s.End() }
 
-// IsOpenFor reports whether an account may use the step. Accounts can share a
+// IsUsableBy reports whether an account may use the step. Accounts can share a
 // plan, and with it the right to run a trainer; without this check one of them
 // would get the other's samples, and acknowledge them.
-func (s *Step) IsOpenFor(account string) bool {
+func (s *Step) IsUsableBy(account string) bool {
 	return len(s.slots) == 0 || s.open.GetAccount() == account
 }
 
@@ -122,8 +122,8 @@
 // Number returns the trainer's number of the step.
 func (s *Step) Number() uint64 { return s.open.GetStep() }
 
-// Place returns the first place of the step.
-func (s *Step) Place() uint64 { return s.place }
+// FirstPlace returns the first place of the step.
+func (s *Step) FirstPlace() uint64 { return s.place }
 
 // Matches reports whether a request opens this same step with the same content.
 func (s *Step) Matches(open *peerpb.OpenRequest) bool {
@@ -172,17 +172,17 @@
 	return Attempt{}, false
 }
 
-// Second starts a second run of a slot whatever its budget, for policies that
+// StartSecondRun starts a second run of a slot whatever its budget, for policies that
 // are measured beside this one.
-func (s *Step) Second(slot uint32, now time.Time) (Attempt, bool) {
+func (s *Step) StartSecondRun(slot uint32, now time.Time) (Attempt, bool) {
 	if int(slot) >= len(s.slots) || !s.slots[slot].isEmpty() || len(s.slots[slot].runs) == 0 {
 		return Attempt{}, false
 	}
 	return s.start(s.slots[slot], now, true), true
 }
 
-// WithoutSeconds makes Next start no second runs.
-func (s *Step) WithoutSeconds() {
+// DisableSecondRuns makes Next start no second runs.
+func (s *Step) DisableSecondRuns() {
 	s.budget = budget{}
 }
 
@@ -305,8 +305,8 @@
 	return true
 }
 
-// Kept notes the processes that hold the sample of an attempt.
-func (s *Step) Kept(attempt Attempt, holders []string) {
+// MarkReplicated notes the processes that hold the sample of an attempt.
+func (s *Step) MarkReplicated(attempt Attempt, holders []string) {
 	slot := s.slots[attempt.slot]
 	if slot.sample == nil || slot.term != attempt.term || slot.attempt != attempt.number {
 		return
@@ -331,8 +331,8 @@
 	}
 }
 
-// Doomed returns the running attempts whose sample would be stale.
-func (s *Step) Doomed() []Attempt {
+// StaleAttempts returns the running attempts whose sample would be stale.
+func (s *Step) StaleAttempts() []Attempt {
 	var doomed []Attempt
 	for _, slot := range s.slots {
 		for _, run := range slot.runs {
@@ -344,8 +344,8 @@
 	return doomed
 }
 
-// Newest returns the newest version that the trainer announced.
-func (s *Step) Newest() uint64 { return s.newest }
+// NewestVersion returns the newest version that the trainer announced.
+func (s *Step) NewestVersion() uint64 { return s.newest }
 
 func (s *Step) dropStale(slot *slot) {
 	if lags(s.newest, slot.oldest, s.open.GetStaleness()) {
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -15,7 +15,7 @@
 // finishAttempt gives an attempt a whole sample with the versions of its tokens.
 func finishAttempt(t *testing.T, step *Step, attempt Attempt, now time.Time, versions ...uint64) bool {
 	t.Helper()
-	var answer Answer
+	var answer SampleBuilder
 	for _, version := range versions {
 		must.NoError(t, answer.Add(attempt.ID(), peerpb.Chunk_builder{Tokens: []int32{1}, Version: version}.Build()))
 	}
@@ -24,7 +24,7 @@
 	if !step.Finish(attempt, sample, now) {
 		return false
 	}
-	step.Kept(attempt, []string{"a", "b"})
+	step.MarkReplicated(attempt, []string{"a", "b"})
 	return true
 }
 
@@ -73,7 +73,7 @@
 }
 
 func rangesOf(chunks []uint64, output uint64) string {
-	var answer Answer
+	var answer SampleBuilder
 	for _, version := range chunks {
 		if answer.Add("r", peerpb.Chunk_builder{Tokens: []int32{1, 2}, Version: version}.Build()) != nil {
 			return "refused"
@@ -128,22 +128,22 @@
 		attempt := mustNext(t, step, start)
 		must.True(t, step.Progress(attempt, 1, 1, start))
 		step.Announce(2)
-		must.Len(t, 1, step.Doomed())
+		must.Len(t, 1, step.StaleAttempts())
 		must.False(t, step.Progress(attempt, 1, 2, start))
 		step.Fail(attempt, 0, start)
 		again := mustNext(t, step, start)
 		must.Eq(t, 2, again.Number(), must.Sprint("without a pause"))
-		must.Eq(t, 2, again.Oldest())
+		must.Eq(t, 2, again.MinVersion())
 	})
 	t.Run("one that was stale before begins under the newest version", func(t *testing.T) {
 		step := NewStep(openRequest(1, 1, 2, 1), 0, 1, 2)
 		must.True(t, step.Progress(mustNext(t, step, start), 1, 1, start))
 		step.Announce(3)
-		for _, attempt := range step.Doomed() {
+		for _, attempt := range step.StaleAttempts() {
 			step.Fail(attempt, 0, start)
 		}
-		must.Eq(t, 3, mustNext(t, step, start).Oldest(), must.Sprint("dropped as stale before"))
-		must.Eq(t, 2, mustNext(t, step, start).Oldest(), must.Sprint("the bound alone"))
+		must.Eq(t, 3, mustNext(t, step, start).MinVersion(), must.Sprint("dropped as stale before"))
+		must.Eq(t, 2, mustNext(t, step, start).MinVersion(), must.Sprint("the bound alone"))
 	})
 	t.Run("a whole stale sample is not taken", func(t *testing.T) {
 		step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 3)
@@ -158,7 +158,7 @@
 	for range 1024 {
 		attempt := mustNext(t, step, start)
 		must.True(t, finishAttempt(t, step, attempt, start, 1<<20))
-		step.Kept(attempt, []string{"entry-of-a-rather-long-name-17", "entry-of-a-rather-long-name-18"})
+		step.MarkReplicated(attempt, []string{"entry-of-a-rather-long-name-17", "entry-of-a-rather-long-name-18"})
 	}
 	full := len(encode(step.Propose()))
 	step.Commit()
@@ -181,7 +181,7 @@
 	t.Run("a slow attempt is run twice, and one counts", func(t *testing.T) {
 		step, slow := stepWithStraggler(t, 38)
 		second := mustNext(t, step, start.Add(20*time.Second))
-		must.True(t, second.Second())
+		must.True(t, second.IsSecondRun())
 		must.Eq(t, slow.Slot(), second.Slot())
 		must.Len(t, 1, step.Others(second))
 		must.True(t, finishAttempt(t, step, second, start.Add(25*time.Second), 1))
@@ -291,7 +291,7 @@
 		step.Progress(attempt, 1, 1, start)
 		sample := peerpb.Sample_builder{Versions: []*peerpb.Range{peerpb.Range_builder{Until: 1, Version: 1}.Build()}}.Build()
 		step.Finish(attempt, sample, start.Add(time.Second))
-		step.Kept(attempt, []string{"a", "b"})
+		step.MarkReplicated(attempt, []string{"a", "b"})
 	}
 	commit(step)
 	for range 512 {
--- a/internal/rollout/takeover.go
+++ b/internal/rollout/takeover.go
@@ -68,7 +68,7 @@
 	h.fetch(ctx, step)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.version = step.Newest()
+	h.version = step.NewestVersion()
 	h.away = nil
 	h.replace(step)
 	h.Decisions.Record(h.Trainer, "step", "%s holds step %d in term %d", h.Process, step.Number(), fence)
@@ -80,7 +80,7 @@
 	h.mutex.Lock()
 	step := h.step
 	h.mutex.Unlock()
-	if step == nil || !h.state.IsSure() {
+	if step == nil || !h.state.IsSettled() {
 		return false
 	}
 	value, err := h.Store.Get(ctx, h.state.Key)
@@ -136,15 +136,15 @@
 // processes that hold them. Slots whose bytes are lost run again.
 func (h *Holder) fetch(ctx context.Context, step *Step) {
 	for process, slots := range step.Missing() {
-		samples, err := h.Keeping.Fetch(ctx, process, h.Trainer, step.Number(), slots)
+		samples, err := h.Replicator.Fetch(ctx, process, h.Trainer, step.Number(), slots)
 		if err != nil {
 			klog.Warningf("step: %s: %s gives no samples: %v", h.Trainer, process, err)
 		}
 		for _, sample := range samples {
-			step.Found(sample)
+			step.RestoreSample(sample)
 		}
 	}
-	if lost := step.GiveUp(); lost > 0 {
+	if lost := step.ResetMissing(); lost > 0 {
 		h.Decisions.Record(h.Trainer, "step", "%d samples of step %d were lost and run again", lost, step.Number())
 	}
 }
--- a/internal/roster/cold.go
+++ b/internal/roster/cold.go
@@ -13,19 +13,19 @@
 
 // Senders.
 const (
-	// ByCaller is a request that a caller waits for.
-	ByCaller Sender = iota
-	// ByBatch is a generation of a batch that this process owns.
-	ByBatch
+	// SenderCaller is a request that a caller waits for.
+	SenderCaller Sender = iota
+	// SenderBatch is a generation of a batch that this process owns.
+	SenderBatch
 )
 
-// Cold says how many requests cold servers may be sent.
-type Cold interface {
+// ColdLimits says how many requests cold servers may be sent.
+type ColdLimits interface {
 	// Share returns how many requests this process may send to a cold server of a
 	// pool within a span; unbounded where the pool's servers take all they get.
 	Share(pool, server string, sender Sender) (most int, unbounded bool)
-	// Length is how long a server of a pool is cold.
-	Length(pool string) time.Duration
+	// Duration is how long a server of a pool is cold.
+	Duration(pool string) time.Duration
 }
 
 // chill notes that a server is cold for a time from now on. What was known before
@@ -42,9 +42,9 @@
 
 // isTooCold reports whether a server is cold and has had from this process what it may.
 func (r *Roster) isTooCold(server *Server, sender Sender, now clock.Boot) bool {
-	if r.Cold == nil || now >= server.cold {
+	if r.ColdLimits == nil || now >= server.cold {
 		return false
 	}
-	most, isUnbounded := r.Cold.Share(server.entry.Pool, server.Name(), sender)
-	return !isUnbounded && !server.sent.Within(most, now)
+	most, isUnbounded := r.ColdLimits.Share(server.entry.Pool, server.Name(), sender)
+	return !isUnbounded && !server.sent.Allows(most, now)
 }
--- a/internal/roster/cold_test.go
+++ b/internal/roster/cold_test.go
@@ -12,23 +12,23 @@
 // coldShares bounds the requests to cold servers by their sender.
 type coldShares map[Sender]int
 
-var _ Cold = coldShares{}
+var _ ColdLimits = coldShares{}
 
 func (c coldShares) Share(_, _ string, sender Sender) (int, bool) { return c[sender], false }
-func (c coldShares) Length(string) time.Duration                  { return time.Hour }
+func (c coldShares) Duration(string) time.Duration                  { return time.Hour }
 
 func coldSampler() Entry {
 	entry := sampler("s1", 8)
-	entry.Cold = time.Hour
+	entry.ColdFor = time.Hour
 	return entry
 }
 
 // Guards against a server that fails again since it is sent more than a cold one takes.
 func TestColdServer(t *testing.T) {
-	need := Need{Pool: pool, Model: "m", Oldest: 2}
-	shares := coldShares{ByBatch: 2, ByCaller: 1}
+	need := Need{Pool: pool, Model: "m", MinVersion: 2}
+	shares := coldShares{SenderBatch: 2, SenderCaller: 1}
 	withCold := func(entries ...Entry) *Roster {
-		roster := &Roster{Zone: "a", Back: 2 * time.Second, Cold: shares}
+		roster := &Roster{Zone: "a", ReregisterTimeout: 2 * time.Second, ColdLimits: shares}
 		for _, entry := range entries {
 			roster.Set(entry)
 		}
@@ -71,7 +71,7 @@
 	})
 	t.Run("a server that started again is as cold as it says", func(t *testing.T) {
 		again := sampler("s1", 8)
-		again.Born = 2
+		again.StartedAtMillis = 2
 		mustPlace(t, withCold(coldSampler(), again), 8)
 	})
 	t.Run("servers of a zone that is back count as cold", func(t *testing.T) {
--- a/internal/roster/demand.go
+++ b/internal/roster/demand.go
@@ -54,8 +54,8 @@
 	return meter.Demand
 }
 
-// Refused notes that no server of a pool had room for a request.
-func (r *Roster) Refused(pool string) {
+// RecordRefusal notes that no server of a pool had room for a request.
+func (r *Roster) RecordRefusal(pool string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.meter(pool).Refused++
@@ -74,7 +74,7 @@
 	for _, one := range r.pools[pool] {
 		server := r.servers[one.Name()]
 		r.mark(server, now)
-		if server.Standing() == route.Closed {
+		if server.Eligibility() == route.Closed {
 			continue
 		}
 		census.Present[server.entry.Zone]++
--- a/internal/roster/engine.go
+++ b/internal/roster/engine.go
@@ -56,12 +56,12 @@
 type Need struct {
 	Pool  string
 	Model string
-	// Oldest is the oldest weight version that will do.
-	Oldest uint64
+	// MinVersion is the oldest weight version that will do.
+	MinVersion uint64
 	// Tried servers are passed over.
 	Tried map[string]bool
-	// Heard asks for a server that has sent something just now, if one of these has room.
-	Heard bool
+	// PreferActive asks for a server that has sent something just now, if one of these has room.
+	PreferActive bool
 }
 
 // Place returns a server with a free slot for a generation, and counts it there
@@ -78,9 +78,9 @@
 	return server
 }
 
-// IsBetter reports whether a generation that runs at a slow server would find a
+// HasFasterServer reports whether a generation that runs at a slow server would find a
 // free slot at one that is not slow.
-func (r *Roster) IsBetter(server *Server, need Need) bool {
+func (r *Roster) HasFasterServer(server *Server, need Need) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
@@ -90,7 +90,7 @@
 	}
 	need.Tried = map[string]bool{server.Name(): true}
 	chosen := r.roomiest(need)
-	if chosen == nil || chosen.Standing() != route.Open {
+	if chosen == nil || chosen.Eligibility() != route.Open {
 		return false
 	}
 	better := r.servers[chosen.Name()].pace.value(now)
@@ -109,26 +109,26 @@
 	for _, one := range r.pools[need.Pool] {
 		server := r.servers[one.Name()]
 		r.mark(server, now)
-		if need.Tried[one.Name()] || now < server.full || server.isAsked || server.version(need.Model) < need.Oldest {
+		if need.Tried[one.Name()] || now < server.full || server.isAsked || server.version(need.Model) < need.MinVersion {
 			continue
 		}
-		if r.isTooCold(server, ByBatch, now) {
+		if r.isTooCold(server, SenderBatch, now) {
 			continue
 		}
 		candidate := route.Candidate{Server: one, Slowness: slowness(server.pace.value(now), usual)}
 		candidates = append(candidates, candidate)
-		if need.Heard && server.pace.isHeard(now) {
+		if need.PreferActive && server.pace.isHeard(now) {
 			heard = append(heard, candidate)
 		}
 	}
-	if chosen := route.Roomiest(heard, r.Zone); chosen != nil && chosen.Standing() == route.Open {
+	if chosen := route.LeastUtilized(heard, r.Zone); chosen != nil && chosen.Eligibility() == route.Open {
 		return chosen
 	}
-	return route.Roomiest(candidates, r.Zone)
+	return route.LeastUtilized(candidates, r.Zone)
 }
 
-// Show notes the weight version that an answer has shown.
-func (r *Roster) Show(server *Server, model string, version uint64) {
+// RecordVersion notes the weight version that an answer has shown.
+func (r *Roster) RecordVersion(server *Server, model string, version uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if version > 0 {
@@ -136,9 +136,9 @@
 	}
 }
 
-// Seats returns the servers of a pool that may get work, with the weight
+// EntriesWithVersions returns the servers of a pool that may get work, with the weight
 // versions that they have shown.
-func (r *Roster) Seats(pool string) []Entry {
+func (r *Roster) EntriesWithVersions(pool string) []Entry {
 	entries := r.Entries(pool)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -156,9 +156,9 @@
 	return entries
 }
 
-// Beat notes the time between two events of a server, and returns its pace; 0 if that
+// RecordEvent notes the time between two events of a server, and returns its pace; 0 if that
 // isn't known.
-func (r *Roster) Beat(server *Server, gap time.Duration) time.Duration {
+func (r *Roster) RecordEvent(server *Server, gap time.Duration) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
--- a/internal/roster/faults.go
+++ b/internal/roster/faults.go
@@ -22,11 +22,11 @@
 	greatestFullPause = 200 * time.Millisecond
 )
 
-// Failed notes that a server could not be reached, or was silent.
+// RecordFailure notes that a server could not be reached, or was silent.
 //
 // A fault ends all requests at a server together. It counts once: what fails
 // before the server is asked again says nothing new.
-func (r *Roster) Failed(server *Server, reason string) {
+func (r *Roster) RecordFailure(server *Server, reason string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
@@ -41,8 +41,8 @@
 	klog.InfoS("roster: server is suspected", "server", server.Name(), "reason", reason, "failures", server.failures, "for", length)
 }
 
-// Full notes that a server refused a request for want of room.
-func (r *Roster) Full(server *Server) {
+// RecordFull notes that a server refused a request for want of room.
+func (r *Roster) RecordFull(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	server.passOver(clock.Now())
@@ -56,20 +56,20 @@
 	s.isAsked = false
 }
 
-// Replaced notes that another server answers at a server's address: this one is gone.
-func (r *Roster) Replaced(server *Server) {
+// RecordReplaced notes that another server answers at a server's address: this one is gone.
+func (r *Roster) RecordReplaced(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.servers[server.Name()] != server {
 		return
 	}
 	klog.InfoS("roster: another server answers at the address", "server", server.Name(), "address", server.entry.Address)
-	server.SetStanding(route.Closed)
+	server.SetEligibility(route.Closed)
 	server.gone = true
 }
 
-// Answered notes that a server has answered.
-func (r *Roster) Answered(server *Server) {
+// RecordAnswer notes that a server has answered.
+func (r *Roster) RecordAnswer(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	server.failures, server.suspect = 0, 0
--- a/internal/roster/registrations.go
+++ b/internal/roster/registrations.go
@@ -14,19 +14,19 @@
 	defer r.mutex.Unlock()
 	r.prepare()
 	known := r.servers[entry.ID]
-	if known != nil && known.entry.Born > entry.Born {
-		klog.InfoS("roster: an older start of the server is passed over", "server", entry.ID, "born", entry.Born, "known", known.entry.Born)
+	if known != nil && known.entry.StartedAtMillis > entry.StartedAtMillis {
+		klog.InfoS("roster: an older start of the server is passed over", "server", entry.ID, "born", entry.StartedAtMillis, "known", known.entry.StartedAtMillis)
 		return
 	}
-	if known == nil || known.entry.Born != entry.Born || known.entry.Address != entry.Address || known.entry.Pool != entry.Pool {
+	if known == nil || known.entry.StartedAtMillis != entry.StartedAtMillis || known.entry.Address != entry.Address || known.entry.Pool != entry.Pool {
 		r.add(entry)
 	} else {
 		known.entry = entry
 		known.missing, known.gone = 0, false
 	}
 	server, now := r.servers[entry.ID], clock.Now()
-	server.TakeSlots(int64(entry.Slots))
-	server.chill(entry.Cold, now)
+	server.SetSlots(int64(entry.Slots))
+	server.chill(entry.ColdFor, now)
 	r.mark(server, now)
 	r.wake()
 }
@@ -35,7 +35,7 @@
 // of what was known before holds for it.
 func (r *Roster) add(entry Entry) {
 	r.drop(entry.ID)
-	klog.InfoS("roster: server", "server", entry.ID, "pool", entry.Pool, "address", entry.Address, "zone", entry.Zone, "born", entry.Born, "draining", entry.Draining)
+	klog.InfoS("roster: server", "server", entry.ID, "pool", entry.Pool, "address", entry.Address, "zone", entry.Zone, "born", entry.StartedAtMillis, "draining", entry.Draining)
 	server := &Server{
 		Server: route.NewServer(entry.ID, r.Region, entry.Zone),
 		entry:  entry,
@@ -82,34 +82,34 @@
 		return
 	}
 	now := clock.Now()
-	if r.lost || r.regained != 0 && now.Sub(r.regained) < r.Back {
+	if r.lost || r.regained != 0 && now.Sub(r.regained) < r.ReregisterTimeout {
 		klog.InfoS("roster: registration lapsed while the store was away", "server", id)
 		server.missing = now
 		return
 	}
 	klog.InfoS("roster: registration ended", "server", id, "pool", server.entry.Pool)
-	server.SetStanding(route.Closed)
+	server.SetEligibility(route.Closed)
 	r.drop(id)
 	r.wake()
 }
 
-// Lost notes that the store no longer answers.
-func (r *Roster) Lost() {
+// RecordStoreLost notes that the store no longer answers.
+func (r *Roster) RecordStoreLost() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.lost = true
 }
 
-// Regained notes that the store answers again.
-func (r *Roster) Regained() {
+// RecordStoreRegained notes that the store answers again.
+func (r *Roster) RecordStoreRegained() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.lost = false
 	r.regained = clock.Now()
 }
 
-// Listed notes that all registrations were read once.
-func (r *Roster) Listed() {
+// MarkListed notes that all registrations were read once.
+func (r *Roster) MarkListed() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.listed = true
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -21,11 +21,11 @@
 	Wire   backend.Wire
 	// Idle is how long an unused connection to a server is kept.
 	Idle time.Duration
-	// Cold says how many requests cold servers may be sent; nil bounds none.
-	Cold Cold
-	// Back is how long registrations that lapsed while the store was away may
+	// ColdLimits says how many requests cold servers may be sent; nil bounds none.
+	ColdLimits ColdLimits
+	// ReregisterTimeout is how long registrations that lapsed while the store was away may
 	// take to come back after its return.
-	Back time.Duration
+	ReregisterTimeout time.Duration
 
 	mutex   sync.Mutex
 	servers map[string]*Server
@@ -64,7 +64,7 @@
 	for _, one := range r.pools[pool] {
 		server := r.servers[one.Name()]
 		r.mark(server, now)
-		if server.Standing() != route.Closed {
+		if server.Eligibility() != route.Closed {
 			entries = append(entries, server.entry)
 		}
 	}
@@ -81,7 +81,7 @@
 		return nil
 	}
 	r.mark(server, clock.Now())
-	if server.Standing() == route.Closed {
+	if server.Eligibility() == route.Closed {
 		return nil
 	}
 	return server
@@ -96,10 +96,10 @@
 	for _, one := range r.pools[pool] {
 		server := r.servers[one.Name()]
 		r.mark(server, now)
-		if r.isTooCold(server, ByCaller, now) {
-			server.SetStanding(route.Closed)
+		if r.isTooCold(server, SenderCaller, now) {
+			server.SetEligibility(route.Closed)
 		}
-		server.SetSpare(server.mayKeep() && server.hasSpare(now, r.Idle))
+		server.SetIdleConn(server.mayKeep() && server.hasSpare(now, r.Idle))
 	}
 	choice := r.chooser.Choose(r.pools[pool], route.Request{Now: time.Now(), Tried: tried})
 	if choice.Server == nil {
@@ -138,22 +138,22 @@
 func (r *Roster) Running(server *Server) int64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return server.Own()
+	return server.Inflight()
 }
 
 // mark sets whether a server gets new work now.
 func (r *Roster) mark(server *Server, now clock.Boot) {
 	switch {
 	case server.gone, server.entry.Draining, r.isDrained(server.entry.Zone):
-		server.SetStanding(route.Closed)
-	case server.missing != 0 && !r.lost && now.Sub(r.regained) >= r.Back:
+		server.SetEligibility(route.Closed)
+	case server.missing != 0 && !r.lost && now.Sub(r.regained) >= r.ReregisterTimeout:
 		klog.InfoS("roster: registration didn't come back", "server", server.Name())
 		server.gone = true
-		server.SetStanding(route.Closed)
+		server.SetEligibility(route.Closed)
 	case now < server.suspect, now < server.full:
-		server.SetStanding(route.Suspect)
+		server.SetEligibility(route.Suspect)
 	default:
-		server.SetStanding(route.Open)
+		server.SetEligibility(route.Open)
 	}
 }
 
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -14,7 +14,7 @@
 const pool = "lm"
 
 func newRoster(entries ...Entry) *Roster {
-	roster := &Roster{Zone: "a", Back: 2 * time.Second}
+	roster := &Roster{Zone: "a", ReregisterTimeout: 2 * time.Second}
 	for _, entry := range entries {
 		roster.Set(entry)
 	}
@@ -22,13 +22,13 @@
 }
 
 func sampler(id string, slots int) Entry {
-	return Entry{ID: id, Pool: pool, Address: "127.0.0.1:1", Zone: "a", Slots: slots, Born: 1, Versions: map[string]uint64{"m": 2}}
+	return Entry{ID: id, Pool: pool, Address: "127.0.0.1:1", Zone: "a", Slots: slots, StartedAtMillis: 1, Versions: map[string]uint64{"m": 2}}
 }
 
 // beat tells the time between events of a server until its pace is known.
 func beat(roster *Roster, id string, gap time.Duration) {
 	for range leastPaceEvents + 100 {
-		roster.Beat(roster.servers[id], gap)
+		roster.RecordEvent(roster.servers[id], gap)
 	}
 }
 
@@ -50,7 +50,7 @@
 }
 
 func TestPlace(t *testing.T) {
-	need := Need{Pool: pool, Model: "m", Oldest: 2}
+	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	t.Run("no more than the slots", func(t *testing.T) {
 		roster := newRoster(sampler("s1", 2))
 		must.NotNil(t, roster.Place(need))
@@ -64,9 +64,9 @@
 	})
 	t.Run("no version that is too old", func(t *testing.T) {
 		roster := newRoster(sampler("s1", 2))
-		must.Nil(t, roster.Place(Need{Pool: pool, Model: "m", Oldest: 3}))
-		roster.Show(roster.servers["s1"], "m", 3)
-		must.NotNil(t, roster.Place(Need{Pool: pool, Model: "m", Oldest: 3}))
+		must.Nil(t, roster.Place(Need{Pool: pool, Model: "m", MinVersion: 3}))
+		roster.RecordVersion(roster.servers["s1"], "m", 3)
+		must.NotNil(t, roster.Place(Need{Pool: pool, Model: "m", MinVersion: 3}))
 	})
 	t.Run("the slow one last", func(t *testing.T) {
 		roster := newRoster(sampler("s1", 2), sampler("s2", 2))
@@ -82,7 +82,7 @@
 // while others send events.
 func TestPlaceAtServerThatIsHeard(t *testing.T) {
 	roster := newRoster(sampler("s1", 4), sampler("s2", 4), sampler("s3", 4))
-	need := Need{Pool: pool, Model: "m", Oldest: 2, Heard: true}
+	need := Need{Pool: pool, Model: "m", MinVersion: 2, PreferActive: true}
 	must.NotNil(t, roster.Place(need))
 	beat(roster, "s2", 20*time.Millisecond)
 	for range 4 {
@@ -93,7 +93,7 @@
 	})
 	t.Run("not one that has failed since", func(t *testing.T) {
 		roster.Finish(roster.servers["s2"])
-		roster.Failed(roster.servers["s2"], "silent")
+		roster.RecordFailure(roster.servers["s2"], "silent")
 		must.NotEq(t, "s2", roster.Place(need).Name())
 	})
 	t.Run("not one that was heard long ago", func(t *testing.T) {
@@ -110,13 +110,13 @@
 // were half of all that samplers were sent.
 func TestRefusingSamplerIsAskedByOne(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
-	need := Need{Pool: pool, Model: "m", Oldest: 2}
+	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	server := roster.Place(need)
-	roster.Full(server)
+	roster.RecordFull(server)
 	roster.Finish(server)
 	must.Nil(t, roster.Place(need))
 	mustBeAskedByOne(t, roster, server, need)
-	roster.Answered(server)
+	roster.RecordAnswer(server)
 	must.NotNil(t, roster.Place(need))
 }
 
@@ -125,14 +125,14 @@
 // tries a second and their log lines took the gateway's processor.
 func TestFailedSamplerIsAskedByOne(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
-	need := Need{Pool: pool, Model: "m", Oldest: 2}
+	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	server := roster.Place(need)
-	roster.Failed(server, "unreachable")
+	roster.RecordFailure(server, "unreachable")
 	roster.Finish(server)
 	must.Nil(t, roster.Place(need))
 	mustBeAskedByOne(t, roster, server, need)
 	t.Run("and gets its share again once it answers", func(t *testing.T) {
-		roster.Answered(server)
+		roster.RecordAnswer(server)
 		for range 7 {
 			must.NotNil(t, roster.Place(need))
 		}
@@ -144,9 +144,9 @@
 // generation any more for as long as the gateway lived.
 func TestAskerThatLearnsNothing(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
-	need := Need{Pool: pool, Model: "m", Oldest: 2}
+	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	server := roster.Place(need)
-	roster.Failed(server, "cut")
+	roster.RecordFailure(server, "cut")
 	roster.Finish(server)
 	for range 3 {
 		mustBeAskedByOne(t, roster, server, need)
@@ -158,14 +158,14 @@
 // if the other has a free slot and is not slow itself.
 func TestIsBetter(t *testing.T) {
 	roster := newRoster(sampler("slow", 2), sampler("fast", 1))
-	need := Need{Pool: pool, Model: "m", Oldest: 2}
-	must.False(t, roster.IsBetter(roster.servers["slow"], need))
+	need := Need{Pool: pool, Model: "m", MinVersion: 2}
+	must.False(t, roster.HasFasterServer(roster.servers["slow"], need))
 	beat(roster, "slow", 150*time.Millisecond)
 	beat(roster, "fast", 50*time.Millisecond)
-	must.True(t, roster.IsBetter(roster.servers["slow"], need))
-	must.False(t, roster.IsBetter(roster.servers["fast"], need))
+	must.True(t, roster.HasFasterServer(roster.servers["slow"], need))
+	must.False(t, roster.HasFasterServer(roster.servers["fast"], need))
 	must.Eq(t, "fast", roster.Place(need).Name())
-	must.False(t, roster.IsBetter(roster.servers["slow"], need))
+	must.False(t, roster.HasFasterServer(roster.servers["slow"], need))
 }
 
 // The store goes away, and the registrations of samplers that live lapse. They
@@ -173,13 +173,13 @@
 // find a server for that long. One that doesn't come back is gone.
 func TestRegistrationsThatLapse(t *testing.T) {
 	roster := newRoster(sampler("s1", 2), sampler("s2", 2))
-	roster.Lost()
-	roster.Regained()
+	roster.RecordStoreLost()
+	roster.RecordStoreRegained()
 	roster.Remove("s1")
 	roster.Remove("s2")
 	must.Eq(t, []string{"s1", "s2"}, names(roster))
 	roster.Set(sampler("s1", 2))
-	roster.regained = clock.Now().Add(-roster.Back)
+	roster.regained = clock.Now().Add(-roster.ReregisterTimeout)
 	must.Eq(t, []string{"s1"}, names(roster))
 }
 
@@ -194,7 +194,7 @@
 // once more, late: the new start must not get its address back.
 func TestOlderStartIsPassedOver(t *testing.T) {
 	older, newer := sampler("s1", 2), sampler("s1", 2)
-	newer.Born, newer.Address = 2, "127.0.0.1:2"
+	newer.StartedAtMillis, newer.Address = 2, "127.0.0.1:2"
 	roster := newRoster(older, newer, older)
 	must.Eq(t, newer.Address, roster.Find("s1").Entry().Address)
 }
@@ -203,13 +203,13 @@
 // the one meant; from then on the old one gets nothing, whatever the store says.
 func TestReplaced(t *testing.T) {
 	roster := newRoster(sampler("s1", 2))
-	roster.Replaced(roster.servers["s1"])
+	roster.RecordReplaced(roster.servers["s1"])
 	must.Nil(t, roster.Find("s1"))
 }
 
 func TestSuspected(t *testing.T) {
 	roster := newRoster(sampler("s1", 2), sampler("s2", 2))
-	roster.Failed(roster.servers["s1"], "silent")
+	roster.RecordFailure(roster.servers["s1"], "silent")
 	for range 4 {
 		server, _ := roster.Choose(pool, nil)
 		must.Eq(t, "s2", server.Name())
@@ -224,13 +224,13 @@
 func TestOneFaultIsSuspectedOnce(t *testing.T) {
 	roster := newRoster(sampler("s1", 6), sampler("s2", 6))
 	for range 6 {
-		roster.Failed(roster.servers["s1"], "cut")
+		roster.RecordFailure(roster.servers["s1"], "cut")
 	}
 	must.Eq(t, 1, roster.servers["s1"].failures)
 	must.LessEq(t, clock.Now().Add(suspicion), roster.servers["s1"].suspect)
 	t.Run("the next one counts", func(t *testing.T) {
 		roster.servers["s1"].full = clock.Now()
-		roster.Failed(roster.servers["s1"], "cut")
+		roster.RecordFailure(roster.servers["s1"], "cut")
 		must.Eq(t, 2, roster.servers["s1"].failures)
 	})
 }
@@ -240,16 +240,16 @@
 // runs must not be moved.
 func TestBurstsAreNotSlowness(t *testing.T) {
 	roster := newRoster(sampler("s1", 6), sampler("s2", 6), sampler("s3", 6), sampler("s4", 6))
-	need := Need{Pool: pool, Model: "m", Oldest: 2}
+	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	for _, id := range []string{"s1", "s2", "s3", "s4"} {
 		beat(roster, id, 50*time.Millisecond)
 	}
 	for range 10 {
 		for range 3 {
-			roster.Beat(roster.servers["s1"], 0)
+			roster.RecordEvent(roster.servers["s1"], 0)
 		}
-		roster.Beat(roster.servers["s1"], 200*time.Millisecond)
-		must.False(t, roster.IsBetter(roster.servers["s1"], need))
+		roster.RecordEvent(roster.servers["s1"], 200*time.Millisecond)
+		must.False(t, roster.HasFasterServer(roster.servers["s1"], need))
 	}
 }
 
@@ -284,7 +284,7 @@
 	t.Run("many at once are spread", func(t *testing.T) {
 		roster := begin()
 		for range 10 {
-			must.LessEq(t, 3, choose(roster).Own())
+			must.LessEq(t, 3, choose(roster).Inflight())
 		}
 	})
 	t.Run("not once it has been closed", func(t *testing.T) {
@@ -296,11 +296,11 @@
 		must.Eq(t, route.ReasonZone, reason)
 	})
 	for name, spoil := range map[string]func(*Roster, *Server){
-		"not at a server that was late":   func(r *Roster, server *Server) { r.Timed(server, true) },
-		"not at a server that has failed": func(r *Roster, server *Server) { r.Failed(server, "cut") },
+		"not at a server that was late":   func(r *Roster, server *Server) { r.RecordLatency(server, true) },
+		"not at a server that has failed": func(r *Roster, server *Server) { r.RecordFailure(server, "cut") },
 		"not at a sampler":                func(_ *Roster, server *Server) { server.entry.Versions = map[string]uint64{"m": 2} },
 		"not once a suspicion has ended": func(r *Roster, server *Server) {
-			r.Failed(server, "cut")
+			r.RecordFailure(server, "cut")
 			server.suspect, server.full = 0, 0
 		},
 		"not at a server that is half full": func(_ *Roster, server *Server) {
--- a/internal/roster/server.go
+++ b/internal/roster/server.go
@@ -18,10 +18,10 @@
 	// Slots is the number of requests that it runs at the same time.
 	Slots    int
 	Draining bool
-	// Cold is how much longer the server is cold, as of the registration.
-	Cold time.Duration
-	// Born is the start of the server, milliseconds since 1970 UTC.
-	Born int64
+	// ColdFor is how much longer the server is cold, as of the registration.
+	ColdFor time.Duration
+	// StartedAtMillis is the start of the server, milliseconds since 1970 UTC.
+	StartedAtMillis int64
 	// Versions of the weights by model.
 	Versions map[string]uint64
 }
@@ -52,7 +52,7 @@
 	isLate bool
 	// cold is until when the server is cold.
 	cold clock.Boot
-	sent cold.Sent
+	sent cold.RequestWindow
 }
 
 // Direct returns the way to the server.
--- a/internal/roster/spares.go
+++ b/internal/roster/spares.go
@@ -6,9 +6,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/clock"
 )
 
-// Timed notes whether an answer came within the time that its caller wished. A server
+// RecordLatency notes whether an answer came within the time that its caller wished. A server
 // that is late is not preferred for its connections.
-func (r *Roster) Timed(server *Server, isLate bool) {
+func (r *Roster) RecordLatency(server *Server, isLate bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	server.isLate = isLate
--- a/internal/roster/zones.go
+++ b/internal/roster/zones.go
@@ -33,8 +33,8 @@
 	klog.InfoS("roster: zone gets work again", "zone", zone, "drained", now.Sub(r.drained[zone]), "running", r.runningIn(zone))
 	delete(r.drained, zone)
 	for _, server := range r.servers {
-		if server.entry.Zone == zone && r.Cold != nil {
-			server.chill(r.Cold.Length(server.entry.Pool), now)
+		if server.entry.Zone == zone && r.ColdLimits != nil {
+			server.chill(r.ColdLimits.Duration(server.entry.Pool), now)
 		}
 	}
 	r.wake()
@@ -63,7 +63,7 @@
 	var running int64
 	for _, server := range r.servers {
 		if server.entry.Zone == zone {
-			running += server.Own()
+			running += server.Inflight()
 		}
 	}
 	return running
--- a/internal/roster/zones_test.go
+++ b/internal/roster/zones_test.go
@@ -13,7 +13,7 @@
 
 // Guards against work at servers of a zone that an operator has drained.
 func TestDrainedZone(t *testing.T) {
-	need := Need{Pool: pool, Model: "m", Oldest: 2}
+	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	twoZones := func() *Roster { return newRoster(inZone(sampler("s1", 2), "a"), inZone(sampler("s2", 2), "b")) }
 	t.Run("gets no work", func(t *testing.T) {
 		roster := twoZones()
--- a/internal/route/chooser.go
+++ b/internal/route/chooser.go
@@ -29,10 +29,10 @@
 const (
 	ReasonNone    Reason = "none gets new work"
 	ReasonPrefix  Reason = "less loaded of two for the prefix"
-	ReasonDraws   Reason = "less loaded of two random ones"
+	ReasonRandom   Reason = "less loaded of two random ones"
 	ReasonZone    Reason = "less loaded of two random ones of the zone"
-	ReasonSpare   Reason = "less loaded of two random ones of the zone with an unused connection"
-	ReasonAway    Reason = "of another zone, this one is loaded"
+	ReasonIdleConn   Reason = "less loaded of two random ones of the zone with an unused connection"
+	ReasonOtherZone    Reason = "of another zone, this one is loaded"
 	ReasonSuspect Reason = "suspected, no open one is left"
 )
 
@@ -91,13 +91,13 @@
 		if choice := c.byPrefix(request.Prefix); choice.Server != nil {
 			return choice
 		}
-		return Choice{Server: c.draw(c.eligible), Reason: ReasonDraws}
+		return Choice{Server: c.draw(c.eligible), Reason: ReasonRandom}
 	}
 	return c.byZone()
 }
 
 // gather keeps the servers that may be chosen, those of this region if there are any.
-func (c *Chooser) gather(servers []*Server, request Request, worst Standing) {
+func (c *Chooser) gather(servers []*Server, request Request, worst Eligibility) {
 	c.eligible = c.eligible[:0]
 	c.near = c.near[:0]
 	for _, server := range servers {
@@ -126,7 +126,7 @@
 	c.mean = float64(others) / float64(max(1, slots))
 }
 
-func mayRun(server *Server, request Request, worst Standing) bool {
+func mayRun(server *Server, request Request, worst Eligibility) bool {
 	if server.standing > worst || request.Tried[server.name] {
 		return false
 	}
@@ -203,15 +203,15 @@
 // byZone draws in this zone, and elsewhere if that is clearly less loaded.
 func (c *Chooser) byZone() Choice {
 	if len(c.near) == 0 {
-		return Choice{Server: c.draw(c.eligible), Reason: ReasonDraws}
+		return Choice{Server: c.draw(c.eligible), Reason: ReasonRandom}
 	}
 	if server := c.bySpare(); server != nil {
-		return Choice{Server: server, Reason: ReasonSpare}
+		return Choice{Server: server, Reason: ReasonIdleConn}
 	}
 	near := c.draw(c.near)
 	away := c.draw(c.eligible)
 	if near.utilization() >= 1 && away.utilization()+zoneMargin < near.utilization() {
-		return Choice{Server: away, Reason: ReasonAway}
+		return Choice{Server: away, Reason: ReasonOtherZone}
 	}
 	return Choice{Server: near, Reason: ReasonZone}
 }
--- a/internal/route/chooser_test.go
+++ b/internal/route/chooser_test.go
@@ -15,7 +15,7 @@
 	servers := make([]*route.Server, n)
 	for i := range servers {
 		servers[i] = route.NewServer(fmt.Sprintf("server-%d", i), "region", fmt.Sprintf("zone-%d", i%zones))
-		servers[i].TakeReport(route.Report{Seq: 1, Running: int64(i % 5), Slots: 16})
+		servers[i].UpdateReport(route.Report{Seq: 1, Running: int64(i % 5), Slots: 16})
 	}
 	return servers
 }
@@ -25,7 +25,7 @@
 }
 
 func load(server *route.Server, running int64) {
-	server.TakeReport(route.Report{Seq: 2, Running: running, Slots: 16})
+	server.UpdateReport(route.Report{Seq: 2, Running: running, Slots: 16})
 }
 
 func TestChooseKeepsPrefixTogether(t *testing.T) {
@@ -84,27 +84,27 @@
 	for range 200 {
 		chooser.Choose(servers, route.Request{}).Server.Begin()
 	}
-	must.Between(t, 90, servers[0].Own(), 120)
+	must.Between(t, 90, servers[0].Inflight(), 120)
 }
 
 func TestChooseStanding(t *testing.T) {
 	tests := map[string]struct {
-		standings [3]route.Standing
+		standings [3]route.Eligibility
 		chosen    string
 		reason    route.Reason
 	}{
-		"closed ones get nothing":      {[3]route.Standing{route.Closed, route.Open, route.Closed}, "server-1", route.ReasonDraws},
-		"suspect ones come last":       {[3]route.Standing{route.Suspect, route.Open, route.Suspect}, "server-1", route.ReasonDraws},
-		"suspect where none is open":   {[3]route.Standing{route.Suspect, route.Closed, route.Closed}, "server-0", route.ReasonSuspect},
-		"none":                         {[3]route.Standing{route.Closed, route.Closed, route.Closed}, "", route.ReasonNone},
-		"this zone first":              {[3]route.Standing{route.Open, route.Open, route.Open}, "server-0", route.ReasonZone},
-		"another where it has nothing": {[3]route.Standing{route.Closed, route.Closed, route.Open}, "server-2", route.ReasonDraws},
+		"closed ones get nothing":      {[3]route.Eligibility{route.Closed, route.Open, route.Closed}, "server-1", route.ReasonRandom},
+		"suspect ones come last":       {[3]route.Eligibility{route.Suspect, route.Open, route.Suspect}, "server-1", route.ReasonRandom},
+		"suspect where none is open":   {[3]route.Eligibility{route.Suspect, route.Closed, route.Closed}, "server-0", route.ReasonSuspect},
+		"none":                         {[3]route.Eligibility{route.Closed, route.Closed, route.Closed}, "", route.ReasonNone},
+		"this zone first":              {[3]route.Eligibility{route.Open, route.Open, route.Open}, "server-0", route.ReasonZone},
+		"another where it has nothing": {[3]route.Eligibility{route.Closed, route.Closed, route.Open}, "server-2", route.ReasonRandom},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			servers := newServers(3, 3)
 			for i, server := range servers {
-				server.SetStanding(test.standings[i])
+				server.SetEligibility(test.standings[i])
 			}
 			choice := newChooser().Choose(servers, route.Request{})
 			must.Eq(t, test.reason, choice.Reason)
@@ -121,7 +121,7 @@
 	load(servers[2], 40)
 	away := 0
 	for i := range 50 {
-		if newChooserFor(uint64(i)).Choose(servers, route.Request{}).Reason == route.ReasonAway {
+		if newChooserFor(uint64(i)).Choose(servers, route.Request{}).Reason == route.ReasonOtherZone {
 			away++
 		}
 	}
@@ -135,7 +135,7 @@
 func TestChooseVersionAndTried(t *testing.T) {
 	servers := newServers(3, 1)
 	for i, server := range servers {
-		server.TakeReport(route.Report{Seq: 2, Slots: 16, Version: uint64(i + 1)})
+		server.UpdateReport(route.Report{Seq: 2, Slots: 16, Version: uint64(i + 1)})
 	}
 	chooser := newChooser()
 	for range 20 {
@@ -149,7 +149,7 @@
 		route.NewServer("s1", "uy-sur", "zone-a"),
 		route.NewServer("s2", "uy-sur", "zone-b"),
 	}
-	servers[1].SetStanding(route.Closed)
+	servers[1].SetEligibility(route.Closed)
 	chooser := &route.Chooser{Region: "uy-sur", Zone: "zone-b"}
 	choice := chooser.Choose(servers, route.Request{Prefix: route.Hash([]byte("You draft case studies."))})
 	fmt.Println(choice.Server.Name())
@@ -196,8 +196,8 @@
 	// them while the other server idles.
 	now := time.Unix(1_000_000, 0)
 	servers := newServers(2, 1)
-	servers[0].TakeReport(route.Report{Seq: 2, Time: now, Running: 2, Slots: 16})
-	servers[1].TakeReport(route.Report{Seq: 2, Time: now, Running: 6, Slots: 16})
+	servers[0].UpdateReport(route.Report{Seq: 2, Time: now, Running: 2, Slots: 16})
+	servers[1].UpdateReport(route.Report{Seq: 2, Time: now, Running: 6, Slots: 16})
 	first := func(age time.Duration) int {
 		chooser := newChooser()
 		count := 0
--- a/internal/route/roomiest.go
+++ b/internal/route/roomiest.go
@@ -15,14 +15,14 @@
 // IsSlow reports whether a server's slowness speaks against new work for it.
 func IsSlow(slowness float64) bool { return slowness > tooSlow }
 
-// Roomiest returns the open server with the most free slots for its own part,
+// LeastUtilized returns the open server with the most free slots for its own part,
 // slow and suspected ones last and those of the zone first among equals; nil if
 // none has a free slot.
 //
 // A generation that waits at a server can't go elsewhere any more, while one
 // that waits here takes the first slot that any server frees; so no server is
 // given more than it runs at once.
-func Roomiest(candidates []Candidate, zone string) *Server {
+func LeastUtilized(candidates []Candidate, zone string) *Server {
 	var best Candidate
 	for _, candidate := range candidates {
 		server := candidate.Server
--- a/internal/route/roomiest_test.go
+++ b/internal/route/roomiest_test.go
@@ -10,7 +10,7 @@
 
 func candidate(name, zone string, slots int64, own int, slowness float64) route.Candidate {
 	server := route.NewServer(name, "r", zone)
-	server.TakeSlots(slots)
+	server.SetSlots(slots)
 	for range own {
 		server.Begin()
 	}
@@ -19,9 +19,9 @@
 
 func TestRoomiest(t *testing.T) {
 	suspect := candidate("s", "a", 8, 0, 1)
-	suspect.Server.SetStanding(route.Suspect)
+	suspect.Server.SetEligibility(route.Suspect)
 	closed := candidate("c", "a", 8, 0, 1)
-	closed.Server.SetStanding(route.Closed)
+	closed.Server.SetEligibility(route.Closed)
 	for name, test := range map[string]struct {
 		candidates []route.Candidate
 		want       string
@@ -36,7 +36,7 @@
 		"none that is full":      {[]route.Candidate{candidate("x", "a", 8, 8, 1)}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := route.Roomiest(test.candidates, "a")
+			got := route.LeastUtilized(test.candidates, "a")
 			if test.want == "" {
 				must.Nil(t, got)
 				return
--- a/internal/route/server.go
+++ b/internal/route/server.go
@@ -14,13 +14,13 @@
 // assumedSlots stands for the slots of a server that has not told them yet.
 const assumedSlots = 8
 
-// Standing says whether a server gets new work.
-type Standing int
+// Eligibility says whether a server gets new work.
+type Eligibility int
 
 // Standings, the better ones first.
 const (
 	// Open servers get new work.
-	Open Standing = iota
+	Open Eligibility = iota
 	// Suspect servers get new work only where no open one is left.
 	Suspect
 	// Closed servers are draining, have left or have failed, and get nothing.
@@ -46,7 +46,7 @@
 	region   string
 	zone     string
 	hash     uint64
-	standing Standing
+	standing Eligibility
 	report   Report
 	// own counts this entry's running requests; sent and ended count since the report.
 	own   int64
@@ -87,17 +87,17 @@
 // Name returns the identity of the server.
 func (s *Server) Name() string { return s.name }
 
-// Own returns the number of this entry's running requests.
-func (s *Server) Own() int64 { return s.own }
+// Inflight returns the number of this entry's running requests.
+func (s *Server) Inflight() int64 { return s.own }
 
-// Reported returns the requests that run or wait by the last report.
-func (s *Server) Reported() int64 { return s.report.Running + s.report.Queued }
+// ReportedLoad returns the requests that run or wait by the last report.
+func (s *Server) ReportedLoad() int64 { return s.report.Running + s.report.Queued }
 
-// SetSpare sets whether a connection to the server is open and unused.
-func (s *Server) SetSpare(hasSpare bool) { s.hasSpare = hasSpare }
+// SetIdleConn sets whether a connection to the server is open and unused.
+func (s *Server) SetIdleConn(hasSpare bool) { s.hasSpare = hasSpare }
 
-// SetStanding sets whether the server gets new work.
-func (s *Server) SetStanding(standing Standing) { s.standing = standing }
+// SetEligibility sets whether the server gets new work.
+func (s *Server) SetEligibility(standing Eligibility) { s.standing = standing }
 
 // Slots returns the requests that the server runs at the same time.
 func (s *Server) Slots() int64 {
@@ -107,15 +107,15 @@
 	return s.report.Slots
 }
 
-// Standing returns whether the server gets new work.
-func (s *Server) Standing() Standing { return s.standing }
+// Eligibility returns whether the server gets new work.
+func (s *Server) Eligibility() Eligibility { return s.standing }
 
-// TakeSlots sets the requests that the server runs at the same time, where a
+// SetSlots sets the requests that the server runs at the same time, where a
 // registration tells them and no load report does.
-func (s *Server) TakeSlots(slots int64) { s.report.Slots = slots }
+func (s *Server) SetSlots(slots int64) { s.report.Slots = slots }
 
-// TakeReport takes a report if it is newer than the last one.
-func (s *Server) TakeReport(report Report) {
+// UpdateReport takes a report if it is newer than the last one.
+func (s *Server) UpdateReport(report Report) {
 	if report.Seq <= s.report.Seq {
 		return
 	}
--- a/internal/secure/identity.go
+++ b/internal/secure/identity.go
@@ -119,9 +119,9 @@
 	}, nil
 }
 
-// ForCallers returns the TLS settings of the callers' interface, or nil if the
+// CallerTLSConfig returns the TLS settings of the callers' interface, or nil if the
 // settings name no certificate.
-func ForCallers(secure *settingspb.Secure) (*tls.Config, error) {
+func CallerTLSConfig(secure *settingspb.Secure) (*tls.Config, error) {
 	return forCallers(secure, checkInterval)
 }
 
@@ -149,9 +149,9 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: current}, nil
 }
 
-// ForOperators returns the TLS settings of an operator's command that trusts
+// OperatorTLSConfig returns the TLS settings of an operator's command that trusts
 // the authority in a file.
-func ForOperators(file string) (*tls.Config, error) {
+func OperatorTLSConfig(file string) (*tls.Config, error) {
 	authority, err := readAuthority(file)
 	if err != nil {
 		return nil, err
--- a/internal/secure/identity_test.go
+++ b/internal/secure/identity_test.go
@@ -227,7 +227,7 @@
 	none, err := NewIdentity(&settingspb.Secure{}, "e1")
 	must.NoError(t, err)
 	must.Nil(t, none)
-	_, err = ForCallers(settingspb.Secure_builder{CallerKey: "x"}.Build())
+	_, err = CallerTLSConfig(settingspb.Secure_builder{CallerKey: "x"}.Build())
 	must.ErrorContains(t, err, "[secure] caller_certificate: missing")
 }
 
@@ -271,7 +271,7 @@
 // serialAt returns the serial number of the certificate that callers see.
 func serialAt(t *testing.T, a *authority, address string) int64 {
 	t.Helper()
-	trusting, err := ForOperators(a.file)
+	trusting, err := OperatorTLSConfig(a.file)
 	must.NoError(t, err)
 	trusting.ServerName = NameProcess
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: trusting, DisableKeepAlives: true}}
--- a/internal/sidecar/directory.go
+++ b/internal/sidecar/directory.go
@@ -122,11 +122,11 @@
 // load and by the fleet's orders, of which any may be the first to say that it leaves.
 func (d *directory) mark(one *server, process *peerpb.Process, leaving map[string]bool, now time.Time) {
 	load := d.members.Load(one.Name())
-	one.SetStanding(standing(process.GetState()))
+	one.SetEligibility(standing(process.GetState()))
 	if load.GetDraining() || leaving[one.Name()] {
-		one.SetStanding(route.Closed)
+		one.SetEligibility(route.Closed)
 	}
-	one.TakeReport(route.Report{
+	one.UpdateReport(route.Report{
 		Seq:     load.GetSeq(),
 		Time:    now,
 		Running: int64(load.GetRunning()),
@@ -136,7 +136,7 @@
 	})
 }
 
-func standing(state peerpb.State) route.Standing {
+func standing(state peerpb.State) route.Eligibility {
 	switch state {
 	case peerpb.State_STATE_LIVE:
 		return route.Open
--- a/internal/sidecar/fake_test.go
+++ b/internal/sidecar/fake_test.go
@@ -88,7 +88,7 @@
 	self := peerpb.Process_builder{Name: "e1", Role: peerpb.Role_ROLE_ENTRY, Zone: "z1", State: peerpb.State_STATE_LIVE}.Build()
 	members := member.NewMembers(self)
 	learn(t, members, processes...)
-	pool := &sidecar.Pool{Members: members, Decisions: &decision.Log{}, Silence: silence}
+	pool := &sidecar.Pool{Members: members, Decisions: &decision.Log{}, ReadTimeout: silence}
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- pool.Serve(ctx) }()
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -30,12 +30,12 @@
 	Members     *member.Members
 	Decisions   *decision.Log
 	Credentials credentials.TransportCredentials
-	// Silence is how long a sidecar may send nothing.
-	Silence time.Duration
+	// ReadTimeout is how long a sidecar may send nothing.
+	ReadTimeout time.Duration
 	// Homes places requests that carry a claim; nil refuses them.
 	Homes Homes
-	// Counted takes the counters that end an answer; nil drops them.
-	Counted func([]*peerpb.Count)
+	// OnCounts takes the counters that end an answer; nil drops them.
+	OnCounts func([]*peerpb.Count)
 	// Metrics takes the pool's metrics; nil keeps them to itself.
 	Metrics prometheus.Registerer
 
@@ -93,8 +93,8 @@
 }
 
 func (p *Pool) counted(end *peerpb.End) {
-	if p.Counted != nil && len(end.GetCounts()) > 0 {
-		p.Counted(end.GetCounts())
+	if p.OnCounts != nil && len(end.GetCounts()) > 0 {
+		p.OnCounts(end.GetCounts())
 	}
 }
 
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -25,7 +25,7 @@
 
 // silentBackend refuses as a sidecar does whose backend server sends nothing.
 func silentBackend(request *peerpb.RunRequest, stream frames) error {
-	refused := refusal.Unknown(http.StatusGatewayTimeout, "backend_silent", "nothing came").After(time.Second)
+	refused := refusal.Unknown(http.StatusGatewayTimeout, "backend_silent", "nothing came").WithRetryAfter(time.Second)
 	return stream.Send(peerpb.Frame_builder{Id: request.GetId(), Refusal: refused.ToMessage()}.Build())
 }
 
@@ -53,7 +53,7 @@
 	must.True(t, errors.As(err, &refused), must.Sprintf("%v", err))
 	must.Eq(t, code, refused.Code)
 	must.Eq(t, outcome, refused.Outcome)
-	must.Positive(t, refused.Retry)
+	must.Positive(t, refused.RetryAfter)
 }
 
 func TestRunWhole(t *testing.T) {
@@ -246,7 +246,7 @@
 		mustAnswer(t, pool, posting(), "a")
 	})
 	t.Run("the sidecar says so", func(t *testing.T) {
-		full := refusal.NotRun(503, "queue_full", "full").After(time.Second).ToMessage()
+		full := refusal.NotRun(503, "queue_full", "full").WithRetryAfter(time.Second).ToMessage()
 		one := startFake(t, func(request *peerpb.RunRequest, stream frames) error {
 			return stream.Send(peerpb.Frame_builder{Id: request.GetId(), Refusal: full}.Build())
 		})
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -92,7 +92,7 @@
 	if last != nil {
 		return nil, r.refuse(last)
 	}
-	return nil, r.refuse(refusal.NotRun(http.StatusServiceUnavailable, "no_server", "no backend server of %s: %s", r.request.GetPool(), reason).After(retryAfter))
+	return nil, r.refuse(refusal.NotRun(http.StatusServiceUnavailable, "no_server", "no backend server of %s: %s", r.request.GetPool(), reason).WithRetryAfter(retryAfter))
 }
 
 // refuse ends the request with the refusal of the last server.
@@ -116,7 +116,7 @@
 	if code != codeUnreached && code != codeLost {
 		return false
 	}
-	if time.Since(r.began) >= r.pool.Silence || !r.pause() {
+	if time.Since(r.began) >= r.pool.ReadTimeout || !r.pause() {
 		return false
 	}
 	clear(r.tried)
@@ -154,7 +154,7 @@
 // connection either.
 func (r *run) countFailure(failures int, isResume bool, began time.Time, next uint64) int {
 	isAlive := r.heard.After(began)
-	isLong := time.Since(began) >= r.pool.Silence
+	isLong := time.Since(began) >= r.pool.ReadTimeout
 	switch {
 	case r.next > next, isAlive && isLong:
 		return 0
@@ -171,7 +171,7 @@
 // there. Without that, a link that is cut for a moment costs each caller behind
 // it the answer.
 func (r *run) givesUp() bool {
-	return r.request.GetIdempotent() && r.forget() || time.Since(r.heard) >= r.pool.Silence
+	return r.request.GetIdempotent() && r.forget() || time.Since(r.heard) >= r.pool.ReadTimeout
 }
 
 // pause waits between two tries; it returns false once the context has ended.
@@ -212,9 +212,9 @@
 	var unsent *notSentError
 	switch {
 	case !r.sent && (errors.As(err, &unsent) || isLost(err)):
-		return refusal.NotRun(http.StatusServiceUnavailable, codeUnreached, "%s can't be reached", server.Name()).After(retryAfter)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeUnreached, "%s can't be reached", server.Name()).WithRetryAfter(retryAfter)
 	case errors.As(err, &unsent), isLost(err):
-		return refusal.Unknown(http.StatusBadGateway, codeLost, "%s no longer answers", server.Name()).After(retryAfter)
+		return refusal.Unknown(http.StatusBadGateway, codeLost, "%s no longer answers", server.Name()).WithRetryAfter(retryAfter)
 	default:
 		return err
 	}
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -64,7 +64,7 @@
 func (r *run) stream(connection *grpc.ClientConn) (*peerpb.End, error) {
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
-	s := &stream{run: r, watchdog: time.AfterFunc(r.pool.Silence, func() { cancel(errSilent) })}
+	s := &stream{run: r, watchdog: time.AfterFunc(r.pool.ReadTimeout, func() { cancel(errSilent) })}
 	defer s.watchdog.Stop()
 	if err := s.open(ctx, connection); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 		return nil, nil
 	}
 	s.run.heard = time.Now()
-	s.watchdog.Reset(s.run.pool.Silence)
+	s.watchdog.Reset(s.run.pool.ReadTimeout)
 	switch frame.WhichPart() {
 	case peerpb.Frame_Beat_case, peerpb.Frame_Part_not_set_case:
 		return nil, nil
@@ -164,7 +164,7 @@
 // of the sidecar.
 func (s *stream) give(frame *peerpb.Frame) error {
 	s.watchdog.Stop()
-	defer s.watchdog.Reset(s.run.pool.Silence)
+	defer s.watchdog.Reset(s.run.pool.ReadTimeout)
 	if err := s.run.sink(frame); err != nil {
 		return &sinkError{cause: err}
 	}
--- a/internal/steplog/print.go
+++ b/internal/steplog/print.go
@@ -26,8 +26,8 @@
 		}
 		late = append(late, step)
 		fmt.Fprintf(writer, "%s\t%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\t\n", step.Accepted.Format("15:04:05.0"), step.Model,
-			step.Number, step.Items, step.Placed.Seconds(), step.Waited.Seconds(), step.Cut.Seconds(), step.Ran.Seconds(),
-			step.Listed.Seconds(), step.Closed.Seconds(), step.Total().Seconds(), step.Again, step.Takeovers, step.Unwritten)
+			step.Number, step.Items, step.HalfPlaced.Seconds(), step.Waited.Seconds(), step.Interrupted.Seconds(), step.Ran.Seconds(),
+			step.Listed.Seconds(), step.Closed.Seconds(), step.Total().Seconds(), step.RepeatedPlacements, step.Takeovers, step.Unwritten)
 	}
 	printMean(writer, "late", late)
 	printMean(writer, "all", steps)
@@ -46,7 +46,7 @@
 		return sum.Seconds() / float64(len(steps))
 	}
 	fmt.Fprintf(w, "mean of %s\t\t\t%d steps\t", name, len(steps))
-	fmt.Fprintf(w, "%.2f\t", mean(func(s *Step) time.Duration { return s.Placed }))
+	fmt.Fprintf(w, "%.2f\t", mean(func(s *Step) time.Duration { return s.HalfPlaced }))
 	for _, part := range parts {
 		fmt.Fprintf(w, "%.2f\t", mean(part.of))
 	}
@@ -62,7 +62,7 @@
 
 var parts = []part{
 	{"waited", func(s *Step) time.Duration { return s.Waited }, color.RGBA{R: 214, G: 120, B: 60, A: 255}},
-	{"cut", func(s *Step) time.Duration { return s.Cut }, color.RGBA{R: 190, G: 60, B: 60, A: 255}},
+	{"cut", func(s *Step) time.Duration { return s.Interrupted }, color.RGBA{R: 190, G: 60, B: 60, A: 255}},
 	{"ran", func(s *Step) time.Duration { return s.Ran }, color.RGBA{R: 90, G: 140, B: 190, A: 255}},
 	{"listed", func(s *Step) time.Duration { return s.Listed }, color.RGBA{R: 120, G: 100, B: 160, A: 255}},
 	{"closed", func(s *Step) time.Duration { return s.Closed }, color.RGBA{R: 150, G: 150, B: 150, A: 255}},
--- a/internal/steplog/steplog.go
+++ b/internal/steplog/steplog.go
@@ -35,13 +35,13 @@
 	Items  int
 	// Accepted is when the step was taken; the year is unknown.
 	Accepted time.Time
-	// Placed is when half of its items had a sampler, counted from Accepted.
-	Placed time.Duration
+	// HalfPlaced is when half of its items had a sampler, counted from Accepted.
+	HalfPlaced time.Duration
 	// Waited is how long the last text waited for its first sampler.
 	Waited time.Duration
-	// Cut is the time from its first placement to its last one: runs that were cut
+	// Interrupted is the time from its first placement to its last one: runs that were cut
 	// or moved, and the waits after them.
-	Cut time.Duration
+	Interrupted time.Duration
 	// Ran is the time of its last run.
 	Ran time.Duration
 	// Listed is the time from its end until the step's last outcome before its end was
@@ -49,13 +49,13 @@
 	Listed time.Duration
 	// Closed is the time from then on until the trainer ended the step.
 	Closed time.Duration
-	// Again counts placements after the first one of an item, Takeovers owners after
+	// RepeatedPlacements counts placements after the first one of an item, Takeovers owners after
 	// the first one, Unwritten writes to the store that failed.
-	Again, Takeovers, Unwritten int
+	RepeatedPlacements, Takeovers, Unwritten int
 }
 
 // Total returns the time from the step's acceptance to its end.
-func (s *Step) Total() time.Duration { return s.Waited + s.Cut + s.Ran + s.Listed + s.Closed }
+func (s *Step) Total() time.Duration { return s.Waited + s.Interrupted + s.Ran + s.Listed + s.Closed }
 
 // reading is what is known of a step while its lines are read.
 type reading struct {
@@ -176,7 +176,7 @@
 			continue
 		}
 		first = append(first, one.placed[0].Sub(r.Accepted))
-		r.Again += len(one.placed) - 1
+		r.RepeatedPlacements += len(one.placed) - 1
 		if !one.made.IsZero() && !one.made.After(r.ended) && (last == nil || one.made.After(last.made)) {
 			last = one
 		}
@@ -186,9 +186,9 @@
 	}
 	slices.Sort(first)
 	latest := last.placed[len(last.placed)-1]
-	r.Placed = first[len(first)/2]
+	r.HalfPlaced = first[len(first)/2]
 	r.Waited = last.placed[0].Sub(r.Accepted)
-	r.Cut = latest.Sub(last.placed[0])
+	r.Interrupted = latest.Sub(last.placed[0])
 	r.Ran = last.made.Sub(latest)
 	listed := r.lastListed(last.made)
 	r.Listed = listed.Sub(last.made)
--- a/internal/steplog/steplog_test.go
+++ b/internal/steplog/steplog_test.go
@@ -34,13 +34,13 @@
 	must.Eq(t, "m", step.Model)
 	must.Eq(t, 7, step.Number)
 	must.Eq(t, 500*time.Millisecond, step.Waited)
-	must.Eq(t, 2*time.Second, step.Cut)
+	must.Eq(t, 2*time.Second, step.Interrupted)
 	must.Eq(t, 1500*time.Millisecond, step.Ran)
 	must.Eq(t, 150*time.Millisecond, step.Listed)
 	must.Eq(t, 100*time.Millisecond, step.Closed)
 	must.Eq(t, 1, step.Unwritten)
 	must.Eq(t, 4250*time.Millisecond, step.Total())
-	must.Eq(t, 1, step.Again)
+	must.Eq(t, 1, step.RepeatedPlacements)
 	must.Eq(t, 1, step.Takeovers)
 }
 
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -43,8 +43,8 @@
 	Shares []Share
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// Target is the time within which an answer is of full worth.
-	Target time.Duration
+	// LatencyTarget is the time within which an answer is of full worth.
+	LatencyTarget time.Duration
 	// Attempts is the most backend servers that one request is sent to.
 	Attempts int
 	// Priority 0 comes first.
@@ -53,18 +53,18 @@
 	Public bool
 	// Resumable streams may go on at another backend server.
 	Resumable bool
-	// Due is when the results of a batch are due after its acceptance.
-	Due time.Duration
-	// Keep is when an item of a batch may be given up after the acceptance.
-	Keep time.Duration
+	// DueAfter is when the results of a batch are due after its acceptance.
+	DueAfter time.Duration
+	// GiveUpAfter is when an item of a batch may be given up after the acceptance.
+	GiveUpAfter time.Duration
 	// SingleVersion asks for texts that one weight version made.
 	SingleVersion bool
 }
 
 // Scale bounds the number of a pool's backend servers in each zone.
 type Scale struct {
-	Least int
-	Most  int
+	Min int
+	Max  int
 	// Boot is the time from an order to the first request served.
 	Boot time.Duration
 }
@@ -80,8 +80,8 @@
 	Scale *Scale
 	// Models that its engines serve; none for a plain service.
 	Models []string
-	// Memory is the number of tokens that an engine holds; 0 for a plain service.
-	Memory uint64
+	// TokenCapacity is the number of tokens that an engine holds; 0 for a plain service.
+	TokenCapacity uint64
 	// ColdRate is how many requests a second a server takes while it is cold, all
 	// senders together; 0 bounds nothing. ColdTime is how long it is cold after its start.
 	ColdRate float64
@@ -193,7 +193,7 @@
 	return r.Shares[len(r.Shares)-1].Pool
 }
 
-// Draw returns a number between 0 and 1 that is always the same for an identity.
-func Draw(id string) float64 {
+// HashFraction returns a number between 0 and 1 that is always the same for an identity.
+func HashFraction(id string) float64 {
 	return float64(xxhash.Sum64String(id)>>11) / (1 << 53)
 }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -34,9 +34,9 @@
 func TestVersionsDoNotFall(t *testing.T) {
 	view := &table.View{}
 	must.Nil(t, view.Current())
-	must.True(t, view.Take(&table.Table{Version: 7}))
-	must.False(t, view.Take(&table.Table{Version: 7}))
-	must.False(t, view.Take(&table.Table{Version: 3}))
+	must.True(t, view.Update(&table.Table{Version: 7}))
+	must.False(t, view.Update(&table.Table{Version: 7}))
+	must.False(t, view.Update(&table.Table{Version: 3}))
 	must.Eq(t, 7, view.Current().Version)
-	must.True(t, view.Take(&table.Table{Version: 12}))
+	must.True(t, view.Update(&table.Table{Version: 12}))
 }
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -15,12 +15,12 @@
 // Current returns the table in force, or nil.
 func (v *View) Current() *Table { return v.current.Load() }
 
-// Take puts a table in force if its version is higher than that of the present
+// Update puts a table in force if its version is higher than that of the present
 // one. It reports whether it did.
 //
 // A read of the store may be older than what a watch has brought already; a key
 // that was withdrawn would then work again for a moment.
-func (v *View) Take(next *Table) bool {
+func (v *View) Update(next *Table) bool {
 	for {
 		now := v.current.Load()
 		if now != nil && now.Version >= next.Version {
--- a/internal/trainer/handler.go
+++ b/internal/trainer/handler.go
@@ -36,8 +36,8 @@
 	Steps  Steps
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
-	// Poll is the longest wait of a pull.
-	Poll time.Duration
+	// MaxPullWait is the longest wait of a pull.
+	MaxPullWait time.Duration
 }
 
 // call is one request of a trainer whose key has been looked up.
--- a/internal/trainer/handler_test.go
+++ b/internal/trainer/handler_test.go
@@ -49,7 +49,7 @@
 		<-ctx.Done()
 	}
 	if request.GetPlace() == 99 {
-		return nil, refusal.NotRun(http.StatusConflict, "acknowledged", "past").After(time.Second)
+		return nil, refusal.NotRun(http.StatusConflict, "acknowledged", "past").WithRetryAfter(time.Second)
 	}
 	sample := peerpb.Sample_builder{Place: request.GetPlace(), Tokens: []int32{1}, Versions: []*peerpb.Range{
 		peerpb.Range_builder{Until: 1, Version: 3}.Build(),
@@ -69,8 +69,8 @@
 	value, err := proto.Marshal(config)
 	must.NoError(t, err)
 	view := &lists.View{}
-	view.Take(peerpb.Fact_builder{Name: "config", Revision: 1, Value: value}.Build())
-	return &Handler{Grants: view, Steps: steps, MaxBodyBytes: 4096, Poll: time.Second}, view
+	view.Apply(peerpb.Fact_builder{Name: "config", Revision: 1, Value: value}.Build())
+	return &Handler{Grants: view, Steps: steps, MaxBodyBytes: 4096, MaxPullWait: time.Second}, view
 }
 
 // call sends one request with a key, as the router would.
--- a/internal/trainer/pull.go
+++ b/internal/trainer/pull.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wait, err := parseWait(query.Get("wait"), h.Poll)
+	wait, err := parseWait(query.Get("wait"), h.MaxPullWait)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -28,7 +28,7 @@
 		Process:     c.Process,
 		Incarnation: c.Incarnation,
 		Account:     account,
-		Window:      Start(now, c.Window),
+		Window:      WindowStart(now, c.Window),
 		Pool:        pool,
 	}.Build()
 	known := c.ledger.get(keyOf(next))
--- a/internal/usage/fleet_test.go
+++ b/internal/usage/fleet_test.go
@@ -166,9 +166,9 @@
 	return m.call(func() error { return m.fleet.Report(ctx, usage, guard) })
 }
 
-func (m *mortal) Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (revision uint64, err error) {
+func (m *mortal) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (revision uint64, err error) {
 	err = m.call(func() error {
-		revision, err = m.fleet.Swap(ctx, key, expect, data, lease)
+		revision, err = m.fleet.CompareAndSwap(ctx, key, expect, data, lease)
 		return err
 	})
 	return revision, err
@@ -193,6 +193,6 @@
 		Keep:      time.Hour,
 		Interval:  time.Second,
 		Lease:     lease,
-		Bound:     bound,
+		ReportTimeout:     bound,
 	}
 }
--- a/internal/usage/holders.go
+++ b/internal/usage/holders.go
@@ -13,10 +13,10 @@
 // copies is the number of entries that hold the counters of a sidecar.
 const copies = 2
 
-// Holders returns the entries that hold the counters of a process: the first by
+// ReplicaEntries returns the entries that hold the counters of a process: the first by
 // rendezvous hashing, each in a zone of its own and not in that of the process,
 // as far as there are zones. Entries that drain are passed by.
-func Holders(process *peerpb.Process, entries []*peerpb.Process) []*peerpb.Process {
+func ReplicaEntries(process *peerpb.Process, entries []*peerpb.Process) []*peerpb.Process {
 	var live []*peerpb.Process
 	for _, entry := range entries {
 		if entry.GetState() == peerpb.State_STATE_LIVE && entry.GetName() != process.GetName() {
--- a/internal/usage/ledger_bench_test.go
+++ b/internal/usage/ledger_bench_test.go
@@ -54,7 +54,7 @@
 	counts := counters(930, 8)
 	b.ReportAllocs()
 	for b.Loop() {
-		usage.Close(1764720000, counts, nil)
+		usage.CloseWindow(1764720000, counts, nil)
 	}
 }
 
--- a/internal/usage/pusher.go
+++ b/internal/usage/pusher.go
@@ -86,7 +86,7 @@
 
 func (p *Pusher) push(ctx context.Context) {
 	marks := map[holder]uint64{}
-	for _, entry := range Holders(p.Directory.Self(), p.Directory.Processes(peerpb.Role_ROLE_ENTRY)) {
+	for _, entry := range ReplicaEntries(p.Directory.Self(), p.Directory.Processes(peerpb.Role_ROLE_ENTRY)) {
 		key := holder{name: entry.GetName(), incarnation: entry.GetIncarnation()}
 		marks[key] = p.pushTo(ctx, entry, p.marks[key])
 	}
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -24,8 +24,8 @@
 const (
 	// DutyName is the name of the reporter's duty.
 	DutyName = "usage"
-	// Prefix of the store's keys of closed windows.
-	Prefix = "usage/"
+	// KeyPrefix of the store's keys of closed windows.
+	KeyPrefix = "usage/"
 	// maxCatchUp bounds the windows closed one by one after an outage; counts of
 	// older ones are late figures of the first.
 	maxCatchUp = 48
@@ -45,13 +45,13 @@
 	return fmt.Sprintf("usage: window %d: term %d is superseded by %d", e.Window, e.Fence, e.Newer)
 }
 
-// EndedError says that a term ended before a report was sent.
-type EndedError struct {
+// TermEndedError says that a term ended before a report was sent.
+type TermEndedError struct {
 	Fence uint64
 }
 
 // Error names the term.
-func (e *EndedError) Error() string {
+func (e *TermEndedError) Error() string {
 	return "usage: term " + strconv.FormatUint(e.Fence, 10) + " has ended"
 }
 
@@ -61,7 +61,7 @@
 	Get(ctx context.Context, key string) (platform.Value, error)
 	List(ctx context.Context, prefix string) (platform.ListReply, error)
 	Report(ctx context.Context, usage platform.Usage, guard func() error) error
-	Swap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
+	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
 // Reporter closes usage windows and reports them. Exported fields are set before Run.
@@ -90,8 +90,8 @@
 	Interval time.Duration
 	// Lease is the length of the duty's lease.
 	Lease time.Duration
-	// Bound is the longest time that a report may be under way.
-	Bound time.Duration
+	// ReportTimeout is the longest time that a report may be under way.
+	ReportTimeout time.Duration
 	// Fenced says that the platform refuses reports with an old fencing number.
 	Fenced bool
 	// Now tells the time of day by which windows end; nil takes time.Now.
@@ -108,8 +108,8 @@
 	revision uint64
 }
 
-// Key returns the store's key of a window.
-func Key(start int64) string { return Prefix + strconv.FormatInt(start, 10) }
+// WindowKey returns the store's key of a window.
+func WindowKey(start int64) string { return KeyPrefix + strconv.FormatInt(start, 10) }
 
 // ParseWindow reads the value of a window's key.
 func ParseWindow(value platform.Value) (*statepb.Window, error) {
@@ -140,7 +140,7 @@
 
 func isOver(err error) bool {
 	var superseded *SupersededError
-	var ended *EndedError
+	var ended *TermEndedError
 	return errors.As(err, &superseded) || errors.As(err, &ended)
 }
 
@@ -170,7 +170,7 @@
 
 // load reads all windows.
 func (r *Reporter) load(ctx context.Context) error {
-	reply, err := r.Platform.List(ctx, Prefix)
+	reply, err := r.Platform.List(ctx, KeyPrefix)
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 		return &SupersededError{Window: window.GetStart(), Fence: own, Newer: other}
 	}
 	if other < own && r.ready.IsZero() && !r.Fenced {
-		r.ready = time.Now().Add(r.Lease + r.Bound)
+		r.ready = time.Now().Add(r.Lease + r.ReportTimeout)
 	}
 	return nil
 }
@@ -205,7 +205,7 @@
 // due returns the windows that should be closed and reported by now, oldest first.
 func (r *Reporter) due(now time.Time) []int64 {
 	length := max(int64(r.Window/time.Second), 1)
-	newest := Start(now.Add(-r.Settle), r.Window) - length
+	newest := WindowStart(now.Add(-r.Settle), r.Window) - length
 	next := newest
 	for start, stored := range r.windows {
 		if !stored.window.GetReported() {
@@ -249,7 +249,7 @@
 	window := statepb.Window_builder{
 		Start:   start,
 		Length:  length,
-		Figures: Close(start, counts, r.closed()),
+		Figures: CloseWindow(start, counts, r.closed()),
 		Fence:   r.term.Fence(),
 	}.Build()
 	if err := r.swap(ctx, window); err != nil {
@@ -290,11 +290,11 @@
 }
 
 func (r *Reporter) send(ctx context.Context, window *statepb.Window) error {
-	until := time.Now().Add(r.Bound)
+	until := time.Now().Add(r.ReportTimeout)
 	guard := func() error {
 		now := time.Now()
 		if !r.term.Valid(now) || !now.Before(until) {
-			return &EndedError{Fence: r.term.Fence()}
+			return &TermEndedError{Fence: r.term.Fence()}
 		}
 		return nil
 	}
@@ -345,7 +345,7 @@
 	if err != nil {
 		return eris.Wrap(err, "encode window")
 	}
-	revision, err := r.Platform.Swap(ctx, Key(start), r.windows[start].revision, data, 0)
+	revision, err := r.Platform.CompareAndSwap(ctx, WindowKey(start), r.windows[start].revision, data, 0)
 	if err != nil {
 		return errors.Join(err, r.read(ctx, start))
 	}
@@ -354,7 +354,7 @@
 }
 
 func (r *Reporter) read(ctx context.Context, start int64) error {
-	value, err := r.Platform.Get(ctx, Key(start))
+	value, err := r.Platform.Get(ctx, WindowKey(start))
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
 		return nil
@@ -383,7 +383,7 @@
 		if start >= oldest || !stored.window.GetReported() || deleted == maxDeletes {
 			continue
 		}
-		if err := r.Platform.Delete(ctx, Key(start), stored.revision); err != nil {
+		if err := r.Platform.Delete(ctx, WindowKey(start), stored.revision); err != nil {
 			return err
 		}
 		delete(r.windows, start)
@@ -393,4 +393,4 @@
 }
 
 // id is the identity under which decisions about a window are kept.
-func id(start int64) string { return Key(start) }
+func id(start int64) string { return WindowKey(start) }
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -136,7 +136,7 @@
 		counter := newCounter()
 		stop := start(t, newReporter(fleet, fleet, "e1"), 1)
 		for minute := range 10 {
-			fleet.SetAway(minute >= 3 && minute < 6)
+			fleet.SetUnavailable(minute >= 3 && minute < 6)
 			fleet.LoseAnswers(1)
 			fleet.mutex.Lock()
 			fleet.loseReports = 1
@@ -230,7 +230,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
 		counter := newCounter()
-		window := usage.Start(time.Now(), length)
+		window := usage.WindowStart(time.Now(), length)
 		stop := start(t, newReporter(fleet, fleet, "e1"), 1)
 		serve(fleet, counter, "e1")
 		fleet.kill("e2")
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// Start returns the start of the window that holds a time, seconds since 1970 UTC.
+// WindowStart returns the start of the window that holds a time, seconds since 1970 UTC.
 // A length below one second counts as one second.
-func Start(now time.Time, length time.Duration) int64 {
+func WindowStart(now time.Time, length time.Duration) int64 {
 	seconds := max(int64(length/time.Second), 1)
 	return now.Unix() - now.Unix()%seconds
 }
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -23,14 +23,14 @@
 	output   uint64
 }
 
-// Close returns the figures of a window from merged counters and the windows
+// CloseWindow returns the figures of a window from merged counters and the windows
 // that were closed before it.
 //
 // What an earlier window has by now and no closed window has shown is late: it
 // goes into this one, marked with the start of its own. Sums only grow with the
 // counters, so what was shown once is never shown again; counters that were
 // lost after they were shown make a sum smaller, and then nothing is late.
-func Close(start int64, counts []*peerpb.Count, closed []*statepb.Window) []*statepb.Figure {
+func CloseWindow(start int64, counts []*peerpb.Count, closed []*statepb.Window) []*statepb.Figure {
 	shown := map[line]sum{}
 	for _, window := range closed {
 		addFigures(shown, window)
--- a/internal/weight/choice.go
+++ b/internal/weight/choice.go
@@ -16,7 +16,7 @@
 type plan struct {
 	Change
 
-	work *Work
+	work *Demand
 	// zones are the samplers that may load for it, in each zone the one first where a
 	// load costs least.
 	zones map[string][]*sampler
@@ -30,7 +30,7 @@
 	for i := range s.work {
 		work := &s.work[i]
 		one := &plan{Change: s.coverage(work), work: work}
-		if work.Named == 0 || one.Coming >= one.Wanted {
+		if work.NewestVersion == 0 || one.Next >= one.Wanted {
 			continue
 		}
 		one.zones = s.candidates(work, now)
@@ -41,11 +41,11 @@
 
 // cover counts a sampler that is ordered to load.
 func (p *plan) cover(sampler *sampler) {
-	if sampler.shown[p.Model] < p.work.Oldest {
+	if sampler.shown[p.Model] < p.work.MinVersion {
 		p.Open++
 	}
-	if sampler.shown[p.Model] < p.work.Coming {
-		p.Coming++
+	if sampler.shown[p.Model] < p.work.NextMinVersion {
+		p.Next++
 	}
 }
 
@@ -54,7 +54,7 @@
 func neediest(plans []*plan) *plan {
 	var best *plan
 	for _, one := range plans {
-		if one.isOver || one.Coming >= one.Wanted {
+		if one.isOver || one.Next >= one.Wanted {
 			continue
 		}
 		if best == nil || one.goesBefore(best.Change) {
@@ -77,23 +77,23 @@
 // use that its open step has, or its coming one.
 func (c Change) served() float64 {
 	open := float64(c.Open) / float64(c.Wanted)
-	coming := comingWeight + float64(c.Coming)/float64(c.Wanted)
+	coming := comingWeight + float64(c.Next)/float64(c.Wanted)
 	return min(open, coming)
 }
 
 // coverage counts the samplers that a model has, those included that load for it.
-func (s *Schedule) coverage(work *Work) Change {
-	change := Change{Model: work.Model, Version: work.Named, Wanted: s.wanted(work)}
+func (s *Schedule) coverage(work *Demand) Change {
+	change := Change{Model: work.Model, Version: work.NewestVersion, Wanted: s.wanted(work)}
 	for _, sampler := range s.samplers {
 		version := sampler.shown[work.Model]
 		if sampler.changing && sampler.model == work.Model {
 			version = max(version, sampler.ordered)
 		}
-		if version >= work.Oldest {
+		if version >= work.MinVersion {
 			change.Open++
 		}
-		if version >= work.Coming {
-			change.Coming++
+		if version >= work.NextMinVersion {
+			change.Next++
 		}
 	}
 	return change
@@ -101,7 +101,7 @@
 
 // wanted returns how many samplers a step can use: as many as run all that it
 // begins at once.
-func (s *Schedule) wanted(work *Work) int {
+func (s *Schedule) wanted(work *Demand) int {
 	slots := 0
 	for _, sampler := range s.samplers {
 		slots += sampler.slots
@@ -116,10 +116,10 @@
 // candidates returns the samplers that may load a model's newest version, by zone
 // and in each zone ordered by cost. They are ordered once in a round, since comparing
 // all for each order would grow with samplers and orders.
-func (s *Schedule) candidates(work *Work, now time.Time) map[string][]*sampler {
+func (s *Schedule) candidates(work *Demand, now time.Time) map[string][]*sampler {
 	zones := map[string][]*sampler{}
 	for _, sampler := range s.samplers {
-		if sampler.changing || sampler.shown[work.Model] >= work.Named || now.Before(sampler.notBefore) {
+		if sampler.changing || sampler.shown[work.Model] >= work.NewestVersion || now.Before(sampler.notBefore) {
 			continue
 		}
 		sampler.price = s.price(work, sampler)
@@ -150,7 +150,7 @@
 }
 
 // compare orders two samplers by what a load costs there.
-func (s *Schedule) compare(work *Work, a, b *sampler, changing map[string]int) int {
+func (s *Schedule) compare(work *Demand, a, b *sampler, changing map[string]int) int {
 	return cmp.Or(
 		cmp.Compare(s.price(work, a), s.price(work, b)),
 		cmp.Compare(changing[a.zone], changing[b.zone]),
@@ -170,24 +170,24 @@
 )
 
 // price returns what a load costs at a sampler.
-func (s *Schedule) price(work *Work, sampler *sampler) int {
+func (s *Schedule) price(work *Demand, sampler *sampler) int {
 	price := priceOther * s.others(work, sampler)
 	version := sampler.shown[work.Model]
-	if version >= work.Coming {
+	if version >= work.NextMinVersion {
 		price += priceComing
 	}
-	if version >= work.Oldest {
+	if version >= work.MinVersion {
 		price += priceOpen
 	}
 	return price
 }
 
 // others returns how many other models can use a sampler for their open step.
-func (s *Schedule) others(work *Work, sampler *sampler) int {
+func (s *Schedule) others(work *Demand, sampler *sampler) int {
 	count := 0
 	for i := range s.work {
 		other := &s.work[i]
-		if other.Model != work.Model && other.Named > 0 && sampler.shown[other.Model] >= other.Oldest {
+		if other.Model != work.Model && other.NewestVersion > 0 && sampler.shown[other.Model] >= other.MinVersion {
 			count++
 		}
 	}
--- a/internal/weight/coordinators.go
+++ b/internal/weight/coordinators.go
@@ -45,12 +45,12 @@
 	coordinator := c.held[model]
 	c.mutex.Unlock()
 	if coordinator == nil {
-		return refusal.NotRun(http.StatusServiceUnavailable, "no_holder", "no process is in charge of the weights of %s yet", model).After(retry)
+		return refusal.NotRun(http.StatusServiceUnavailable, "no_holder", "no process is in charge of the weights of %s yet", model).WithRetryAfter(retry)
 	}
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	if err := coordinator.Announce(ctx, version); err != nil {
-		return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the version is ordered but not kept yet, announce it again: %v", err).After(retry)
+		return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the version is ordered but not kept yet, announce it again: %v", err).WithRetryAfter(retry)
 	}
 	return nil
 }
