--- a/internal/weight/schedule.go
+++ b/internal/weight/schedule.go
@@ -13,27 +13,27 @@
 	DefaultLag = 3 * time.Second
 )
 
-// Work is what the steps of a model's trainer ask of the samplers of a pool.
-type Work struct {
+// Demand is what the steps of a model's trainer ask of the samplers of a pool.
+type Demand struct {
 	Model string
-	// Named is the newest version that was named; 0 if none was.
-	Named uint64
-	// Oldest is the oldest version that the open step takes, or the next one if none is open.
-	Oldest uint64
-	// Coming is the oldest version that the step after that one will take; it is
+	// NewestVersion is the newest version that was named; 0 if none was.
+	NewestVersion uint64
+	// MinVersion is the oldest version that the open step takes, or the next one if none is open.
+	MinVersion uint64
+	// NextMinVersion is the oldest version that the step after that one will take; it is
 	// not above Named.
-	Coming uint64
+	NextMinVersion uint64
 	// Runs is the number of generations that a step begins at once; 0 if it isn't
 	// known, which asks for all samplers.
 	Runs int
 }
 
-// Seat is a sampler of a pool as it is seen now.
-type Seat struct {
+// SamplerState is a sampler of a pool as it is seen now.
+type SamplerState struct {
 	ID   string
 	Zone string
-	// Born tells its starts apart; a new one has forgotten all orders.
-	Born int64
+	// StartedAtMillis tells its starts apart; a new one has forgotten all orders.
+	StartedAtMillis int64
 	// Slots is the number of generations that it runs at the same time; 0 if not known.
 	Slots int
 	// Running is the number of generations that it runs now; 0 if not known.
@@ -44,12 +44,12 @@
 
 // Change is a sampler that is to load a version.
 type Change struct {
-	Seat    string
+	Sampler    string
 	Model   string
 	Version uint64
 	// Open and Coming are the samplers that the model had for its open and for its
 	// coming step, and Wanted those that it can use: what decided.
-	Open, Coming, Wanted int
+	Open, Next, Wanted int
 }
 
 // Schedule decides which sampler of a pool loads which version of which model
@@ -68,7 +68,7 @@
 	Lag time.Duration
 
 	samplers map[string]*sampler
-	work     []Work
+	work     []Demand
 	width    width
 	// under is the number of changes under way.
 	under int
@@ -100,12 +100,12 @@
 	notBefore time.Time
 }
 
-// Want sets what the models' steps ask for. A version that is newer than before
+// SetDemand sets what the models' steps ask for. A version that is newer than before
 // is tried at once, also where the one before has failed.
-func (s *Schedule) Want(work []Work) {
+func (s *Schedule) SetDemand(work []Demand) {
 	for _, one := range work {
 		before := s.workOf(one.Model)
-		if before != nil && one.Named <= before.Named {
+		if before != nil && one.NewestVersion <= before.NewestVersion {
 			continue
 		}
 		for _, sampler := range s.samplers {
@@ -116,7 +116,7 @@
 	s.work = slices.Clone(work)
 }
 
-func (s *Schedule) workOf(model string) *Work {
+func (s *Schedule) workOf(model string) *Demand {
 	for i := range s.work {
 		if s.work[i].Model == model {
 			return &s.work[i]
@@ -127,11 +127,11 @@
 
 // Observe takes the samplers that are live now, as registrations and load reports
 // show them.
-func (s *Schedule) Observe(live []Seat, now time.Time) {
+func (s *Schedule) Observe(live []SamplerState, now time.Time) {
 	known := s.begin(len(live), now)
 	for i := range live {
 		seat := &live[i]
-		one := s.observe(known, seat.ID, seat.Zone, seat.Born)
+		one := s.observe(known, seat.ID, seat.Zone, seat.StartedAtMillis)
 		one.slots = seat.Slots
 		one.running = seat.Running
 		for model, version := range seat.Versions {
@@ -175,8 +175,8 @@
 	sampler.shown[model] = version
 }
 
-// Changing returns the number of samplers with an order under way.
-func (s *Schedule) Changing() int { return s.under }
+// InFlight returns the number of samplers with an order under way.
+func (s *Schedule) InFlight() int { return s.under }
 
 // Done notes the version of the ordered model that a sampler showed after an order.
 //
@@ -227,7 +227,7 @@
 // Next returns the samplers to order now.
 func (s *Schedule) Next(now time.Time) []Change {
 	s.count(now)
-	free := s.Limit() - s.Changing()
+	free := s.Limit() - s.InFlight()
 	if free <= 0 {
 		return nil
 	}
@@ -244,7 +244,7 @@
 			plan.isOver = true
 			continue
 		}
-		plan.Seat = sampler.server
+		plan.Sampler = sampler.server
 		changes = append(changes, plan.Change)
 		plan.cover(sampler)
 		s.under++
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -12,7 +12,7 @@
 // pool is a pool of samplers in simulated time: each load takes a second.
 type pool struct {
 	schedule *Schedule
-	seats    []Seat
+	seats    []SamplerState
 	ends     map[string]end
 	now      time.Time
 	// loads counts the loads of a version of a model.
@@ -42,13 +42,13 @@
 }
 
 // next returns what is ordered now.
-func (p *pool) next(work ...Work) []Change {
-	p.schedule.Want(work)
+func (p *pool) next(work ...Demand) []Change {
+	p.schedule.SetDemand(work)
 	p.schedule.Observe(p.seats, p.now)
 	changes := p.schedule.Next(p.now)
 	for _, change := range changes {
 		p.loads[fmt.Sprintf("%s %d", change.Model, change.Version)]++
-		p.ends[change.Seat] = end{Change: change, at: p.now.Add(time.Second)}
+		p.ends[change.Sampler] = end{Change: change, at: p.now.Add(time.Second)}
 	}
 	return changes
 }
@@ -59,9 +59,9 @@
 	for i := range p.seats {
 		done, isLoading := p.ends[p.seats[i].ID]
 		if isLoading && !p.now.Before(done.at) {
-			delete(p.ends, done.Seat)
+			delete(p.ends, done.Sampler)
 			p.seats[i].Versions[done.Model] = done.Version
-			p.schedule.Done(done.Seat, done.Version, p.now)
+			p.schedule.Done(done.Sampler, done.Version, p.now)
 		}
 	}
 }
@@ -92,9 +92,9 @@
 func TestNoModelWaitsWhileAnotherIsRefreshed(t *testing.T) {
 	p := newPool(11)
 	p.holds("a", 5, through(0, 3)...).holds("b", 5, through(4, 7)...).holds("c", 5, 8)
-	a := Work{Model: "a", Named: 6, Oldest: 5, Coming: 6, Runs: 32}
-	b := Work{Model: "b", Named: 6, Oldest: 5, Coming: 6, Runs: 32}
-	c := Work{Model: "c", Named: 5, Oldest: 4, Coming: 5, Runs: 48}
+	a := Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 32}
+	b := Demand{Model: "b", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 32}
+	c := Demand{Model: "c", NewestVersion: 5, MinVersion: 4, NextMinVersion: 5, Runs: 48}
 	for _, change := range p.next(a, b, c) {
 		must.Eq(t, "c", change.Model)
 	}
@@ -104,8 +104,8 @@
 // equal parts, its generations wait while slots of the other part stand idle.
 func TestSamplersByWork(t *testing.T) {
 	p := newPool(10)
-	large := Work{Model: "a", Named: 2, Oldest: 2, Coming: 2, Runs: 64}
-	small := Work{Model: "b", Named: 2, Oldest: 2, Coming: 2, Runs: 16}
+	large := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2, Runs: 64}
+	small := Demand{Model: "b", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2, Runs: 16}
 	for range 20 {
 		p.next(large, small)
 		p.pass(time.Second)
@@ -115,7 +115,7 @@
 }
 
 func TestCheapestSampler(t *testing.T) {
-	work := Work{Model: "a", Named: 7, Oldest: 5, Coming: 6, Runs: 32}
+	work := Demand{Model: "a", NewestVersion: 7, MinVersion: 5, NextMinVersion: 6, Runs: 32}
 	for name, test := range map[string]struct {
 		set  func(p *pool)
 		want string
@@ -131,12 +131,12 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPool(4)
 			test.set(p)
-			other := Work{Model: "b", Named: 3, Oldest: 3, Coming: 3, Runs: 8}
+			other := Demand{Model: "b", NewestVersion: 3, MinVersion: 3, NextMinVersion: 3, Runs: 8}
 			if p.usable("b", 3) == 0 {
-				other = Work{Model: "b"}
+				other = Demand{Model: "b"}
 			}
 			changes := p.next(work, other)
-			must.Eq(t, test.want, changes[0].Seat)
+			must.Eq(t, test.want, changes[0].Sampler)
 			must.Eq(t, 7, changes[0].Version)
 		})
 	}
@@ -148,7 +148,7 @@
 func TestVersionsAreSkipped(t *testing.T) {
 	p := newPool(2)
 	for version := uint64(2); version <= 9; version++ {
-		p.next(Work{Model: "a", Named: version, Oldest: version, Coming: version})
+		p.next(Demand{Model: "a", NewestVersion: version, MinVersion: version, NextMinVersion: version})
 		p.pass(300 * time.Millisecond)
 	}
 	must.Eq(t, 0, p.loads["a 3"]+p.loads["a 4"])
@@ -159,7 +159,7 @@
 func TestNoMoreThanAStepCanUse(t *testing.T) {
 	p := newPool(12)
 	for range 30 {
-		p.next(Work{Model: "a", Named: 4, Oldest: 3, Coming: 4, Runs: 20})
+		p.next(Demand{Model: "a", NewestVersion: 4, MinVersion: 3, NextMinVersion: 4, Runs: 20})
 		p.pass(time.Second)
 	}
 	must.Eq(t, 3, p.loads["a 4"])
@@ -169,12 +169,12 @@
 // wait for it.
 func TestOneSamplerFails(t *testing.T) {
 	p := newPool(6)
-	work := Work{Model: "a", Named: 2, Oldest: 2, Coming: 2}
+	work := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}
 	for range 60 {
 		for _, change := range p.next(work) {
-			if change.Seat == "s00" {
-				delete(p.ends, change.Seat)
-				p.schedule.Failed(change.Seat, p.now)
+			if change.Sampler == "s00" {
+				delete(p.ends, change.Sampler)
+				p.schedule.Failed(change.Sampler, p.now)
 			}
 		}
 		p.pass(200 * time.Millisecond)
@@ -186,9 +186,9 @@
 // the order before says nothing of its new start.
 func TestSamplerStartsAgain(t *testing.T) {
 	p := newPool(1)
-	work := Work{Model: "a", Named: 2, Oldest: 2, Coming: 2}
+	work := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}
 	must.Len(t, 1, p.next(work))
-	p.seats[0].Born++
+	p.seats[0].StartedAtMillis++
 	p.pass(100 * time.Millisecond)
 	must.Len(t, 1, p.next(work))
 }
@@ -198,19 +198,19 @@
 func TestScheduleAfterTakeover(t *testing.T) {
 	p := newPool(4)
 	p.holds("m1", 5, 1, 3).holds("m2", 5, 0, 2)
-	m1 := Work{Model: "m1", Named: 5, Oldest: 4, Coming: 5, Runs: 16}
-	m2 := Work{Model: "m2", Named: 5, Oldest: 4, Coming: 5, Runs: 16}
+	m1 := Demand{Model: "m1", NewestVersion: 5, MinVersion: 4, NextMinVersion: 5, Runs: 16}
+	m2 := Demand{Model: "m2", NewestVersion: 5, MinVersion: 4, NextMinVersion: 5, Runs: 16}
 	must.SliceEmpty(t, p.next(m1, m2))
 }
 
 // drawWork returns models whose trainers are anywhere in their steps.
-func drawWork(t *rapid.T) []Work {
-	var work []Work
+func drawWork(t *rapid.T) []Demand {
+	var work []Demand
 	for i := range rapid.IntRange(1, 8).Draw(t, "models") {
 		named := uint64(rapid.IntRange(2, 5).Draw(t, "named"))
 		oldest := named - uint64(rapid.IntRange(0, 1).Draw(t, "lag"))
-		work = append(work, Work{
-			Model: fmt.Sprintf("m%d", i), Named: named, Oldest: oldest, Coming: min(named, oldest+1),
+		work = append(work, Demand{
+			Model: fmt.Sprintf("m%d", i), NewestVersion: named, MinVersion: oldest, NextMinVersion: min(named, oldest+1),
 			Runs: rapid.IntRange(0, 100).Draw(t, "runs"),
 		})
 	}
@@ -237,7 +237,7 @@
 		}
 		p.pass(time.Second)
 		for _, one := range work {
-			must.Positive(t, p.usable(one.Model, one.Oldest))
+			must.Positive(t, p.usable(one.Model, one.MinVersion))
 		}
 	})
 }
@@ -255,8 +255,8 @@
 		}
 		must.SliceEmpty(t, p.next(work...))
 		for _, one := range work {
-			must.LessEq(t, count, p.loads[fmt.Sprintf("%s %d", one.Model, one.Named)])
-			must.GreaterEq(t, p.schedule.wanted(&one), p.usable(one.Model, one.Coming))
+			must.LessEq(t, count, p.loads[fmt.Sprintf("%s %d", one.Model, one.NewestVersion)])
+			must.GreaterEq(t, p.schedule.wanted(&one), p.usable(one.Model, one.NextMinVersion))
 		}
 	})
 }
@@ -265,7 +265,7 @@
 func TestNamesDecideNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		work := drawWork(t)
-		other := make([]Work, len(work))
+		other := make([]Demand, len(work))
 		for i, one := range work {
 			one.Model = fmt.Sprintf("x%d", len(work)-i)
 			other[len(work)-1-i] = one
@@ -293,35 +293,35 @@
 func TestSteps(t *testing.T) {
 	t.Run("nothing is known", func(t *testing.T) {
 		var steps Steps
-		must.Eq(t, Work{Model: "a"}, steps.Work("a"))
+		must.Eq(t, Demand{Model: "a"}, steps.Demand("a"))
 	})
 	t.Run("a version that no step has asked for yet is wanted everywhere", func(t *testing.T) {
 		var steps Steps
-		must.True(t, steps.Name("a", 2))
-		must.Eq(t, Work{Model: "a", Named: 2, Oldest: 2, Coming: 2}, steps.Work("a"))
+		must.True(t, steps.RecordVersion("a", 2))
+		must.Eq(t, Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}, steps.Demand("a"))
 	})
 	t.Run("steps take the version before too", func(t *testing.T) {
 		var steps Steps
-		steps.Name("a", 6)
+		steps.RecordVersion("a", 6)
 		steps.Open("b1", Step{Model: "a", Oldest: 5, Runs: 64})
-		must.Eq(t, Work{Model: "a", Named: 6, Oldest: 5, Coming: 6, Runs: 64}, steps.Work("a"))
+		must.Eq(t, Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 64}, steps.Demand("a"))
 		// The step is over, and its trainer names the next version: its next step is
 		// about to come, and takes versions from 6 on.
 		steps.Close("b1")
-		must.True(t, steps.Name("a", 7))
-		must.Eq(t, Work{Model: "a", Named: 7, Oldest: 6, Coming: 7, Runs: 64}, steps.Work("a"))
+		must.True(t, steps.RecordVersion("a", 7))
+		must.Eq(t, Demand{Model: "a", NewestVersion: 7, MinVersion: 6, NextMinVersion: 7, Runs: 64}, steps.Demand("a"))
 	})
 	t.Run("an older step that is heard of late changes nothing", func(t *testing.T) {
 		var steps Steps
-		steps.Name("a", 6)
+		steps.RecordVersion("a", 6)
 		steps.Open("b2", Step{Model: "a", Oldest: 5, Runs: 64})
 		steps.Open("b1", Step{Model: "a", Oldest: 4, Runs: 32})
-		must.Eq(t, Work{Model: "a", Named: 6, Oldest: 5, Coming: 6, Runs: 64}, steps.Work("a"))
+		must.Eq(t, Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 64}, steps.Demand("a"))
 	})
 	t.Run("a version named before is not new", func(t *testing.T) {
 		var steps Steps
-		must.True(t, steps.Name("a", 3))
-		must.False(t, steps.Name("a", 3))
-		must.False(t, steps.Name("a", 2))
+		must.True(t, steps.RecordVersion("a", 3))
+		must.False(t, steps.RecordVersion("a", 3))
+		must.False(t, steps.RecordVersion("a", 2))
 	})
 }
--- a/internal/weight/steering.go
+++ b/internal/weight/steering.go
@@ -27,15 +27,15 @@
 	patience = 5 * time.Second
 )
 
-// ErrHolds says that a sampler has the version that it was ordered to load.
-var ErrHolds = errors.New("weight: the sampler has that version already")
+// ErrAlreadyLoaded says that a sampler has the version that it was ordered to load.
+var ErrAlreadyLoaded = errors.New("weight: the sampler has that version already")
 
 // Target is a sampler that is sent orders.
 type Target struct {
 	ID      string
 	Address string
-	// Born is the start of the sampler; a new start has forgotten all orders.
-	Born int64
+	// StartedAtMillis is the start of the sampler; a new start has forgotten all orders.
+	StartedAtMillis int64
 }
 
 // Load is an order to load weights.
@@ -45,8 +45,8 @@
 	Fence   uint64
 	// Orders is how many orders the sampler has accepted before.
 	Orders uint64
-	// Whole lets running generations end first; else they go on under the new version.
-	Whole bool
+	// DrainFirst lets running generations end first; else they go on under the new version.
+	DrainFirst bool
 }
 
 // State is what a sampler says of itself.
@@ -68,19 +68,19 @@
 // Pool is a pool of samplers that several models share.
 type Pool struct {
 	Name string
-	// Work is what the models' steps ask for.
-	Work []Work
-	// Whole lets running generations end before new weights are loaded.
-	Whole bool
-	Seats []Seat
+	// Demand is what the models' steps ask for.
+	Demand []Demand
+	// DrainFirst lets running generations end before new weights are loaded.
+	DrainFirst bool
+	Samplers []SamplerState
 	// Targets by the samplers' identities.
 	Targets map[string]Target
 }
 
-// Steering brings the versions that trainers name to the samplers of pools
+// PoolCoordinator brings the versions that trainers name to the samplers of pools
 // that several models share, while this process is in charge.
 // Exported fields are set before Run.
-type Steering struct {
+type PoolCoordinator struct {
 	Samplers Samplers
 	// Pools returns the pools as they are now.
 	Pools func() []Pool
@@ -99,7 +99,7 @@
 }
 
 // Run steers until the term ends.
-func (s *Steering) Run(ctx context.Context, term Term) error {
+func (s *PoolCoordinator) Run(ctx context.Context, term Term) error {
 	s.mutex.Lock()
 	s.schedules = map[string]*Schedule{}
 	s.orders = map[Target]uint64{}
@@ -121,7 +121,7 @@
 }
 
 // steer orders what is to be loaded now in one pool.
-func (s *Steering) steer(ctx context.Context, term Term, pool Pool, cancel context.CancelCauseFunc) {
+func (s *PoolCoordinator) steer(ctx context.Context, term Term, pool Pool, cancel context.CancelCauseFunc) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	schedule := s.schedules[pool.Name]
@@ -130,19 +130,19 @@
 		s.schedules[pool.Name] = schedule
 	}
 	now := time.Now()
-	schedule.Want(pool.Work)
-	schedule.Observe(pool.Seats, now)
+	schedule.SetDemand(pool.Demand)
+	schedule.Observe(pool.Samplers, now)
 	for _, change := range schedule.Next(now) {
-		target := pool.Targets[change.Seat]
-		s.Decisions.Record(change.Seat, "weight", "chosen for version %d of %s, which has %d samplers for its open step and %d for the next of %d; %d of %d load",
-			change.Version, change.Model, change.Open, change.Coming, change.Wanted, schedule.Changing(), schedule.Limit())
-		load := Load{Model: change.Model, Version: change.Version, Fence: term.Fence(), Whole: pool.Whole}
+		target := pool.Targets[change.Sampler]
+		s.Decisions.Record(change.Sampler, "weight", "chosen for version %d of %s, which has %d samplers for its open step and %d for the next of %d; %d of %d load",
+			change.Version, change.Model, change.Open, change.Next, change.Wanted, schedule.InFlight(), schedule.Limit())
+		load := Load{Model: change.Model, Version: change.Version, Fence: term.Fence(), DrainFirst: pool.DrainFirst}
 		s.loads.Go(func() { s.load(ctx, term, schedule, target, load, cancel) })
 	}
 }
 
 // load orders one sampler and waits until it has the version.
-func (s *Steering) load(ctx context.Context, term Term, schedule *Schedule, target Target, load Load, cancel context.CancelCauseFunc) {
+func (s *PoolCoordinator) load(ctx context.Context, term Term, schedule *Schedule, target Target, load Load, cancel context.CancelCauseFunc) {
 	began := time.Now()
 	ctx, stop := context.WithTimeout(ctx, patience)
 	defer stop()
@@ -172,7 +172,7 @@
 // An order without an answer may be accepted seconds later, after a newer one,
 // and would set the sampler back. So each names the orders accepted before it,
 // and after a lost answer the sampler is asked how many these are.
-func (s *Steering) order(ctx context.Context, term Term, target Target, load Load) error {
+func (s *PoolCoordinator) order(ctx context.Context, term Term, target Target, load Load) error {
 	s.mutex.Lock()
 	orders, known := s.orders[target]
 	s.mutex.Unlock()
@@ -200,7 +200,7 @@
 	case err == nil:
 		s.know(target, orders+1)
 		return nil
-	case errors.Is(err, ErrHolds):
+	case errors.Is(err, ErrAlreadyLoaded):
 		s.know(target, orders)
 		return nil
 	default:
@@ -211,14 +211,14 @@
 	}
 }
 
-func (s *Steering) know(target Target, orders uint64) {
+func (s *PoolCoordinator) know(target Target, orders uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.orders[target] = orders
 }
 
 // await asks the sampler from the time on at which it should have the version.
-func (s *Steering) await(ctx context.Context, target Target, load Load, began time.Time) error {
+func (s *PoolCoordinator) await(ctx context.Context, target Target, load Load, began time.Time) error {
 	s.mutex.Lock()
 	took := s.took
 	s.mutex.Unlock()
--- a/internal/weight/steering_test.go
+++ b/internal/weight/steering_test.go
@@ -13,10 +13,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-func seats(count int) []Seat {
-	var all []Seat
+func seats(count int) []SamplerState {
+	var all []SamplerState
 	for i := range count {
-		all = append(all, Seat{ID: fmt.Sprintf("s%02d", i), Zone: string(rune('a' + i%4)), Slots: 8, Versions: map[string]uint64{}})
+		all = append(all, SamplerState{ID: fmt.Sprintf("s%02d", i), Zone: string(rune('a' + i%4)), Slots: 8, Versions: map[string]uint64{}})
 	}
 	return all
 }
@@ -79,10 +79,10 @@
 func (f *fleet) pools() []Pool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	pool := Pool{Name: "lm", Work: []Work{{Model: "m", Named: f.named, Oldest: f.named, Coming: f.named}}, Targets: map[string]Target{}}
+	pool := Pool{Name: "lm", Demand: []Demand{{Model: "m", NewestVersion: f.named, MinVersion: f.named, NextMinVersion: f.named}}, Targets: map[string]Target{}}
 	for _, seat := range seats(6) {
 		seat.Versions["m"] = max(1, f.versions[seat.ID])
-		pool.Seats = append(pool.Seats, seat)
+		pool.Samplers = append(pool.Samplers, seat)
 		pool.Targets[seat.ID] = Target{ID: seat.ID}
 	}
 	return []Pool{pool}
@@ -101,7 +101,7 @@
 
 func steerIn(t *testing.T, f *fleet, during term, length time.Duration) error {
 	t.Helper()
-	steering := &Steering{
+	steering := &PoolCoordinator{
 		Samplers: f, Pools: f.pools, Share: 0.34,
 		Loaded: func(string, string, uint64) {},
 	}
--- a/internal/weight/steps.go
+++ b/internal/weight/steps.go
@@ -29,8 +29,8 @@
 	lag uint64
 }
 
-// Name takes a version that was named. It reports whether it is newer than all before.
-func (s *Steps) Name(model string, version uint64) bool {
+// RecordVersion takes a version that was named. It reports whether it is newer than all before.
+func (s *Steps) RecordVersion(model string, version uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.prepare()
@@ -68,19 +68,19 @@
 	delete(s.open, batch)
 }
 
-// Work returns what the steps of a model ask of samplers.
+// Demand returns what the steps of a model ask of samplers.
 //
 // A trainer asks its next step as soon as it has named a version, and the step
 // takes versions as far behind that one as the step before did. So the next step is
 // known from the moment its version is named, and the one after it takes versions
 // from one further on.
-func (s *Steps) Work(model string) Work {
+func (s *Steps) Demand(model string) Demand {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	named := s.named[model]
 	last := s.trails[model]
-	work := Work{Model: model, Named: named, Oldest: named - min(named, last.lag), Runs: last.step.Runs}
-	work.Coming = min(named, work.Oldest+1)
+	work := Demand{Model: model, NewestVersion: named, MinVersion: named - min(named, last.lag), Runs: last.step.Runs}
+	work.NextMinVersion = min(named, work.MinVersion+1)
 	return work
 }
 
--- a/internal/weight/wave.go
+++ b/internal/weight/wave.go
@@ -35,7 +35,7 @@
 		return false
 	}
 	w.target = version
-	w.Want([]Work{{Model: soleModel, Named: version, Oldest: version, Coming: version}})
+	w.SetDemand([]Demand{{Model: soleModel, NewestVersion: version, MinVersion: version, NextMinVersion: version}})
 	return true
 }
 
@@ -56,7 +56,7 @@
 	changes := w.Schedule.Next(now)
 	var chosen []string
 	for _, change := range changes {
-		chosen = append(chosen, change.Seat)
+		chosen = append(chosen, change.Sampler)
 	}
 	return chosen
 }
--- a/internal/weight/wave_test.go
+++ b/internal/weight/wave_test.go
@@ -30,7 +30,7 @@
 	now := start
 	for wave.Behind() > 0 {
 		chosen := wave.Next(now)
-		must.LessEq(t, 316, wave.Changing())
+		must.LessEq(t, 316, wave.InFlight())
 		now = now.Add(time.Second)
 		for _, server := range chosen {
 			wave.Done(server, 2, now)
--- a/test/gateway/fixture_test.go
+++ b/test/gateway/fixture_test.go
@@ -37,7 +37,7 @@
 	front         string
 	ready         string
 	metrics       string
-	storeEndpoint *wiretest.Door
+	storeEndpoint *wiretest.Endpoint
 	cancel        context.CancelFunc
 	done          chan struct{}
 }
@@ -76,11 +76,11 @@
 
 func (d *deployment) launch(t *testing.T, name string) *gateway {
 	t.Helper()
-	endpoint := d.Open(t)
-	g := &gateway{name: name, front: listentest.Free(t), ready: listentest.Free(t), metrics: listentest.Free(t), storeEndpoint: endpoint, done: make(chan struct{})}
+	endpoint := d.NewEndpoint(t)
+	g := &gateway{name: name, front: listentest.FreeAddress(t), ready: listentest.FreeAddress(t), metrics: listentest.FreeAddress(t), storeEndpoint: endpoint, done: make(chan struct{})}
 	settings := settingspb.Gateway_builder{
-		Process:   processSettings(name, listentest.Free(t), ""),
-		Store:     storeSettings(endpoint.Address, d.Open(t).Address),
+		Process:   processSettings(name, listentest.FreeAddress(t), ""),
+		Store:     storeSettings(endpoint.Address, d.NewEndpoint(t).Address),
 		Front:     settingspb.Front_builder{Listen: g.front, Ready: g.ready, Metrics: g.metrics, Unknown: durationpb.New(time.Second), Linger: durationpb.New(50 * time.Millisecond)}.Build(),
 		Directory: settingspb.Directory_builder{Back: durationpb.New(2 * time.Second)}.Build(),
 		Batches:   settingspb.Batches_builder{Keep: durationpb.New(time.Minute), Group: durationpb.New(50 * time.Millisecond)}.Build(),
@@ -106,7 +106,7 @@
 // keeper is a keeper process with a data folder.
 type keeper struct {
 	deployment    *deployment
-	storeEndpoint *wiretest.Door
+	storeEndpoint *wiretest.Endpoint
 	settings      *settingspb.Keeper
 	stop          func()
 }
@@ -114,9 +114,9 @@
 // startKeeper starts a keeper that stores its data in folder.
 func (d *deployment) startKeeper(t *testing.T, name, folder string) *keeper {
 	t.Helper()
-	k := &keeper{deployment: d, storeEndpoint: d.Open(t)}
+	k := &keeper{deployment: d, storeEndpoint: d.NewEndpoint(t)}
 	k.settings = settingspb.Keeper_builder{
-		Process: processSettings(name, listentest.Free(t), folder),
+		Process: processSettings(name, listentest.FreeAddress(t), folder),
 		Store:   storeSettings(k.storeEndpoint.Address, ""),
 	}.Build()
 	k.start(t)
@@ -126,7 +126,7 @@
 // start starts the keeper, or restarts it at the same address.
 func (k *keeper) start(t *testing.T) {
 	t.Helper()
-	k.storeEndpoint.Close(false)
+	k.storeEndpoint.SetUnavailable(false)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -139,7 +139,7 @@
 
 // kill stops the keeper without letting it deregister from the store.
 func (k *keeper) kill() {
-	k.storeEndpoint.Close(true)
+	k.storeEndpoint.SetUnavailable(true)
 	k.stop()
 }
 
@@ -301,7 +301,7 @@
 		must.False(t, seen[result.ID])
 		seen[result.ID] = true
 		must.Eq(t, "completed", result.State)
-		must.Eq(t, wiretest.Whole(result.ID, events), result.Text)
+		must.Eq(t, wiretest.FullText(result.ID, events), result.Text)
 		must.Eq(t, "proof.s-"+result.ID, result.Score)
 	}
 	must.MapLen(t, items, seen)
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -39,7 +39,7 @@
 		must.Eq(t, http.StatusOK, g.send(t, http.MethodPost, "/look//x/../y", "key-acme", "r5", nil).status)
 	})
 	t.Run("time over", func(t *testing.T) {
-		app.SetFault(func(string, int) wiretest.Fault { return wiretest.Hang })
+		app.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultHang })
 		began := time.Now()
 		got := g.send(t, http.MethodPost, "/look/x", "key-acme", "r6", nil, "Deadline-Ms", "400")
 		must.Eq(t, http.StatusGatewayTimeout, got.status)
@@ -51,14 +51,14 @@
 // to another request, refuses or fails. The caller must get the whole response of a retry,
 // and none of the bad bytes.
 func TestServersThatSpoilAnswers(t *testing.T) {
-	for name, fault := range map[string]wiretest.Fault{"cut": wiretest.Cut, "foreign": wiretest.Foreign, "refused": wiretest.Refuse, "failed": wiretest.Fail} {
+	for name, fault := range map[string]wiretest.Fault{"cut": wiretest.FaultTruncate, "foreign": wiretest.FaultWrongRequest, "refused": wiretest.FaultRefuse, "failed": wiretest.FaultFail} {
 		t.Run(name, func(t *testing.T) {
 			d := newDeployment(t)
 			once := func(_ string, runs int) wiretest.Fault {
 				if runs == 0 {
 					return fault
 				}
-				return wiretest.None
+				return wiretest.NoFault
 			}
 			d.NewSampler(t, "a1", "app", "").SetFault(once)
 			d.NewSampler(t, "a2", "app", "")
@@ -79,17 +79,17 @@
 	d := newDeployment(t)
 	first, second := d.NewSampler(t, "a1", "app", ""), d.NewSampler(t, "a2", "app", "")
 	g := d.start(t, "g1")
-	for _, fault := range []wiretest.Fault{wiretest.Cut, wiretest.Foreign} {
+	for _, fault := range []wiretest.Fault{wiretest.FaultTruncate, wiretest.FaultWrongRequest} {
 		for _, server := range []*wiretest.Sampler{first, second} {
 			server.SetFault(func(string, int) wiretest.Fault { return fault })
 		}
-		id := map[wiretest.Fault]string{wiretest.Cut: "p1", wiretest.Foreign: "p2"}[fault]
+		id := map[wiretest.Fault]string{wiretest.FaultTruncate: "p1", wiretest.FaultWrongRequest: "p2"}[fault]
 		got := g.send(t, http.MethodPost, "/post/x", "key-acme", id, []byte("3 hours"))
 		must.Eq(t, http.StatusBadGateway, got.status)
 		must.Eq(t, 1, first.Runs(id)+second.Runs(id))
 	}
 	for _, server := range []*wiretest.Sampler{first, second} {
-		server.SetFault(func(string, int) wiretest.Fault { return wiretest.Refuse })
+		server.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultRefuse })
 	}
 	got := g.send(t, http.MethodPost, "/post/x", "key-acme", "p3", nil, "Deadline-Ms", "300")
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
@@ -169,7 +169,7 @@
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
 	bad, good := d.NewSampler(t, "s1", "lm", "m"), d.NewSampler(t, "s2", "lm", "m")
-	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.Cut })
+	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultTruncate })
 	g := d.start(t, "g1")
 	g.submit(t, 6)
 	mustBeComplete(t, g.awaitResults(t, 6), 6, 5)
@@ -185,7 +185,7 @@
 	for _, sampler := range []*wiretest.Sampler{bad, good} {
 		sampler.SetPace(20, 5*time.Millisecond)
 	}
-	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.Stall })
+	bad.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultStall })
 	g := d.start(t, "g1")
 	g.submit(t, 6)
 	mustBeComplete(t, g.awaitResults(t, 6), 6, 20)
@@ -199,7 +199,7 @@
 	d := newDeployment(t)
 	scorer, sampler := d.NewSampler(t, "a1", "app", ""), d.NewSampler(t, "s1", "lm", "m")
 	faulty := func(_ string, runs int) wiretest.Fault {
-		return []wiretest.Fault{wiretest.Late, wiretest.Fail, wiretest.Late, wiretest.Late, wiretest.None}[min(runs, 4)]
+		return []wiretest.Fault{wiretest.FaultTimeout, wiretest.FaultFail, wiretest.FaultTimeout, wiretest.FaultTimeout, wiretest.NoFault}[min(runs, 4)]
 	}
 	scorer.SetFault(faulty)
 	sampler.SetFault(faulty)
@@ -243,7 +243,7 @@
 	got := g.send(t, http.MethodPost, "/stream/x", "key-acme", "r1", nil)
 	must.NoError(t, got.err)
 	must.Eq(t, 5, strings.Count(got.body, "data: "))
-	sampler.SetFault(func(string, int) wiretest.Fault { return wiretest.Cut })
+	sampler.SetFault(func(string, int) wiretest.Fault { return wiretest.FaultTruncate })
 	must.Error(t, g.send(t, http.MethodPost, "/stream/x", "key-acme", "r2", nil).err)
 }
 
@@ -253,9 +253,9 @@
 	d := newDeployment(t)
 	once := func(_ string, runs int) wiretest.Fault {
 		if runs == 0 {
-			return wiretest.Cut
+			return wiretest.FaultTruncate
 		}
-		return wiretest.None
+		return wiretest.NoFault
 	}
 	bad, good := d.NewSampler(t, "s1", "lm", "m"), d.NewSampler(t, "s2", "lm", "m")
 	bad.SetFault(once)
@@ -268,7 +268,7 @@
 		must.NoError(t, got.err)
 		var want strings.Builder
 		for event := 1; event <= 5; event++ {
-			want.WriteString("id: " + strconv.Itoa(event) + "\ndata: " + wiretest.Text(id, event) + "\n\n")
+			want.WriteString("id: " + strconv.Itoa(event) + "\ndata: " + wiretest.EventText(id, event) + "\n\n")
 		}
 		must.Eq(t, want.String(), got.body)
 	}
--- a/test/gateway/store_test.go
+++ b/test/gateway/store_test.go
@@ -25,7 +25,7 @@
 	time.Sleep(time.Second)
 	// Either gateway may own the batch. The first loses the store and stops, so that the
 	// second has to take over a batch that the first owns.
-	gateways[0].storeEndpoint.Close(true)
+	gateways[0].storeEndpoint.SetUnavailable(true)
 	gateways[0].cancel()
 	page := gateways[1].awaitResults(t, 4)
 	mustBeComplete(t, page, 4, 60)
@@ -45,7 +45,7 @@
 	g.submit(t, 4)
 	await(t, "texts are being generated", func() bool { return sampler.Runs("b1-i0") > 0 })
 	time.Sleep(1200 * time.Millisecond)
-	g.storeEndpoint.Close(true)
+	g.storeEndpoint.SetUnavailable(true)
 	g.shutDown()
 	k.kill()
 	restarted := d.start(t, "g1")
@@ -65,7 +65,7 @@
 	refused, _ := d.start(t, "g1"), d.start(t, "g2")
 	must.Eq(t, http.StatusOK, refused.send(t, http.MethodPost, "/look/x", "key-other", "r1", nil).status)
 	refused.awaitMetric(t, "bramleyhatch_gateway_hosts 2")
-	refused.storeEndpoint.Close(true)
+	refused.storeEndpoint.SetUnavailable(true)
 	d.PutTable(t, 3, []string{"acme"}, wiretest.Routes()...)
 	began := time.Now()
 	await(t, "the withdrawn key is refused", func() bool {
@@ -92,7 +92,7 @@
 		g.awaitMetric(t, "bramleyhatch_gateway_hosts 5")
 	}
 	for _, g := range gateways[:4] {
-		g.storeEndpoint.Close(true)
+		g.storeEndpoint.SetUnavailable(true)
 	}
 	d.PutTable(t, 3, []string{"acme"}, wiretest.Routes()...)
 	for _, g := range gateways {
@@ -113,11 +113,11 @@
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
 	g := d.start(t, "g1")
-	d.SetSilent(true)
-	d.Take(t, "servers/a1")
+	d.SetWatchesSilent(true)
+	d.RemoveKey(t, "servers/a1")
 	second := d.NewSampler(t, "a2", "app", "")
 	d.Compact()
-	d.SetSilent(false)
+	d.SetWatchesSilent(false)
 	await(t, "the new server serves requests", func() bool {
 		return g.send(t, http.MethodPost, "/look/x", "key-acme", "r", nil).status == http.StatusOK && second.Runs("r") > 0
 	})
@@ -154,12 +154,12 @@
 	send := func() reply {
 		return g.send(t, http.MethodPost, "/batch/b1", "key-acme", "b1", batchBody(t, 2))
 	}
-	g.storeEndpoint.Close(true)
+	g.storeEndpoint.SetUnavailable(true)
 	got := send()
 	must.SliceContains(t, []int{http.StatusServiceUnavailable, http.StatusGatewayTimeout}, got.status)
 	must.NotEq(t, "", got.header.Get("Retry-After"))
 	must.Eq(t, http.StatusOK, g.send(t, http.MethodPost, "/look/x", "key-acme", "r1", nil).status)
-	g.storeEndpoint.Close(false)
+	g.storeEndpoint.SetUnavailable(false)
 	time.Sleep(500 * time.Millisecond)
 	if got.status == http.StatusServiceUnavailable {
 		must.Eq(t, 0, sampler.Runs("b1-i0"))
--- a/test/gateway/zones_test.go
+++ b/test/gateway/zones_test.go
@@ -16,11 +16,11 @@
 	const drainKey = "op/evacuate/z1"
 	d := newDeployment(t)
 	localServer, remoteServer := d.NewSampler(t, "a1", "app", ""), d.NewSampler(t, "a2", "app", "")
-	remoteServer.Move(t, "z2")
+	remoteServer.MoveToZone(t, "z2")
 	drainedSampler, sampler := d.NewSampler(t, "m1", "lm", "m"), d.NewSampler(t, "m2", "lm", "m")
-	sampler.Move(t, "z2")
+	sampler.MoveToZone(t, "z2")
 	disconnected := d.start(t, "g0")
-	disconnected.storeEndpoint.Close(true)
+	disconnected.storeEndpoint.SetUnavailable(true)
 	d.Put(t, drainKey, map[string]any{})
 	g := d.start(t, "g1")
 	sendLookups := func(from *gateway, first, count int) {
@@ -42,7 +42,7 @@
 		g.awaitMetric(t, "bramleyhatch_gateway_drained_zones 1")
 	})
 	t.Run("a gateway that is back at the store", func(t *testing.T) {
-		disconnected.storeEndpoint.Close(false)
+		disconnected.storeEndpoint.SetUnavailable(false)
 		disconnected.awaitMetric(t, "bramleyhatch_gateway_drained_zones 1")
 		sendLookups(disconnected, 100, 20)
 		must.Eq(t, 0, localServer.Total())
@@ -55,10 +55,10 @@
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
 		must.NotEq(t, "", got.header.Get("Retry-After"))
 		must.Less(t, 500*time.Millisecond, time.Since(began))
-		d.Take(t, "op/evacuate/z2")
+		d.RemoveKey(t, "op/evacuate/z2")
 	})
 	t.Run("taken back", func(t *testing.T) {
-		d.Take(t, drainKey)
+		d.RemoveKey(t, drainKey)
 		g.awaitMetric(t, "bramleyhatch_gateway_drained_zones 0")
 		sendLookups(g, 300, 20)
 		must.Positive(t, localServer.Total())
--- a/test/scenario/verbs_test.go
+++ b/test/scenario/verbs_test.go
@@ -237,7 +237,7 @@
 	}
 	data, err := proto.Marshal(config)
 	ts.Check(err)
-	_, err = platform.NewClient(ts.Getenv("platform"), time.Second).Swap(context.Background(), "config", 0, data, 0)
+	_, err = platform.NewClient(ts.Getenv("platform"), time.Second).CompareAndSwap(context.Background(), "config", 0, data, 0)
 	ts.Check(err)
 }
 
--- a/test/soak/deployment_test.go
+++ b/test/soak/deployment_test.go
@@ -83,24 +83,24 @@
 	t.Helper()
 	server := d.NewSampler(t, id, pool, model)
 	link := newLink(t, server.Address)
-	server.Behind(t, link.address)
+	server.SetAddress(t, link.address)
 	d.servers = append(d.servers, link)
 	return server
 }
 
 func (d *deployment) newProcess(t *testing.T, folder, kind, name string) *process {
 	t.Helper()
-	p := &process{t: t, name: name, kind: kind, file: filepath.Join(folder, name+".ini"), folder: filepath.Join(folder, name), front: listentest.Free(t), ready: listentest.Free(t)}
-	p.toStore = newLink(t, d.Open(t).Address)
+	p := &process{t: t, name: name, kind: kind, file: filepath.Join(folder, name+".ini"), folder: filepath.Join(folder, name), front: listentest.FreeAddress(t), ready: listentest.FreeAddress(t)}
+	p.toStore = newLink(t, d.NewEndpoint(t).Address)
 	log, err := os.Create(filepath.Join(folder, name+".log"))
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = log.Close() })
 	p.log = log
 	settings := fmt.Sprintf("[process]\nname = %s\nregion = r\nzone = z1\npeer = %s\ngrace = 3s\ndata = %s\n[store]\naddress = %s\ntimeout = 400ms\nlease = 2s\nwatch = 500ms\n",
-		name, listentest.Free(t), p.folder, p.toStore.address)
+		name, listentest.FreeAddress(t), p.folder, p.toStore.address)
 	if kind == "gateway" {
 		settings += fmt.Sprintf("orders = %s\n[front]\nlisten = %s\nready = %s\nlinger = 100ms\n[batches]\ngroup = 50ms\n[duty]\nlease = 2s\nmargin = 300ms\ninterval = 200ms\nfenced = true\n[usage]\nwindow = 1s\nsettle = 500ms\nretain = 5s\nkeep = 20s\n",
-			d.Open(t).Address, p.front, p.ready)
+			d.NewEndpoint(t).Address, p.front, p.ready)
 	}
 	must.NoError(t, os.WriteFile(p.file, []byte(settings), 0o600))
 	return p
@@ -169,8 +169,8 @@
 
 // clearFaults ends all active faults.
 func (d *deployment) clearFaults() {
-	d.SetAway(false)
-	d.SetSilent(false)
+	d.SetUnavailable(false)
+	d.SetWatchesSilent(false)
 	for _, link := range d.servers {
 		link.mode.Store(int32(open))
 	}
@@ -179,7 +179,7 @@
 		p.signal(syscall.SIGCONT)
 	}
 	for _, server := range append(append([]*wiretest.Sampler{}, d.samplers...), d.plain...) {
-		server.SetFault(func(string, int) wiretest.Fault { return wiretest.None })
+		server.SetFault(func(string, int) wiretest.Fault { return wiretest.NoFault })
 	}
 }
 
--- a/test/soak/run_test.go
+++ b/test/soak/run_test.go
@@ -90,15 +90,15 @@
 	case 8:
 		server.set(slow, duration)
 	case 9:
-		d.SetAway(true)
-		time.AfterFunc(duration, func() { d.SetAway(false) })
+		d.SetUnavailable(true)
+		time.AfterFunc(duration, func() { d.SetUnavailable(false) })
 	case 10:
 		d.LoseAnswers(1 + random.IntN(4))
 	case 11:
-		d.SetSilent(true)
+		d.SetWatchesSilent(true)
 		time.AfterFunc(duration/3, func() {
 			d.Compact()
-			d.SetSilent(false)
+			d.SetWatchesSilent(false)
 		})
 	case 12:
 		d.spoilAnswers(random.Uint64())
@@ -117,9 +117,9 @@
 			mutex.Lock()
 			defer mutex.Unlock()
 			if random.IntN(10) > 0 {
-				return wiretest.None
+				return wiretest.NoFault
 			}
-			return []wiretest.Fault{wiretest.Cut, wiretest.Refuse, wiretest.Foreign}[random.IntN(3)]
+			return []wiretest.Fault{wiretest.FaultTruncate, wiretest.FaultRefuse, wiretest.FaultWrongRequest}[random.IntN(3)]
 		})
 	}
 }
@@ -311,7 +311,7 @@
 			must.False(r.t, items[result.ID])
 			items[result.ID] = true
 			must.Eq(r.t, "completed", result.State)
-			must.Eq(r.t, wiretest.Whole(result.ID, eventsPerText), result.Text)
+			must.Eq(r.t, wiretest.FullText(result.ID, eventsPerText), result.Text)
 			must.Eq(r.t, "proof.s-"+result.ID, result.Score)
 		}
 	}
--- a/test/soak/zones_test.go
+++ b/test/soak/zones_test.go
@@ -33,7 +33,7 @@
 func (d *deployment) moveOthers(t *testing.T) {
 	t.Helper()
 	for _, server := range slices.Concat(d.samplers[1:], d.plain[1:]) {
-		server.Move(t, otherZone)
+		server.MoveToZone(t, otherZone)
 	}
 }
 
@@ -66,7 +66,7 @@
 	before := d.drainedRuns()
 	d.mustServe(t, "d")
 	must.Eq(t, before, d.drainedRuns())
-	d.Take(t, drainKey)
+	d.RemoveKey(t, drainKey)
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 		d.mustServe(t, fmt.Sprint("e", time.Now().UnixNano()))
 		return d.drainedRuns() > before
