--- a/internal/weight/choice.go
+++ b/internal/weight/choice.go
@@ -20,7 +20,7 @@
 	// zones lists the samplers that may load the model's newest version, in each zone by
 	// increasing cost.
 	zones map[string][]*sampler
-	// isExhausted says that no such sampler is left.
+	// isExhausted is true once no such sampler is left.
 	isExhausted bool
 }
 
@@ -77,8 +77,8 @@
 // open step has, or that of its next step plus nextStepOffset if that is lower.
 func (c Change) served() float64 {
 	open := float64(c.Open) / float64(c.Wanted)
-	coming := nextStepOffset + float64(c.Next)/float64(c.Wanted)
-	return min(open, coming)
+	next := nextStepOffset + float64(c.Next)/float64(c.Wanted)
+	return min(open, next)
 }
 
 // coverage counts the samplers that have a model's versions, including those that are loading
--- a/internal/weight/coordinator.go
+++ b/internal/weight/coordinator.go
@@ -72,13 +72,13 @@
 	// Timeout bounds one load.
 	Timeout time.Duration
 
-	storeMutex  sync.Mutex
-	mutex       sync.Mutex
-	wave        Wave
-	fence       uint64
-	loaded      bool
-	completed   uint64
-	announcedAt time.Time
+	storeMutex    sync.Mutex
+	mutex         sync.Mutex
+	wave          Wave
+	fence         uint64
+	hasReadTarget bool
+	completed     uint64
+	announcedAt   time.Time
 	// wake makes Run start a round at once.
 	wake chan struct{}
 }
@@ -96,10 +96,10 @@
 	}
 	c.storeMutex.Lock()
 	defer c.storeMutex.Unlock()
-	if !c.loaded {
+	if !c.hasReadTarget {
 		return &NotLoadedError{Model: c.Model}
 	}
-	return c.write(ctx)
+	return c.writeTarget(ctx)
 }
 
 func (c *Coordinator) announce(version uint64) bool {
@@ -117,7 +117,7 @@
 	return true
 }
 
-func (c *Coordinator) write(ctx context.Context) error {
+func (c *Coordinator) writeTarget(ctx context.Context) error {
 	c.mutex.Lock()
 	target, fence := c.wave.Target(), c.fence
 	c.mutex.Unlock()
@@ -147,7 +147,7 @@
 		case <-timer.C:
 		case <-c.wake:
 		}
-		c.load(ctx)
+		c.readTarget(ctx)
 		for _, server := range c.next() {
 			group.Go(func() { c.order(ctx, term, server) })
 		}
@@ -165,11 +165,11 @@
 	return idleInterval
 }
 
-// load reads the target version, until the store has answered once.
-func (c *Coordinator) load(ctx context.Context) {
+// readTarget reads the target version from the store, until the store has answered once.
+func (c *Coordinator) readTarget(ctx context.Context) {
 	c.storeMutex.Lock()
 	defer c.storeMutex.Unlock()
-	if c.loaded {
+	if c.hasReadTarget {
 		return
 	}
 	data, err := c.Record.Load(ctx)
@@ -181,7 +181,7 @@
 		c.Decisions.Record(Key(c.Model), "weight", "what the store holds can't be read: %v", err)
 		return
 	}
-	c.loaded = true
+	c.hasReadTarget = true
 	c.announce(value.GetVersion())
 }
 
--- a/internal/weight/limiter.go
+++ b/internal/weight/limiter.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// initialShare of the maximum limit is tried first, and at least minInitialLimit.
+	// initialShare is the part of the maximum limit with which the limit starts, and
+	// minInitialLimit its minimum.
 	initialShare    = 0.125
 	minInitialLimit = 2
 	// minQueued and maxQueued bound the share of the loads in progress that only wait for the
@@ -22,10 +23,10 @@
 	// capacitySamples is the number of last loads from which the store's capacity is
 	// estimated: those of a few seconds, so that one slow sampler doesn't decide.
 	capacitySamples = 6
-	// growthPerRound is what the limit gains, once loads have queued, while as many loads end
-	// as are in progress.
+	// growthPerRound is how much the limit grows in a round, once loads have queued; in a
+	// round, as many loads end as are in progress.
 	growthPerRound = 8
-	// shrinkPerRound is what it loses in that time when loads queue at the store.
+	// shrinkPerRound is how much it shrinks in a round while loads queue at the store.
 	shrinkPerRound = 24
 )
 
--- a/internal/weight/poolcoordinator.go
+++ b/internal/weight/poolcoordinator.go
@@ -58,8 +58,9 @@
 
 // Samplers sends orders and state requests to samplers.
 type Samplers interface {
-	// Load returns nil once the sampler has accepted the order, ErrHolds if it already has the
-	// version, and a *platform.ConflictError if a newer holder has sent it orders.
+	// Load returns nil once the sampler has accepted the order, ErrAlreadyLoaded if it
+	// already has the version, and a *platform.ConflictError if a newer holder has sent it
+	// orders.
 	Load(ctx context.Context, sampler Target, load Load, guard func() error) error
 	State(ctx context.Context, sampler Target) (State, error)
 }
@@ -76,8 +77,8 @@
 	Targets map[string]Target
 }
 
-// PoolCoordinator rolls out the versions that trainers name to pools of samplers that several models
-// share, while this process holds the duty. Exported fields are set before Run.
+// PoolCoordinator rolls out the versions that trainers name to pools of samplers that several
+// models share, while this process holds the duty. Exported fields are set before Run.
 type PoolCoordinator struct {
 	Samplers Samplers
 	// Pools returns the current pools.
@@ -97,20 +98,20 @@
 }
 
 // Run schedules loads until the term ends.
-func (s *PoolCoordinator) Run(ctx context.Context, term Term) error {
-	s.mutex.Lock()
-	s.schedules = map[string]*Schedule{}
-	s.orders = map[Target]uint64{}
-	s.minLoadTime = initialLoadTime
-	s.mutex.Unlock()
+func (c *PoolCoordinator) Run(ctx context.Context, term Term) error {
+	c.mutex.Lock()
+	c.schedules = map[string]*Schedule{}
+	c.orders = map[Target]uint64{}
+	c.minLoadTime = initialLoadTime
+	c.mutex.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	for pause.For(ctx, scheduleInterval) {
-		for _, pool := range s.Pools() {
-			s.schedulePool(ctx, term, pool, cancel)
+		for _, pool := range c.Pools() {
+			c.schedulePool(ctx, term, pool, cancel)
 		}
 	}
-	s.loads.Wait()
+	c.loads.Wait()
 	var superseded *platform.ConflictError
 	if cause := context.Cause(ctx); errors.As(cause, &superseded) {
 		return cause
@@ -119,48 +120,48 @@
 }
 
 // schedulePool orders the loads that are due in one pool.
-func (s *PoolCoordinator) schedulePool(ctx context.Context, term Term, pool Pool, cancel context.CancelCauseFunc) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	schedule := s.schedules[pool.Name]
+func (c *PoolCoordinator) schedulePool(ctx context.Context, term Term, pool Pool, cancel context.CancelCauseFunc) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	schedule := c.schedules[pool.Name]
 	if schedule == nil {
-		schedule = &Schedule{Share: s.Share, Lag: DefaultLag}
-		s.schedules[pool.Name] = schedule
+		schedule = &Schedule{Share: c.Share, Lag: DefaultLag}
+		c.schedules[pool.Name] = schedule
 	}
 	now := time.Now()
 	schedule.SetDemand(pool.Demand)
 	schedule.Observe(pool.Samplers, now)
 	for _, change := range schedule.Next(now) {
 		target := pool.Targets[change.Sampler]
-		s.Decisions.Record(change.Sampler, "weight", "chosen for version %d of %s, which has %d samplers for its open step and %d for the next of %d; %d of %d load",
+		c.Decisions.Record(change.Sampler, "weight", "chosen for version %d of %s, which has %d samplers for its open step and %d for the next of %d; %d of %d load",
 			change.Version, change.Model, change.Open, change.Next, change.Wanted, schedule.InFlight(), schedule.Limit())
 		load := Load{Model: change.Model, Version: change.Version, Fence: term.Fence(), DrainFirst: pool.DrainFirst}
-		s.loads.Go(func() { s.load(ctx, term, schedule, target, load, cancel) })
+		c.loads.Go(func() { c.load(ctx, term, schedule, target, load, cancel) })
 	}
 }
 
 // load orders one sampler and waits until it has the version.
-func (s *PoolCoordinator) load(ctx context.Context, term Term, schedule *Schedule, target Target, load Load, cancel context.CancelCauseFunc) {
+func (c *PoolCoordinator) load(ctx context.Context, term Term, schedule *Schedule, target Target, load Load, cancel context.CancelCauseFunc) {
 	began := time.Now()
 	ctx, stop := context.WithTimeout(ctx, loadTimeout)
 	defer stop()
-	err := s.order(ctx, term, target, load)
+	err := c.order(ctx, term, target, load)
 	if err == nil {
-		err = s.awaitVersion(ctx, target, load, began)
+		err = c.awaitVersion(ctx, target, load, began)
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var superseded *platform.ConflictError
 	switch {
 	case err == nil:
-		s.Decisions.Record(target.ID, "weight", "has version %d of %s after %s", load.Version, load.Model, time.Since(began))
+		c.Decisions.Record(target.ID, "weight", "has version %d of %s after %s", load.Version, load.Model, time.Since(began))
 		schedule.Done(target.ID, load.Version, time.Now())
-		s.Loaded(target.ID, load.Model, load.Version)
+		c.Loaded(target.ID, load.Model, load.Version)
 	case errors.As(err, &superseded):
-		s.Decisions.Record(target.ID, "weight", "a newer holder than term %d has sent it orders", load.Fence)
+		c.Decisions.Record(target.ID, "weight", "a newer holder than term %d has sent it orders", load.Fence)
 		cancel(err)
 	default:
-		s.Decisions.Record(target.ID, "weight", "did not load version %d of %s: %v", load.Version, load.Model, err)
+		c.Decisions.Record(target.ID, "weight", "did not load version %d of %s: %v", load.Version, load.Model, err)
 		schedule.Failed(target.ID, time.Now())
 	}
 }
@@ -170,17 +171,17 @@
 // An order without an answer may be accepted seconds later, after a newer one, and would set
 // the sampler back. So each order carries the number of orders accepted before it, and after a
 // lost answer the sampler is asked for that number.
-func (s *PoolCoordinator) order(ctx context.Context, term Term, target Target, load Load) error {
-	s.mutex.Lock()
-	orders, known := s.orders[target]
-	s.mutex.Unlock()
+func (c *PoolCoordinator) order(ctx context.Context, term Term, target Target, load Load) error {
+	c.mutex.Lock()
+	orders, known := c.orders[target]
+	c.mutex.Unlock()
 	if !known {
-		state, err := s.Samplers.State(ctx, target)
+		state, err := c.Samplers.State(ctx, target)
 		if err != nil {
 			return err
 		}
 		if state.Versions[load.Model] >= load.Version && !state.IsLoading {
-			s.setOrders(target, state.Orders)
+			c.setOrders(target, state.Orders)
 			return nil
 		}
 		orders = state.Orders
@@ -192,41 +193,41 @@
 		}
 		return nil
 	}
-	s.Decisions.Record(target.ID, "weight", "ordered to load version %d of %s, term %d, order %d", load.Version, load.Model, load.Fence, orders+1)
-	err := s.Samplers.Load(ctx, target, load, guard)
+	c.Decisions.Record(target.ID, "weight", "ordered to load version %d of %s, term %d, order %d", load.Version, load.Model, load.Fence, orders+1)
+	err := c.Samplers.Load(ctx, target, load, guard)
 	switch {
 	case err == nil:
-		s.setOrders(target, orders+1)
+		c.setOrders(target, orders+1)
 		return nil
 	case errors.Is(err, ErrAlreadyLoaded):
-		s.setOrders(target, orders)
+		c.setOrders(target, orders)
 		return nil
 	default:
-		s.mutex.Lock()
-		delete(s.orders, target)
-		s.mutex.Unlock()
+		c.mutex.Lock()
+		delete(c.orders, target)
+		c.mutex.Unlock()
 		return err
 	}
 }
 
-func (s *PoolCoordinator) setOrders(target Target, orders uint64) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.orders[target] = orders
+func (c *PoolCoordinator) setOrders(target Target, orders uint64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.orders[target] = orders
 }
 
 // awaitVersion polls the sampler from the time at which it should have the version.
-func (s *PoolCoordinator) awaitVersion(ctx context.Context, target Target, load Load, began time.Time) error {
-	s.mutex.Lock()
-	expected := s.minLoadTime
-	s.mutex.Unlock()
+func (c *PoolCoordinator) awaitVersion(ctx context.Context, target Target, load Load, began time.Time) error {
+	c.mutex.Lock()
+	expected := c.minLoadTime
+	c.mutex.Unlock()
 	pause.For(ctx, expected)
 	for wait := pollInterval; ; wait = time.Duration(pollGrowth * float64(wait)) {
-		state, err := s.Samplers.State(ctx, target)
+		state, err := c.Samplers.State(ctx, target)
 		if err == nil && state.Versions[load.Model] >= load.Version {
-			s.mutex.Lock()
-			s.minLoadTime = min(s.minLoadTime, time.Since(began)-pollInterval)
-			s.mutex.Unlock()
+			c.mutex.Lock()
+			c.minLoadTime = min(c.minLoadTime, time.Since(began)-pollInterval)
+			c.mutex.Unlock()
 			return nil
 		}
 		if !pause.For(ctx, wait) {
--- a/internal/weight/poolcoordinator_test.go
+++ b/internal/weight/poolcoordinator_test.go
@@ -21,8 +21,8 @@
 	return all
 }
 
-// fleet simulates a pool of samplers whose loads take a second.
-type fleet struct {
+// fakePool simulates a pool of samplers whose loads take a second.
+type fakePool struct {
 	mutex      sync.Mutex
 	versions   map[string]uint64
 	orders     map[string]uint64
@@ -33,15 +33,15 @@
 	loseAnswer bool
 	// isSuperseded makes samplers refuse orders as those of an earlier holder.
 	isSuperseded bool
-	// named is the target version.
-	named uint64
+	// target is the target version.
+	target uint64
 }
 
-func newFleet() *fleet {
-	return &fleet{versions: map[string]uint64{}, orders: map[string]uint64{}, loading: map[string]bool{}, named: 2}
+func newFakePool() *fakePool {
+	return &fakePool{versions: map[string]uint64{}, orders: map[string]uint64{}, loading: map[string]bool{}, target: 2}
 }
 
-func (f *fleet) Load(_ context.Context, sampler Target, load Load, guard func() error) error {
+func (f *fakePool) Load(_ context.Context, sampler Target, load Load, guard func() error) error {
 	if err := guard(); err != nil {
 		return err
 	}
@@ -70,16 +70,16 @@
 	return nil
 }
 
-func (f *fleet) State(_ context.Context, sampler Target) (State, error) {
+func (f *fakePool) State(_ context.Context, sampler Target) (State, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return State{IsLoading: f.loading[sampler.ID], Orders: f.orders[sampler.ID], Versions: map[string]uint64{"m": f.versions[sampler.ID]}}, nil
 }
 
-func (f *fleet) pools() []Pool {
+func (f *fakePool) pools() []Pool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	pool := Pool{Name: "lm", Demand: []Demand{{Model: "m", NewestVersion: f.named, MinVersion: f.named, NextMinVersion: f.named}}, Targets: map[string]Target{}}
+	pool := Pool{Name: "lm", Demand: []Demand{{Model: "m", NewestVersion: f.target, MinVersion: f.target, NextMinVersion: f.target}}, Targets: map[string]Target{}}
 	for _, sampler := range newSamplers(6) {
 		sampler.Versions["m"] = max(1, f.versions[sampler.ID])
 		pool.Samplers = append(pool.Samplers, sampler)
@@ -93,13 +93,13 @@
 func (term) Fence() uint64          { return 7 }
 func (t term) Valid(time.Time) bool { return !t.hasEnded }
 
-// steer runs a Steering for a duration of fake time.
-func steer(t *testing.T, f *fleet, length time.Duration) error {
+// runPool runs a PoolCoordinator for a duration of fake time.
+func runPool(t *testing.T, f *fakePool, length time.Duration) error {
 	t.Helper()
-	return steerIn(t, f, term{}, length)
+	return runPoolInTerm(t, f, term{}, length)
 }
 
-func steerIn(t *testing.T, f *fleet, during term, length time.Duration) error {
+func runPoolInTerm(t *testing.T, f *fakePool, during term, length time.Duration) error {
 	t.Helper()
 	coordinator := &PoolCoordinator{
 		Samplers: f, Pools: f.pools, Share: 0.34,
@@ -113,8 +113,8 @@
 func TestSteering(t *testing.T) {
 	t.Run("all load, a few at a time", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFleet()
-			must.NoError(t, steer(t, f, 20*time.Second))
+			f := newFakePool()
+			must.NoError(t, runPool(t, f, 20*time.Second))
 			must.MapLen(t, 6, f.versions)
 			must.SliceLen(t, 6, f.fences)
 			must.LessEq(t, 2, f.maxLoading)
@@ -125,9 +125,9 @@
 	// it back.
 	t.Run("an answer is lost", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFleet()
+			f := newFakePool()
 			f.loseAnswer = true
-			must.NoError(t, steer(t, f, 30*time.Second))
+			must.NoError(t, runPool(t, f, 30*time.Second))
 			must.MapLen(t, 6, f.versions)
 		})
 	})
@@ -135,8 +135,8 @@
 	// Another process may hold the duty by then.
 	t.Run("the term has ended", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFleet()
-			must.NoError(t, steerIn(t, f, term{hasEnded: true}, 3*time.Second))
+			f := newFakePool()
+			must.NoError(t, runPoolInTerm(t, f, term{hasEnded: true}, 3*time.Second))
 			must.SliceEmpty(t, f.fences)
 		})
 	})
@@ -145,13 +145,13 @@
 	// number is refused, and the second version is never loaded.
 	t.Run("each order names those before it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFleet()
+			f := newFakePool()
 			time.AfterFunc(10*time.Second, func() {
 				f.mutex.Lock()
 				defer f.mutex.Unlock()
-				f.named = 3
+				f.target = 3
 			})
-			must.NoError(t, steer(t, f, 20*time.Second))
+			must.NoError(t, runPool(t, f, 20*time.Second))
 			for _, version := range f.versions {
 				must.Eq(t, 3, version)
 			}
@@ -162,9 +162,9 @@
 	// once and send nothing more.
 	t.Run("a newer holder", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFleet()
+			f := newFakePool()
 			f.isSuperseded = true
-			must.Error(t, steer(t, f, 10*time.Second))
+			must.Error(t, runPool(t, f, 10*time.Second))
 			must.SliceEmpty(t, f.fences)
 		})
 	})
--- a/internal/weight/schedule.go
+++ b/internal/weight/schedule.go
@@ -21,8 +21,8 @@
 	// MinVersion is the oldest version that the open step accepts, or the next step if none is
 	// open.
 	MinVersion uint64
-	// NextMinVersion is the oldest version that the step after that one accepts; it is not above
-	// Named.
+	// NextMinVersion is the oldest version that the step after that one accepts; it is at most
+	// NewestVersion.
 	NextMinVersion uint64
 	// Runs is the number of generations that a step begins at once; 0 if unknown, which wants
 	// all samplers.
@@ -43,13 +43,13 @@
 	Versions map[string]uint64
 }
 
-// Change is a load of a version that a sampler is to be ordered.
+// Change is a scheduled load: a sampler, and the version of a model that it is to load.
 type Change struct {
 	Sampler string
 	Model   string
 	Version uint64
-	// Open and Coming count the samplers that the model had for its open step and for the next
-	// one, Wanted those that it can use. They decided on the load.
+	// Open and Next count the samplers that the model had for its open step and for the next
+	// one, Wanted those that it can use. These counts decided on the load.
 	Open, Next, Wanted int
 }
 
@@ -78,11 +78,12 @@
 
 // sampler is the known state of one sampler.
 type sampler struct {
-	server  string
-	zone    string
-	start   int64
-	slots   int
-	running uint32
+	server string
+	zone   string
+	// startedAtMillis identifies its start.
+	startedAtMillis int64
+	slots           int
+	running         uint32
 	// cost of a load in the current round.
 	cost     int
 	versions map[string]uint64
@@ -102,9 +103,9 @@
 // SetDemand sets what the models' steps need. A version newer than before is tried at once, even
 // where the previous one has failed.
 func (s *Schedule) SetDemand(demands []Demand) {
-	for _, modelDemand := range demands {
-		before := s.findDemand(modelDemand.Model)
-		if before != nil && modelDemand.NewestVersion <= before.NewestVersion {
+	for _, demand := range demands {
+		before := s.findDemand(demand.Model)
+		if before != nil && demand.NewestVersion <= before.NewestVersion {
 			continue
 		}
 		for _, sampler := range s.samplers {
@@ -148,10 +149,10 @@
 }
 
 // observeSampler adds a live sampler and keeps its known state unless it has restarted.
-func (s *Schedule) observeSampler(known map[string]*sampler, server, zone string, born int64) *sampler {
+func (s *Schedule) observeSampler(known map[string]*sampler, server, zone string, startedAtMillis int64) *sampler {
 	entry := known[server]
-	if entry == nil || entry.start != born {
-		entry = &sampler{server: server, start: born, versions: map[string]uint64{}}
+	if entry == nil || entry.startedAtMillis != startedAtMillis {
+		entry = &sampler{server: server, startedAtMillis: startedAtMillis, versions: map[string]uint64{}}
 	}
 	entry.zone = zone
 	s.samplers[server] = entry
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -208,10 +208,10 @@
 func drawDemands(t *rapid.T) []Demand {
 	var demands []Demand
 	for i := range rapid.IntRange(1, 8).Draw(t, "models") {
-		named := uint64(rapid.IntRange(2, 5).Draw(t, "named"))
-		oldest := named - uint64(rapid.IntRange(0, 1).Draw(t, "lag"))
+		newest := uint64(rapid.IntRange(2, 5).Draw(t, "named"))
+		minVersion := newest - uint64(rapid.IntRange(0, 1).Draw(t, "lag"))
 		demands = append(demands, Demand{
-			Model: fmt.Sprintf("m%d", i), NewestVersion: named, MinVersion: oldest, NextMinVersion: min(named, oldest+1),
+			Model: fmt.Sprintf("m%d", i), NewestVersion: newest, MinVersion: minVersion, NextMinVersion: min(newest, minVersion+1),
 			Runs: rapid.IntRange(0, 100).Draw(t, "runs"),
 		})
 	}
@@ -237,8 +237,8 @@
 			}
 		}
 		p.advance(time.Second)
-		for _, modelDemand := range demands {
-			must.Positive(t, p.usable(modelDemand.Model, modelDemand.MinVersion))
+		for _, demand := range demands {
+			must.Positive(t, p.usable(demand.Model, demand.MinVersion))
 		}
 	})
 }
@@ -255,9 +255,9 @@
 			p.advance(time.Second)
 		}
 		must.SliceEmpty(t, p.next(demands...))
-		for _, modelDemand := range demands {
-			must.LessEq(t, count, p.loads[fmt.Sprintf("%s %d", modelDemand.Model, modelDemand.NewestVersion)])
-			must.GreaterEq(t, p.schedule.wanted(&modelDemand), p.usable(modelDemand.Model, modelDemand.NextMinVersion))
+		for _, demand := range demands {
+			must.LessEq(t, count, p.loads[fmt.Sprintf("%s %d", demand.Model, demand.NewestVersion)])
+			must.GreaterEq(t, p.schedule.wanted(&demand), p.usable(demand.Model, demand.NextMinVersion))
 		}
 	})
 }
@@ -267,9 +267,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t)
 		other := make([]Demand, len(demands))
-		for i, modelDemand := range demands {
-			modelDemand.Model = fmt.Sprintf("x%d", len(demands)-i)
-			other[len(demands)-1-i] = modelDemand
+		for i, demand := range demands {
+			demand.Model = fmt.Sprintf("x%d", len(demands)-i)
+			other[len(demands)-1-i] = demand
 		}
 		p, q := newPool(12), newPool(12)
 		p.next()
--- a/internal/weight/steps.go
+++ b/internal/weight/steps.go
@@ -71,7 +71,8 @@
 //
 // A trainer requests its next step as soon as it has named a version, and that step accepts
 // versions as far behind it as the previous step did. So the next step is known once its
-// version is named, and the step after it accepts versions from one later on.
+// version is named, and the step after it accepts versions from the following
+// one on.
 func (s *Steps) Demand(model string) Demand {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/weight/wave.go
+++ b/internal/weight/wave.go
@@ -1,7 +1,8 @@
 // Package weight rolls out new weights to the samplers of models.
 //
 // Schedule decides which samplers load next and takes the time from its caller; Wave is the
-// schedule of one model that all its samplers serve. Steering and Coordinator send the orders.
+// schedule of one model that all its samplers serve. PoolCoordinator and Coordinator send the
+// orders.
 package weight
 
 import "time"
