--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -24,7 +24,7 @@
 	Get(ctx context.Context, key string) (platform.Value, error)
 }
 
-// Store is what a Keeper needs of the platform's store.
+// Store is the part of the platform's store that an Elector uses.
 type Store interface {
 	Reader
 	Delete(ctx context.Context, key string, expect uint64) error
--- a/internal/duty/elector.go
+++ b/internal/duty/elector.go
@@ -26,8 +26,8 @@
 	releaseTimeout = 2 * time.Second
 )
 
-// WorkFunc does a duty until its context ends, at the latest with the term. A nil error within the
-// term means that the duty has nothing left to do.
+// WorkFunc does a duty until its context ends, at the latest with the term. A nil error within
+// the term means that the duty has nothing left to do.
 type WorkFunc func(ctx context.Context, term *Term) error
 
 // Elector takes part in one duty for a process: it acquires the duty when it is free, works
@@ -49,8 +49,8 @@
 	IsFree func() bool
 	// PriorClaim returns what an earlier start of this process holds; nil means nothing.
 	PriorClaim func() PriorClaim
-	// PollInterval is the time between two polls of a duty that another process holds; 0 means half of
-	// the lease.
+	// PollInterval is the time between two polls of a duty that another process holds; 0 means
+	// half of the lease.
 	PollInterval time.Duration
 	// Rank returns this process's place among the candidates; nil means 0.
 	Rank func() int
@@ -64,7 +64,8 @@
 	revision uint64
 }
 
-// PriorClaim is what an earlier start of a process still holds of a duty; its zero value is nothing.
+// PriorClaim is what an earlier start of a process still holds of a duty; its zero value is
+// nothing.
 type PriorClaim struct {
 	// Revision of the duty's key.
 	Revision uint64
@@ -73,70 +74,70 @@
 }
 
 // Run takes part until the context ends or the work has nothing left to do.
-func (k *Elector) Run(ctx context.Context, work WorkFunc) error {
+func (e *Elector) Run(ctx context.Context, work WorkFunc) error {
 	for ctx.Err() == nil {
-		term, lease := k.acquire(ctx)
+		term, lease := e.acquire(ctx)
 		if term == nil {
-			pause.For(ctx, k.pollInterval())
+			pause.For(ctx, e.pollInterval())
 			continue
 		}
-		term, err := k.serve(ctx, term, lease, work)
+		term, err := e.serve(ctx, term, lease, work)
 		if err == nil && ctx.Err() == nil && term.Valid(time.Now()) {
 			return nil
 		}
 		if err != nil && !errors.Is(err, context.Canceled) {
-			k.Decisions.Record(k.Name, "duty", "%s failed in its term %d: %v", k.Process, term.Fence(), err)
+			e.Decisions.Record(e.Name, "duty", "%s failed in its term %d: %v", e.Process, term.Fence(), err)
 		}
-		pause.For(ctx, k.pollInterval())
+		pause.For(ctx, e.pollInterval())
 	}
 	return nil
 }
 
-func (k *Elector) pollInterval() time.Duration {
-	if k.PollInterval > 0 {
-		return k.PollInterval
+func (e *Elector) pollInterval() time.Duration {
+	if e.PollInterval > 0 {
+		return e.PollInterval
 	}
-	return k.Lease / pollsPerLease
+	return e.Lease / pollsPerLease
 }
 
 // key returns the store's key of the duty.
-func (k *Elector) key() string {
-	if k.Prefix != "" {
-		return k.Prefix + k.Name
+func (e *Elector) key() string {
+	if e.Prefix != "" {
+		return e.Prefix + e.Name
 	}
-	return Key(k.Name)
+	return Key(e.Name)
 }
 
 // acquire returns a term and its lease if the duty was free, else nil.
-func (k *Elector) acquire(ctx context.Context) (*Term, uint64) {
-	rank, left := k.rank(), k.leftByEarlierStart()
-	if left.Revision == 0 {
-		if rank >= maxCandidates || !k.isFree(ctx) {
+func (e *Elector) acquire(ctx context.Context) (*Term, uint64) {
+	rank, prior := e.rank(), e.claimOfEarlierStart()
+	if prior.Revision == 0 {
+		if rank >= maxCandidates || !e.isFree(ctx) {
 			return nil, 0
 		}
-		pause.For(ctx, time.Duration(rank)*k.Lease/(2*renewalsPerLease))
+		pause.For(ctx, time.Duration(rank)*e.Lease/(2*renewalsPerLease))
 	}
 	sent := time.Now()
-	lease, err := k.Store.GrantLease(ctx, k.Lease)
+	lease, err := e.Store.GrantLease(ctx, e.Lease)
 	if err != nil {
 		return nil, 0
 	}
-	until := sent.Add(k.Lease - k.Margin)
-	revision, err := k.write(ctx, left, lease, until)
+	until := sent.Add(e.Lease - e.Margin)
+	revision, err := e.write(ctx, prior, lease, until)
 	if err != nil {
 		return nil, 0
 	}
 	fence := revision
-	if left.Revision != 0 {
-		fence = left.Fence
+	if prior.Revision != 0 {
+		fence = prior.Fence
 	}
-	k.revision = revision
-	k.Decisions.Record(k.Name, "duty", "%s holds it, term %d, candidate %d", k.Process, fence, rank)
-	k.hasHeld = true
+	e.revision = revision
+	e.Decisions.Record(e.Name, "duty", "%s holds it, term %d, candidate %d", e.Process, fence, rank)
+	e.hasHeld = true
 	return NewTerm(fence, until), lease
 }
 
-// leftByEarlierStart returns what an earlier start of this process still holds.
+// claimOfEarlierStart returns what an earlier start of this process still holds.
 //
 // Without it, a process that was killed and restarted waits for its own lease to lapse. When
 // all processes had ended at once, no weights were loaded for the length of the lease, and the
@@ -145,25 +146,25 @@
 // isn't one of an earlier holder. Under a new fence, a platform that accepts such calls has to
 // be left alone for a while first, and usage windows were reported too late. A term that this
 // start has held is resumed by resume, or not at all.
-func (k *Elector) leftByEarlierStart() PriorClaim {
-	if k.PriorClaim == nil || k.hasHeld {
+func (e *Elector) claimOfEarlierStart() PriorClaim {
+	if e.PriorClaim == nil || e.hasHeld {
 		return PriorClaim{}
 	}
-	return k.PriorClaim()
+	return e.PriorClaim()
 }
 
-func (k *Elector) rank() int {
-	if k.Rank == nil {
+func (e *Elector) rank() int {
+	if e.Rank == nil {
 		return 0
 	}
-	return k.Rank()
+	return e.Rank()
 }
 
-func (k *Elector) isFree(ctx context.Context) bool {
-	if k.IsFree != nil {
-		return k.IsFree()
+func (e *Elector) isFree(ctx context.Context) bool {
+	if e.IsFree != nil {
+		return e.IsFree()
 	}
-	_, err := k.Store.Get(ctx, k.key())
+	_, err := e.Store.Get(ctx, e.key())
 	var missing *platform.NotFoundError
 	return errors.As(err, &missing)
 }
@@ -174,36 +175,36 @@
 // The answer may be lost after the change took effect; giving up then would leave the duty
 // without a holder for a whole lease. Only this process knows the lease's number, so a key
 // bound to that lease is its own write.
-func (k *Elector) write(ctx context.Context, left PriorClaim, lease uint64, until time.Time) (uint64, error) {
-	data, err := k.encodeHolder(left.Fence)
+func (e *Elector) write(ctx context.Context, prior PriorClaim, lease uint64, until time.Time) (uint64, error) {
+	data, err := e.encodeHolder(prior.Fence)
 	if err != nil {
 		return 0, err
 	}
-	revision, err := k.Store.CompareAndSwap(ctx, k.key(), left.Revision, data, lease)
+	revision, err := e.Store.CompareAndSwap(ctx, e.key(), prior.Revision, data, lease)
 	var unavailable *platform.UnavailableError
 	for errors.As(err, &unavailable) && ctx.Err() == nil && time.Now().Before(until) {
-		pause.For(ctx, k.Lease/(2*renewalsPerLease))
-		revision, err = k.readBack(ctx, lease)
+		pause.For(ctx, e.Lease/(2*renewalsPerLease))
+		revision, err = e.readBack(ctx, lease)
 	}
 	return revision, err
 }
 
 // encodeHolder returns the value of the duty's key. A new term's fence is the revision that
 // the key gets, so the value only has the fence of a resumed term.
-func (k *Elector) encodeHolder(fence uint64) ([]byte, error) {
+func (e *Elector) encodeHolder(fence uint64) ([]byte, error) {
 	holder := statepb.Holder_builder{
-		Process: k.Process,
+		Process: e.Process,
 		Fence:   fence,
 		Since:   time.Now().Unix(),
-		Lease:   k.Lease.Milliseconds(),
-		Address: k.Address,
+		Lease:   e.Lease.Milliseconds(),
+		Address: e.Address,
 	}.Build()
 	data, err := proto.Marshal(holder)
 	return data, eris.Wrap(err, "encode holder")
 }
 
-func (k *Elector) readBack(ctx context.Context, lease uint64) (uint64, error) {
-	value, err := k.Store.Get(ctx, k.key())
+func (e *Elector) readBack(ctx context.Context, lease uint64) (uint64, error) {
+	value, err := e.Store.Get(ctx, e.key())
 	if err != nil {
 		return 0, err
 	}
@@ -215,14 +216,14 @@
 
 // serve works through a term and all that follow under the same lease, then releases the duty.
 // It returns the last term.
-func (k *Elector) serve(ctx context.Context, term *Term, lease uint64, work WorkFunc) (*Term, error) {
+func (e *Elector) serve(ctx context.Context, term *Term, lease uint64, work WorkFunc) (*Term, error) {
 	for {
-		hasExpired, err := k.runTerm(ctx, term, lease, work)
+		hasExpired, err := e.runTerm(ctx, term, lease, work)
 		if !hasExpired || ctx.Err() != nil {
-			k.release(term)
+			e.release(term)
 			return term, err
 		}
-		next := k.resume(ctx, term, lease)
+		next := e.resume(ctx, term, lease)
 		if next == nil {
 			return term, err
 		}
@@ -237,25 +238,25 @@
 // resume, the holder waits for its own lease to lapse, as all others do, and the duty isn't
 // done for another lease. As long as the lease is valid and the key is unchanged, nobody else
 // has held the duty, so the holder continues under its own fence.
-func (k *Elector) resume(ctx context.Context, term *Term, lease uint64) *Term {
+func (e *Elector) resume(ctx context.Context, term *Term, lease uint64) *Term {
 	for ctx.Err() == nil {
 		sent := time.Now()
-		err := k.Store.RenewLease(ctx, lease, k.Lease)
+		err := e.Store.RenewLease(ctx, lease, e.Lease)
 		var revision uint64
 		if err == nil {
-			revision, err = k.readBack(ctx, lease)
+			revision, err = e.readBack(ctx, lease)
 		}
 		switch {
-		case err == nil && revision == k.revision:
-			k.Decisions.Record(k.Name, "duty", "%s goes on with term %d, its lease stands", k.Process, term.Fence())
-			return NewTerm(term.Fence(), sent.Add(k.Lease-k.Margin))
+		case err == nil && revision == e.revision:
+			e.Decisions.Record(e.Name, "duty", "%s goes on with term %d, its lease stands", e.Process, term.Fence())
+			return NewTerm(term.Fence(), sent.Add(e.Lease-e.Margin))
 		case err == nil, isLeaseGone(err):
-			k.Decisions.Record(k.Name, "duty", "term %d has run out and its lease has ended", term.Fence())
+			e.Decisions.Record(e.Name, "duty", "term %d has run out and its lease has ended", term.Fence())
 			return nil
 		}
-		pause.For(ctx, k.Lease/(2*renewalsPerLease))
+		pause.For(ctx, e.Lease/(2*renewalsPerLease))
 	}
-	k.release(term)
+	e.release(term)
 	return nil
 }
 
@@ -269,42 +270,42 @@
 // runTerm works until the term ends, and reports whether it expired while the state of its
 // lease was unknown. It returns only after the work has, so that a successor never runs at the
 // same time.
-func (k *Elector) runTerm(ctx context.Context, term *Term, lease uint64, work WorkFunc) (hasExpired bool, err error) {
-	k.notifyHeld(true)
-	defer k.notifyHeld(false)
-	working, cancel := context.WithCancel(ctx)
+func (e *Elector) runTerm(ctx context.Context, term *Term, lease uint64, work WorkFunc) (hasExpired bool, err error) {
+	e.notifyHeld(true)
+	defer e.notifyHeld(false)
+	workCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	renewed, expired := make(chan struct{}), make(chan bool, 1)
 	go func() {
 		defer close(renewed)
-		k.renew(working, term, lease, cancel)
+		e.renew(workCtx, term, lease, cancel)
 	}()
-	go func() { expired <- endAtExpiry(working, term, cancel) }()
-	err = work(working, term)
+	go func() { expired <- endAtExpiry(workCtx, term, cancel) }()
+	err = work(workCtx, term)
 	cancel()
 	<-renewed
 	return <-expired, err
 }
 
-func (k *Elector) notifyHeld(held bool) {
-	if k.OnHeld != nil {
-		k.OnHeld(k.Name, held)
+func (e *Elector) notifyHeld(held bool) {
+	if e.OnHeld != nil {
+		e.OnHeld(e.Name, held)
 	}
 }
 
 // renew extends the lease until the context ends or the lease is gone. A term counts from
 // before the renewal is sent: the store may have counted the lease from any moment since, and
 // the answer may come late.
-func (k *Elector) renew(ctx context.Context, term *Term, lease uint64, cancel func()) {
-	for pause.For(ctx, k.Lease/renewalsPerLease) {
+func (e *Elector) renew(ctx context.Context, term *Term, lease uint64, cancel func()) {
+	for pause.For(ctx, e.Lease/renewalsPerLease) {
 		sent := time.Now()
-		err := k.Store.RenewLease(ctx, lease, k.Lease)
+		err := e.Store.RenewLease(ctx, lease, e.Lease)
 		var gone *platform.NotFoundError
 		switch {
 		case err == nil:
-			term.extend(sent.Add(k.Lease - k.Margin))
+			term.extend(sent.Add(e.Lease - e.Margin))
 		case errors.As(err, &gone):
-			k.Decisions.Record(k.Name, "duty", "the lease of term %d has lapsed", term.Fence())
+			e.Decisions.Record(e.Name, "duty", "the lease of term %d has lapsed", term.Fence())
 			term.End()
 			cancel()
 			return
@@ -328,13 +329,13 @@
 }
 
 // release deletes the duty's key if it is still this term's.
-func (k *Elector) release(term *Term) {
+func (e *Elector) release(term *Term) {
 	term.End()
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if err := k.Store.Delete(ctx, k.key(), k.revision); err != nil {
-		k.Decisions.Record(k.Name, "duty", "term %d was not given up, its lease will lapse: %v", term.Fence(), err)
+	if err := e.Store.Delete(ctx, e.key(), e.revision); err != nil {
+		e.Decisions.Record(e.Name, "duty", "term %d was not given up, its lease will lapse: %v", term.Fence(), err)
 		return
 	}
-	k.Decisions.Record(k.Name, "duty", "%s has given up term %d", k.Process, term.Fence())
+	e.Decisions.Record(e.Name, "duty", "%s has given up term %d", e.Process, term.Fence())
 }
--- a/internal/duty/elector_test.go
+++ b/internal/duty/elector_test.go
@@ -19,7 +19,7 @@
 const (
 	lease  = 10 * time.Second
 	margin = 3 * time.Second
-	// tick keeps a test's own events apart from the keeper's timers.
+	// tick keeps a test's own events apart from the elector's timers.
 	tick = time.Millisecond
 )
 
@@ -32,40 +32,40 @@
 }
 
 // work stays in its term until the context ends.
-func (r *workLog) work(ctx context.Context, term *duty.Term) error {
-	r.enter(term, 1)
-	defer r.enter(nil, -1)
+func (w *workLog) work(ctx context.Context, term *duty.Term) error {
+	w.enter(term, 1)
+	defer w.enter(nil, -1)
 	<-ctx.Done()
 	return nil
 }
 
-func (r *workLog) enter(term *duty.Term, delta int) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.active += delta
-	r.maxActive = max(r.maxActive, r.active)
+func (w *workLog) enter(term *duty.Term, delta int) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.active += delta
+	w.maxActive = max(w.maxActive, w.active)
 	if term != nil {
-		r.terms = append(r.terms, term)
+		w.terms = append(w.terms, term)
 	}
 }
 
-func (r *workLog) count() int {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return len(r.terms)
+func (w *workLog) count() int {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return len(w.terms)
 }
 
 // working returns how many holders work now.
-func (r *workLog) working() int {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.active
+func (w *workLog) working() int {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.active
 }
 
-func (r *workLog) term(i int) *duty.Term {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.terms[i]
+func (w *workLog) term(i int) *duty.Term {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.terms[i]
 }
 
 func newElector(store duty.Store, process string, rank int) *duty.Elector {
@@ -79,7 +79,7 @@
 	}
 }
 
-// start runs a keeper and returns a function that stops it and waits.
+// start runs an elector and returns a function that stops it and waits.
 func start(t *testing.T, elector *duty.Elector, work duty.WorkFunc) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -155,7 +155,7 @@
 }
 
 // Guards against a whole lease in which nobody orders servers: the write that acquired the
-// duty took effect, its answer was lost, and the process gave up what it held.
+// duty took effect, its answer was lost, and the process gave up the duty that it held.
 func TestTakesDutyWhoseAnswerWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
@@ -177,7 +177,7 @@
 	revision, err := l.store.CompareAndSwap(ctx, key, expect, data, lease)
 	if !l.lost {
 		l.lost = true
-		return 0, errCut
+		return 0, errConnectionLost
 	}
 	return revision, err
 }
@@ -261,28 +261,28 @@
 		store := &platformtest.Store{}
 		granted, err := store.GrantLease(t.Context(), lease)
 		must.NoError(t, err)
-		left, err := store.CompareAndSwap(t.Context(), duty.Key("order-a"), 0, []byte("an earlier start"), granted)
+		revision, err := store.CompareAndSwap(t.Context(), duty.Key("order-a"), 0, []byte("an earlier start"), granted)
 		must.NoError(t, err)
 		resuming, waiting := &workLog{}, &workLog{}
 		restarted := newElector(store, "p1", 2)
-		restarted.PriorClaim = func() duty.PriorClaim { return duty.PriorClaim{Revision: left, Fence: left} }
+		restarted.PriorClaim = func() duty.PriorClaim { return duty.PriorClaim{Revision: revision, Fence: revision} }
 		stop := start(t, restarted, resuming.work)
 		other := start(t, newElector(store, "p2", 0), waiting.work)
 		defer other()
 		time.Sleep(lease / 4)
 		must.Eq(t, 1, resuming.count())
 		must.Eq(t, 0, waiting.count())
-		must.Eq(t, left, resuming.term(0).Fence())
+		must.Eq(t, revision, resuming.term(0).Fence())
 		// If it is killed once more, the next start must resume under the same fence.
 		value, err := store.Get(t.Context(), duty.Key("order-a"))
 		must.NoError(t, err)
 		holder := &statepb.Holder{}
 		must.NoError(t, proto.Unmarshal(value.Data, holder))
-		must.Eq(t, left, holder.GetFence())
+		must.Eq(t, revision, holder.GetFence())
 		stop()
 		time.Sleep(lease)
 		must.Eq(t, 1, waiting.count())
-		must.Greater(t, left, waiting.term(0).Fence())
+		must.Greater(t, revision, waiting.term(0).Fence())
 	})
 }
 
--- a/internal/duty/group.go
+++ b/internal/duty/group.go
@@ -23,7 +23,7 @@
 	Interval time.Duration
 
 	cancels map[string]context.CancelFunc
-	keepers sync.WaitGroup
+	running sync.WaitGroup
 }
 
 // Start takes part in all duties until the context ends.
@@ -38,7 +38,7 @@
 		}
 	}
 	g.stopRemoved(nil)
-	g.keepers.Wait()
+	g.running.Wait()
 	return nil
 }
 
@@ -47,9 +47,9 @@
 		if g.cancels[name] != nil {
 			continue
 		}
-		running, cancel := context.WithCancel(ctx)
+		runCtx, cancel := context.WithCancel(ctx)
 		g.cancels[name] = cancel
-		g.keepers.Go(func() { g.run(running, name) })
+		g.running.Go(func() { g.run(runCtx, name) })
 	}
 }
 
--- a/internal/duty/rank_test.go
+++ b/internal/duty/rank_test.go
@@ -24,7 +24,7 @@
 
 // A process of unknown size counts as one with a whole core, like one without a CPU limit.
 func TestUnknownSize(t *testing.T) {
-	must.Eq(t, "untold", duty.OrderBySize("work", []duty.Candidate{{Name: "small", Cores: 0.3}, {Name: "untold"}})[0])
+	must.Eq(t, "unknown", duty.OrderBySize("work", []duty.Candidate{{Name: "small", Cores: 0.3}, {Name: "unknown"}})[0])
 }
 
 func TestOrderBySizeMovesLittle(t *testing.T) {
--- a/internal/duty/store_test.go
+++ b/internal/duty/store_test.go
@@ -9,7 +9,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-var errCut = &platform.UnavailableError{Operation: "call", Cause: errors.New("connection cut")}
+var errConnectionLost = &platform.UnavailableError{Operation: "call", Cause: errors.New("connection cut")}
 
 // store is an in-memory key-value store with leases and the faults of the real one.
 type store struct {
@@ -91,13 +91,13 @@
 	defer s.mutex.Unlock()
 	s.calls++
 	if s.isDown {
-		return errCut
+		return errConnectionLost
 	}
 	s.expireLeases()
 	err := apply()
 	if s.lostAnswers > 0 {
 		s.lostAnswers--
-		return errCut
+		return errConnectionLost
 	}
 	return err
 }
