--- a/internal/cold/senders_test.go
+++ b/internal/cold/senders_test.go
@@ -14,12 +14,12 @@
 
 const (
 	step = 50 * time.Millisecond
-	// maxLag is how much older than it knows a process's view may be.
-	maxLag = 1900 * time.Millisecond
-	start  = clock.Boot(time.Hour)
+	// maxRelayAge is how much older a process's view may be than the process knows.
+	maxRelayAge = 1900 * time.Millisecond
+	start       = clock.Boot(time.Hour)
 )
 
-// settled returns users that have known each other for long.
+// settled returns the view of a process that has long known all senders.
 func settled(self string, names ...string) (*cold.Senders, clock.Boot) {
 	senders := &cold.Senders{Self: self}
 	for _, name := range names {
@@ -111,11 +111,11 @@
 	})
 }
 
-// change is a change of who is a user, as stored.
+// change is a stored change of a process that becomes a sender or stops being one.
 type change struct {
-	name   string
-	isUser bool
-	at     clock.Boot
+	name     string
+	isSender bool
+	at       clock.Boot
 }
 
 // process is a process of a fleet with its own view.
@@ -124,9 +124,8 @@
 
 	seenChanges int
 	lag         time.Duration
-	// stalledUntil is the end of a time in which it does nothing, deafUntil of one in which it
-	// receives no changes.
-	stalledUntil, deafUntil clock.Boot
+	// Until stalledUntil it does nothing, until disconnectedUntil it receives no changes.
+	stalledUntil, disconnectedUntil clock.Boot
 
 	sent       map[string]*cold.RequestWindow
 	knownUntil clock.Boot
@@ -137,14 +136,14 @@
 	t         *rapid.T
 	now       clock.Boot
 	changes   []change
-	isUser    map[string]bool
+	isSender  map[string]bool
 	processes map[string]*process
 	names     []string
 	sent      map[string][]clock.Boot
 }
 
 func newFleet(t *rapid.T, count int) *fleet {
-	f := &fleet{t: t, now: start, isUser: map[string]bool{}, processes: map[string]*process{}, sent: map[string][]clock.Boot{}}
+	f := &fleet{t: t, now: start, isSender: map[string]bool{}, processes: map[string]*process{}, sent: map[string][]clock.Boot{}}
 	for i := range count {
 		name := fmt.Sprint("p", i)
 		f.names = append(f.names, name)
@@ -160,8 +159,8 @@
 }
 
 func (f *fleet) toggle(name string) {
-	f.isUser[name] = !f.isUser[name]
-	f.changes = append(f.changes, change{name: name, isUser: f.isUser[name], at: f.now})
+	f.isSender[name] = !f.isSender[name]
+	f.changes = append(f.changes, change{name: name, isSender: f.isSender[name], at: f.now})
 }
 
 // step advances the time, may inject an event, and lets each process receive and send.
@@ -175,7 +174,7 @@
 		if f.now < proc.stalledUntil {
 			continue
 		}
-		if f.now >= proc.deafUntil {
+		if f.now >= proc.disconnectedUntil {
 			f.receive(proc)
 		}
 		f.send(proc, rate)
@@ -188,11 +187,11 @@
 	case 0:
 		f.begin(name)
 	case 1:
-		proc.stalledUntil = f.now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(f.t, "mute")) * time.Millisecond)
+		proc.stalledUntil = f.now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(f.t, "stall")) * time.Millisecond)
 	case 2:
-		proc.deafUntil = f.now.Add(time.Duration(rapid.IntRange(0, 9000).Draw(f.t, "deaf")) * time.Millisecond)
+		proc.disconnectedUntil = f.now.Add(time.Duration(rapid.IntRange(0, 9000).Draw(f.t, "disconnect")) * time.Millisecond)
 	case 3:
-		proc.lag = time.Duration(rapid.IntRange(0, int(maxLag/time.Millisecond)).Draw(f.t, "lag")) * time.Millisecond
+		proc.lag = time.Duration(rapid.IntRange(0, int(maxRelayAge/time.Millisecond)).Draw(f.t, "lag")) * time.Millisecond
 	default:
 		f.toggle(name)
 	}
@@ -202,7 +201,7 @@
 func (f *fleet) receive(proc *process) {
 	proc.knownUntil = max(proc.knownUntil, f.now.Add(-proc.lag))
 	for ; proc.seenChanges < len(f.changes) && f.changes[proc.seenChanges].at <= proc.knownUntil; proc.seenChanges++ {
-		if f.changes[proc.seenChanges].isUser {
+		if f.changes[proc.seenChanges].isSender {
 			proc.Add(f.changes[proc.seenChanges].name, f.now)
 		} else {
 			proc.Remove(f.changes[proc.seenChanges].name, f.now)
