--- a/internal/route/chooser.go
+++ b/internal/route/chooser.go
@@ -119,7 +119,7 @@
 	var others, slots int64
 	for _, server := range c.eligible {
 		server.updateEstimate(request.Now, c.mean)
-		others += server.Load() - server.own
+		others += server.Load() - server.inflight
 		slots += server.Slots()
 		if server.zone == c.Zone {
 			c.nearby = append(c.nearby, server)
--- a/internal/route/chooser_test.go
+++ b/internal/route/chooser_test.go
@@ -30,16 +30,16 @@
 
 func TestChooseKeepsPrefixTogether(t *testing.T) {
 	servers := newServers(9, 4)
-	seen := map[string]int{}
+	chosen := map[string]int{}
 	for range 2 {
 		// A second entry agrees with the first without communication.
 		chooser := newChooser()
 		for i := range 50 {
-			seen[chooser.Choose(servers, route.Request{Prefix: route.Hash([]byte("assistant"))}).Server.Name()]++
+			chosen[chooser.Choose(servers, route.Request{Prefix: route.Hash([]byte("assistant"))}).Server.Name()]++
 			chooser.Choose(servers, route.Request{Prefix: uint64(i + 1)})
 		}
 	}
-	must.LessEq(t, 9, len(seen))
+	must.LessEq(t, 9, len(chosen))
 	rare := map[string]bool{}
 	chooser := newChooser()
 	for i := range 500 {
@@ -89,9 +89,9 @@
 
 func TestChooseStanding(t *testing.T) {
 	tests := map[string]struct {
-		standings [3]route.Eligibility
-		chosen    string
-		reason    route.Reason
+		eligibilities [3]route.Eligibility
+		chosen        string
+		reason        route.Reason
 	}{
 		"closed ones get nothing":      {[3]route.Eligibility{route.Closed, route.Open, route.Closed}, "server-1", route.ReasonRandom},
 		"suspect ones come last":       {[3]route.Eligibility{route.Suspect, route.Open, route.Suspect}, "server-1", route.ReasonRandom},
@@ -104,7 +104,7 @@
 		t.Run(name, func(t *testing.T) {
 			servers := newServers(3, 3)
 			for i, server := range servers {
-				server.SetEligibility(test.standings[i])
+				server.SetEligibility(test.eligibilities[i])
 			}
 			choice := newChooser().Choose(servers, route.Request{})
 			must.Eq(t, test.reason, choice.Reason)
@@ -176,7 +176,7 @@
 	// arrive seconds late.
 	servers := newServers(930, 7)
 	chooser := newChooser()
-	seen := map[string]bool{}
+	chosen := map[string]bool{}
 	for i := range 3000 {
 		request := route.Request{Prefix: uint64(i + 1)}
 		if i%3 == 0 {
@@ -184,10 +184,10 @@
 		}
 		choice := chooser.Choose(servers, request)
 		if i%3 == 0 {
-			seen[choice.Server.Name()] = true
+			chosen[choice.Server.Name()] = true
 		}
 	}
-	must.Greater(t, 300, len(seen))
+	must.Greater(t, 300, len(chosen))
 }
 
 func TestChooseDistrustsOldReports(t *testing.T) {
--- a/internal/route/leastutilized.go
+++ b/internal/route/leastutilized.go
@@ -26,7 +26,7 @@
 	var best Candidate
 	for _, candidate := range candidates {
 		server := candidate.Server
-		if server.eligibility == Closed || server.own >= server.Slots() {
+		if server.eligibility == Closed || server.inflight >= server.Slots() {
 			continue
 		}
 		if best.Server == nil || isPreferred(candidate, best, zone) {
@@ -44,7 +44,7 @@
 		return bIsSlow
 	}
 	// Shares of the slots in use, cross-multiplied to avoid division.
-	aUsed, bUsed := a.Server.own*b.Server.Slots(), b.Server.own*a.Server.Slots()
+	aUsed, bUsed := a.Server.inflight*b.Server.Slots(), b.Server.inflight*a.Server.Slots()
 	if aUsed != bUsed {
 		return aUsed < bUsed
 	}
--- a/internal/route/leastutilized_test.go
+++ b/internal/route/leastutilized_test.go
@@ -8,10 +8,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-func candidate(name, zone string, slots int64, own int, slowness float64) route.Candidate {
+func candidate(name, zone string, slots int64, inflight int, slowness float64) route.Candidate {
 	server := route.NewServer(name, "r", zone)
 	server.SetSlots(slots)
-	for range own {
+	for range inflight {
 		server.Begin()
 	}
 	return route.Candidate{Server: server, Slowness: slowness}
--- a/internal/route/server.go
+++ b/internal/route/server.go
@@ -17,7 +17,7 @@
 // Eligibility says whether a server gets new work.
 type Eligibility int
 
-// Standings, from best to worst.
+// Eligibilities, from best to worst.
 const (
 	// Open servers get new work.
 	Open Eligibility = iota
@@ -48,11 +48,11 @@
 	hash        uint64
 	eligibility Eligibility
 	report      Report
-	// own counts this entry's running requests; sent and ended count its requests
-	// since the last report.
-	own   int64
-	sent  int64
-	ended int64
+	// inflight counts this entry's running requests; sent and ended count those that
+	// it has sent and that have ended since the last report.
+	inflight int64
+	sent     int64
+	ended    int64
 	// estimate is the load by which the chooser compares servers.
 	estimate float64
 	// hasIdleConn is true if a connection to the server is open and idle.
@@ -66,13 +66,13 @@
 
 // Begin counts a request sent to the server.
 func (s *Server) Begin() {
-	s.own++
+	s.inflight++
 	s.sent++
 }
 
 // Finish counts the end of a request.
 func (s *Server) Finish() {
-	s.own--
+	s.inflight--
 	s.ended++
 }
 
@@ -83,14 +83,14 @@
 // Without the correction, all requests between two reports would go to the server
 // with the lowest load in the first of them.
 func (s *Server) Load() int64 {
-	return max(s.own, s.report.Running+s.report.Queued+s.sent-s.ended)
+	return max(s.inflight, s.report.Running+s.report.Queued+s.sent-s.ended)
 }
 
 // Name returns the identity of the server.
 func (s *Server) Name() string { return s.name }
 
 // Inflight returns the number of this entry's running requests.
-func (s *Server) Inflight() int64 { return s.own }
+func (s *Server) Inflight() int64 { return s.inflight }
 
 // ReportedLoad returns the requests running or queued according to the last report.
 func (s *Server) ReportedLoad() int64 { return s.report.Running + s.report.Queued }
@@ -133,7 +133,7 @@
 // choice: all entries see the same server as less loaded and send there until the
 // next report.
 func (s *Server) updateEstimate(now time.Time, mean float64) {
-	others := float64(s.Load() - s.own)
+	others := float64(s.Load() - s.inflight)
 	weight := 1.0
 	if !s.report.Time.IsZero() {
 		age := now.Sub(s.report.Time).Seconds() / reportHalfWeightAge.Seconds()
@@ -142,7 +142,7 @@
 	if s.report.Seq == 0 {
 		weight = 0
 	}
-	s.estimate = float64(s.own) + weight*others + (1-weight)*mean*float64(s.Slots())
+	s.estimate = float64(s.inflight) + weight*others + (1-weight)*mean*float64(s.Slots())
 }
 
 // utilization returns the estimate as a share of the slots; above 1 requests queue.
