--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -14,8 +14,8 @@
 // own is the demand that this entry has published, settled the part of it that all
 // entries have had time to receive, others the demands that this entry has received.
 // If all entries have received the same demands, their shares add up to at most the
-// limit plus its floor: an entry whose demand rises waits until those that use less
-// know of it.
+// limit plus its floor: an entry whose demand rises waits until the entries that lose
+// share to it know of the rise.
 func Share(limit, settled, own float64, others []float64, entries int) float64 {
 	floor := floorRatio * limit / float64(entries)
 	total := own
@@ -32,13 +32,13 @@
 func waterLevel(limit, own float64, others []float64) float64 {
 	demands := append(slices.Clone(others), own)
 	slices.Sort(demands)
-	left := limit
+	remaining := limit
 	for i, demand := range demands {
-		level := left / float64(len(demands)-i)
+		level := remaining / float64(len(demands)-i)
 		if demand > level {
 			return level
 		}
-		left -= demand
+		remaining -= demand
 	}
 	return limit
 }
