--- a/internal/fleet/countplanner.go
+++ b/internal/fleet/countplanner.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// calmStarts is how long the need must have been lower before fewer servers are
-	// ordered, in start times of a server: a server stopped too early is missing for
-	// one start time, while one kept too long costs its running time.
-	calmStarts = 3
-	// minCalm is the lower bound of that time: two steps of a trainer, between which
+	// scaleDownStartups is how long the need must have been lower before fewer servers
+	// are ordered, in startup times of a server: a server stopped too early is missing
+	// for one startup time, while one kept too long costs its running time.
+	scaleDownStartups = 3
+	// minScaleDownDelay is the lower bound of that time: two steps of a trainer, between which
 	// its samplers are idle for some seconds.
-	minCalm = 10 * time.Second
+	minScaleDownDelay = 10 * time.Second
 	// lateOrderBound is how long after an unanswered order it may still be carried
 	// out, and how long the registrations may lag behind one that was.
 	lateOrderBound = 5 * time.Second
@@ -23,7 +23,7 @@
 // their number per zone.
 type CountedPool struct {
 	Name string
-	// Min and Most are the minimum and maximum number of servers of each zone.
+	// Min and Max are the minimum and maximum number of servers of each zone.
 	Min int
 	Max int
 	// StartupTime is the time from an order to the first request served.
@@ -60,7 +60,7 @@
 	emptySince map[PoolZone]time.Time
 }
 
-// order is the last order sent for a subject.
+// order is the last order sent for a pool in a zone.
 type order struct {
 	servers    int
 	at         time.Time
@@ -68,12 +68,12 @@
 }
 
 // Due returns the orders to send now for a pool.
-func (n *CountPlanner) Due(now time.Time, pool CountedPool) []Count {
-	n.initialize()
+func (p *CountPlanner) Due(now time.Time, pool CountedPool) []Count {
+	p.initialize()
 	var due []Count
-	for zone, servers := range n.targetCounts(now, pool) {
+	for zone, servers := range p.targetCounts(now, pool) {
 		poolZone := PoolZone{Pool: pool.Name, Zone: zone}
-		if n.isDue(now, poolZone, servers, pool) {
+		if p.isDue(now, poolZone, servers, pool) {
 			due = append(due, Count{PoolZone: poolZone, Servers: servers})
 		}
 	}
@@ -83,9 +83,9 @@
 
 // RecordSent records that an order was sent, and whether the platform is known to have
 // accepted it.
-func (n *CountPlanner) RecordSent(now time.Time, count Count, isTaken bool) {
-	n.initialize()
-	n.orders[count.PoolZone] = order{servers: count.Servers, at: now, isAccepted: isTaken}
+func (p *CountPlanner) RecordSent(now time.Time, count Count, isAccepted bool) {
+	p.initialize()
+	p.orders[count.PoolZone] = order{servers: count.Servers, at: now, isAccepted: isAccepted}
 }
 
 // isDue reports whether a number has to be ordered.
@@ -94,8 +94,8 @@
 // leave a zone with an outdated number for good. So the number is ordered again until
 // the platform accepts it, and again if the registrations still differ after every
 // earlier order must have been carried out.
-func (n *CountPlanner) isDue(now time.Time, poolZone PoolZone, servers int, pool CountedPool) bool {
-	last, isKnown := n.orders[poolZone]
+func (p *CountPlanner) isDue(now time.Time, poolZone PoolZone, servers int, pool CountedPool) bool {
+	last, isKnown := p.orders[poolZone]
 	switch {
 	case !isKnown:
 		return servers != pool.Present[poolZone.Zone]
@@ -107,19 +107,19 @@
 }
 
 // targetCounts returns the target number of servers of each zone.
-func (n *CountPlanner) targetCounts(now time.Time, pool CountedPool) map[string]int {
+func (p *CountPlanner) targetCounts(now time.Time, pool CountedPool) map[string]int {
 	present := map[string]int{}
 	for zone, servers := range pool.Present {
-		if !n.isLost(now, zone, pool) {
+		if !p.isLost(now, zone, pool) {
 			present[zone] = servers
 		}
 	}
-	sizer := n.sizer(now, pool)
+	sizer := p.sizer(now, pool)
 	sizer.Min, sizer.Max = pool.Min*len(present), pool.Max*len(present)
 	shares := Spread(sizer.Decide(now, pool.Need), present)
-	n.retainServers(pool, shares)
+	p.retainServers(pool, shares)
 	for zone := range pool.Present {
-		if _, isLive := shares[zone]; !isLive {
+		if _, hasShare := shares[zone]; !hasShare {
 			// Still order one server: its registration shows that the zone is back.
 			shares[zone] = 1
 		}
@@ -132,13 +132,13 @@
 //
 // When a lost zone is back, the other zones release the servers that replaced its
 // own. Released at once, they would be missing until the zone's own have started.
-func (n *CountPlanner) retainServers(pool CountedPool, shares map[string]int) {
+func (p *CountPlanner) retainServers(pool CountedPool, shares map[string]int) {
 	missing := 0
 	for zone, share := range shares {
 		missing += max(0, share-pool.Present[zone])
 	}
 	for zone, share := range shares {
-		last := n.orders[PoolZone{Pool: pool.Name, Zone: zone}].servers
+		last := p.orders[PoolZone{Pool: pool.Name, Zone: zone}].servers
 		kept := min(last, pool.Present[zone], share+missing)
 		shares[zone] = max(share, kept)
 	}
@@ -146,38 +146,38 @@
 
 // isLost reports whether a zone has had no server for longer than a server takes to
 // start. The other zones then get its share.
-func (n *CountPlanner) isLost(now time.Time, zone string, pool CountedPool) bool {
+func (p *CountPlanner) isLost(now time.Time, zone string, pool CountedPool) bool {
 	poolZone := PoolZone{Pool: pool.Name, Zone: zone}
-	if pool.Present[zone] > 0 || pool.Min == 0 && n.orders[poolZone].servers == 0 {
-		delete(n.emptySince, poolZone)
+	if pool.Present[zone] > 0 || pool.Min == 0 && p.orders[poolZone].servers == 0 {
+		delete(p.emptySince, poolZone)
 		return false
 	}
-	if n.emptySince[poolZone].IsZero() {
-		n.emptySince[poolZone] = now
+	if p.emptySince[poolZone].IsZero() {
+		p.emptySince[poolZone] = now
 	}
-	return now.Sub(n.emptySince[poolZone]) > pool.StartupTime+lateOrderBound
+	return now.Sub(p.emptySince[poolZone]) > pool.StartupTime+lateOrderBound
 }
 
-func (n *CountPlanner) sizer(now time.Time, pool CountedPool) *Sizer {
-	sizer := n.sizers[pool.Name]
+func (p *CountPlanner) sizer(now time.Time, pool CountedPool) *Sizer {
+	sizer := p.sizers[pool.Name]
 	if sizer == nil {
-		sizer = &Sizer{Target: n.Target, Slack: n.Slack}
+		sizer = &Sizer{Target: p.Target, Slack: p.Slack}
 		total := 0
 		for _, servers := range pool.Present {
 			total += servers
 		}
 		sizer.Begin(now, total)
-		n.sizers[pool.Name] = sizer
+		p.sizers[pool.Name] = sizer
 	}
-	sizer.ScaleDownDelay = max(calmStarts*pool.StartupTime, minCalm)
+	sizer.ScaleDownDelay = max(scaleDownStartups*pool.StartupTime, minScaleDownDelay)
 	return sizer
 }
 
-func (n *CountPlanner) initialize() {
-	if n.sizers != nil {
+func (p *CountPlanner) initialize() {
+	if p.sizers != nil {
 		return
 	}
-	n.sizers = map[string]*Sizer{}
-	n.orders = map[PoolZone]order{}
-	n.emptySince = map[PoolZone]time.Time{}
+	p.sizers = map[string]*Sizer{}
+	p.orders = map[PoolZone]order{}
+	p.emptySince = map[PoolZone]time.Time{}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,14 +41,14 @@
 	Listed []platform.Server
 	// Addresses are the addresses of the known sidecars, by server.
 	Addresses map[string]string
-	// Leaving are the servers to drain, as their hosts leave or they are surplus.
+	// Leaving are the servers to drain, because their host leaves or they are surplus.
 	Leaving map[string]bool
 }
 
 // Update applies the platform's list of one zone's servers to a pool and reports
 // whether anything changed; a change increments the epoch.
 // A leaving server drains from then on.
-func Update(known *statepb.Fleet, pool, zone string, seen ZoneView, now time.Time) (*statepb.Fleet, bool) {
+func Update(known *statepb.Fleet, pool, zone string, view ZoneView, now time.Time) (*statepb.Fleet, bool) {
 	next, ok := proto.Clone(known).(*statepb.Fleet)
 	if !ok {
 		next = &statepb.Fleet{}
@@ -58,12 +58,12 @@
 		servers[server.GetId()] = server
 	}
 	listed := map[string]bool{}
-	for _, server := range seen.Listed {
+	for _, server := range view.Listed {
 		if server.Pool != pool || server.Zone != zone {
 			continue
 		}
 		listed[server.ID] = true
-		mergeServer(servers, server, seen, now)
+		mergeServer(servers, server, view, now)
 	}
 	for id, server := range servers {
 		if server.GetZone() == zone && !listed[id] {
@@ -78,20 +78,20 @@
 	return next, true
 }
 
-func mergeServer(servers map[string]*statepb.Server, listed platform.Server, seen ZoneView, now time.Time) {
+func mergeServer(servers map[string]*statepb.Server, listed platform.Server, view ZoneView, now time.Time) {
 	server := servers[listed.ID]
 	if server == nil {
 		server = statepb.Server_builder{Id: listed.ID, Pool: listed.Pool, Zone: listed.Zone}.Build()
 		servers[listed.ID] = server
 	}
-	if address := seen.Addresses[listed.ID]; address != "" {
+	if address := view.Addresses[listed.ID]; address != "" {
 		server.SetAddress(address)
 	}
 	if server.GetState() == StateRemoved {
 		server.SetBorn(0)
 	}
 	setState(server, nextState(server.GetState(), listed.State), now)
-	if seen.Leaving[listed.ID] {
+	if view.Leaving[listed.ID] {
 		setState(server, StateDraining, now)
 	}
 	if server.GetState() == StateLive && server.GetBorn() == 0 {
--- a/internal/fleet/orders_test.go
+++ b/internal/fleet/orders_test.go
@@ -127,10 +127,10 @@
 	return nil
 }
 
-// Guards against two processes ordering servers at the same time: one is paused
-// between any two steps, its lease expires, and it then continues. No order may
-// arrive after one of a newer holder, whatever the step, the lost answer or the
-// outage of the store.
+// Guards against servers that are started and stopped in turns by two processes: one is
+// paused between any two steps, its lease expires, and it then continues. No order may
+// arrive after one of a newer holder, whatever the step, the lost answer or the outage
+// of the store.
 func TestNoOrderAfterNewerHolder(t *testing.T) {
 	terms := map[uint64]bool{}
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/fleet/resize.go
+++ b/internal/fleet/resize.go
@@ -12,7 +12,7 @@
 
 // resize moves a pool towards its target size in the zone: it marks surplus servers
 // for draining or orders missing ones.
-func (z *Zone) resize(ctx context.Context, name string, fleet *statepb.Fleet, seen ZoneView) (*statepb.Fleet, error) {
+func (z *Zone) resize(ctx context.Context, name string, fleet *statepb.Fleet, view ZoneView) (*statepb.Fleet, error) {
 	pool := z.findPool(name)
 	observed := Observation{Fleet: fleet, ReachableZones: z.reachableZones(), Load: z.Members.Load}
 	share, isSized := z.Scale.Share(time.Now(), pool, observed)
@@ -26,7 +26,7 @@
 	for _, server := range surplus {
 		z.Decisions.Record(server, "order", "to drain, pool %s is to have %d servers in zone %s", name, share, z.Name)
 	}
-	return z.updateFleet(ctx, name, seen.withLeaving(surplus))
+	return z.updateFleet(ctx, name, view.withLeaving(surplus))
 }
 
 // startMissing orders the start of the servers that a pool lacks in the zone.
@@ -77,14 +77,14 @@
 }
 
 // withLeaving returns a copy with more leaving servers.
-func (s ZoneView) withLeaving(servers []string) ZoneView {
-	leaving := maps.Clone(s.Leaving)
+func (v ZoneView) withLeaving(servers []string) ZoneView {
+	leaving := maps.Clone(v.Leaving)
 	if leaving == nil {
 		leaving = map[string]bool{}
 	}
 	for _, server := range servers {
 		leaving[server] = true
 	}
-	s.Leaving = leaving
-	return s
+	v.Leaving = leaving
+	return v
 }
--- a/internal/fleet/scale.go
+++ b/internal/fleet/scale.go
@@ -21,17 +21,17 @@
 // The holders of all zones' duties reach consistent decisions, each for its own zone,
 // as they see the same servers in the store and nearly the same loads.
 type Scale struct {
-	// Target, Calm and Slack are those of a Sizer.
+	// Target, ScaleDownDelay and Slack are those of a Sizer.
 	Target         float64
 	ScaleDownDelay time.Duration
 	Slack          float64
 	// ZoneLossTimeout is how long no process of a zone may be known before the zone counts as lost.
 	ZoneLossTimeout time.Duration
 
-	zone        string
-	sizers      map[string]*Sizer
-	silentSince map[string]time.Time
-	orderedAt   map[string]map[string]time.Time
+	zone             string
+	sizers           map[string]*Sizer
+	unreachableSince map[string]time.Time
+	orderedAt        map[string]map[string]time.Time
 }
 
 // Observation is the known state of a pool and of the zones at one time.
@@ -84,20 +84,20 @@
 // Surplus returns the servers of the zone in excess of its share: first those that
 // don't serve yet, then the least loaded.
 func (s *Scale) Surplus(share int, observed Observation) []string {
-	var live []*statepb.Server
+	var active []*statepb.Server
 	for _, server := range observed.Fleet.GetServers() {
 		if server.GetZone() == s.zone && isActive(server) {
-			live = append(live, server)
+			active = append(active, server)
 		}
 	}
-	if len(live) <= share {
+	if len(active) <= share {
 		return nil
 	}
-	slices.SortFunc(live, func(a, b *statepb.Server) int {
+	slices.SortFunc(active, func(a, b *statepb.Server) int {
 		return cmp.Or(cmp.Compare(servingOrder(observed, a), servingOrder(observed, b)), cmp.Compare(activeRequests(observed, a), activeRequests(observed, b)), strings.Compare(b.GetId(), a.GetId()))
 	})
 	var surplus []string
-	for _, server := range live[:len(live)-share] {
+	for _, server := range active[:len(active)-share] {
 		surplus = append(surplus, server.GetId())
 	}
 	return surplus
@@ -107,7 +107,7 @@
 func (s *Scale) Begin(zone string) {
 	s.zone = zone
 	s.sizers = map[string]*Sizer{}
-	s.silentSince = map[string]time.Time{}
+	s.unreachableSince = map[string]time.Time{}
 	s.orderedAt = map[string]map[string]time.Time{}
 }
 
@@ -128,17 +128,18 @@
 	return present
 }
 
-// isLost reports whether a zone with servers has had no known process for Loss. A new
-// holder knows no processes at first, so the time counts from its first observation.
+// isLost reports whether a zone with servers has had no known process for
+// ZoneLossTimeout. A new holder knows no processes at first, so the time counts from its
+// first observation.
 func (s *Scale) isLost(now time.Time, zone string, servers int, observed Observation) bool {
 	if zone == s.zone || servers == 0 || observed.ReachableZones[zone] {
-		delete(s.silentSince, zone)
+		delete(s.unreachableSince, zone)
 		return false
 	}
-	if s.silentSince[zone].IsZero() {
-		s.silentSince[zone] = now
+	if s.unreachableSince[zone].IsZero() {
+		s.unreachableSince[zone] = now
 	}
-	return now.Sub(s.silentSince[zone]) >= s.ZoneLossTimeout
+	return now.Sub(s.unreachableSince[zone]) >= s.ZoneLossTimeout
 }
 
 func (s *Scale) sizer(now time.Time, pool *listpb.Pool, present map[string]int) *Sizer {
@@ -160,12 +161,12 @@
 // process holds only part of the loads of a large pool.
 func estimateNeed(observed Observation) Need {
 	var total Need
-	live, known := 0.0, 0.0
+	active, known := 0.0, 0.0
 	for _, server := range observed.Fleet.GetServers() {
 		if !isActive(server) {
 			continue
 		}
-		live++
+		active++
 		load := observed.Load(server.GetId())
 		if load == nil {
 			continue
@@ -178,8 +179,8 @@
 	if known == 0 {
 		return Need{Slots: 1}
 	}
-	share := live / known
-	return Need{Running: total.Running * share, Queued: total.Queued * share, Slots: total.Slots / known}
+	scale := active / known
+	return Need{Running: total.Running * scale, Queued: total.Queued * scale, Slots: total.Slots / known}
 }
 
 // servingOrder returns 1 for a live server with a known load, else 0.
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -51,7 +51,7 @@
 }
 
 // A new holder that knows no loads would consider the pool idle and drain half of it,
-// cutting off requests. It must keep the servers until Calm has passed.
+// cutting off requests. It must keep the servers until ScaleDownDelay has passed.
 func TestScaleOfNewHolderKeepsServers(t *testing.T) {
 	scale, now := newScale(t), time.Unix(1000, 0)
 	observed := newObservation(3, 3, 0)
@@ -63,7 +63,7 @@
 }
 
 // A zone goes down. Its servers stay in the platform's list, but none of its processes
-// is known any more. After Loss its share must move to the other zone.
+// is known any more. After ZoneLossTimeout its share must move to the other zone.
 func TestScaleReplacesLostZone(t *testing.T) {
 	scale, now := newScale(t), time.Unix(1000, 0)
 	observed := newObservation(2, 2, 7)
--- a/internal/fleet/sidecars.go
+++ b/internal/fleet/sidecars.go
@@ -23,8 +23,8 @@
 var _ Sidecars = &SidecarClient{}
 
 // Drain makes a sidecar refuse new work and returns its load afterwards.
-func (p *SidecarClient) Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error) {
-	connection, err := listen.Dial(process.GetAddress(), p.Credentials)
+func (c *SidecarClient) Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error) {
+	connection, err := listen.Dial(process.GetAddress(), c.Credentials)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/sizer.go
+++ b/internal/fleet/sizer.go
@@ -21,9 +21,9 @@
 // Sizer decides how many backend servers a pool needs. It has no clock and does
 // no input or output. Exported fields are set before the first Decide.
 //
-// It follows a rise at once and a fall with a delay: a need that varies within Calm
-// keeps its servers, and so does a small surplus, so that servers aren't repeatedly
-// stopped and started.
+// It follows a rise at once and a fall with a delay: a need that falls for less than
+// ScaleDownDelay keeps its servers, and so does a small surplus, so that servers aren't
+// repeatedly stopped and started.
 type Sizer struct {
 	// Min and Max are the limits of the number of servers across all zones.
 	Min int
@@ -68,8 +68,8 @@
 	return servers
 }
 
-// maxRecent returns the maximum number of servers needed within Calm. The list holds
-// only counts larger than all later ones, so it stays short.
+// maxRecent returns the maximum number of servers needed within ScaleDownDelay.
+// The list holds only counts larger than all later ones, so it stays short.
 func (s *Sizer) maxRecent(now time.Time, servers int) int {
 	for len(s.recent) > 0 && s.recent[len(s.recent)-1].servers <= servers {
 		s.recent = s.recent[:len(s.recent)-1]
--- a/internal/fleet/zone.go
+++ b/internal/fleet/zone.go
@@ -110,12 +110,12 @@
 	if err != nil {
 		return err
 	}
-	seen := ZoneView{Listed: listed, Addresses: z.sidecarAddresses(), Leaving: z.leavingServers(ctx)}
+	view := ZoneView{Listed: listed, Addresses: z.sidecarAddresses(), Leaving: z.leavingServers(ctx)}
 	errs := []error{z.sendPending(ctx)}
 	for _, pool := range z.poolNames(listed) {
-		fleet, err := z.updateFleet(ctx, pool, seen)
+		fleet, err := z.updateFleet(ctx, pool, view)
 		if err == nil {
-			fleet, err = z.resize(ctx, pool, fleet, seen)
+			fleet, err = z.resize(ctx, pool, fleet, view)
 		}
 		if err == nil {
 			err = z.drainAll(ctx, fleet)
@@ -187,13 +187,13 @@
 }
 
 // updateFleet updates the pool's key to what is observed and returns its value.
-func (z *Zone) updateFleet(ctx context.Context, pool string, seen ZoneView) (*statepb.Fleet, error) {
+func (z *Zone) updateFleet(ctx context.Context, pool string, view ZoneView) (*statepb.Fleet, error) {
 	key := member.FactFleet + pool
 	known, revision, err := z.readFleet(ctx, key)
 	if err != nil {
 		return nil, err
 	}
-	next, changed := Update(known, pool, z.Name, seen, time.Now())
+	next, changed := Update(known, pool, z.Name, view, time.Now())
 	if !changed {
 		return next, nil
 	}
