--- a/internal/lists/editor.go
+++ b/internal/lists/editor.go
@@ -224,13 +224,13 @@
 			revision, err = e.attemptUpdate(ctx, config, revision, change)
 		}
 		var conflict *platform.ConflictError
-		var away *platform.UnavailableError
+		var unavailable *platform.UnavailableError
 		var behind *BehindError
 		switch {
 		case err == nil:
 			return config, revision, nil
 		case errors.As(err, &conflict):
-		case errors.As(err, &away), errors.As(err, &behind):
+		case errors.As(err, &unavailable), errors.As(err, &behind):
 			lastErr = err
 			unanswered++
 			klog.Warningf("lists: attempt %d to update the configuration failed: %v", attempt+1, err)
--- a/internal/lists/view.go
+++ b/internal/lists/view.go
@@ -100,7 +100,7 @@
 func (v *View) Apply(fact *peerpb.Fact) {
 	config := &listpb.Config{}
 	if err := proto.Unmarshal(fact.GetValue(), config); err != nil {
-		klog.Errorf("lists: revision %d can't be read: %v", fact.GetRevision(), err)
+		klog.Errorf("lists: the configuration of revision %d can't be decoded: %v", fact.GetRevision(), err)
 		return
 	}
 	v.activate(newSnapshot(config, fact.GetRevision()))
--- a/internal/lists/withdrawalsyncer.go
+++ b/internal/lists/withdrawalsyncer.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	settleInterval         = time.Second
+	syncInterval           = time.Second
 	maxWithdrawalsPerWrite = 256
 )
 
@@ -51,7 +51,7 @@
 
 // Run writes and drops withdrawals until the context ends.
 func (s *WithdrawalSyncer) Run(ctx context.Context) error {
-	for pause.For(ctx, jitter(cmp.Or(s.Interval, settleInterval))) {
+	for pause.For(ctx, jitter(cmp.Or(s.Interval, syncInterval))) {
 		pending := s.dropStored()
 		if len(pending) == 0 || s.Editor == nil || !s.InCharge() {
 			continue
