--- a/internal/gateway/demandcollector.go
+++ b/internal/gateway/demandcollector.go
@@ -12,8 +12,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// DemandCollector sums the demand of all gateways for pools. Exported fields are set before the
-// first call; it is not safe for concurrent use.
+// DemandCollector sums the demand of all gateways for pools. Exported fields are set
+// before the first call; it is not safe for concurrent use.
 type DemandCollector struct {
 	Hosts *Hosts
 	// Own answers for this gateway.
@@ -22,8 +22,8 @@
 	samples map[string]demandSample
 }
 
-// demandSample is the last answer of a gateway, with the need of each pool derived from
-// it.
+// demandSample is the last answer of a gateway, with the need of each pool that was
+// derived from it and the answer before.
 type demandSample struct {
 	reply      *peerpb.DemandReply
 	receivedAt clock.Boot
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -88,8 +88,8 @@
 	Forwarder *forward.Forwarder
 	Board     *batch.Board
 	Hosts     *Hosts
-	// NoConfigRetry is the retry delay sent to callers before the first configuration is
-	// known.
+	// NoConfigRetry is the retry delay sent to callers before the first configuration
+	// is known.
 	NoConfigRetry time.Duration
 	// Metrics registers the handler's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
@@ -112,29 +112,29 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.once.Do(func() { h.metrics = newMetrics(h.Metrics) })
 	call := h.Wire.ClassifyCall(r)
-	answer := &statusRecorder{ResponseWriter: w}
+	recorder := &statusRecorder{ResponseWriter: w}
 	began := clock.Now()
-	defer func() { h.metrics.observe(call.Kind, answer.status, began) }()
-	h.serve(answer, r, call)
+	defer func() { h.metrics.observe(call.Kind, recorder.status, began) }()
+	h.serve(recorder, r, call)
 }
 
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request, call Call) {
-	caller, err := h.admit(r, call)
+	admitted, err := h.admit(r, call)
 	if err != nil {
 		h.refuse(w, r, err)
 		return
 	}
 	switch {
 	case call.Kind == CallRead:
-		err = h.read(w, r, caller, call)
+		err = h.read(w, r, admitted, call)
 	case call.Kind == CallEnd:
-		err = h.end(w, r, caller, call)
+		err = h.end(w, r, admitted, call)
 	case call.Kind == CallItem:
-		err = h.item(w, r, caller, call)
-	case caller.route.Kind == table.Batch:
-		err = h.accept(w, r, caller)
+		err = h.item(w, r, admitted, call)
+	case admitted.route.Kind == table.Batch:
+		err = h.accept(w, r, admitted)
 	default:
-		err = h.run(w, r, caller)
+		err = h.run(w, r, admitted)
 	}
 	if err != nil {
 		h.refuse(w, r, err)
@@ -194,7 +194,7 @@
 }
 
 // accept stores a new batch.
-func (h *Handler) accept(w http.ResponseWriter, r *http.Request, caller *admittedRequest) error {
+func (h *Handler) accept(w http.ResponseWriter, r *http.Request, admitted *admittedRequest) error {
 	if r.Method != http.MethodPost {
 		return refusal.NotRun(http.StatusMethodNotAllowed, "bad_method", "batches are posted")
 	}
@@ -202,13 +202,13 @@
 	if err != nil {
 		return err
 	}
-	accepted, err := h.Formats.ReadBatch(caller.id, body)
+	accepted, err := h.Formats.ReadBatch(admitted.id, body)
 	if err != nil {
 		return refusal.NotRun(http.StatusBadRequest, "bad_batch", "%v", err)
 	}
 	accepted.SetHost(r.Host)
 	accepted.SetPath(r.URL.Path)
-	accepted.SetAccount(caller.account.Name)
+	accepted.SetAccount(admitted.account.Name)
 	accepted.SetAccepted(time.Now().UnixMilli())
 	// The outcome must be determined even if the trainer disconnects.
 	if err := h.Board.Accept(context.WithoutCancel(r.Context()), accepted); err != nil {
@@ -219,35 +219,35 @@
 }
 
 // run forwards a request to a backend server.
-func (h *Handler) run(w http.ResponseWriter, r *http.Request, caller *admittedRequest) error {
+func (h *Handler) run(w http.ResponseWriter, r *http.Request, admitted *admittedRequest) error {
 	body, err := h.readBody(w, r)
 	if err != nil {
 		return err
 	}
 	request := &forward.Request{
 		Request: backend.Request{
-			ID:        caller.id,
+			ID:        admitted.id,
 			Host:      r.Host,
 			Method:    r.Method,
 			Target:    r.URL.RequestURI(),
 			Header:    endToEndHeaders(r.Header),
 			Body:      body,
-			Account:   caller.account.Name,
-			Priority:  priority(caller),
+			Account:   admitted.account.Name,
+			Priority:  priority(admitted),
 			LastEvent: h.Wire.LastEvent(r),
 		},
-		Route:    caller.route,
-		Deadline: caller.began.Add(h.requestTimeout(r, caller.route)),
+		Route:    admitted.route,
+		Deadline: admitted.began.Add(h.requestTimeout(r, admitted.route)),
 	}
-	if h.CountStart != nil && caller.account.Name != "" {
-		request.OnBegan = func() { h.CountStart(caller.account.Name, caller.route.Name) }
+	if h.CountStart != nil && admitted.account.Name != "" {
+		request.OnBegan = func() { h.CountStart(admitted.account.Name, admitted.route.Name) }
 	}
 	answer, err := h.Forwarder.Run(r.Context(), request)
 	if err != nil {
 		return err
 	}
 	defer answer.Finish()
-	klog.InfoS("caller: answered", "id", caller.id, "account", caller.account.Name, "status", answer.StatusCode, "took", clock.Now().Sub(caller.began))
+	klog.InfoS("caller: answered", "id", admitted.id, "account", admitted.account.Name, "status", answer.StatusCode, "took", clock.Now().Sub(admitted.began))
 	return h.relay(w, answer)
 }
 
@@ -269,17 +269,17 @@
 }
 
 // priority returns the priority of the request at the backend server, 1 to 9.
-func priority(caller *admittedRequest) int {
-	rank := caller.route.Priority
-	if caller.account.HasPriority {
-		rank = caller.account.Priority
+func priority(admitted *admittedRequest) int {
+	rank := admitted.route.Priority
+	if admitted.account.HasPriority {
+		rank = admitted.account.Priority
 	}
 	return min(max(rank, 0)+1, 9)
 }
 
 // read responds with results of a batch.
-func (h *Handler) read(w http.ResponseWriter, r *http.Request, caller *admittedRequest, call Call) error {
-	page, err := h.readPage(r.Context(), caller, call)
+func (h *Handler) read(w http.ResponseWriter, r *http.Request, admitted *admittedRequest, call Call) error {
+	page, err := h.readPage(r.Context(), admitted, call)
 	if err != nil {
 		return err
 	}
@@ -292,8 +292,8 @@
 }
 
 // item responds with the body of an item.
-func (h *Handler) item(w http.ResponseWriter, r *http.Request, caller *admittedRequest, call Call) error {
-	found, err := h.Board.Find(r.Context(), call.Batch, caller.account.Name)
+func (h *Handler) item(w http.ResponseWriter, r *http.Request, admitted *admittedRequest, call Call) error {
+	found, err := h.Board.Find(r.Context(), call.Batch, admitted.account.Name)
 	if err != nil {
 		return err
 	}
@@ -311,9 +311,9 @@
 }
 
 // end ends a batch: at its owner first, so that no more of it runs, then in the store.
-func (h *Handler) end(w http.ResponseWriter, r *http.Request, caller *admittedRequest, call Call) error {
-	h.notifyOwnerOfEnd(r.Context(), caller, call)
-	if err := h.Board.End(r.Context(), call.Batch, caller.account.Name); err != nil {
+func (h *Handler) end(w http.ResponseWriter, r *http.Request, admitted *admittedRequest, call Call) error {
+	h.notifyOwnerOfEnd(r.Context(), admitted, call)
+	if err := h.Board.End(r.Context(), call.Batch, admitted.account.Name); err != nil {
 		return err
 	}
 	w.WriteHeader(http.StatusOK)
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -100,7 +100,7 @@
 
 func applyHostChange(hosts map[string]*statepb.Host, name string, change platform.Value) {
 	if change.Deleted {
-		klog.InfoS("hosts: removed", "host", name)
+		klog.InfoS("hosts: process was removed", "host", name)
 		delete(hosts, name)
 		return
 	}
@@ -109,7 +109,7 @@
 		klog.ErrorS(err, "hosts: decoding an entry failed", "key", change.Key)
 		return
 	}
-	klog.InfoS("hosts: live", "host", name, "address", host.GetAddress(), "zone", host.GetZone())
+	klog.InfoS("hosts: process is live", "host", name, "address", host.GetAddress(), "zone", host.GetZone())
 	hosts[name] = host
 }
 
@@ -197,9 +197,9 @@
 	return connection
 }
 
-// keeperClients returns clients of the keepers, those of zones that isWanted accepts
-// first, otherwise in an order that differs between processes.
-func (h *Hosts) keeperClients(isWanted func(zone string) bool) []keeperClient {
+// keeperClients returns clients of the keepers, those of zones that isPreferred
+// accepts first, otherwise in an order that differs between processes.
+func (h *Hosts) keeperClients(isPreferred func(zone string) bool) []keeperClient {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	names := make([]string, 0, len(h.keepers))
@@ -208,7 +208,7 @@
 	}
 	names = duty.Order(h.Name, names)
 	slices.SortStableFunc(names, func(a, b string) int {
-		return cmp.Compare(boolToInt(isWanted(h.keepers[b].GetZone())), boolToInt(isWanted(h.keepers[a].GetZone())))
+		return cmp.Compare(boolToInt(isPreferred(h.keepers[b].GetZone())), boolToInt(isPreferred(h.keepers[a].GetZone())))
 	})
 	var clients []keeperClient
 	for _, name := range names {
--- a/internal/gateway/keepers.go
+++ b/internal/gateway/keepers.go
@@ -49,8 +49,8 @@
 type Keepers struct {
 	Hosts *Hosts
 	Zone  string
-	// PreferOtherZones prefers keepers in other zones than Zone, so that the loss of a zone does
-	// not take both an owner and its texts.
+	// PreferOtherZones prefers keepers in other zones than Zone, so that the loss of a
+	// zone does not take both an owner and its texts.
 	PreferOtherZones bool
 	// Losses is the number of hosts that may be lost at once. Texts have one replica
 	// more, so that they survive the loss of all gateways and that many disks.
@@ -70,7 +70,7 @@
 var errNoKeeper = eris.New("gateway: no keeper is known")
 
 // Append replicates events to the keepers of a batch, each of which holds all its
-// texts. If another keeper has to be added, it returns ErrOtherKeeper and everything
+// texts. If another keeper has to be added, it returns ErrKeeperChanged and everything
 // must be appended again.
 //
 // A keeper that did not answer is skipped for a while, since the others are available
@@ -200,7 +200,7 @@
 // After a restart of all processes, gateways are ready before keepers have read their
 // disks; after an outage of the store, they may regain their leases first. So Fetch
 // also waits for keepers that refuse connections, and while no keeper is known.
-func (k *Keepers) Fetch(ctx context.Context, batch string) []*statepb.Partial {
+func (k *Keepers) Fetch(ctx context.Context, id string) []*statepb.Partial {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	var mutex sync.Mutex
@@ -212,9 +212,9 @@
 	}
 	for _, client := range clients {
 		group.Go(func() {
-			reply, err := client.Texts(ctx, peerpb.TextsRequest_builder{Batch: batch}.Build(), grpc.WaitForReady(true))
+			reply, err := client.Texts(ctx, peerpb.TextsRequest_builder{Batch: id}.Build(), grpc.WaitForReady(true))
 			if err != nil {
-				klog.InfoS("batch: a keeper did not answer", "batch", batch, "keeper", client.name, "err", err.Error())
+				klog.InfoS("batch: a keeper did not answer", "batch", id, "keeper", client.name, "err", err.Error())
 				return
 			}
 			mutex.Lock()
@@ -230,10 +230,10 @@
 }
 
 // Drop deletes the texts of a batch at its keepers.
-func (k *Keepers) Drop(ctx context.Context, batch string) {
+func (k *Keepers) Drop(ctx context.Context, id string) {
 	k.mutex.Lock()
-	holders := k.holders[batch]
-	delete(k.holders, batch)
+	holders := k.holders[id]
+	delete(k.holders, id)
 	k.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
@@ -241,8 +241,8 @@
 		if !slices.Contains(holders, client.name) {
 			continue
 		}
-		if _, err := client.Drop(ctx, peerpb.DropRequest_builder{Batches: []string{batch}}.Build()); err != nil {
-			klog.V(1).InfoS("batch: a keeper did not drop its texts", "batch", batch, "keeper", client.name, "err", err.Error())
+		if _, err := client.Drop(ctx, peerpb.DropRequest_builder{Batches: []string{id}}.Build()); err != nil {
+			klog.V(1).InfoS("batch: a keeper did not drop its texts", "batch", id, "keeper", client.name, "err", err.Error())
 		}
 	}
 }
--- a/internal/gateway/keepers_test.go
+++ b/internal/gateway/keepers_test.go
@@ -69,8 +69,8 @@
 	reply, err := k.Texts(t.Context(), peerpb.TextsRequest_builder{Batch: "b1"}.Build())
 	must.NoError(t, err)
 	for _, partial := range reply.GetPartials() {
-		for _, held := range partial.GetEvents() {
-			if held == event {
+		for _, stored := range partial.GetEvents() {
+			if stored == event {
 				return true
 			}
 		}
@@ -98,9 +98,9 @@
 // Guards against the loss of an owner and all its texts with one zone.
 func TestKeeperOfAnotherZone(t *testing.T) {
 	for name, test := range map[string]struct {
-		zones []string
-		apart bool
-		want  string
+		zones            []string
+		preferOtherZones bool
+		want             string
 	}{
 		"where a zone may be lost":     {[]string{"a", "b"}, true, "k-b"},
 		"near where none may":          {[]string{"a", "b"}, false, "k-a"},
@@ -108,7 +108,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, keepers := startKeepers(t, test.zones...)
-			keepers.PreferOtherZones = test.apart
+			keepers.PreferOtherZones = test.preferOtherZones
 			must.Eq(t, test.want, keepers.choose("b1")[0].name)
 		})
 	}
@@ -121,15 +121,15 @@
 	running, keepers := startKeepers(t, "a", "b", "c")
 	keepers.Losses = 1
 	must.NoError(t, keepers.Append(t.Context(), "b1", newParts(0, "x")))
-	must.Eq(t, 2, holders(t, running, "x"))
+	must.Eq(t, 2, countHolders(t, running, "x"))
 	t.Run("a keeper stops", func(t *testing.T) {
 		running["k-a"].stop()
 		must.NoError(t, keepers.Append(t.Context(), "b1", newParts(1, "y")))
-		must.Eq(t, 1, holders(t, running, "y"))
+		must.Eq(t, 1, countHolders(t, running, "y"))
 	})
 	t.Run("the other one is enough", func(t *testing.T) {
 		must.NoError(t, keepers.Append(t.Context(), "b1", newParts(2, "z")))
-		must.Eq(t, 1, holders(t, running, "z"))
+		must.Eq(t, 1, countHolders(t, running, "z"))
 	})
 	t.Run("none of them is left", func(t *testing.T) {
 		remaining := keepers.choose("b1")[0].name
@@ -137,11 +137,11 @@
 		must.Error(t, keepers.Append(t.Context(), "b1", newParts(3, "u")))
 		must.ErrorIs(t, keepers.Append(t.Context(), "b1", newParts(3, "u")), batch.ErrKeeperChanged)
 		must.NoError(t, keepers.Append(t.Context(), "b1", newParts(0, "x", "y", "z", "u")))
-		must.Eq(t, 1, holders(t, running, "u"))
+		must.Eq(t, 1, countHolders(t, running, "u"))
 	})
 	t.Run("dropped", func(t *testing.T) {
 		keepers.Drop(t.Context(), "b1")
-		must.Eq(t, 0, holders(t, running, "u"))
+		must.Eq(t, 0, countHolders(t, running, "u"))
 	})
 }
 
@@ -157,8 +157,8 @@
 	must.SliceLen(t, 2, keepers.choose("b2"))
 }
 
-// holders returns how many keepers have an event of batch b1.
-func holders(t *testing.T, running map[string]*keeperHost, event string) int {
+// countHolders returns how many keepers have an event of batch b1.
+func countHolders(t *testing.T, running map[string]*keeperHost, event string) int {
 	t.Helper()
 	count := 0
 	for _, host := range running {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -46,16 +46,16 @@
 }
 
 // Flush implements http.Flusher.
-func (o *statusRecorder) Flush() {
-	if flusher, ok := o.ResponseWriter.(http.Flusher); ok {
+func (s *statusRecorder) Flush() {
+	if flusher, ok := s.ResponseWriter.(http.Flusher); ok {
 		flusher.Flush()
 	}
 }
 
 // WriteHeader records the status.
-func (o *statusRecorder) WriteHeader(status int) {
-	o.status = status
-	o.ResponseWriter.WriteHeader(status)
+func (s *statusRecorder) WriteHeader(status int) {
+	s.status = status
+	s.ResponseWriter.WriteHeader(status)
 }
 
 func (m *metrics) observe(kind CallKind, status int, began clock.Boot) {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -32,9 +32,9 @@
 
 // readPage returns results of a batch: from this process if it owns the batch, else
 // from the owner, else from the store.
-func (h *Handler) readPage(ctx context.Context, caller *admittedRequest, call Call) (batch.Page, error) {
+func (h *Handler) readPage(ctx context.Context, admitted *admittedRequest, call Call) (batch.Page, error) {
 	wait := min(call.Wait, maxWait)
-	page, isOwn, err := h.Board.ReadOwned(ctx, call.Batch, caller.account.Name, call.After, wait)
+	page, isOwn, err := h.Board.ReadOwned(ctx, call.Batch, admitted.account.Name, call.After, wait)
 	if isOwn && !page.MayBeIncomplete || err != nil {
 		return page, err
 	}
@@ -42,25 +42,25 @@
 		callCtx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 		defer cancel()
 		reply, err := client.Read(callCtx, peerpb.ReadRequest_builder{
-			Batch: call.Batch, After: call.After, Wait: wait.Milliseconds(), Account: caller.account.Name,
+			Batch: call.Batch, After: call.After, Wait: wait.Milliseconds(), Account: admitted.account.Name,
 		}.Build())
 		if err == nil && reply.GetOwned() && reply.GetAllowed() {
 			return batch.Page{Total: reply.GetTotal(), Outcomes: reply.GetOutcomes()}, nil
 		}
 		klog.V(1).InfoS("batch: reading results from its owner failed", "batch", call.Batch, "owner", h.Board.Owner(call.Batch), "err", err)
 	}
-	return h.Board.ReadStored(ctx, call.Batch, caller.account.Name, call.After)
+	return h.Board.ReadStored(ctx, call.Batch, admitted.account.Name, call.After)
 }
 
 // notifyOwnerOfEnd notifies the owner of a batch of its end.
-func (h *Handler) notifyOwnerOfEnd(ctx context.Context, caller *admittedRequest, call Call) {
+func (h *Handler) notifyOwnerOfEnd(ctx context.Context, admitted *admittedRequest, call Call) {
 	client := h.Hosts.Client(h.Board.Owner(call.Batch))
 	if client == nil {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	_, err := client.End(callCtx, peerpb.EndRequest_builder{Batch: call.Batch, Account: caller.account.Name}.Build())
+	_, err := client.End(callCtx, peerpb.EndRequest_builder{Batch: call.Batch, Account: admitted.account.Name}.Build())
 	if err != nil {
 		klog.InfoS("batch: notifying its owner of the end failed; the owner learns of it from the store", "batch", call.Batch, "err", err.Error())
 	}
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -33,7 +33,7 @@
 func (l *leaseStore) RenewLease(context.Context, uint64, time.Duration) error {
 	now := time.Now()
 	if !now.Before(l.outageStart) && now.Before(l.outageEnd) {
-		return errors.New("away")
+		return errors.New("store unavailable")
 	}
 	l.longestGap = max(l.longestGap, now.Sub(l.renewedAt))
 	l.renewedAt = now
