--- a/internal/roster/coldlimits.go
+++ b/internal/roster/coldlimits.go
@@ -22,22 +22,22 @@
 // ColdLimits limits the requests sent to cold servers.
 type ColdLimits interface {
 	// Share returns how many requests this process may send to a cold server of a pool
-	// within a time window; unbounded where the pool's servers need no limit.
-	Share(pool, server string, sender Sender) (most int, unbounded bool)
+	// within a time window; isUnbounded where the pool's servers need no limit.
+	Share(pool, server string, sender Sender) (limit int, isUnbounded bool)
 	// Duration returns how long a server of a pool is cold.
 	Duration(pool string) time.Duration
 }
 
 // markCold notes that a server is cold for a time from now on. A later end that is
 // already known stays: registrations may arrive out of order.
-func (s *Server) markCold(left time.Duration, now clock.Boot) {
-	if left <= 0 || now.Add(left) <= s.coldUntil {
+func (s *Server) markCold(remaining time.Duration, now clock.Boot) {
+	if remaining <= 0 || now.Add(remaining) <= s.coldUntil {
 		return
 	}
 	if now >= s.coldUntil {
-		klog.InfoS("roster: server is cold", "server", s.Name(), "for", left)
+		klog.InfoS("roster: server is cold", "server", s.Name(), "for", remaining)
 	}
-	s.coldUntil = now.Add(left)
+	s.coldUntil = now.Add(remaining)
 }
 
 // isOverColdLimit reports whether a server is cold and this process has used up its
--- a/internal/roster/connections.go
+++ b/internal/roster/connections.go
@@ -6,8 +6,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/clock"
 )
 
-// RecordLatency records whether an answer exceeded the latency target of its route. A server
-// that does is not preferred for its connections.
+// RecordLatency records whether an answer exceeded the latency target of its route. A
+// server whose last answer did is not preferred for its connections.
 func (r *Roster) RecordLatency(server *Server, isLate bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/roster/demand.go
+++ b/internal/roster/demand.go
@@ -74,7 +74,7 @@
 	now, servers, slots := clock.Now(), 0, 0
 	for _, routed := range r.pools[pool] {
 		server := r.servers[routed.Name()]
-		r.updateStanding(server, now)
+		r.updateEligibility(server, now)
 		if server.Eligibility() == route.Closed {
 			continue
 		}
--- a/internal/roster/engine.go
+++ b/internal/roster/engine.go
@@ -62,7 +62,8 @@
 	MinVersion uint64
 	// Tried servers are skipped.
 	Tried map[string]bool
-	// PreferActive prefers servers that have sent an event recently, if one of these has room.
+	// PreferActive prefers servers that have sent an event recently, if one of these has
+	// room.
 	PreferActive bool
 }
 
@@ -80,8 +81,8 @@
 	return server
 }
 
-// HasFasterServer reports whether a generation on a slow server would find a free slot on one
-// that is not slow.
+// HasFasterServer reports whether a generation on a slow server would find a free slot
+// on one that is not slow.
 func (r *Roster) HasFasterServer(server *Server, need Need) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -103,6 +104,8 @@
 	return true
 }
 
+// selectServer returns the server that Place would use, without starting a request; nil
+// if no server has a free slot. The mutex is held.
 func (r *Roster) selectServer(need Need) *route.Server {
 	r.initMaps()
 	now := clock.Now()
@@ -110,8 +113,8 @@
 	var candidates, active []route.Candidate
 	for _, routed := range r.pools[need.Pool] {
 		server := r.servers[routed.Name()]
-		r.updateStanding(server, now)
-		if need.Tried[routed.Name()] || now < server.fullUntil || server.isProbed || server.version(need.Model) < need.MinVersion {
+		r.updateEligibility(server, now)
+		if need.Tried[routed.Name()] || now < server.backoffUntil || server.isProbed || server.version(need.Model) < need.MinVersion {
 			continue
 		}
 		if r.isOverColdLimit(server, SenderBatch, now) {
@@ -134,12 +137,12 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if version > 0 {
-		server.seenVersions[model] = version
+		server.reportedVersions[model] = version
 	}
 }
 
-// EntriesWithVersions returns the servers of a pool that may get work, with the weight versions that
-// they reported last.
+// EntriesWithVersions returns the servers of a pool that may get work, with the weight
+// versions that they reported last.
 func (r *Roster) EntriesWithVersions(pool string) []Entry {
 	entries := r.Entries(pool)
 	r.mutex.Lock()
@@ -158,8 +161,8 @@
 	return entries
 }
 
-// RecordEvent records the interval between two events of a server, and returns its pace; 0 if
-// unknown.
+// RecordEvent records the interval between two events of a server, and returns its
+// pace; 0 if unknown.
 func (r *Roster) RecordEvent(server *Server, gap time.Duration) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -193,5 +196,5 @@
 
 // version returns the newest weight version of a model that the server has reported.
 func (s *Server) version(model string) uint64 {
-	return max(s.entry.Versions[model], s.seenVersions[model])
+	return max(s.entry.Versions[model], s.reportedVersions[model])
 }
--- a/internal/roster/faults.go
+++ b/internal/roster/faults.go
@@ -15,11 +15,11 @@
 	// is about the interval between registrations.
 	minSuspectTime = time.Second
 	maxSuspectTime = 8 * time.Second
-	// minFullBackoff is how long a server that refused for want of room, or failed, is
+	// minBackoff is how long a server that refused for want of room, or failed, is
 	// skipped: about the time in which one of its requests ends. It doubles each
 	// consecutive time up to maxFullBackoff, a fraction of the time of a weight load.
-	minFullBackoff = 50 * time.Millisecond
-	maxFullBackoff = 200 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 200 * time.Millisecond
 )
 
 // RecordFailure records that a server was unreachable or silent.
@@ -31,7 +31,7 @@
 	defer r.mutex.Unlock()
 	now := clock.Now()
 	server.idleConnections = nil
-	if server.failures > 0 && now < server.fullUntil {
+	if server.failures > 0 && now < server.backoffUntil {
 		return
 	}
 	server.backOff(now)
@@ -51,12 +51,13 @@
 // backOff withholds generations from a server for a moment, and then sends it one at a
 // time as a probe until it answers.
 func (s *Server) backOff(now clock.Boot) {
-	s.fullUntil = now.Add(min(minFullBackoff<<min(s.refusals, 4), maxFullBackoff))
+	s.backoffUntil = now.Add(min(minBackoff<<min(s.refusals, 4), maxBackoff))
 	s.refusals++
 	s.isProbed = false
 }
 
-// RecordReplaced records that another server answers at a server's address: this one is gone.
+// RecordReplaced records that another server answers at a server's address: this one is
+// gone.
 func (r *Roster) RecordReplaced(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/roster/registrations.go
+++ b/internal/roster/registrations.go
@@ -27,7 +27,7 @@
 	server, now := r.servers[entry.ID], clock.Now()
 	server.SetSlots(int64(entry.Slots))
 	server.markCold(entry.ColdFor, now)
-	r.updateStanding(server, now)
+	r.updateEligibility(server, now)
 	r.notifyChanged()
 }
 
@@ -37,9 +37,9 @@
 	r.drop(entry.ID)
 	klog.InfoS("roster: server registered", "server", entry.ID, "pool", entry.Pool, "address", entry.Address, "zone", entry.Zone, "born", entry.StartedAtMillis, "draining", entry.Draining)
 	server := &Server{
-		Server:       route.NewServer(entry.ID, r.Region, entry.Zone),
-		entry:        entry,
-		seenVersions: map[string]uint64{},
+		Server:           route.NewServer(entry.ID, r.Region, entry.Zone),
+		entry:            entry,
+		reportedVersions: map[string]uint64{},
 		direct: &backend.Direct{
 			Server: backend.Server{Address: "http://" + entry.Address, Name: entry.ID, Idle: r.Idle},
 			Wire:   r.Wire,
@@ -71,8 +71,8 @@
 // Remove applies the end of a registration.
 //
 // Registrations expire during an outage of the store while their servers live, and are
-// renewed within Back of its return; removing them at once would leave no server for
-// that time. A server that is still missing then is gone.
+// renewed within ReregisterTimeout of its end; removing them at once would leave no
+// server for that time. A server that is still missing then is gone.
 func (r *Roster) Remove(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -23,8 +23,8 @@
 	Idle time.Duration
 	// ColdLimits limits the requests to cold servers; nil sets no limit.
 	ColdLimits ColdLimits
-	// ReregisterTimeout is how long servers whose registrations expired in a store outage may take to
-	// register again after it.
+	// ReregisterTimeout is how long servers whose registrations expired in a store
+	// outage may take to register again after it.
 	ReregisterTimeout time.Duration
 
 	mutex   sync.Mutex
@@ -39,7 +39,8 @@
 	// drainedAt is when this process learned that an operator has drained a zone.
 	drainedAt   map[string]clock.Boot
 	isStoreLost bool
-	// regainedAt is when the store answered again.
+	// regainedAt is when the store last answered again after an outage; zero if there
+	// was none.
 	regainedAt clock.Boot
 	changed    chan struct{}
 	isListed   bool
@@ -63,7 +64,7 @@
 	var entries []Entry
 	for _, routed := range r.pools[pool] {
 		server := r.servers[routed.Name()]
-		r.updateStanding(server, now)
+		r.updateEligibility(server, now)
 		if server.Eligibility() != route.Closed {
 			entries = append(entries, server.entry)
 		}
@@ -80,7 +81,7 @@
 	if server == nil {
 		return nil
 	}
-	r.updateStanding(server, clock.Now())
+	r.updateEligibility(server, clock.Now())
 	if server.Eligibility() == route.Closed {
 		return nil
 	}
@@ -95,7 +96,7 @@
 	now := clock.Now()
 	for _, routed := range r.pools[pool] {
 		server := r.servers[routed.Name()]
-		r.updateStanding(server, now)
+		r.updateEligibility(server, now)
 		if r.isOverColdLimit(server, SenderCaller, now) {
 			server.SetEligibility(route.Closed)
 		}
@@ -141,8 +142,8 @@
 	return server.Inflight()
 }
 
-// updateStanding sets whether a server may get new work.
-func (r *Roster) updateStanding(server *Server, now clock.Boot) {
+// updateEligibility sets whether a server may get new work.
+func (r *Roster) updateEligibility(server *Server, now clock.Boot) {
 	switch {
 	case server.isGone, server.entry.Draining, r.isDrained(server.entry.Zone):
 		server.SetEligibility(route.Closed)
@@ -150,7 +151,7 @@
 		klog.InfoS("roster: registration was not renewed after a store outage", "server", server.Name())
 		server.isGone = true
 		server.SetEligibility(route.Closed)
-	case now < server.suspectUntil, now < server.fullUntil:
+	case now < server.suspectUntil, now < server.backoffUntil:
 		server.SetEligibility(route.Suspect)
 	default:
 		server.SetEligibility(route.Open)
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -36,7 +36,7 @@
 // backoff has expired.
 func mustGetOneProbe(t *testing.T, roster *Roster, server *Server, need Need) {
 	t.Helper()
-	server.fullUntil = clock.Now()
+	server.backoffUntil = clock.Now()
 	must.NotNil(t, roster.Place(need))
 	must.Nil(t, roster.Place(need))
 }
@@ -230,7 +230,7 @@
 	must.Eq(t, 1, roster.servers["s1"].failures)
 	must.LessEq(t, clock.Now().Add(minSuspectTime), roster.servers["s1"].suspectUntil)
 	t.Run("the next one counts", func(t *testing.T) {
-		roster.servers["s1"].fullUntil = clock.Now()
+		roster.servers["s1"].backoffUntil = clock.Now()
 		roster.RecordFailure(roster.servers["s1"], "cut")
 		must.Eq(t, 2, roster.servers["s1"].failures)
 	})
@@ -302,7 +302,7 @@
 		"not at a sampler":                func(_ *Roster, server *Server) { server.entry.Versions = map[string]uint64{"m": 2} },
 		"not once a suspicion has ended": func(r *Roster, server *Server) {
 			r.RecordFailure(server, "cut")
-			server.suspectUntil, server.fullUntil = 0, 0
+			server.suspectUntil, server.backoffUntil = 0, 0
 		},
 		"not at a server that is half full": func(_ *Roster, server *Server) {
 			server.Begin()
--- a/internal/roster/server.go
+++ b/internal/roster/server.go
@@ -32,15 +32,16 @@
 
 	entry  Entry
 	direct *backend.Direct
-	// seenVersions are the weight versions that answers have reported since the
+	// reportedVersions are the weight versions that answers have reported since the
 	// registration, by model.
-	seenVersions map[string]uint64
+	reportedVersions map[string]uint64
 	// failures counts consecutive faults.
 	failures     int
 	suspectUntil clock.Boot
-	fullUntil    clock.Boot
+	backoffUntil clock.Boot
 	// refusals counts consecutive refusals for want of room and failures; while it is
-	// not 0, the server gets only one generation at a time, as a probe.
+	// not 0, the server gets only one generation at a time, as a probe. isProbed is set
+	// while that probe runs.
 	refusals int
 	isProbed bool
 	// missingSince is when the registration expired in a store outage; zero if it is
