--- a/internal/detour/detour.go
+++ b/internal/detour/detour.go
@@ -63,7 +63,8 @@
 	Answered
 )
 
-// OutcomeUnknownError reports a call that one attempt got rejected and another may have made.
+// OutcomeUnknownError reports a call that was rejected at one attempt and may have been
+// made at another.
 type OutcomeUnknownError struct {
 	Status int
 }
@@ -96,41 +97,41 @@
 // every other gateway could make the calls for it. All writes are conditional, so one
 // that was applied without an answer may safely be sent again.
 func (c *Caller) Do(ctx context.Context, call Call) (Answer, error) {
-	c.once.Do(func() { c.calls = newCalls(c.Metrics) })
-	isUnsure := false
+	c.once.Do(func() { c.calls = newCallCounter(c.Metrics) })
+	isOutcomeUnknown := false
 	if c.isDirectDown() {
 		if call.Probe && c.claimDirectCheck() {
 			go c.checkDirect(context.WithoutCancel(ctx), call)
 		}
-		answer, made := c.detour(ctx, call)
-		if made == Answered {
+		answer, result := c.detour(ctx, call)
+		if result == Answered {
 			return answer, nil
 		}
-		isUnsure = made == OutcomeUnknown
+		isOutcomeUnknown = result == OutcomeUnknown
 	}
 	answer, err := c.direct(ctx, call)
 	if err == nil && !platform.IsRejected(answer.Status) {
 		c.markReachable()
 		return answer, nil
 	}
-	isUnsure = isUnsure || err != nil
+	isOutcomeUnknown = isOutcomeUnknown || err != nil
 	var longAnswer *LongAnswerError
 	if ctx.Err() != nil || errors.As(err, &longAnswer) {
-		return unsureIfRejected(answer, err, isUnsure)
+		return unknownIfRejected(answer, err, isOutcomeUnknown)
 	}
 	c.markUnreachable(call, answer.Status, err)
-	detoured, made := c.detour(ctx, call)
-	if made == Answered {
-		return unsureIfRejected(detoured, nil, isUnsure)
+	detoured, result := c.detour(ctx, call)
+	if result == Answered {
+		return unknownIfRejected(detoured, nil, isOutcomeUnknown)
 	}
-	return unsureIfRejected(answer, err, isUnsure || made == OutcomeUnknown)
+	return unknownIfRejected(answer, err, isOutcomeUnknown || result == OutcomeUnknown)
 }
 
-// unsureIfRejected returns UnsureError in place of a rejection if another attempt may
-// have been made: the caller would conclude that nothing was done, while the store
-// applies the call a second later.
-func unsureIfRejected(answer Answer, err error, isUnsure bool) (Answer, error) {
-	if err == nil && isUnsure && platform.IsRejected(answer.Status) {
+// unknownIfRejected returns OutcomeUnknownError in place of a rejection if another
+// attempt may have been made: the caller would conclude that nothing was done, while the
+// store applies the call a second later.
+func unknownIfRejected(answer Answer, err error, isOutcomeUnknown bool) (Answer, error) {
+	if err == nil && isOutcomeUnknown && platform.IsRejected(answer.Status) {
 		return Answer{}, &OutcomeUnknownError{Status: answer.Status}
 	}
 	return answer, err
@@ -142,7 +143,7 @@
 	case err != nil:
 		c.calls.WithLabelValues(wayDirect, resultNoAnswer).Inc()
 	case platform.IsRejected(answer.Status):
-		c.calls.WithLabelValues(wayDirect, resultTurnedAway).Inc()
+		c.calls.WithLabelValues(wayDirect, resultRejected).Inc()
 	default:
 		c.calls.WithLabelValues(wayDirect, resultAnswered).Inc()
 	}
@@ -154,13 +155,13 @@
 	if c.Peers == nil {
 		return Answer{}, NotSent
 	}
-	answer, made := c.Peers.Detour(ctx, call)
-	if made == Answered {
+	answer, result := c.Peers.Detour(ctx, call)
+	if result == Answered {
 		c.calls.WithLabelValues(wayDetour, resultAnswered).Inc()
 	} else {
 		c.calls.WithLabelValues(wayDetour, resultNoAnswer).Inc()
 	}
-	return answer, made
+	return answer, result
 }
 
 func (c *Caller) isDirectDown() bool {
--- a/internal/detour/detour_test.go
+++ b/internal/detour/detour_test.go
@@ -17,15 +17,15 @@
 
 // fakePeers answers relayed calls with a fixed result.
 type fakePeers struct {
-	calls atomic.Int64
-	made  RelayResult
+	calls  atomic.Int64
+	result RelayResult
 	// status is the status of its answers; 0 means 200.
 	status int
 }
 
 func (p *fakePeers) Detour(context.Context, Call) (Answer, RelayResult) {
 	p.calls.Add(1)
-	return Answer{Status: max(http.StatusOK, p.status), Body: []byte("by a peer")}, p.made
+	return Answer{Status: max(http.StatusOK, p.status), Body: []byte("by a peer")}, p.result
 }
 
 // newStore returns a client of a store that answers with a status, and a count of the
@@ -53,7 +53,7 @@
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
 	direct, calls := newStore(t, status)
-	peer := &fakePeers{made: Answered}
+	peer := &fakePeers{result: Answered}
 	caller := &Caller{Direct: direct, Peers: peer}
 	for range 10 {
 		answer, err := do(t, caller)
@@ -78,7 +78,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{made: Answered}}
+	caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{result: Answered}}
 	_, err = do(t, caller)
 	must.NoError(t, err)
 	caller.directFailedAt = caller.directFailedAt.Add(-directCheckInterval)
@@ -95,7 +95,7 @@
 	status := &atomic.Int64{}
 	status.Store(http.StatusPreconditionFailed)
 	direct, _ := newStore(t, status)
-	peer := &fakePeers{made: Answered}
+	peer := &fakePeers{result: Answered}
 	answer, err := do(t, &Caller{Direct: direct, Peers: peer})
 	must.NoError(t, err)
 	must.Eq(t, http.StatusPreconditionFailed, answer.Status)
@@ -117,19 +117,19 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
-	refusing, _ := newStore(t, status)
-	var unsure *OutcomeUnknownError
+	rejecting, _ := newStore(t, status)
+	var unknown *OutcomeUnknownError
 	t.Run("direct without an answer, refused through a peer", func(t *testing.T) {
-		caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{made: Answered, status: http.StatusServiceUnavailable}}
+		caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{result: Answered, status: http.StatusServiceUnavailable}}
 		_, err := do(t, caller)
-		must.True(t, errors.As(err, &unsure))
+		must.True(t, errors.As(err, &unknown))
 	})
 	t.Run("refused directly, without an answer through a peer", func(t *testing.T) {
-		_, err := do(t, &Caller{Direct: refusing, Peers: &fakePeers{made: OutcomeUnknown}})
-		must.True(t, errors.As(err, &unsure))
+		_, err := do(t, &Caller{Direct: rejecting, Peers: &fakePeers{result: OutcomeUnknown}})
+		must.True(t, errors.As(err, &unknown))
 	})
 	t.Run("refused on both ways", func(t *testing.T) {
-		answer, err := do(t, &Caller{Direct: refusing, Peers: &fakePeers{made: NotSent}})
+		answer, err := do(t, &Caller{Direct: rejecting, Peers: &fakePeers{result: NotSent}})
 		must.NoError(t, err)
 		must.Eq(t, http.StatusServiceUnavailable, answer.Status)
 	})
@@ -176,7 +176,7 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(server.Close)
-	peer := &fakePeers{made: Answered}
+	peer := &fakePeers{result: Answered}
 	caller := &Caller{Direct: &Direct{Address: strings.TrimPrefix(server.URL, "http://")}, Peers: peer}
 	_, err := do(t, caller)
 	var longAnswer *LongAnswerError
--- a/internal/detour/direct.go
+++ b/internal/detour/direct.go
@@ -23,7 +23,7 @@
 	rejectionTTL = 100 * time.Millisecond
 	// maxResets is the number of consecutive calls that end without an answer before
 	// their timeout, from which on later calls are rejected too: single connections,
-	// such as that of a waiting watch, are cut while the store is healthy.
+	// such as that of a waiting watch, are reset while the store is healthy.
 	maxResets = 2
 	// maxAnswerBytes is above the size of the largest page of the store, including
 	// base64.
--- a/internal/detour/metrics.go
+++ b/internal/detour/metrics.go
@@ -4,14 +4,14 @@
 
 // Values of the labels way and result.
 const (
-	wayDirect        = "direct"
-	wayDetour        = "detour"
-	resultAnswered   = "answered"
-	resultTurnedAway = "turned_away"
-	resultNoAnswer   = "no_answer"
+	wayDirect      = "direct"
+	wayDetour      = "detour"
+	resultAnswered = "answered"
+	resultRejected = "turned_away"
+	resultNoAnswer = "no_answer"
 )
 
-func newCalls(registerer prometheus.Registerer) *prometheus.CounterVec {
+func newCallCounter(registerer prometheus.Registerer) *prometheus.CounterVec {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "bramleyhatch_store_calls_total",
 		Help: "Calls of the platform's store by way, directly or through another gateway, and result.",
