--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -15,8 +15,8 @@
 // Current returns the table in force, or nil.
 func (v *View) Current() *Table { return v.current.Load() }
 
-// Update puts a table in force if its version is higher than that of the current one. It
-// reports whether it did.
+// Update puts a table in force if its version is higher than that of the current one.
+// It reports whether it did.
 //
 // A read of the store may be older than what a watch has delivered already; a withdrawn
 // key would then work again for a moment.
