--- a/internal/member/demands.go
+++ b/internal/member/demands.go
@@ -51,18 +51,18 @@
 }
 
 // newest returns up to limit demands, most recently received first, and deletes expired ones.
-func (k demandTable) newest(now time.Time, limit int) []*peerpb.Demand {
-	kept := make([]demandRecord, 0, len(k))
-	for key, record := range k {
+func (d demandTable) newest(now time.Time, limit int) []*peerpb.Demand {
+	records := make([]demandRecord, 0, len(d))
+	for key, record := range d {
 		if now.Sub(record.receivedAt) > demandTTL {
-			delete(k, key)
+			delete(d, key)
 			continue
 		}
-		kept = append(kept, record)
+		records = append(records, record)
 	}
-	slices.SortFunc(kept, func(a, b demandRecord) int { return cmp.Compare(b.receivedAt.UnixNano(), a.receivedAt.UnixNano()) })
-	demands := make([]*peerpb.Demand, 0, min(limit, len(kept)))
-	for _, record := range kept[:min(limit, len(kept))] {
+	slices.SortFunc(records, func(a, b demandRecord) int { return cmp.Compare(b.receivedAt.UnixNano(), a.receivedAt.UnixNano()) })
+	demands := make([]*peerpb.Demand, 0, min(limit, len(records)))
+	for _, record := range records[:min(limit, len(records))] {
 		demands = append(demands, record.demand)
 	}
 	return demands
--- a/internal/member/isolation.go
+++ b/internal/member/isolation.go
@@ -16,7 +16,7 @@
 func (m *Members) IsIsolated(now time.Time) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.IsolationTimeout <= 0 || now.Sub(m.stamps.lastHeard()) < m.IsolationTimeout {
+	if m.IsolationTimeout <= 0 || now.Sub(m.stamps.lastAnswer()) < m.IsolationTimeout {
 		return false
 	}
 	if now.Sub(m.lastExchange) >= m.IsolationTimeout {
@@ -31,11 +31,11 @@
 func (m *Members) StoreAge(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	lastHeard := m.stamps.lastHeard()
-	if lastHeard.IsZero() {
+	lastAnswer := m.stamps.lastAnswer()
+	if lastAnswer.IsZero() {
 		return -1
 	}
-	return now.Sub(lastHeard)
+	return now.Sub(lastAnswer)
 }
 
 // countInRegion counts the reachable other processes of the region and those that
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -31,8 +31,8 @@
 
 // Members holds what a process knows of the others. It is safe for concurrent use.
 type Members struct {
-	// IsolationTimeout is the time without contact after which Isolated may return true; it
-	// is set before use. 0 disables the check.
+	// IsolationTimeout is the time without contact after which IsIsolated may return
+	// true; it is set before use. 0 disables the check.
 	IsolationTimeout time.Duration
 
 	mutex              sync.Mutex
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -115,11 +115,11 @@
 // shouldRequestFacts reports whether to request the facts with this hash, which
 // is false shortly after a request. All neighbours announce a change at the same
 // time, and each would send the same value.
-func (m *Members) shouldRequestFacts(now time.Time, held uint64) bool {
-	if m.requestedHash == held && now.Sub(m.requestedAt) < factRequestTimeout {
+func (m *Members) shouldRequestFacts(now time.Time, factsHash uint64) bool {
+	if m.requestedHash == factsHash && now.Sub(m.requestedAt) < factRequestTimeout {
 		return false
 	}
-	m.requestedHash, m.requestedAt = held, now
+	m.requestedHash, m.requestedAt = factsHash, now
 	return true
 }
 
--- a/internal/member/prober.go
+++ b/internal/member/prober.go
@@ -27,7 +27,7 @@
 // fields are set before use. It is not safe for concurrent use.
 type Prober struct {
 	Members *Members
-	// Interval is the time between two calls of Next.
+	// Interval is the time between two calls of NextTarget.
 	Interval time.Duration
 	// SuspectTimeout is the time after which a suspected process is marked as failed.
 	SuspectTimeout time.Duration
@@ -39,8 +39,8 @@
 	refilledAt time.Time
 }
 
-// Expire marks suspected processes as failed after Suspect and deletes records
-// past their retention.
+// Expire marks suspected processes as failed after SuspectTimeout and deletes
+// records past their retention.
 //
 // After a pause of this process (a frozen or stopped host) all suspicions look
 // old although no process was probed meanwhile, so their time restarts.
@@ -159,14 +159,14 @@
 
 func (p *Prober) randomFailed() *peerpb.Process {
 	var chosen *peerpb.Process
-	seen := 0
+	failedCount := 0
 	for name := range p.Members.table.suspectOrEnded {
 		process := p.Members.table.get(name)
 		if process.GetState() != peerpb.State_STATE_FAILED {
 			continue
 		}
-		seen++
-		if p.Rand.IntN(seen) == 0 {
+		failedCount++
+		if p.Rand.IntN(failedCount) == 0 {
 			chosen = process
 		}
 	}
--- a/internal/member/stamps.go
+++ b/internal/member/stamps.go
@@ -18,8 +18,8 @@
 
 // stamp is the latest answer of the store to one process.
 type stamp struct {
-	seq     uint64
-	heardAt time.Time
+	seq        uint64
+	answeredAt time.Time
 }
 
 // stamps record how long ago the store answered any process, by process.
@@ -32,19 +32,19 @@
 // add records an answer of the store to this process.
 func (s stamps) add(origin string, now time.Time) {
 	last := s[origin]
-	if now.Sub(last.heardAt) < minStampInterval {
+	if now.Sub(last.answeredAt) < minStampInterval {
 		return
 	}
-	s[origin] = stamp{seq: max(last.seq+1, uint64(now.UnixMilli())), heardAt: now}
+	s[origin] = stamp{seq: max(last.seq+1, uint64(now.UnixMilli())), answeredAt: now}
 	s.trim()
 }
 
-// lastHeard returns the time of the latest answer to any process; zero if none is known.
-func (s stamps) lastHeard() time.Time {
+// lastAnswer returns the time of the latest answer to any process; zero if none is known.
+func (s stamps) lastAnswer() time.Time {
 	var newest time.Time
 	for _, known := range s {
-		if known.heardAt.After(newest) {
-			newest = known.heardAt
+		if known.answeredAt.After(newest) {
+			newest = known.answeredAt
 		}
 	}
 	return newest
@@ -57,7 +57,7 @@
 			continue
 		}
 		age := time.Duration(max(0, received.GetAge())) * time.Millisecond
-		s[received.GetOrigin()] = stamp{seq: received.GetSeq(), heardAt: now.Add(-age)}
+		s[received.GetOrigin()] = stamp{seq: received.GetSeq(), answeredAt: now.Add(-age)}
 	}
 	s.trim()
 }
@@ -70,7 +70,7 @@
 		sent = append(sent, peerpb.Stamp_builder{
 			Origin: origin,
 			Seq:    known.seq,
-			Age:    now.Sub(known.heardAt).Milliseconds(),
+			Age:    now.Sub(known.answeredAt).Milliseconds(),
 		}.Build())
 	}
 	return sent
@@ -82,7 +82,7 @@
 		origins = append(origins, origin)
 	}
 	slices.SortFunc(origins, func(a, b string) int {
-		return cmp.Or(s[b].heardAt.Compare(s[a].heardAt), cmp.Compare(a, b))
+		return cmp.Or(s[b].answeredAt.Compare(s[a].answeredAt), cmp.Compare(a, b))
 	})
 	return origins
 }
--- a/internal/member/starthistory.go
+++ b/internal/member/starthistory.go
@@ -12,10 +12,10 @@
 type startHistory struct {
 	// hasEarlier is true once an earlier process with this name or backend server is known.
 	hasEarlier bool
-	// heardOther is true once any other process is known, heardOlder once one that
+	// hasOther is true once any other process is known, hasOlder once one that
 	// started before this one is.
-	heardOther bool
-	heardOlder bool
+	hasOther bool
+	hasOlder bool
 }
 
 // observe evaluates another process's record.
@@ -26,8 +26,8 @@
 		h.hasEarlier = h.hasEarlier || isOlder
 		return
 	}
-	h.heardOther = h.heardOther || other.GetName() != ""
-	h.heardOlder = h.heardOlder || isOlder && other.GetName() != ""
+	h.hasOther = h.hasOther || other.GetName() != ""
+	h.hasOlder = h.hasOlder || isOlder && other.GetName() != ""
 }
 
 // IsFirstProcess reports whether this is known to be the first process with its name and
@@ -36,7 +36,7 @@
 func (m *Members) IsFirstProcess() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.startHistory.heardOther && !m.startHistory.hasEarlier && (m.startHistory.heardOlder || m.isOldest())
+	return m.startHistory.hasOther && !m.startHistory.hasEarlier && (m.startHistory.hasOlder || m.isOldest())
 }
 
 // isOldest reports whether no other known process started before this one.
--- a/internal/member/starthistory_test.go
+++ b/internal/member/starthistory_test.go
@@ -18,8 +18,8 @@
 	}
 	older, younger := process("entry", "", 1), process("other", "", 9)
 	tests := map[string]struct {
-		heard   []*peerpb.Process
-		isFirst bool
+		received []*peerpb.Process
+		isFirst  bool
 	}{
 		"nobody heard":           {nil, false},
 		"older knows of none":    {[]*peerpb.Process{older}, true},
@@ -31,8 +31,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			members := NewMembers(process("s1", "server", 5))
-			for _, heard := range test.heard {
-				members.MergeAnswer(time.Unix(10, 0), peerpb.Gossip_builder{Sender: older, Processes: []*peerpb.Process{heard}}.Build())
+			for _, process := range test.received {
+				members.MergeAnswer(time.Unix(10, 0), peerpb.Gossip_builder{Sender: older, Processes: []*peerpb.Process{process}}.Build())
 			}
 			must.Eq(t, test.isFirst, members.IsFirstProcess())
 		})
