--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -38,8 +38,8 @@
 	Wait time.Duration
 	// OnChanges is called with the changes, in the order of the store's revisions.
 	OnChanges func(changes []platform.Value)
-	// OnListed is called after Take has received a complete list; nil is allowed.
-	// If the store has dropped its history, Take has received the values missing
+	// OnListed is called after OnChanges has received a complete list; nil is allowed.
+	// If the store has dropped its history, OnChanges has received the values missing
 	// from the list as deleted before.
 	OnListed func()
 	// Follow waits for changes that another process has received; it reports false
@@ -50,11 +50,11 @@
 	// Pause is the delay after a watch of the store that returned changes: changes in
 	// quick succession then cost one call.
 	Pause time.Duration
-	// OnLost is called when the store stops answering, and Regained once it answers
-	// again, before Take receives what has changed meanwhile; nil is allowed.
+	// OnLost is called when the store stops answering, and OnRegained once it answers
+	// again, before OnChanges receives what has changed meanwhile; nil is allowed.
 	OnLost     func()
 	OnRegained func()
-	// OnUpToDate is called once Take has received all changes so far; nil is allowed.
+	// OnUpToDate is called once OnChanges has received all changes so far; nil is allowed.
 	OnUpToDate func()
 
 	known    map[string]uint64
@@ -126,7 +126,7 @@
 	if m.OnListed != nil {
 		m.OnListed()
 	}
-	m.reportHeard()
+	m.reportUpToDate()
 	return nil
 }
 
@@ -153,10 +153,10 @@
 	m.apply(reply.Values)
 	m.revision = max(m.revision, reply.Revision)
 	m.history.add(reply.Values, m.revision, isDirect)
-	m.reportHeard()
+	m.reportUpToDate()
 }
 
-func (m *Mirror) reportHeard() {
+func (m *Mirror) reportUpToDate() {
 	if m.OnUpToDate != nil {
 		m.OnUpToDate()
 	}
@@ -169,8 +169,8 @@
 	return m.history.wait(ctx, after, wait, m.Wait+freshnessMargin)
 }
 
-// apply passes the values that are newer than the known ones to Take. A delayed
-// reply may hold values that a later one has replaced.
+// apply passes the values that are newer than the known ones to OnChanges. A
+// delayed reply may hold values that a later one has replaced.
 func (m *Mirror) apply(values []platform.Value) {
 	if m.known == nil {
 		m.known = map[string]uint64{}
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -14,7 +14,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform/platformtest"
 )
 
-// replica holds the values that a mirror has passed to Take.
+// replica holds the values that a mirror has passed to OnChanges.
 type replica struct {
 	mutex  sync.Mutex
 	values map[string]string
@@ -39,12 +39,12 @@
 }
 
 // run runs a mirror of the prefix "p/" until the test ends.
-func run(t *testing.T, store *platformtest.Store, change func(*mirror.Mirror)) (*mirror.Mirror, *replica) {
+func run(t *testing.T, store *platformtest.Store, configure func(*mirror.Mirror)) (*mirror.Mirror, *replica) {
 	t.Helper()
 	values := &replica{values: map[string]string{}}
 	m := &mirror.Mirror{Store: store, Prefix: "p/", Wait: 50 * time.Millisecond, OnChanges: values.apply}
-	if change != nil {
-		change(m)
+	if configure != nil {
+		configure(m)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -182,11 +182,11 @@
 		store.SetUnavailable(true)
 		before := store.Calls()
 		time.Sleep(1200 * time.Millisecond)
-		made := store.Calls() - before
+		count := store.Calls() - before
 		store.SetUnavailable(false)
 		put(t, store, "p/a", "2")
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return values.get("p/a") == "2" }), wait.Timeout(2*time.Second), wait.Gap(time.Millisecond)))
-		return made
+		return count
 	}
 	must.LessEq(t, 4, calls(false))
 	must.GreaterEq(t, 5, calls(true))
