--- a/internal/keeper/server.go
+++ b/internal/keeper/server.go
@@ -1,9 +1,9 @@
 // Package keeper stores, on hosts with disks, the partial texts that gateways receive
 // until the texts are complete, so that the next owner of a batch resumes after them.
 //
-// The texts save work and are the only proof of nothing: batches and their outcomes
-// are in the platform's store. A keeper that is lost, or restarts empty, costs the
-// seconds that it took to generate its texts.
+// The texts only save work: batches and their outcomes are in the platform's store, and
+// nothing is proved by the texts alone. A keeper that is lost, or restarts empty, costs
+// the seconds that it took to generate its texts.
 package keeper
 
 import (
@@ -27,7 +27,8 @@
 	// maxMemoryBytes bounds the texts in memory; the batch that has been idle longest
 	// is evicted first.
 	maxMemoryBytes = 48 << 20
-	// maxIdle is how long a batch without a new event is stored. Trainers wait seconds.
+	// maxIdle is how long a batch without a new event is stored. Trainers wait for
+	// seconds only.
 	maxIdle = 2 * time.Minute
 )
 
--- a/internal/keeper/server_test.go
+++ b/internal/keeper/server_test.go
@@ -68,8 +68,8 @@
 }
 
 // A power loss during a write leaves an incomplete record, or one whose bytes were
-// never written, at the end of the file. A trainer would receive its text as a
-// sampler's. The tail must be truncated so that records appended later can be read.
+// never written, at the end of the file. Read as valid, it would reach a trainer
+// as a text of a sampler. The tail must be truncated so that records appended later can be read.
 func TestTornTail(t *testing.T) {
 	for name, tear := range map[string]func([]byte) []byte{
 		"short":        func(data []byte) []byte { return data[:len(data)-3] },
