--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -68,7 +68,7 @@
 	return operatorpb.ChangeReply_builder{Revision: revision, Lists: config.GetLists(), Stored: true}.Build(), nil
 }
 
-func (s *Server) force(ctx context.Context, _ string, _ *http.Request) (proto.Message, error) {
+func (s *Server) revisionsInForce(ctx context.Context, _ string, _ *http.Request) (proto.Message, error) {
 	return operatorpb.ForceReply_builder{Processes: s.Peers.RevisionsInForce(ctx, peerpb.Role_ROLE_ENTRY)}.Build(), nil
 }
 
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -72,7 +72,7 @@
 	return []rest.Route{
 		{Method: http.MethodGet, Path: PathConfig, Handler: s.handle(s.config)},
 		{Method: http.MethodPut, Path: PathConfig, Handler: s.handle(s.put)},
-		{Method: http.MethodGet, Path: PathForce, Handler: s.handle(s.force)},
+		{Method: http.MethodGet, Path: PathForce, Handler: s.handle(s.revisionsInForce)},
 		{Method: http.MethodPost, Path: PathGrant, Handler: s.handle(s.grant)},
 		{Method: http.MethodPost, Path: PathWithdraw, Handler: s.handle(s.withdraw)},
 		{Method: http.MethodGet, Path: PathStatus, Handler: s.handle(s.status)},
