--- a/internal/batch/accept.go
+++ b/internal/batch/accept.go
@@ -104,8 +104,8 @@
 
 // isNotCommitted reports whether a store error proves that the commit changed nothing.
 func isNotCommitted(err error) bool {
-	var away *platform.UnavailableError
-	return errors.As(err, &away) && platform.IsRejected(away.Status)
+	var unavailable *platform.UnavailableError
+	return errors.As(err, &unavailable) && platform.IsRejected(unavailable.Status)
 }
 
 func (b *Board) isAccepted(id string) bool {
--- a/internal/batch/board.go
+++ b/internal/batch/board.go
@@ -79,8 +79,8 @@
 	// Lease returns the lease that registers this process with the store, or 0 while it has
 	// none.
 	Lease func() uint64
-	// Candidates returns the live processes that are not leaving, the best candidate for a piece of
-	// work first.
+	// Candidates returns the live processes that are not leaving, the best candidate for a piece
+	// of work first.
 	Candidates func(work string) []string
 	// IsLeaving reports whether a process was asked to stop.
 	IsLeaving func(host string) bool
@@ -247,7 +247,7 @@
 			route:         func() (Route, bool) { return b.Routes(batch) },
 			roster:        b.Roster,
 			scorer:        b.Scorer,
-			wire:          b.Wire,
+			headerEncoder: b.Wire,
 			ledger:        newLedger(b.Store, batch.GetId(), b.GroupDelay, b.ValueBytes, state.Owner, state.Listed, b.metrics),
 			keeper:        b.Keeper,
 			metrics:       b.metrics,
--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -31,13 +31,13 @@
 
 // scorer scores a text for each value sent to release.
 type scorer struct {
-	room       int
+	capacity   int
 	release    chan struct{}
 	running    atomic.Int32
 	maxRunning atomic.Int32
 }
 
-func (s *scorer) Capacity(*statepb.Scorer) int { return s.room }
+func (s *scorer) Capacity(*statepb.Scorer) int { return s.capacity }
 
 func (s *scorer) Score(ctx context.Context, _ *statepb.Scorer) (string, error) {
 	s.maxRunning.Store(max(s.maxRunning.Load(), s.running.Add(1)))
@@ -84,7 +84,7 @@
 // newBoard returns a board that uses the lease and the routes of p.
 func newBoard(store Store, name string, p *process, hosts ...string) *Board {
 	return &Board{
-		Process: name, Store: store, Roster: &roster.Roster{}, Keeper: noopPeer{}, Peers: noopPeer{}, Scorer: &scorer{room: 4}, Routes: p.routes.get,
+		Process: name, Store: store, Roster: &roster.Roster{}, Keeper: noopPeer{}, Peers: noopPeer{}, Scorer: &scorer{capacity: 4}, Routes: p.routes.get,
 		Lease: p.lease.Load, Candidates: func(work string) []string { return duty.Order(work, hosts) }, IsLeaving: func(string) bool { return false },
 		Retention: time.Hour, GroupDelay: time.Millisecond, ValueBytes: 1 << 20,
 	}
@@ -202,10 +202,10 @@
 	await(t, func() bool { return p.holds() })
 }
 
-// unsurePeer never tells whether it accepted a batch.
-type unsurePeer struct{ noopPeer }
+// timeoutPeer does not answer whether it accepted a batch.
+type timeoutPeer struct{ noopPeer }
 
-func (unsurePeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
+func (timeoutPeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
 	return Refused, context.DeadlineExceeded
 }
 
@@ -213,7 +213,7 @@
 // either. It must not say "not run" of a batch that may run.
 func TestUnsurePeer(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1", "g2")
-	p.Peers = unsurePeer{}
+	p.Peers = timeoutPeer{}
 	p.lease.Store(0)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
@@ -327,7 +327,7 @@
 // The texts of a step complete at the same moment. Scored all at once, they take every slot of
 // the plain service, and members' lookups queue behind them.
 func TestConcurrentScoresAreBounded(t *testing.T) {
-	scorer := &scorer{room: 2, release: make(chan struct{})}
+	scorer := &scorer{capacity: 2, release: make(chan struct{})}
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
 	p.Scorer = scorer
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20, 30, 40, 50)))
--- a/internal/batch/claim.go
+++ b/internal/batch/claim.go
@@ -29,11 +29,11 @@
 		return nil
 	}
 	var ids []string
-	for id, orphan := range b.unowned {
+	for id, unowned := range b.unowned {
 		if b.claiming[id] || !b.open[id] {
 			continue
 		}
-		if now.Sub(orphan.since) >= b.claimDelay(id, orphan.lastOwner) {
+		if now.Sub(unowned.since) >= b.claimDelay(id, unowned.lastOwner) {
 			b.claiming[id] = true
 			ids = append(ids, id)
 		}
@@ -47,12 +47,12 @@
 // The last owner comes first: it may be alive and have lost only its lease in a store outage,
 // and it has everything generated for the batch. If it has announced that it leaves, nobody
 // waits for it.
-func (b *Board) claimDelay(id, last string) time.Duration {
+func (b *Board) claimDelay(id, lastOwner string) time.Duration {
 	if b.owned[id] != nil {
 		return 0
 	}
 	wait := time.Duration(duty.Place(b.Process, b.Candidates(id))) * claimStagger
-	if b.IsLeaving(last) {
+	if b.IsLeaving(lastOwner) {
 		return wait
 	}
 	return ownerHeadStart + wait
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -163,7 +163,7 @@
 	ctx, cancel := context.WithTimeout(ctx, handoverCallTimeout)
 	defer cancel()
 	taken, err := b.Peers.HandOver(ctx, successor, state)
-	klog.InfoS("batch: given to its next owner", "batch", id, "owner", successor, "listed", len(state.Listed), "pending", len(state.Pending), "partly", len(state.Partials), "taken", taken, "err", err)
+	klog.InfoS("batch: offered to its next owner", "batch", id, "owner", successor, "listed", len(state.Listed), "pending", len(state.Pending), "partly", len(state.Partials), "taken", taken, "err", err)
 	if taken {
 		b.markHandedOver(id, successor)
 	}
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -160,13 +160,13 @@
 func TestHandoverToASlowHost(t *testing.T) {
 	_, first, second := setUpDrain(t)
 	first.Peers = nextOwner{board: func() *Board { return second.Board }, late: takeoverTimeout + 100*time.Millisecond}
-	var asked atomic.Int32
-	ownStore := &commitCounter{Store: first.Store, commits: &asked}
+	var commits atomic.Int32
+	ownStore := &commitCounter{Store: first.Store, commits: &commits}
 	first.mutex.Lock()
 	first.Store = ownStore
 	first.mutex.Unlock()
 	first.Drain(t.Context())
-	must.Eq(t, 0, asked.Load())
+	must.Eq(t, 0, commits.Load())
 	must.Eq(t, "g2", first.Owner("b1"))
 }
 
@@ -177,9 +177,9 @@
 	commits *atomic.Int32
 }
 
-func (w *commitCounter) Commit(ctx context.Context, commit platform.Commit) (uint64, error) {
-	w.commits.Add(1)
-	return w.Store.Commit(ctx, commit)
+func (c *commitCounter) Commit(ctx context.Context, commit platform.Commit) (uint64, error) {
+	c.commits.Add(1)
+	return c.Store.Commit(ctx, commit)
 }
 
 // A gateway stops while a chunk is on its way to a slow store. If the write is cancelled, the
@@ -200,11 +200,11 @@
 	nextOwner
 }
 
-func (g unreachableFirst) HandOver(ctx context.Context, host string, state Handover) (bool, error) {
+func (u unreachableFirst) HandOver(ctx context.Context, host string, state Handover) (bool, error) {
 	if host != "g3" {
 		return false, errors.New("no answer")
 	}
-	return g.nextOwner.HandOver(ctx, host, state)
+	return u.nextOwner.HandOver(ctx, host, state)
 }
 
 // Several gateways stop at the same time, the next owner of a batch among them. If only that
--- a/internal/batch/earlyrun.go
+++ b/internal/batch/earlyrun.go
@@ -186,9 +186,9 @@
 	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").WithRetryAfter(storeRetryAfter)
 }
 
-// AcceptForPeer accepts a batch on behalf of another process, and returns within the wait. An error
-// means that the result is unknown. The attempt continues after the wait: a large batch takes
-// the store longer than the other process waits.
+// AcceptForPeer accepts a batch on behalf of another process, and returns within the wait. An
+// error means that the result is unknown. The attempt continues after the wait: a large batch
+// takes the store longer than the other process waits.
 func (b *Board) AcceptForPeer(ctx context.Context, batch *statepb.Batch, wait time.Duration) (Acceptance, error) {
 	if b.isAccepted(batch.GetId()) {
 		return Accepted, nil
--- a/internal/batch/earlyrun_test.go
+++ b/internal/batch/earlyrun_test.go
@@ -44,7 +44,7 @@
 // Guards against steps that start late because the store was unavailable when they were
 // submitted.
 func TestEarlyBatch(t *testing.T) {
-	startAway := func(t *testing.T) (*platformtest.Store, *process) {
+	startUnavailable := func(t *testing.T) (*platformtest.Store, *process) {
 		t.Helper()
 		store := &platformtest.Store{}
 		p := startProcess(t, store, "g1", "g1")
@@ -54,7 +54,7 @@
 		return store, p
 	}
 	t.Run("is taken once the store is back", func(t *testing.T) {
-		store, p := startAway(t)
+		store, p := startUnavailable(t)
 		runs := p.owned["b1"]
 		store.SetUnavailable(false)
 		must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
@@ -64,7 +64,7 @@
 		await(t, func() bool { return len(p.outcomes(t)) == 1 })
 	})
 	t.Run("shows nothing before", func(t *testing.T) {
-		_, p := startAway(t)
+		_, p := startUnavailable(t)
 		p.owned["b1"].ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
 		page, isOwn, err := p.ReadOwned(t.Context(), "b1", "", 0, 3*writeRetryDelay)
 		must.NoError(t, err)
@@ -90,7 +90,7 @@
 		must.True(t, second.holds())
 	})
 	t.Run("is claimed where its owner's key has ended", func(t *testing.T) {
-		store, p := startAway(t)
+		store, p := startUnavailable(t)
 		runs := p.owned["b1"]
 		store.SetUnavailable(false)
 		await(t, func() bool { return p.holds() && p.earlyRunOf("b1") == nil })
@@ -104,7 +104,7 @@
 		must.True(t, p.holds())
 	})
 	t.Run("ends with its trainer's word", func(t *testing.T) {
-		store, p := startAway(t)
+		store, p := startUnavailable(t)
 		must.True(t, p.StopOwned("b1", ""))
 		await(t, func() bool { return p.earlyRunOf("b1") == nil })
 		store.SetUnavailable(false)
@@ -113,7 +113,7 @@
 		must.SliceEmpty(t, list.Values)
 	})
 	t.Run("keeps its process from stopping", func(t *testing.T) {
-		store, p := startAway(t)
+		store, p := startUnavailable(t)
 		drained := make(chan struct{})
 		go func() {
 			p.Drain(context.Background())
--- a/internal/batch/keep.go
+++ b/internal/batch/keep.go
@@ -31,8 +31,8 @@
 
 // Keeper stores incomplete texts on hosts with disks.
 type Keeper interface {
-	// Append stores events. An error means that what the keeper has is unknown, ErrOtherKeeper
-	// that it has nothing.
+	// Append stores events. After an error it is unknown what the keeper has; after
+	// ErrKeeperChanged it has nothing.
 	Append(ctx context.Context, batch string, parts []*statepb.Part) error
 	// Fetch returns what is stored of a batch, as far as keepers answer.
 	Fetch(ctx context.Context, batch string) []*statepb.Partial
@@ -133,8 +133,8 @@
 	return parts
 }
 
-// ResendAll makes Parts return all texts from their start, because it is no longer known what the
-// keeper has.
+// ResendAll makes Parts return all texts from their start, because it is no longer known what
+// the keeper has.
 func (p *Plan) ResendAll() {
 	for _, item := range p.items {
 		item.kept = 0
--- a/internal/batch/ledger.go
+++ b/internal/batch/ledger.go
@@ -55,7 +55,7 @@
 	isStopped    bool
 }
 
-// Ownership is the ownership of a batch by a process.
+// Ownership identifies the owner key under which a process owns a batch.
 type Ownership struct {
 	// Revision is that of the owner key; 0 while it is unknown.
 	Revision uint64
--- a/internal/batch/leftovers.go
+++ b/internal/batch/leftovers.go
@@ -60,10 +60,10 @@
 
 // Leftover is the text of an item whose group was incomplete when its batch ended.
 type Leftover struct {
-	item     string
-	events   []string
-	versions []uint64
-	isWhole  bool
+	item       string
+	events     []string
+	versions   []uint64
+	isComplete bool
 }
 
 // size returns the length of the text in bytes.
@@ -92,8 +92,8 @@
 		if !isWanted(item) || len(item.events) == 0 || item.outcome.GetFailed() {
 			continue
 		}
-		isWhole := item.phase == unscored || item.phase == scoring || item.phase == settled
-		leftovers = append(leftovers, Leftover{item: item.spec.GetId(), events: item.events, versions: item.versions, isWhole: isWhole})
+		isComplete := item.phase == unscored || item.phase == scoring || item.phase == settled
+		leftovers = append(leftovers, Leftover{item: item.spec.GetId(), events: item.events, versions: item.versions, isComplete: isComplete})
 	}
 	return leftovers
 }
@@ -113,7 +113,7 @@
 		}
 		reused++
 		item.events, item.versions = slices.Clone(leftover.events), slices.Clone(leftover.versions)
-		if leftover.isWhole {
+		if leftover.isComplete {
 			p.completeText(item)
 		}
 	}
--- a/internal/batch/outcome.go
+++ b/internal/batch/outcome.go
@@ -21,7 +21,7 @@
 	p.list(item, statepb.Outcome_builder{Item: item.spec.GetId(), Failed: true}.Build())
 }
 
-func (p *Plan) settle(item *itemState, proof string) {
+func (p *Plan) succeed(item *itemState, proof string) {
 	text := strings.Join(item.events, "\n")
 	p.list(item, statepb.Outcome_builder{Item: item.spec.GetId(), Text: text, Versions: distinct(item.versions), Score: proof}.Build())
 }
@@ -41,25 +41,25 @@
 	item.outcome = outcome
 	p.open--
 	p.pending = append(p.pending, outcome)
-	p.closeGroup(item)
+	p.recordInGroup(item)
 }
 
-// closeGroup counts an item that has its outcome in its group.
-func (p *Plan) closeGroup(item *itemState) {
+// recordInGroup counts an outcome of an item's group, and completes the group with its last one.
+func (p *Plan) recordInGroup(item *itemState) {
 	p.groups[item.spec.GetGroup()]--
 	if p.groups[item.spec.GetGroup()] > 0 {
 		return
 	}
-	p.wholeGroups++
-	p.forget(item.spec.GetGroup())
-	if p.wholeGroups >= int(p.batch.GetWanted()) {
+	p.completeGroups++
+	p.dropEvents(item.spec.GetGroup())
+	if p.completeGroups >= int(p.batch.GetWanted()) {
 		p.urgent = true
 	}
 }
 
-// forget drops the events of a group whose items all have their outcomes. No later batch asks
+// dropEvents drops the events of a group whose items all have their outcomes. No later batch asks
 // for them, and a batch stays in memory as long as it can be read.
-func (p *Plan) forget(group string) {
+func (p *Plan) dropEvents(group string) {
 	for _, item := range p.items {
 		if item.spec.GetGroup() == group {
 			item.events, item.versions = nil, nil
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -23,9 +23,9 @@
 	// silenceTimeout is how long a sampler may send nothing before its run continues elsewhere:
 	// many times the usual gap, and longer than a weight load.
 	silenceTimeout = 1500 * time.Millisecond
-	// minStallTimeout is the shortest time after its last event after which a run counts as
-	// stalled: longer than a pause caused by CPU throttling. stallEvents is that time in events
-	// of the server.
+	// minStallTimeout is the lower bound of the time without an event after which a run counts
+	// as stalled: longer than a pause caused by CPU throttling. stallEvents is that time in
+	// event intervals of the server.
 	minStallTimeout = 600 * time.Millisecond
 	stallEvents     = 8
 	// runTimeout bounds one run; a sampler stops a run by itself after that.
@@ -63,11 +63,11 @@
 type owner struct {
 	batch *statepb.Batch
 	// route returns the current route of the batch, or false while no configuration is known.
-	route  func() (Route, bool)
-	roster *roster.Roster
-	scorer Scorer
-	wire   HeaderEncoder
-	ledger *ledger
+	route         func() (Route, bool)
+	roster        *roster.Roster
+	scorer        Scorer
+	headerEncoder HeaderEncoder
+	ledger        *ledger
 	// keeper stores the incomplete texts.
 	keeper  Keeper
 	metrics *metrics
@@ -84,7 +84,7 @@
 	// scoring is the number of texts that are being scored.
 	scoring int
 	wake    chan struct{}
-	done    sync.WaitGroup
+	tasks   sync.WaitGroup
 }
 
 // activeRun is a run in progress.
@@ -118,7 +118,7 @@
 	}
 	o.waiting.Store(0)
 	o.stopRuns()
-	o.done.Wait()
+	o.tasks.Wait()
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.plan.IsEnded() {
@@ -161,14 +161,14 @@
 // The texts of a step complete in bursts. Scored all at once, they would take every slot of a
 // plain service that callers use as well, and the step would not finish sooner.
 func (o *owner) startScoring(ctx context.Context, now clock.Boot) {
-	room := o.scorer.Capacity(o.batch.GetItems()[0].GetScorer())
-	for o.scoring < room {
+	capacity := o.scorer.Capacity(o.batch.GetItems()[0].GetScorer())
+	for o.scoring < capacity {
 		job, ok := o.plan.NextScore(now)
 		if !ok {
 			return
 		}
 		o.scoring++
-		o.done.Go(func() { o.score(ctx, job) })
+		o.tasks.Go(func() { o.score(ctx, job) })
 	}
 }
 
@@ -217,7 +217,7 @@
 	klog.InfoS("batch: placed", "id", job.spec.GetId(), "batch", o.batch.GetId(), "server", server.Name(), "running", o.roster.Running(server), "after", job.events, "waiting", o.plan.Waiting())
 	running, cancel := context.WithCancelCause(ctx)
 	o.runs[job.index] = &activeRun{server: server, cancel: cancel, startedAt: now}
-	o.done.Go(func() {
+	o.tasks.Go(func() {
 		defer cancel(nil)
 		o.generate(running, job, server)
 	})
--- a/internal/batch/plan_test.go
+++ b/internal/batch/plan_test.go
@@ -279,19 +279,19 @@
 // comes again with complete texts. Left waiting for a score until the step was over, they were
 // never listed, and the trainer waited for a group that was complete.
 func TestReuseWithoutScorer(t *testing.T) {
-	unjudged := func() *statepb.Batch {
+	withoutScorer := func() *statepb.Batch {
 		batch := newBatch(400, 300)
 		for _, item := range batch.GetItems() {
 			item.SetScorer(nil)
 		}
 		return batch
 	}
-	first := NewPlan(unjudged(), Rules{Attempts: 3}, start)
+	first := NewPlan(withoutScorer(), Rules{Attempts: 3}, start)
 	job := mustStart(t, first, start, "i0")
 	must.True(t, first.Event(job, "a", 3))
 	first.Generated(job)
 	first.End()
-	next := NewPlan(unjudged(), Rules{Attempts: 3}, start)
+	next := NewPlan(withoutScorer(), Rules{Attempts: 3}, start)
 	must.Eq(t, 1, next.Reuse(first.Leftovers()))
 	_, ok := next.NextScore(start)
 	must.False(t, ok)
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -30,8 +30,8 @@
 // A reader may have seen a position that this process does not know of: in a chunk whose answer
 // is late, or in one that another process has listed since this one lost the batch. An answer
 // that there is nothing would make the position disappear for the trainer. So that answer is
-// given only under a valid lease and with no write in doubt; otherwise the page is unsure and
-// the store must be asked.
+// given only under a valid lease and with no write in doubt; otherwise the page may be
+// incomplete and the store must be asked.
 func (b *Board) ReadOwned(ctx context.Context, id, account string, after uint64, wait time.Duration) (Page, bool, error) {
 	b.lock()
 	owned := b.owned[id]
@@ -72,7 +72,7 @@
 	}
 	listed, err := b.loadListed(ctx, id)
 	if err != nil {
-		return Page{}, readRefusal(id, err)
+		return Page{}, storeRefusal(id, err)
 	}
 	page := Page{Total: uint64(len(batch.GetItems()))}
 	if after < uint64(len(listed)) {
@@ -91,11 +91,11 @@
 	if owned != nil {
 		batch = owned.batch
 	} else {
-		view, err := b.loadBatch(ctx, id)
+		loaded, err := b.loadBatch(ctx, id)
 		if err != nil {
-			return nil, readRefusal(id, err)
+			return nil, storeRefusal(id, err)
 		}
-		batch = view
+		batch = loaded
 	}
 	if batch.GetAccount() != account {
 		return nil, refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
@@ -107,26 +107,26 @@
 // known here; only for a batch not seen yet the store is asked, which returns the whole batch.
 func (b *Board) checkAccount(ctx context.Context, id, account string) error {
 	b.lock()
-	owner, isKnown := b.accounts[id]
+	batchAccount, isKnown := b.accounts[id]
 	b.mutex.Unlock()
 	if !isKnown {
 		_, err := b.Find(ctx, id, account)
 		return err
 	}
-	if owner != account {
+	if batchAccount != account {
 		return refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
 	}
 	return nil
 }
 
-// readRefusal returns the refusal for a failed read: the batch does not exist, or it cannot be
-// read now.
-func readRefusal(id string, err error) error {
+// storeRefusal returns the refusal for a failed read or write of a batch: the batch does not
+// exist, or the store cannot serve it now.
+func storeRefusal(id string, err error) error {
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
 		return refusal.NotRun(http.StatusNotFound, "no_batch", "no such batch")
 	}
-	klog.InfoS("batch: read failed", "batch", id, "err", err.Error())
+	klog.InfoS("batch: store call failed", "batch", id, "err", err.Error())
 	return refusal.NotRun(http.StatusServiceUnavailable, "store_away", "the store does not answer").WithRetryAfter(storeRetryAfter)
 }
 
@@ -147,7 +147,7 @@
 			return nil
 		}
 		if ctx.Err() != nil || isNotCommitted(err) {
-			return readRefusal(id, err)
+			return storeRefusal(id, err)
 		}
 	}
 }
--- a/internal/batch/run.go
+++ b/internal/batch/run.go
@@ -83,7 +83,7 @@
 		Host:        o.batch.GetHost(),
 		Method:      http.MethodPost,
 		Target:      job.spec.GetPath(),
-		Header:      o.wire.EncodeItemHeader(job.spec.GetHeaders()),
+		Header:      o.headerEncoder.EncodeItemHeader(job.spec.GetHeaders()),
 		Body:        job.spec.GetBody(),
 		Account:     o.batch.GetAccount(),
 		LastEvent:   uint64(job.events),
@@ -132,16 +132,16 @@
 	}
 }
 
-// stallTimeout returns how long a server with this time between events may send nothing within
-// a text.
+// stallTimeout returns how long a server may send nothing within a text, given its usual time
+// between events; 0 means that this is unknown.
 //
 // A run waits on a full server only for its first event. After that its events come evenly,
 // also during weight loads, and the longest texts have no second to lose.
-func stallTimeout(pace time.Duration) time.Duration {
-	if pace == 0 {
+func stallTimeout(eventInterval time.Duration) time.Duration {
+	if eventInterval == 0 {
 		return silenceTimeout
 	}
-	return min(max(minStallTimeout, stallEvents*pace), silenceTimeout)
+	return min(max(minStallTimeout, stallEvents*eventInterval), silenceTimeout)
 }
 
 func (o *owner) recordEvent(job Job, server *roster.Server, event backend.Event) bool {
--- a/internal/batch/shown_test.go
+++ b/internal/batch/shown_test.go
@@ -25,8 +25,8 @@
 	late
 	// lost writes are committed, and their answers never come.
 	lost
-	// undone writes are committed with finish, and their answers never come.
-	undone
+	// deferred writes are committed when the test calls finish, and their answers never come.
+	deferred
 )
 
 // lateAnswerTimeout bounds the wait for a late answer, like the call timeout of the real store.
@@ -40,7 +40,7 @@
 	next  writeBehavior
 	// release is closed to deliver late answers.
 	release chan struct{}
-	// waiting holds the undone writes.
+	// waiting holds the deferred writes.
 	waiting []platform.Commit
 }
 
@@ -61,11 +61,11 @@
 	l.mutex.Lock()
 	next, release := l.next, l.release
 	l.next = answered
-	if next == undone {
+	if next == deferred {
 		l.waiting = append(l.waiting, commit)
 	}
 	l.mutex.Unlock()
-	if next == undone {
+	if next == deferred {
 		return 0, &platform.UnavailableError{Operation: "commit"}
 	}
 	revision, err := l.Store.Commit(ctx, commit)
@@ -84,7 +84,7 @@
 	return revision, err
 }
 
-// finish delivers late answers and commits undone writes.
+// finish delivers late answers and commits deferred writes.
 func (l *lateStore) finish() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -216,7 +216,7 @@
 	store := &platformtest.Store{}
 	first, ownStore := startLateProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
-	ownStore.set(undone)
+	ownStore.set(deferred)
 	ledger := first.owned["b1"].ledger
 	ledger.enqueue(outcome("i0"), true)
 	await(t, func() bool {
@@ -293,7 +293,7 @@
 			name := rapid.SampledFrom(names).Draw(rt, "process")
 			switch rapid.SampledFrom([]string{"add", "add", "read", "read", "read", "lapse", "finish"}).Draw(rt, "step") {
 			case "add":
-				stores[name].set(writeBehavior(rapid.IntRange(int(answered), int(undone)).Draw(rt, "write behavior")))
+				stores[name].set(writeBehavior(rapid.IntRange(int(answered), int(deferred)).Draw(rt, "write behavior")))
 				if added < len(items) && processes[name].add(fmt.Sprintf("i%d", added)) {
 					added++
 				}
--- a/internal/steplog/steplog_test.go
+++ b/internal/steplog/steplog_test.go
@@ -15,7 +15,7 @@
 g1 I0423 14:00:00.100000    8141 owner.go:258] "batch: placed" id="i0" batch="b1" server="s1" running=1 after=0 waiting=1
 g1 I0423 14:00:00.500000    8141 owner.go:258] "batch: placed" id="i1" batch="b1" server="s1" running=2 after=0 waiting=0
 g1 I0423 14:00:01.000000    8141 run.go:29] "batch: generated" id="i0" batch="b1" server="s1" took="900ms"
-g1 I0423 14:00:02.000000    8141 drain.go:97] "batch: given to its next owner" batch="b1" owner="g2" listed=1
+g1 I0423 14:00:02.000000    8141 drain.go:97] "batch: offered to its next owner" batch="b1" owner="g2" listed=1
 g2 I0423 14:00:02.000000    8142 drain.go:164] "batch: taken from its owner" batch="b1" owner=9 listed=1
 g2 I0423 14:00:02.500000    8142 owner.go:258] "batch: placed" id="i1" batch="b1" server="s2" running=1 after=4 waiting=0
 g2 I0423 14:00:04.000000    8142 run.go:29] "batch: generated" id="i1" batch="b1" server="s2" took="1.5s"
