--- a/internal/claim/claim_property_test.go
+++ b/internal/claim/claim_property_test.go
@@ -12,7 +12,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-const remember = 10 * time.Minute
+const retryPeriod = 10 * time.Minute
 
 // node models a sidecar.
 type node struct {
@@ -98,7 +98,7 @@
 // Advance moves the clock forward.
 func (w *world) Advance(t *rapid.T) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 200).Draw(t, "seconds")) * time.Second)
-	if w.now.Sub(w.since) > remember {
+	if w.now.Sub(w.since) > retryPeriod {
 		w.renewClaim()
 	}
 }
@@ -129,7 +129,7 @@
 	if id == "" || !w.nodes[id].isReady(w.now) {
 		return
 	}
-	partners, isComplete := claim.Partners(id, w.view("view"), w.now, remember)
+	partners, isComplete := claim.Partners(id, w.view("view"), w.now, retryPeriod)
 	for _, partner := range partners {
 		isComplete = isComplete && w.learnFrom(w.nodes[id], w.nodes[partner])
 	}
@@ -194,11 +194,11 @@
 }
 
 func newNode(now time.Time, isFirst bool) *node {
-	return &node{journal: &claim.Journal{Retention: claim.Window(remember)}, started: now, isFirst: isFirst}
+	return &node{journal: &claim.Journal{Retention: claim.Window(retryPeriod)}, started: now, isFirst: isFirst}
 }
 
 func (n *node) hasFullJournal(now time.Time) bool {
-	return n.isFirst || now.Sub(n.started) >= claim.Window(remember)
+	return n.isFirst || now.Sub(n.started) >= claim.Window(retryPeriod)
 }
 
 // isReady reports whether the sidecar runs claims.
@@ -232,7 +232,7 @@
 	if a.home == "" {
 		return
 	}
-	switch claim.NewPlan(a.claim, a.fleet, a.now, remember).Check(a.ask) {
+	switch claim.NewPlan(a.claim, a.fleet, a.now, retryPeriod).Check(a.ask) {
 	case claim.Pass, claim.NoOtherServer:
 		a.runs++
 	default:
--- a/internal/claim/history.go
+++ b/internal/claim/history.go
@@ -115,13 +115,13 @@
 	}
 }
 
-// changeTimes returns the begin of the window and each time in it at which some
+// changeTimes returns the start of the window and each time in it at which some
 // process may have started or stopped using a server.
 func changeTimes(servers []*statepb.Server, begin, now int64) []int64 {
 	found := []int64{begin}
-	slack := int64(MaxFleetLag / time.Second)
+	lag := int64(MaxFleetLag / time.Second)
 	for _, server := range servers {
-		for _, moment := range []int64{server.GetBorn(), server.GetSince(), server.GetBorn() + slack, server.GetSince() + slack} {
+		for _, moment := range []int64{server.GetBorn(), server.GetSince(), server.GetBorn() + lag, server.GetSince() + lag} {
 			if moment > begin && moment <= now {
 				found = append(found, moment)
 			}
@@ -147,7 +147,7 @@
 }
 
 // wasLiveAt reports whether the server was live at a moment by the times in the
-// fleet, without Slack.
+// fleet, without MaxFleetLag.
 func wasLiveAt(server *statepb.Server, moment int64) bool {
 	if server.GetState() == stateLive {
 		return server.GetSince() <= moment
--- a/internal/claim/journal.go
+++ b/internal/claim/journal.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// DefaultCapacity is the capacity of a Journal whose Size is 0. A claim takes 370
+// DefaultCapacity is the capacity of a Journal whose Capacity is 0. A claim takes 370
 // bytes (BenchmarkKeptClaim in internal/entry).
 const DefaultCapacity = 8192
 
@@ -44,11 +44,11 @@
 func (r Record) Server() string { return r.server }
 
 // Journal stores claims in memory until they expire. It is not safe for concurrent
-// use. Exported fields are set before the first Hold.
+// use. Exported fields are set before the first Add.
 type Journal struct {
 	// Retention is how long a claim is stored.
 	Retention time.Duration
-	// Capacity is the maximum number of claims; 0 means DefaultSize.
+	// Capacity is the maximum number of claims; 0 means DefaultCapacity.
 	Capacity int
 
 	records  map[string]*Record
--- a/internal/claim/partners.go
+++ b/internal/claim/partners.go
@@ -13,8 +13,8 @@
 //
 // Without this a rolling restart of a pool's sidecars would lose all claims, and
 // every claim would be refused until the lost ones have expired.
-func Partners(server string, fleet *statepb.Fleet, now time.Time, remember time.Duration) ([]string, bool) {
-	begin := now.Add(-Window(remember)).Unix()
+func Partners(server string, fleet *statepb.Fleet, now time.Time, retryPeriod time.Duration) ([]string, bool) {
+	begin := now.Add(-Window(retryPeriod)).Unix()
 	if mayHaveBeenOnlyServer(server, fleet, begin, now.Unix()) {
 		return nil, false
 	}
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -31,8 +31,8 @@
 	// Kept: the sidecar has stored the claim, which it did not know. Its journal
 	// is complete.
 	Kept Answer = iota
-	// KeptAfterRestart: as Kept, but the sidecar restarted within the window and has lost
-	// the claims that it stored before.
+	// KeptAfterRestart: as Kept, but the sidecar restarted within the window and has
+	// lost the claims that it stored before.
 	KeptAfterRestart
 	// AlreadyKnown: the sidecar knew the claim already.
 	AlreadyKnown
@@ -50,19 +50,19 @@
 	pastHomes []candidate
 }
 
-// NewPlan returns the plan for a claim. Retries of a request may come for the time
-// remember after it; sidecars store claims for Window(remember).
-func NewPlan(claim string, fleet *statepb.Fleet, now time.Time, remember time.Duration) *Plan {
+// NewPlan returns the plan for a claim. Retries of a request may come within
+// retryPeriod after it; sidecars store claims for Window(retryPeriod).
+func NewPlan(claim string, fleet *statepb.Fleet, now time.Time, retryPeriod time.Duration) *Plan {
 	return &Plan{
 		home:      Home(claim, fleet),
 		witness:   Witness(claim, fleet),
-		pastHomes: newHistory(claim, fleet, now, Window(remember)).homes,
+		pastHomes: newHistory(claim, fleet, now, Window(retryPeriod)).homes,
 	}
 }
 
 // Window returns how long sidecars have to store a claim so that a retry within
-// remember finds it.
-func Window(remember time.Duration) time.Duration { return remember + 2*MaxFleetLag }
+// retryPeriod finds it.
+func Window(retryPeriod time.Duration) time.Duration { return retryPeriod + 2*MaxFleetLag }
 
 // Home returns the claim's home.
 func (p *Plan) Home() string { return p.home }
