--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -16,8 +16,8 @@
 	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
-// OverwrittenError reports that another process has changed the value: this process is no
-// longer its writer, whatever its lease says.
+// OverwrittenError reports that another process has changed the value: this process is
+// no longer its writer, whatever its lease says.
 type OverwrittenError struct {
 	Key string
 }
@@ -56,7 +56,7 @@
 func (r *Record) Revision() uint64 { return r.revision }
 
 // Write replaces the value if no other process has changed it; otherwise it returns
-// a LostError. After any other error the caller writes the same data again.
+// an OverwrittenError. After any other error the caller writes the same data again.
 //
 // The reply to a write can be lost after the write took effect. The next write
 // would then conflict with this process's own. So after a lost reply Write first
@@ -77,7 +77,7 @@
 		return nil
 	case errors.As(err, &conflict):
 		r.unacknowledged = data
-		return r.recogniseOwnWrite(ctx, false)
+		return r.recognizeOwnWrite(ctx, false)
 	default:
 		r.unacknowledged = data
 		return err
@@ -98,13 +98,13 @@
 	if r.unacknowledged == nil {
 		return nil
 	}
-	return r.recogniseOwnWrite(ctx, true)
+	return r.recognizeOwnWrite(ctx, true)
 }
 
-// recogniseOwnWrite accepts the stored value if it is this process's unacknowledged
-// write and returns a LostError if it is another's. mayBeUnapplied says that an
-// unchanged revision means that the write has not taken effect.
-func (r *Record) recogniseOwnWrite(ctx context.Context, mayBeUnapplied bool) error {
+// recognizeOwnWrite accepts the stored value if it is this process's unacknowledged
+// write and returns an OverwrittenError if it is another's. mayBeUnapplied says that
+// an unchanged revision means that the write has not taken effect.
+func (r *Record) recognizeOwnWrite(ctx context.Context, mayBeUnapplied bool) error {
 	value, err := r.get(ctx)
 	switch {
 	case err != nil:
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -16,7 +16,7 @@
 type fakeStore struct {
 	value platform.Value
 	// nextOutcome is that of the next write: "lost" takes effect but its reply is
-	// lost, "away" fails without effect; "" succeeds.
+	// lost, "unavailable" fails without effect; "" succeeds.
 	nextOutcome string
 }
 
@@ -32,7 +32,7 @@
 func (s *fakeStore) CompareAndSwap(_ context.Context, _ string, expect uint64, data []byte, _ uint64) (uint64, error) {
 	outcome := s.nextOutcome
 	s.nextOutcome = ""
-	if outcome == "away" {
+	if outcome == "unavailable" {
 		return 0, errUnavailable
 	}
 	if expect != s.value.Revision {
@@ -50,10 +50,10 @@
 	must.NoError(t, record.Write(t.Context(), []byte(data)))
 }
 
-func mustBeLost(t *testing.T, err error) {
+func mustBeOverwritten(t *testing.T, err error) {
 	t.Helper()
-	var lost *OverwrittenError
-	must.True(t, errors.As(err, &lost))
+	var overwritten *OverwrittenError
+	must.True(t, errors.As(err, &overwritten))
 }
 
 func TestWrite(t *testing.T) {
@@ -74,14 +74,14 @@
 		mustWrite(t, record, "b")
 	})
 	t.Run("a write that took no effect", func(t *testing.T) {
-		store := &fakeStore{nextOutcome: "away"}
+		store := &fakeStore{nextOutcome: "unavailable"}
 		record := &Record{Store: store, Key: "k"}
 		must.Error(t, record.Write(t.Context(), []byte("a")))
 		mustWrite(t, record, "a")
 		must.Eq(t, 1, store.value.Revision)
 	})
 	t.Run("a write that lands after it was given up", func(t *testing.T) {
-		store := &fakeStore{nextOutcome: "away"}
+		store := &fakeStore{nextOutcome: "unavailable"}
 		record := &Record{Store: store, Key: "k"}
 		must.Error(t, record.Write(t.Context(), []byte("a")))
 		must.NoError(t, record.resolveUnacknowledged(t.Context()))
@@ -94,13 +94,13 @@
 		record := &Record{Store: store, Key: "k"}
 		mustWrite(t, record, "a")
 		store.value = platform.Value{Data: []byte("other"), Revision: 2}
-		mustBeLost(t, record.Write(t.Context(), []byte("b")))
+		mustBeOverwritten(t, record.Write(t.Context(), []byte("b")))
 	})
 	t.Run("another process has written while the answer was lost", func(t *testing.T) {
 		store := &fakeStore{nextOutcome: "lost"}
 		record := &Record{Store: store, Key: "k"}
 		must.Error(t, record.Write(t.Context(), []byte("a")))
 		store.value = platform.Value{Data: []byte("other"), Revision: 2}
-		mustBeLost(t, record.Write(t.Context(), []byte("a")))
+		mustBeOverwritten(t, record.Write(t.Context(), []byte("a")))
 	})
 }
