--- a/internal/rollout/attempt.go
+++ b/internal/rollout/attempt.go
@@ -7,14 +7,14 @@
 
 // Attempt is one run of a slot's prompt.
 type Attempt struct {
-	slot       uint32
-	term       uint64
-	number     uint32
-	id         string
-	group      uint32
-	prompt     string
-	isSecond   bool
-	minVersion uint64
+	slot        uint32
+	term        uint64
+	number      uint32
+	id          string
+	group       uint32
+	prompt      string
+	isSecondRun bool
+	minVersion  uint64
 }
 
 // Group returns the index of the prompt within the step.
@@ -33,7 +33,7 @@
 func (a Attempt) Prompt() string { return a.prompt }
 
 // IsSecondRun reports whether another attempt at the slot was running at the start.
-func (a Attempt) IsSecondRun() bool { return a.isSecond }
+func (a Attempt) IsSecondRun() bool { return a.isSecondRun }
 
 // Slot returns the index of the slot within the step.
 func (a Attempt) Slot() uint32 { return a.slot }
@@ -67,26 +67,26 @@
 
 const throughputWindow = 2 * time.Second
 
-func (p *throughput) add(tokens uint64, now time.Time) {
-	if p.firstToken.IsZero() {
-		p.firstToken = now
-		p.markTime, p.lastTime = now, now
+func (t *throughput) add(tokens uint64, now time.Time) {
+	if t.firstToken.IsZero() {
+		t.firstToken = now
+		t.markTime, t.lastTime = now, now
 	}
-	p.tokens += tokens
-	if now.Sub(p.lastTime) >= throughputWindow {
-		p.markTime, p.markTokens = p.lastTime, p.lastTokens
-		p.lastTime, p.lastTokens = now, p.tokens
+	t.tokens += tokens
+	if now.Sub(t.lastTime) >= throughputWindow {
+		t.markTime, t.markTokens = t.lastTime, t.lastTokens
+		t.lastTime, t.lastTokens = now, t.tokens
 	}
 }
 
 // rate returns tokens per second. It falls while no token arrives.
-func (p *throughput) rate(now time.Time) float64 {
-	if p.firstToken.IsZero() {
+func (t *throughput) rate(now time.Time) float64 {
+	if t.firstToken.IsZero() {
 		return 0
 	}
-	elapsed := now.Sub(p.markTime).Seconds()
+	elapsed := now.Sub(t.markTime).Seconds()
 	if elapsed <= 0 {
 		return 0
 	}
-	return float64(p.tokens-p.markTokens) / elapsed
+	return float64(t.tokens-t.markTokens) / elapsed
 }
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -36,7 +36,8 @@
 // TrainerDuty returns the name of the duty that runs a trainer's steps.
 func TrainerDuty(trainer string) string { return "trainer/" + trainer }
 
-// WeightDuty returns the name of the duty that orders a model's weights.
+// WeightDuty returns the name of the duty that orders samplers to load a
+// model's weights.
 func WeightDuty(model string) string { return "weight/" + model }
 
 // Client forwards a trainer's calls to the process that holds its steps. Any entry
@@ -51,7 +52,7 @@
 }
 
 // Announce sends a newer version to the holder of the trainer's steps, then to the
-// process that orders the samplers of its model.
+// process that orders the samplers of its model to load it.
 func (c *Client) Announce(ctx context.Context, request *peerpb.AnnounceRequest) error {
 	for _, duty := range []string{TrainerDuty(request.GetTrainer()), WeightDuty(request.GetModel())} {
 		request.SetDuty(duty)
@@ -86,11 +87,11 @@
 
 // call sends a call to the newest known holder of a duty and retries it while there is
 // no holder or the holder does not answer.
-func (c *Client) call(ctx context.Context, duty string, send func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
+func (c *Client) call(ctx context.Context, duty string, invoke func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
 	deadline := time.Now().Add(c.HolderTimeout)
 	backoff := minBackoff
 	for {
-		err := c.sendOnce(duty, send)
+		err := c.tryCall(duty, invoke)
 		if err == nil || !isRetryable(err) || time.Now().Add(backoff).After(deadline) || !pause.For(ctx, backoff) {
 			return err
 		}
@@ -98,19 +99,19 @@
 	}
 }
 
-func (c *Client) sendOnce(duty string, send func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
+func (c *Client) tryCall(duty string, invoke func(peerpb.StepClient) (*peerpb.Refusal, error)) error {
 	location, ok := c.Locate(duty)
 	if !ok {
 		return refusal.NotRun(http.StatusServiceUnavailable, codeNoHolder, "no process holds %s yet", duty).WithRetryAfter(retryAfter)
 	}
 	client, err := c.Peers.Client(location.Address())
 	if err != nil {
-		return holderUnreachable(duty)
+		return holderUnreachableError(duty)
 	}
-	refused, err := send(client)
+	refused, err := invoke(client)
 	switch {
 	case err != nil:
-		return holderUnreachable(duty)
+		return holderUnreachableError(duty)
 	case refused != nil:
 		return refusal.FromMessage(refused)
 	default:
@@ -118,7 +119,7 @@
 	}
 }
 
-func holderUnreachable(duty string) error {
+func holderUnreachableError(duty string) error {
 	return refusal.Unknown(http.StatusServiceUnavailable, codeHolderUnreachable, "the holder of %s gave no answer, send the same again", duty).WithRetryAfter(retryAfter)
 }
 
--- a/internal/rollout/deliver.go
+++ b/internal/rollout/deliver.go
@@ -19,25 +19,25 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		pulled, changed, waiting, err := h.tryPull(request)
+		result, changed, waiting, err := h.tryPull(request)
 		if err != nil {
 			return nil, err
 		}
-		if len(pulled.Samples()) > 0 || pulled.Done() {
-			return pullReply(pulled, ""), nil
+		if len(result.Samples()) > 0 || result.Done() {
+			return pullReply(result, ""), nil
 		}
 		select {
 		case <-ctx.Done():
-			return pullReply(pulled, waiting), nil
+			return pullReply(result, waiting), nil
 		case <-timer.C:
-			return pullReply(pulled, waiting), nil
+			return pullReply(result, waiting), nil
 		case <-changed:
 		}
 	}
 }
 
-func pullReply(pulled PullResult, waiting string) *peerpb.PullReply {
-	return peerpb.PullReply_builder{Samples: pulled.Samples(), Next: pulled.Next(), Done: pulled.Done(), Waiting: waiting}.Build()
+func pullReply(result PullResult, waiting string) *peerpb.PullReply {
+	return peerpb.PullReply_builder{Samples: result.Samples(), Next: result.Next(), Done: result.Done(), Waiting: waiting}.Build()
 }
 
 func (h *Holder) tryPull(request *peerpb.PullRequest) (PullResult, <-chan struct{}, string, error) {
@@ -50,10 +50,10 @@
 		return PullResult{}, nil, "", otherAccountError(h.Trainer)
 	}
 	before := h.step.NewestVersion()
-	pulled, err := h.step.Pull(request.GetPlace(), int(request.GetMax()), request.GetVersion())
+	result, err := h.step.Pull(request.GetPlace(), int(request.GetMax()), request.GetVersion())
 	h.cancelAttempts(h.step.StaleAttempts(), "its tokens are too old")
 	h.released = append(h.released, h.step.Released()...)
-	for _, sample := range pulled.Samples() {
+	for _, sample := range result.Samples() {
 		h.Metrics.observeStaleness(versionLag(h.step.NewestVersion(), OldestVersion(sample)))
 	}
 	if h.step.NewestVersion() != before {
@@ -63,7 +63,7 @@
 	if h.writeErr != nil {
 		waiting = "store"
 	}
-	return pulled, h.changed, waiting, err
+	return result, h.changed, waiting, err
 }
 
 // Announce sets a newer version of the trainer. It takes effect at once and is
@@ -81,15 +81,15 @@
 		}
 		select {
 		case <-ctx.Done():
-			return versionNotStored()
+			return versionNotStoredError()
 		case <-timer.C:
-			return versionNotStored()
+			return versionNotStoredError()
 		case <-changed:
 		}
 	}
 }
 
-func versionNotStored() error {
+func versionNotStoredError() error {
 	return refusal.Unknown(http.StatusServiceUnavailable, "store_away", "the version is in force but not kept yet, announce it again").WithRetryAfter(retryAfter)
 }
 
--- a/internal/rollout/execution.go
+++ b/internal/rollout/execution.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// generate returns a whole, scored sample.
+// generate returns a complete, scored sample.
 func (e *execution) generate(ctx context.Context) (*peerpb.Sample, error) {
 	e.holder.Decisions.Record(e.attempt.ID(), "sample", "slot %d of step %d starts, second run %t", e.attempt.Slot(), e.open.GetStep(), e.attempt.IsSecondRun())
 	end, err := e.holder.Runner.Run(ctx, e.request(), e.addFrame)
@@ -115,7 +115,7 @@
 }
 
 // score retries the scorer until it answers or the attempt times out: the sample is
-// whole, and generating it again would cost more.
+// complete, and generating it again would cost more.
 func (e *execution) score(ctx context.Context, sample *peerpb.Sample) error {
 	if e.holder.Scorer == nil {
 		return nil
--- a/internal/rollout/fake_test.go
+++ b/internal/rollout/fake_test.go
@@ -158,11 +158,11 @@
 	return replicator
 }
 
-func (k *fakeReplicator) Replicate(_ context.Context, sample *peerpb.Sample, forget []uint32) []string {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (f *fakeReplicator) Replicate(_ context.Context, sample *peerpb.Sample, forget []uint32) []string {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	var holders []string
-	for name, replicas := range k.replicas {
+	for name, replicas := range f.replicas {
 		if replicas.Put(sample, forget) {
 			holders = append(holders, name)
 		}
@@ -170,20 +170,20 @@
 	return holders
 }
 
-func (k *fakeReplicator) Fetch(_ context.Context, process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	replicas := k.replicas[process]
+func (f *fakeReplicator) Fetch(_ context.Context, process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	replicas := f.replicas[process]
 	if replicas == nil {
 		return nil, errors.New("gone")
 	}
 	return replicas.Fetch(trainer, step, slots), nil
 }
 
-func (k *fakeReplicator) kill(name string) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	delete(k.replicas, name)
+func (f *fakeReplicator) kill(name string) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	delete(f.replicas, name)
 }
 
 func openRequest(step uint64, groups int, samples uint32, staleness uint64) *peerpb.OpenRequest {
--- a/internal/rollout/holder.go
+++ b/internal/rollout/holder.go
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// Drop cancels all attempts and discards the step, as when another process is the holder.
+// Drop cancels all attempts and discards the step, for example when another process is
+// the holder.
 func (h *Holder) Drop(reason string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -197,7 +198,8 @@
 	}
 }
 
-// startNext starts the next attempt if there is one and maxRunning allows it.
+// startNext starts the next attempt if there is one and maxRunning allows it, and
+// reports whether it did.
 func (h *Holder) startNext(ctx context.Context, group *sync.WaitGroup) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -254,7 +256,7 @@
 	}
 }
 
-// writeLoop writes the state to the store, at most once per Batch.
+// writeLoop writes the state to the store, at most once per WriteInterval.
 func (h *Holder) writeLoop(ctx context.Context) {
 	interval := h.WriteInterval
 	for {
@@ -307,8 +309,8 @@
 	if h.step != step {
 		return
 	}
-	var lost *record.OverwrittenError
-	if errors.As(err, &lost) {
+	var overwritten *record.OverwrittenError
+	if errors.As(err, &overwritten) {
 		h.Decisions.Record(h.Trainer, "step", "%s is no longer the holder: %v", h.Process, err)
 		h.setStep(nil)
 		select {
--- a/internal/rollout/interleaving_test.go
+++ b/internal/rollout/interleaving_test.go
@@ -89,9 +89,9 @@
 	attempt := holder.running[index]
 	holder.running = append(holder.running[:index:index], holder.running[index+1:]...)
 	version := i.newest - min(i.newest-1, uint64(rapid.IntRange(0, 2).Draw(t, "lag")))
-	var answer SampleBuilder
-	must.NoError(t, answer.Add(attempt.ID(), peerpb.Chunk_builder{Tokens: []int32{1}, Version: version}.Build()))
-	sample, err := answer.Sample(attempt, holder.step.open, peerpb.End_builder{OutputTokens: 1}.Build())
+	var builder SampleBuilder
+	must.NoError(t, builder.Add(attempt.ID(), peerpb.Chunk_builder{Tokens: []int32{1}, Version: version}.Build()))
+	sample, err := builder.Sample(attempt, holder.step.open, peerpb.End_builder{OutputTokens: 1}.Build())
 	must.NoError(t, err)
 	if holder.step.Finish(attempt, sample, i.now) {
 		holder.step.MarkReplicated(attempt, i.replicator.Replicate(context.Background(), sample, nil))
@@ -115,9 +115,9 @@
 	i.store.loseNextAnswer = rapid.Bool().Draw(t, "lose")
 	err := holder.record.Write(context.Background(), holder.proposed)
 	i.store.loseNextAnswer = false
-	var lost *record.OverwrittenError
+	var overwritten *record.OverwrittenError
 	switch {
-	case errors.As(err, &lost):
+	case errors.As(err, &overwritten):
 		i.remove(holder)
 	case err == nil:
 		holder.written = true
@@ -131,9 +131,9 @@
 	if state == nil || holder.written {
 		return
 	}
-	var lost *record.OverwrittenError
+	var overwritten *record.OverwrittenError
 	switch err := holder.record.Write(context.Background(), encode(state)); {
-	case errors.As(err, &lost):
+	case errors.As(err, &overwritten):
 		i.remove(holder)
 	case err == nil:
 		holder.step.Commit()
--- a/internal/rollout/open.go
+++ b/internal/rollout/open.go
@@ -115,8 +115,8 @@
 	if errors.As(err, &refused) {
 		return err
 	}
-	var lost *record.OverwrittenError
-	if errors.As(err, &lost) {
+	var overwritten *record.OverwrittenError
+	if errors.As(err, &overwritten) {
 		h.Drop(err.Error())
 		h.signalSuperseded()
 	}
--- a/internal/rollout/proposal.go
+++ b/internal/rollout/proposal.go
@@ -116,10 +116,10 @@
 	return state
 }
 
-func slotState(state *statepb.Step, slot *slot, place uint64, bound bool, processIndexes map[string]uint32) *statepb.Slot {
+func slotState(state *statepb.Step, slot *slot, place uint64, isBound bool, processIndexes map[string]uint32) *statepb.Slot {
 	entry := statepb.Slot_builder{Place: place}.Build()
 	// A successor writes before it has fetched the samples that are already bound.
-	if !bound && !slot.isMissing() {
+	if !isBound && !slot.isMissing() {
 		return entry
 	}
 	entry.SetTerm(slot.term)
--- a/internal/rollout/pull.go
+++ b/internal/rollout/pull.go
@@ -20,13 +20,13 @@
 }
 
 // Done reports whether the trainer now has the whole step.
-func (p PullResult) Done() bool { return p.done }
+func (r PullResult) Done() bool { return r.done }
 
 // Next returns the place to pull from next.
-func (p PullResult) Next() uint64 { return p.next }
+func (r PullResult) Next() uint64 { return r.next }
 
 // Samples returns the samples in the order of their places, without gaps.
-func (p PullResult) Samples() []*peerpb.Sample { return p.samples }
+func (r PullResult) Samples() []*peerpb.Sample { return r.samples }
 
 // Pull acknowledges all places before place and returns at most maxSamples samples
 // from there on, up to the first place that is not committed. Version is the newest
@@ -47,23 +47,23 @@
 			s.resetIfStale(slot)
 		}
 	}
-	pulled := PullResult{next: place}
+	result := PullResult{next: place}
 	size := 0
-	for pulled.next < s.End() && len(pulled.samples) < maxSamples {
-		slot := placed[pulled.next-s.firstPlace]
+	for result.next < s.End() && len(result.samples) < maxSamples {
+		slot := placed[result.next-s.firstPlace]
 		if slot == nil || !slot.committed || slot.sample == nil {
 			break
 		}
 		size += proto.Size(slot.sample)
-		if size > maxPullBytes && len(pulled.samples) > 0 {
+		if size > maxPullBytes && len(result.samples) > 0 {
 			break
 		}
 		slot.delivered = true
-		pulled.samples = append(pulled.samples, slot.sample)
-		pulled.next++
+		result.samples = append(result.samples, slot.sample)
+		result.next++
 	}
-	pulled.done = pulled.next == s.End()
-	return pulled, nil
+	result.done = result.next == s.End()
+	return result, nil
 }
 
 func (s *Step) checkPlace(place uint64) error {
--- a/internal/rollout/replicas.go
+++ b/internal/rollout/replicas.go
@@ -29,20 +29,20 @@
 func (r *Replicas) Put(sample *peerpb.Sample, forget []uint32) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	held := r.setFor(sample.GetTrainer(), sample.GetStep())
-	if held.step > sample.GetStep() {
+	set := r.setFor(sample.GetTrainer(), sample.GetStep())
+	if set.step > sample.GetStep() {
 		return false
 	}
 	for _, slot := range forget {
-		held.remove(slot)
+		set.remove(slot)
 	}
-	held.remove(sample.GetSlot())
+	set.remove(sample.GetSlot())
 	size := proto.Size(sample)
-	if held.size+size > maxReplicaBytes {
+	if set.size+size > maxReplicaBytes {
 		return false
 	}
-	held.samples[sample.GetSlot()] = sample
-	held.size += size
+	set.samples[sample.GetSlot()] = sample
+	set.size += size
 	return true
 }
 
@@ -50,13 +50,13 @@
 func (r *Replicas) Fetch(trainer string, step uint64, slots []uint32) []*peerpb.Sample {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	held := r.trainers[trainer]
-	if held == nil || held.step != step {
+	set := r.trainers[trainer]
+	if set == nil || set.step != step {
 		return nil
 	}
 	var found []*peerpb.Sample
 	for _, slot := range slots {
-		if sample := held.samples[slot]; sample != nil {
+		if sample := set.samples[slot]; sample != nil {
 			found = append(found, sample)
 		}
 	}
@@ -67,17 +67,17 @@
 	if r.trainers == nil {
 		r.trainers = map[string]*replicaSet{}
 	}
-	held := r.trainers[trainer]
-	if held == nil || held.step < step {
-		held = &replicaSet{step: step, samples: map[uint32]*peerpb.Sample{}}
-		r.trainers[trainer] = held
+	set := r.trainers[trainer]
+	if set == nil || set.step < step {
+		set = &replicaSet{step: step, samples: map[uint32]*peerpb.Sample{}}
+		r.trainers[trainer] = set
 	}
-	return held
+	return set
 }
 
-func (h *replicaSet) remove(slot uint32) {
-	if sample := h.samples[slot]; sample != nil {
-		h.size -= proto.Size(sample)
-		delete(h.samples, slot)
+func (s *replicaSet) remove(slot uint32) {
+	if sample := s.samples[slot]; sample != nil {
+		s.size -= proto.Size(sample)
+		delete(s.samples, slot)
 	}
 }
--- a/internal/rollout/samplebuilder.go
+++ b/internal/rollout/samplebuilder.go
@@ -6,7 +6,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// SampleError reports that the answer of an attempt is not a whole sample.
+// SampleError reports that the answer of an attempt is not a complete sample.
 type SampleError struct {
 	Request string
 	Problem string
@@ -27,33 +27,33 @@
 
 // Add appends a chunk. Its version is the one that the engine reported for these
 // tokens, never the ordered one. Add rejects tokens without a version.
-func (a *SampleBuilder) Add(request string, chunk *peerpb.Chunk) error {
+func (b *SampleBuilder) Add(request string, chunk *peerpb.Chunk) error {
 	tokens := uint32(len(chunk.GetTokens()))
 	if tokens > 0 && chunk.GetVersion() == 0 {
 		return &SampleError{Request: request, Problem: "the engine showed no weight version"}
 	}
-	a.text = append(a.text, chunk.GetData()...)
-	from := uint32(len(a.tokens))
-	a.tokens = append(a.tokens, chunk.GetTokens()...)
-	a.logprobs = append(a.logprobs, chunk.GetLogprobs()...)
+	b.text = append(b.text, chunk.GetData()...)
+	from := uint32(len(b.tokens))
+	b.tokens = append(b.tokens, chunk.GetTokens()...)
+	b.logprobs = append(b.logprobs, chunk.GetLogprobs()...)
 	if tokens == 0 {
 		return nil
 	}
-	if last := len(a.ranges) - 1; last >= 0 && a.ranges[last].GetVersion() == chunk.GetVersion() {
-		a.ranges[last].SetUntil(from + tokens)
+	if last := len(b.ranges) - 1; last >= 0 && b.ranges[last].GetVersion() == chunk.GetVersion() {
+		b.ranges[last].SetUntil(from + tokens)
 		return nil
 	}
-	a.ranges = append(a.ranges, peerpb.Range_builder{From: from, Until: from + tokens, Version: chunk.GetVersion()}.Build())
+	b.ranges = append(b.ranges, peerpb.Range_builder{From: from, Until: from + tokens, Version: chunk.GetVersion()}.Build())
 	return nil
 }
 
-// Sample returns the whole sample, or an AnswerError if tokens are missing.
+// Sample returns the complete sample, or a SampleError if tokens are missing.
 //
 // An engine that resumes another engine's answer may omit or repeat tokens; the
 // trainer would then learn from text that no version produced. Sample detects this by
 // the token count in the end frame, and the slot runs again.
-func (a *SampleBuilder) Sample(attempt Attempt, open *peerpb.OpenRequest, end *peerpb.End) (*peerpb.Sample, error) {
-	if err := a.check(attempt.ID(), end); err != nil {
+func (b *SampleBuilder) Sample(attempt Attempt, open *peerpb.OpenRequest, end *peerpb.End) (*peerpb.Sample, error) {
+	if err := b.check(attempt.ID(), end); err != nil {
 		return nil, err
 	}
 	return peerpb.Sample_builder{
@@ -64,26 +64,26 @@
 		Term:     attempt.Term(),
 		Attempt:  attempt.Number(),
 		Prompt:   attempt.Prompt(),
-		Text:     string(a.text),
-		Tokens:   a.tokens,
-		Logprobs: a.logprobs,
-		Versions: a.ranges,
+		Text:     string(b.text),
+		Tokens:   b.tokens,
+		Logprobs: b.logprobs,
+		Versions: b.ranges,
 		Finish:   end.GetFinish(),
 		Request:  attempt.ID(),
 	}.Build(), nil
 }
 
-func (a *SampleBuilder) check(request string, end *peerpb.End) error {
-	if len(a.tokens) == 0 {
+func (b *SampleBuilder) check(request string, end *peerpb.End) error {
+	if len(b.tokens) == 0 {
 		return &SampleError{Request: request, Problem: "the answer has no tokens"}
 	}
-	if end.GetOutputTokens() != uint64(len(a.tokens)) {
-		return &SampleError{Request: request, Problem: fmt.Sprintf("%d of %d tokens came", len(a.tokens), end.GetOutputTokens())}
+	if end.GetOutputTokens() != uint64(len(b.tokens)) {
+		return &SampleError{Request: request, Problem: fmt.Sprintf("%d of %d tokens came", len(b.tokens), end.GetOutputTokens())}
 	}
-	if len(a.logprobs) > 0 && len(a.logprobs) != len(a.tokens) {
-		return &SampleError{Request: request, Problem: fmt.Sprintf("%d log probabilities for %d tokens", len(a.logprobs), len(a.tokens))}
+	if len(b.logprobs) > 0 && len(b.logprobs) != len(b.tokens) {
+		return &SampleError{Request: request, Problem: fmt.Sprintf("%d log probabilities for %d tokens", len(b.logprobs), len(b.tokens))}
 	}
-	return checkRanges(request, a.ranges, uint32(len(a.tokens)))
+	return checkRanges(request, b.ranges, uint32(len(b.tokens)))
 }
 
 // checkRanges rejects ranges that overlap, leave a gap or do not reach the last token.
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -42,7 +42,7 @@
 var _ peerpb.StepServer = &Service{}
 
 // Run runs the holders until the context ends. A holder drops its step when another
-// process is known to hold its duty.
+// process is known to hold its duty, or no plan lists its trainer.
 func (s *Service) Run(ctx context.Context) error {
 	s.mutex.Lock()
 	s.runContext = ctx
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -19,7 +19,8 @@
 // from its caller and is not safe for concurrent use.
 type Step struct {
 	open *peerpb.OpenRequest
-	// term is that of the attempts, fence that of the newest term of the same holder.
+	// term is the fencing token under which attempts start, fence that of the newest term of
+	// the same holder.
 	term          uint64
 	fence         uint64
 	firstPlace    uint64
@@ -43,20 +44,20 @@
 
 // Counts are the attempts and samples of a step by outcome.
 type Counts struct {
-	started  uint64
-	seconds  uint64
-	failed   uint64
-	stale    uint64
-	lost     uint64
-	wasted   uint64
-	refused  uint64
-	accepted uint64
+	started    uint64
+	secondRuns uint64
+	failed     uint64
+	stale      uint64
+	lost       uint64
+	wasted     uint64
+	refused    uint64
+	accepted   uint64
 }
 
 // Accepted returns the number of accepted samples.
 func (c Counts) Accepted() uint64 { return c.accepted }
 
-// Failed returns the number of attempts that produced no whole sample.
+// Failed returns the number of attempts that produced no complete sample.
 func (c Counts) Failed() uint64 { return c.failed }
 
 // Lost returns the number of samples whose bytes were lost before they were acknowledged.
@@ -66,7 +67,7 @@
 func (c Counts) Refused() uint64 { return c.refused }
 
 // SecondRuns returns the number of second runs.
-func (c Counts) SecondRuns() uint64 { return c.seconds }
+func (c Counts) SecondRuns() uint64 { return c.secondRuns }
 
 // Stale returns the number of samples and attempts dropped as stale.
 func (c Counts) Stale() uint64 { return c.stale }
@@ -74,7 +75,7 @@
 // Started returns the number of attempts.
 func (c Counts) Started() uint64 { return c.started }
 
-// Wasted returns the number of whole samples that arrived after another one of their slot.
+// Wasted returns the number of complete samples that arrived after another one of their slot.
 func (c Counts) Wasted() uint64 { return c.wasted }
 
 // NewStep returns an open step without samples. Place is its first place in the
@@ -185,22 +186,22 @@
 	s.budget = budget{}
 }
 
-func (s *Step) startAttempt(slot *slot, now time.Time, second bool) Attempt {
+func (s *Step) startAttempt(slot *slot, now time.Time, isSecondRun bool) Attempt {
 	slot.attempts++
 	attempt := Attempt{
-		slot:       slot.index,
-		term:       s.term,
-		number:     slot.attempts,
-		id:         attemptID(s.open.GetTrainer(), s.open.GetStep(), slot.index, s.term, slot.attempts),
-		group:      slot.group,
-		prompt:     s.open.GetPrompts()[slot.group].GetText(),
-		isSecond:   second,
-		minVersion: s.minVersion(slot),
+		slot:        slot.index,
+		term:        s.term,
+		number:      slot.attempts,
+		id:          attemptID(s.open.GetTrainer(), s.open.GetStep(), slot.index, s.term, slot.attempts),
+		group:       slot.group,
+		prompt:      s.open.GetPrompts()[slot.group].GetText(),
+		isSecondRun: isSecondRun,
+		minVersion:  s.minVersion(slot),
 	}
 	slot.running[attempt.number] = &runningAttempt{attempt: attempt, throughput: throughput{start: now}}
 	s.counts.started++
-	if second {
-		s.counts.seconds++
+	if isSecondRun {
+		s.counts.secondRuns++
 	}
 	return attempt
 }
@@ -241,7 +242,7 @@
 	return run.oldestVersion > 0 && isStale(s.newestVersion, run.oldestVersion, s.open.GetStaleness())
 }
 
-// Fail records that an attempt produced no whole sample. Its slot runs again after the
+// Fail records that an attempt produced no complete sample. Its slot runs again after the
 // given wait and the slot's own growing backoff.
 func (s *Step) Fail(attempt Attempt, wait time.Duration, now time.Time) {
 	slot := s.slots[attempt.slot]
@@ -274,7 +275,7 @@
 	slot.notBefore = now.Add(max(minRefusedBackoff, min(wait, maxRefusedBackoff)))
 }
 
-// Finish accepts a whole sample. It reports false if the slot already has one or the
+// Finish accepts a complete sample. It reports false if the slot already has one or the
 // sample is stale. The caller cancels the other attempts at the slot.
 func (s *Step) Finish(attempt Attempt, sample *peerpb.Sample, now time.Time) bool {
 	slot := s.slots[attempt.slot]
@@ -316,7 +317,7 @@
 }
 
 // Announce records a newer version of the trainer and drops the undelivered samples
-// that it makes stale; see Doomed for attempts.
+// that it makes stale; see StaleAttempts for attempts.
 func (s *Step) Announce(version uint64) {
 	if version <= s.newestVersion {
 		return
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -12,14 +12,14 @@
 
 var start = time.Unix(1000, 0)
 
-// finishAttempt finishes an attempt with a whole sample whose tokens have the given versions.
+// finishAttempt finishes an attempt with a complete sample whose tokens have the given versions.
 func finishAttempt(t *testing.T, step *Step, attempt Attempt, now time.Time, versions ...uint64) bool {
 	t.Helper()
-	var answer SampleBuilder
+	var builder SampleBuilder
 	for _, version := range versions {
-		must.NoError(t, answer.Add(attempt.ID(), peerpb.Chunk_builder{Tokens: []int32{1}, Version: version}.Build()))
+		must.NoError(t, builder.Add(attempt.ID(), peerpb.Chunk_builder{Tokens: []int32{1}, Version: version}.Build()))
 	}
-	sample, err := answer.Sample(attempt, step.open, peerpb.End_builder{OutputTokens: uint64(len(versions))}.Build())
+	sample, err := builder.Sample(attempt, step.open, peerpb.End_builder{OutputTokens: uint64(len(versions))}.Build())
 	must.NoError(t, err)
 	if !step.Finish(attempt, sample, now) {
 		return false
@@ -40,7 +40,7 @@
 	step.Commit()
 }
 
-func mustHandOver(t *testing.T, step *Step, count int) {
+func mustDeliver(t *testing.T, step *Step, count int) {
 	t.Helper()
 	pulled, err := step.Pull(0, 64, 0)
 	must.NoError(t, err)
@@ -73,13 +73,13 @@
 }
 
 func rangesOf(chunks []uint64, output uint64) string {
-	var answer SampleBuilder
+	var builder SampleBuilder
 	for _, version := range chunks {
-		if answer.Add("r", peerpb.Chunk_builder{Tokens: []int32{1, 2}, Version: version}.Build()) != nil {
+		if builder.Add("r", peerpb.Chunk_builder{Tokens: []int32{1, 2}, Version: version}.Build()) != nil {
 			return "refused"
 		}
 	}
-	sample, err := answer.Sample(Attempt{}, openRequest(1, 1, 1, 0), peerpb.End_builder{OutputTokens: output}.Build())
+	sample, err := builder.Sample(Attempt{}, openRequest(1, 1, 1, 0), peerpb.End_builder{OutputTokens: output}.Build())
 	if err != nil {
 		return "refused"
 	}
@@ -99,20 +99,20 @@
 		commit(step)
 		step.Announce(3)
 		again := mustNext(t, step, start)
-		mustHandOver(t, step, 0)
+		mustDeliver(t, step, 0)
 		must.True(t, finishAttempt(t, step, again, start, 2))
 		commit(step)
-		mustHandOver(t, step, 1)
+		mustDeliver(t, step, 1)
 	})
 	t.Run("one handed over is dropped when it is pulled again", func(t *testing.T) {
 		step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 1)
 		must.True(t, finishAttempt(t, step, mustNext(t, step, start), start, 1))
 		commit(step)
-		mustHandOver(t, step, 1)
+		mustDeliver(t, step, 1)
 		step.Announce(3)
 		_, wanted := step.Next(start)
 		must.False(t, wanted, must.Sprint("the trainer may have it"))
-		mustHandOver(t, step, 0)
+		mustDeliver(t, step, 0)
 		must.Eq(t, 0, mustNext(t, step, start).Slot())
 	})
 	t.Run("the pull's version counts", func(t *testing.T) {
--- a/internal/rollout/straggler.go
+++ b/internal/rollout/straggler.go
@@ -102,7 +102,7 @@
 	}
 	s.lengths.add(float64(run.throughput.tokens))
 	s.firstTokenWaits.add(run.throughput.firstToken.Sub(run.throughput.start).Seconds())
-	if length := now.Sub(run.throughput.firstToken).Seconds(); length > 0 {
-		s.throughputs.add(float64(run.throughput.tokens) / length)
+	if duration := now.Sub(run.throughput.firstToken).Seconds(); duration > 0 {
+		s.throughputs.add(float64(run.throughput.tokens) / duration)
 	}
 }
