--- a/internal/steplog/steplog.go
+++ b/internal/steplog/steplog.go
@@ -45,7 +45,7 @@
 	// Ran is the time of its last run.
 	Ran time.Duration
 	// Listed is the time from the end of that run until the step's last outcome before
-	// the step's end was in the store: scorers, collecting, and an unavailable store.
+	// the step's end was in the store: scoring, gathering, and an unavailable store.
 	Listed time.Duration
 	// Closed is the time from then on until the trainer ended the step.
 	Closed time.Duration
@@ -156,28 +156,28 @@
 	return value
 }
 
-func (r *stepTrace) item(id string) *itemTrace {
-	if r.items[id] == nil {
-		r.items[id] = &itemTrace{}
+func (t *stepTrace) item(id string) *itemTrace {
+	if t.items[id] == nil {
+		t.items[id] = &itemTrace{}
 	}
-	return r.items[id]
+	return t.items[id]
 }
 
 // summarize computes where the time went. It reports false for a step that was not
 // accepted and ended within the logs, or that has no generated text.
-func (r *stepTrace) summarize() (Step, bool) {
-	if r.Accepted.IsZero() || r.endedAt.IsZero() {
+func (t *stepTrace) summarize() (Step, bool) {
+	if t.Accepted.IsZero() || t.endedAt.IsZero() {
 		return Step{}, false
 	}
 	var last *itemTrace
 	var first []time.Duration
-	for _, candidate := range r.items {
+	for _, candidate := range t.items {
 		if len(candidate.placedAt) == 0 {
 			continue
 		}
-		first = append(first, candidate.placedAt[0].Sub(r.Accepted))
-		r.RepeatedPlacements += len(candidate.placedAt) - 1
-		if !candidate.generatedAt.IsZero() && !candidate.generatedAt.After(r.endedAt) && (last == nil || candidate.generatedAt.After(last.generatedAt)) {
+		first = append(first, candidate.placedAt[0].Sub(t.Accepted))
+		t.RepeatedPlacements += len(candidate.placedAt) - 1
+		if !candidate.generatedAt.IsZero() && !candidate.generatedAt.After(t.endedAt) && (last == nil || candidate.generatedAt.After(last.generatedAt)) {
 			last = candidate
 		}
 	}
@@ -186,22 +186,22 @@
 	}
 	slices.Sort(first)
 	latest := last.placedAt[len(last.placedAt)-1]
-	r.HalfPlaced = first[len(first)/2]
-	r.Waited = last.placedAt[0].Sub(r.Accepted)
-	r.Interrupted = latest.Sub(last.placedAt[0])
-	r.Ran = last.generatedAt.Sub(latest)
-	listed := r.lastListed(last.generatedAt)
-	r.Listed = listed.Sub(last.generatedAt)
-	r.Closed = r.endedAt.Sub(listed)
-	return r.Step, true
+	t.HalfPlaced = first[len(first)/2]
+	t.Waited = last.placedAt[0].Sub(t.Accepted)
+	t.Interrupted = latest.Sub(last.placedAt[0])
+	t.Ran = last.generatedAt.Sub(latest)
+	listed := t.lastListed(last.generatedAt)
+	t.Listed = listed.Sub(last.generatedAt)
+	t.Closed = t.endedAt.Sub(listed)
+	return t.Step, true
 }
 
 // lastListed returns the last write of outcomes between a time and the step's end, or
 // the time itself if there is none.
-func (r *stepTrace) lastListed(after time.Time) time.Time {
+func (t *stepTrace) lastListed(after time.Time) time.Time {
 	last := after
-	for _, at := range r.listedAt {
-		if at.After(last) && !at.After(r.endedAt) {
+	for _, at := range t.listedAt {
+		if at.After(last) && !at.After(t.endedAt) {
 			last = at
 		}
 	}
