--- a/internal/trainer/open.go
+++ b/internal/trainer/open.go
@@ -142,7 +142,7 @@
 // decodeBody decodes a body. It rejects a body that contains the caller's key, because
 // prompts go to backend servers, which must never see keys.
 func (h *Handler) decodeBody(c *call, body any) error {
-	text, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, h.MaxBodyBytes))
+	data, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, h.MaxBodyBytes))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return refusal.NotRun(http.StatusRequestEntityTooLarge, "body_too_large", "the body has more than %d bytes", h.MaxBodyBytes)
@@ -150,10 +150,10 @@
 	if err != nil {
 		return invalidRequest("the body can't be read")
 	}
-	if strings.Contains(string(text), c.key) {
+	if strings.Contains(string(data), c.key) {
 		return invalidRequest("the body holds the key")
 	}
-	if err := json.Unmarshal(text, body); err != nil {
+	if err := json.Unmarshal(data, body); err != nil {
 		return invalidRequest("the body is not as expected: %v", err)
 	}
 	return nil
--- a/internal/trainer/pull.go
+++ b/internal/trainer/pull.go
@@ -115,7 +115,7 @@
 		return limit, nil
 	}
 	wait, err := time.ParseDuration(text)
-	if seconds, failed := strconv.ParseFloat(text, 64); failed == nil {
+	if seconds, parseErr := strconv.ParseFloat(text, 64); parseErr == nil {
 		wait, err = time.Duration(seconds*float64(time.Second)), nil
 	}
 	if err != nil || wait < 0 {
