--- a/internal/usage/collector.go
+++ b/internal/usage/collector.go
@@ -25,7 +25,7 @@
 	run := &collection{peers: c.Peers, merged: &Ledger{}}
 	request := peerpb.CollectRequest_builder{Since: since, Until: until}
 	run.query(ctx, c.Directory.Processes(peerpb.Role_ROLE_SIDECAR), request.Build())
-	request.Except = run.counted
+	request.Except = run.answered
 	run.query(ctx, c.Directory.Processes(peerpb.Role_ROLE_ENTRY), request.Build())
 	return run.merged.Counts(since, until), run.unreachable
 }
@@ -36,7 +36,7 @@
 	merged *Ledger
 
 	mutex       sync.Mutex
-	counted     []uint64
+	answered    []uint64
 	unreachable []string
 }
 
@@ -63,7 +63,7 @@
 		return
 	}
 	if reply.GetCounted() != 0 {
-		c.counted = append(c.counted, reply.GetCounted())
+		c.answered = append(c.answered, reply.GetCounted())
 	}
 	c.merged.Merge(reply.GetCounts())
 }
--- a/internal/usage/collector_test.go
+++ b/internal/usage/collector_test.go
@@ -25,9 +25,9 @@
 
 func TestCollectsEachCounterOnce(t *testing.T) {
 	fleet, collector := newCollection()
-	counts, silent := collector.Collect(t.Context(), 0, noon.Unix()+1)
+	counts, unreachable := collector.Collect(t.Context(), 0, noon.Unix()+1)
 	must.Eq(t, uint64(2), requests(counts))
-	must.Len(t, 0, silent)
+	must.Len(t, 0, unreachable)
 	must.Eq(t, 1, fleet.collected)
 }
 
@@ -46,7 +46,7 @@
 func TestCollectsFromReplicasOfUnreachable(t *testing.T) {
 	fleet, collector := newCollection()
 	fleet.kill("s1")
-	counts, silent := collector.Collect(t.Context(), 0, noon.Unix()+1)
+	counts, unreachable := collector.Collect(t.Context(), 0, noon.Unix()+1)
 	must.Eq(t, uint64(2), requests(counts))
-	must.Eq(t, []string{"s1"}, silent)
+	must.Eq(t, []string{"s1"}, unreachable)
 }
--- a/internal/usage/fleet_test.go
+++ b/internal/usage/fleet_test.go
@@ -108,8 +108,8 @@
 	f.dead[name] = false
 }
 
-// sent returns the received reports.
-func (f *fleet) sent() []platform.Usage {
+// receivedReports returns a copy of the received reports.
+func (f *fleet) receivedReports() []platform.Usage {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]platform.Usage{}, f.reports...)
@@ -175,10 +175,10 @@
 }
 
 const (
-	length = time.Minute
-	settle = 5 * time.Second
-	lease  = 10 * time.Second
-	bound  = 2 * time.Second
+	length        = time.Minute
+	settle        = 5 * time.Second
+	lease         = 10 * time.Second
+	reportTimeout = 2 * time.Second
 )
 
 func newReporter(fleet *fleet, platform usage.Platform, name string) *usage.Reporter {
@@ -193,6 +193,6 @@
 		Keep:          time.Hour,
 		Interval:      time.Second,
 		Lease:         lease,
-		ReportTimeout: bound,
+		ReportTimeout: reportTimeout,
 	}
 }
--- a/internal/usage/ledger_test.go
+++ b/internal/usage/ledger_test.go
@@ -70,11 +70,11 @@
 func TestChangedSinceMark(t *testing.T) {
 	counter := newCounter()
 	counter.Add("a", "m", noon, 1, 1)
-	counts, mark := counter.Changed(0)
+	counts, sequence := counter.Changed(0)
 	must.Len(t, 1, counts)
-	counts, mark = counter.Changed(mark)
+	counts, sequence = counter.Changed(sequence)
 	must.Len(t, 0, counts)
 	counter.Add("b", "m", noon, 1, 1)
-	counts, _ = counter.Changed(mark)
+	counts, _ = counter.Changed(sequence)
 	must.Len(t, 1, counts)
 }
--- a/internal/usage/replicaentries.go
+++ b/internal/usage/replicaentries.go
@@ -27,17 +27,17 @@
 		return cmp.Or(cmp.Compare(rendezvousWeight(process, b), rendezvousWeight(process, a)), strings.Compare(a.GetName(), b.GetName()))
 	})
 	usedZones := map[string]bool{process.GetZone(): true}
-	var holders, others []*peerpb.Process
+	var replicas, others []*peerpb.Process
 	for _, entry := range live {
-		if usedZones[entry.GetZone()] || len(holders) == replicaCount {
+		if usedZones[entry.GetZone()] || len(replicas) == replicaCount {
 			others = append(others, entry)
 			continue
 		}
 		usedZones[entry.GetZone()] = true
-		holders = append(holders, entry)
+		replicas = append(replicas, entry)
 	}
-	missing := min(replicaCount-len(holders), len(others))
-	return append(holders, others[:missing]...)
+	missing := min(replicaCount-len(replicas), len(others))
+	return append(replicas, others[:missing]...)
 }
 
 func rendezvousWeight(process, entry *peerpb.Process) uint64 {
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -54,10 +54,11 @@
 	return sum
 }
 
-func serve(fleet *fleet, counter *usage.Counter, holders ...string) {
+// countResponse counts a response, and stores copies of the counters at entries or sidecars.
+func countResponse(fleet *fleet, counter *usage.Counter, replicas ...string) {
 	counts := counter.Add("a", "m", time.Now(), 10, 20)
-	for _, holder := range holders {
-		fleet.ledgers[holder].Merge(counts)
+	for _, replica := range replicas {
+		fleet.ledgers[replica].Merge(counts)
 	}
 }
 
@@ -67,12 +68,12 @@
 		stop := start(t, newReporter(fleet, fleet, "e1"), 1)
 		counter := newCounter()
 		for range 30 {
-			serve(fleet, counter, "e1", "e2")
+			countResponse(fleet, counter, "e1", "e2")
 			time.Sleep(length / 10)
 		}
 		time.Sleep(2 * length)
 		stop()
-		must.Eq(t, uint64(30), billed(t, fleet.sent()))
+		must.Eq(t, uint64(30), billed(t, fleet.receivedReports()))
 	})
 }
 
@@ -85,7 +86,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
 			counter := newCounter()
-			serve(fleet, counter, "e1")
+			countResponse(fleet, counter, "e1")
 			first := &crashingPlatform{fleet: fleet, crashAt: step}
 			ctx, cancel := context.WithCancel(t.Context())
 			first.cancel = cancel
@@ -102,7 +103,7 @@
 			stop := start(t, newReporter(fleet, fleet, "e2"), 2)
 			time.Sleep(3 * length)
 			stop()
-			must.Eq(t, uint64(2), billed(t, fleet.sent()), must.Sprintf("crashed at step %d", step))
+			must.Eq(t, uint64(2), billed(t, fleet.receivedReports()), must.Sprintf("crashed at step %d", step))
 		})
 	}
 }
@@ -114,17 +115,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
 		counter := newCounter()
-		serve(fleet, counter, "e1")
+		countResponse(fleet, counter, "e1")
 		stopFirst := start(t, newReporter(fleet, fleet, "e1"), 1)
 		stopSecond := start(t, newReporter(fleet, fleet, "e2"), 2)
 		for range 60 {
-			serve(fleet, counter, "e1", "e2")
+			countResponse(fleet, counter, "e1", "e2")
 			time.Sleep(length / 10)
 		}
 		time.Sleep(2 * length)
 		stopFirst()
 		stopSecond()
-		must.Eq(t, uint64(61), billed(t, fleet.sent()))
+		must.Eq(t, uint64(61), billed(t, fleet.receivedReports()))
 	})
 }
 
@@ -141,12 +142,12 @@
 			fleet.mutex.Lock()
 			fleet.loseReports = 1
 			fleet.mutex.Unlock()
-			serve(fleet, counter, "e1", "e2")
+			countResponse(fleet, counter, "e1", "e2")
 			time.Sleep(length)
 		}
 		time.Sleep(2 * length)
 		stop()
-		must.Eq(t, uint64(10), billed(t, fleet.sent()))
+		must.Eq(t, uint64(10), billed(t, fleet.receivedReports()))
 	})
 }
 
@@ -156,13 +157,13 @@
 func TestReporterPaused(t *testing.T) {
 	tests := map[string]pausingPlatform{
 		"before the last check": {before: 10 * lease},
-		"after the last check":  {after: lease + bound + 2*time.Second},
+		"after the last check":  {after: lease + reportTimeout + 2*time.Second},
 	}
 	for name, first := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
-				serve(fleet, newCounter(), "e1")
+				countResponse(fleet, newCounter(), "e1")
 				first.fleet = fleet
 				ended := make(chan error, 1)
 				term := duty.NewTerm(1, time.Now().Add(length+2*settle))
@@ -173,7 +174,7 @@
 				time.Sleep(3 * length)
 				stop()
 				must.Error(t, <-ended)
-				must.Eq(t, uint64(1), billed(t, fleet.sent()))
+				must.Eq(t, uint64(1), billed(t, fleet.receivedReports()))
 			})
 		})
 	}
@@ -201,14 +202,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
 		stop := start(t, newReporter(fleet, fleet, "e1"), 1)
-		serve(fleet, newCounter(), "e2")
+		countResponse(fleet, newCounter(), "e2")
 		fleet.kill("e2")
 		time.Sleep(length + settle + 2*time.Second)
 		fleet.revive("e2")
 		time.Sleep(2 * length)
 		stop()
-		must.Eq(t, uint64(1), billed(t, fleet.sent()))
-		must.Len(t, 0, lateFigures(fleet.sent()))
+		must.Eq(t, uint64(1), billed(t, fleet.receivedReports()))
+		must.Len(t, 0, lateFigures(fleet.receivedReports()))
 	})
 }
 
@@ -233,14 +234,14 @@
 		counter := newCounter()
 		window := usage.WindowStart(time.Now(), length)
 		stop := start(t, newReporter(fleet, fleet, "e1"), 1)
-		serve(fleet, counter, "e1")
+		countResponse(fleet, counter, "e1")
 		fleet.kill("e2")
-		serve(fleet, counter, "e2")
+		countResponse(fleet, counter, "e2")
 		time.Sleep(length + 4*settle)
 		fleet.revive("e2")
 		time.Sleep(3 * length)
 		stop()
-		reports := fleet.sent()
+		reports := fleet.receivedReports()
 		must.Eq(t, uint64(2), billed(t, reports))
 		must.Eq(t, []platform.Figure{{Account: "a", Pool: "m", Requests: 1, PromptTokens: 10, OutputTokens: 20, Late: window}}, lateFigures(reports))
 	})
@@ -257,7 +258,7 @@
 				fleet := newFleet(sidecar, entry("e1", "a"), entry("e2", "b"), entry("e3", "c"))
 				counter := newCounter()
 				// The end of the response carries the counters to the entry.
-				serve(fleet, counter, "s1", "e1")
+				countResponse(fleet, counter, "s1", "e1")
 				pusher := &usage.Pusher{Source: counter, Directory: fleet, Peers: fleet, Interval: time.Second, Keep: time.Hour}
 				ctx, cancel := context.WithCancel(t.Context())
 				ended := make(chan error, 1)
@@ -271,7 +272,7 @@
 				stop()
 				cancel()
 				<-ended
-				must.Eq(t, uint64(1), billed(t, fleet.sent()), must.Sprintf("%s died, pushed %t", dies, pushed))
+				must.Eq(t, uint64(1), billed(t, fleet.receivedReports()), must.Sprintf("%s died, pushed %t", dies, pushed))
 			})
 		}
 	}
@@ -289,7 +290,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- pusher.Run(ctx) }()
-		serve(fleet, counter)
+		countResponse(fleet, counter)
 		cancel()
 		must.NoError(t, <-ended)
 		must.Eq(t, 0, fleet.ledgers["e1"].Size())
