--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -66,7 +66,7 @@
 	if refused := c.checkNew(request); refused != nil {
 		return nil, refused
 	}
-	record, isNew, err := c.keep(request.GetClaim(), claim.NewRecord(request.GetId(), c.Server, digest(request)))
+	record, isNew, err := c.recordClaim(request.GetClaim(), claim.NewRecord(request.GetId(), c.Server, digest(request)))
 	if err != nil {
 		return nil, refusal.NotRun(http.StatusServiceUnavailable, "memory_full", "%v", err).WithRetryAfter(retryDelay)
 	}
@@ -202,7 +202,7 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	record, isNew, err := c.keep(request.GetClaim(), claim.NewRecord(request.GetId(), request.GetServer(), request.GetDigest()))
+	record, isNew, err := c.recordClaim(request.GetClaim(), claim.NewRecord(request.GetId(), request.GetServer(), request.GetDigest()))
 	if err != nil {
 		return refuseClaim("memory_full", "%v", err)
 	}
@@ -216,7 +216,7 @@
 	return reply
 }
 
-func (c *Claims) keep(key string, record claim.Record) (claim.Record, bool, error) {
+func (c *Claims) recordClaim(key string, record claim.Record) (claim.Record, bool, error) {
 	c.journal.Retention = claim.Window(c.Retention)
 	return c.journal.Add(key, record, time.Now())
 }
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -24,8 +24,8 @@
 	receive(t, p.arrived)
 	second := sendAsync(p.clients[home], p.posting("r2"))
 	close(p.release)
-	mustBeWhole(t, postingAnswer, receive(t, first))
-	mustBeWhole(t, postingAnswer, receive(t, second))
+	mustBeComplete(t, postingAnswer, receive(t, first))
+	mustBeComplete(t, postingAnswer, receive(t, second))
 	must.Eq(t, 1, p.runs.Load())
 }
 
@@ -35,7 +35,7 @@
 func TestRetryAtRestartedHome(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
-	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r1"))
 	p.start(home, false)
 	other := p.posting("r3")
 	other.SetBody([]byte("{}"))
@@ -49,7 +49,7 @@
 func TestRetryAfterHomeRemoved(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
-	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r1"))
 	p.remove(home)
 	p.setAddress(home, "127.0.0.1:1")
 	mustBeRefused(t, unknown, "claimed_elsewhere", p.send(witness, "r2"))
@@ -61,10 +61,10 @@
 func TestRetryWhileHomeDrains(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
-	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r1"))
 	p.remove(home)
-	mustBeWhole(t, postingAnswer, p.send(witness, "r2"))
-	mustBeWhole(t, postingAnswer, p.send(witness, "r3"))
+	mustBeComplete(t, postingAnswer, p.send(witness, "r2"))
+	mustBeComplete(t, postingAnswer, p.send(witness, "r3"))
 	other := p.posting("r4")
 	other.SetBody([]byte("{}"))
 	mustBeRefused(t, notRun, "key_reused", send(p.clients[witness], other))
@@ -77,7 +77,7 @@
 func TestRetryAfterBothRestarted(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
-	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r1"))
 	p.start(home, false)
 	p.start(witness, false)
 	mustBeRefused(t, unknown, "claim_lost", p.send(home, "r2"))
@@ -90,14 +90,14 @@
 func TestRollingReplacement(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
-	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r1"))
 	p.restart(home)
 	p.restart(witness)
 	p.restart(home)
 	mustBeRefused(t, unknown, "not_known", p.send(home, "r2"))
 	other := p.posting("r3")
 	other.SetClaim(keyOfHome(p, home))
-	mustBeWhole(t, postingAnswer, send(p.clients[home], other))
+	mustBeComplete(t, postingAnswer, send(p.clients[home], other))
 	must.Eq(t, 2, p.runs.Load())
 }
 
@@ -120,7 +120,7 @@
 	mustBeRefused(t, notRun, "no_witness", p.send(home, "r1"))
 	must.Eq(t, 0, p.runs.Load())
 	p.setAddress(witness, address)
-	mustBeWhole(t, postingAnswer, p.send(home, "r2"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r2"))
 }
 
 // The witness records the claim but its reply is lost, and the request doesn't
@@ -132,7 +132,7 @@
 	p.dropsReplies.Store(true)
 	mustBeRefused(t, notRun, "no_witness", p.send(home, "r1"))
 	p.dropsReplies.Store(false)
-	mustBeWhole(t, postingAnswer, p.send(home, "r2"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r2"))
 	must.Eq(t, 1, p.runs.Load())
 }
 
@@ -142,7 +142,7 @@
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
 	mustBeRefused(t, notRun, "wrong_home", p.send(witness, "r1"))
-	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r1"))
 	must.Eq(t, 1, p.runs.Load())
 }
 
@@ -153,8 +153,8 @@
 	home, _ := p.home()
 	old := p.posting("r1")
 	p.setFleet("live", "live")
-	mustBeWhole(t, postingAnswer, send(p.clients[home], old))
-	mustBeWhole(t, postingAnswer, p.send(home, "r2"))
+	mustBeComplete(t, postingAnswer, send(p.clients[home], old))
+	mustBeComplete(t, postingAnswer, p.send(home, "r2"))
 	must.Eq(t, 1, p.runs.Load())
 }
 
@@ -189,7 +189,7 @@
 	mustCancelQueued(t, p, home)
 	close(p.release)
 	receive(t, running)
-	mustBeWhole(t, postingAnswer, p.send(home, "r2"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r2"))
 	must.Eq(t, 2, p.runs.Load())
 }
 
@@ -210,7 +210,7 @@
 	p.isolated.Store(true)
 	mustBeRefused(t, notRun, "isolated", p.send(home, "r1"))
 	p.isolated.Store(false)
-	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r1"))
 }
 
 // Two callers share a queued run and the first cancels. The other must still get
@@ -227,14 +227,14 @@
 	mustCancel(t, p.clients[home], "r1")
 	close(p.release)
 	receive(t, running)
-	mustBeWhole(t, postingAnswer, receive(t, first))
-	mustBeWhole(t, postingAnswer, receive(t, second))
+	mustBeComplete(t, postingAnswer, receive(t, first))
+	mustBeComplete(t, postingAnswer, receive(t, second))
 }
 
 func TestKeyReused(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
-	mustBeWhole(t, postingAnswer, p.send(home, "r1"))
+	mustBeComplete(t, postingAnswer, p.send(home, "r1"))
 	other := p.posting("r2")
 	other.SetBody([]byte(`{"member":"m","hours":2}`))
 	mustBeRefused(t, notRun, "key_reused", send(p.clients[home], other))
@@ -243,7 +243,7 @@
 func TestSingleServer(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	p.setFleet("live")
-	mustBeWhole(t, postingAnswer, p.send("s1", "r1"))
+	mustBeComplete(t, postingAnswer, p.send("s1", "r1"))
 }
 
 func (p *pool) remove(server string) {
--- a/internal/entry/cost.go
+++ b/internal/entry/cost.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// defaultOutputTokens is the expected output of a request without a token limit.
-	defaultOutputTokens = 256
+	// assumedOutputTokens is the expected output of a request without a token limit.
+	assumedOutputTokens = 256
 	// bytesPerToken is the approximate size of a prompt's token.
 	bytesPerToken = 4
 )
@@ -39,7 +39,7 @@
 		maxTokens = max(body.Completion, body.Tokens)
 	}
 	if maxTokens <= 0 {
-		maxTokens = defaultOutputTokens
+		maxTokens = assumedOutputTokens
 	}
 	return maxTokens + float64(len(request.GetBody())/bytesPerToken)
 }
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -67,7 +67,7 @@
 	_, _ = io.WriteString(w, `{"posting":1}`)
 }
 
-// discardLoads is a load table that ignores reports.
+// discardLoads is a LoadReporter that ignores reports.
 type discardLoads struct{}
 
 func (discardLoads) OfferLoad(*peerpb.Load) {}
@@ -122,11 +122,11 @@
 
 // answer is what a stream delivered; heartbeats are only counted.
 type answer struct {
-	frames  []*peerpb.Frame
-	beats   int
-	end     *peerpb.End
-	refusal *peerpb.Refusal
-	err     error
+	frames     []*peerpb.Frame
+	heartbeats int
+	end        *peerpb.End
+	refusal    *peerpb.Refusal
+	err        error
 }
 
 func (a answer) text() string {
@@ -160,7 +160,7 @@
 			return a
 		}
 		if frame.HasBeat() {
-			a.beats++
+			a.heartbeats++
 			continue
 		}
 		a.frames = append(a.frames, frame)
@@ -186,8 +186,8 @@
 	}
 }
 
-// mustBeWhole checks that an answer is complete and its frames are numbered without gaps.
-func mustBeWhole(t *testing.T, text string, a answer) {
+// mustBeComplete checks that an answer is complete and its frames are numbered without gaps.
+func mustBeComplete(t *testing.T, text string, a answer) {
 	t.Helper()
 	must.NoError(t, a.err)
 	must.Nil(t, a.refusal, must.Sprint(a.refusal))
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -33,6 +33,6 @@
 		Slots:    uint32(s.MaxRunning),
 		Version:  s.Backend.Version(),
 		Draining: s.limiter.isClosed(),
-		Seq:      s.loads.next(),
+		Seq:      s.loadSequence.next(),
 	}.Build()
 }
--- a/internal/entry/metrics_test.go
+++ b/internal/entry/metrics_test.go
@@ -13,7 +13,7 @@
 	registry := prometheus.NewRegistry()
 	server.Metrics = registry
 	client := serve(t, server)
-	mustBeWhole(t, postingAnswer, send(client, posting("r1")))
+	mustBeComplete(t, postingAnswer, send(client, posting("r1")))
 	other := posting("r2")
 	other.SetPool("other")
 	mustBeRefused(t, notRun, "wrong_pool", send(client, other))
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -46,9 +46,9 @@
 	mustBeRefused(t, notRun, "draining", refused)
 	must.True(t, refused.frames[0].GetLoad().GetDraining())
 	close(service.release)
-	mustBeWhole(t, postingAnswer, receive(t, running))
+	mustBeComplete(t, postingAnswer, receive(t, running))
 	mustOrder(t, client, resume, 1)
-	mustBeWhole(t, postingAnswer, send(client, posting("new")))
+	mustBeComplete(t, postingAnswer, send(client, posting("new")))
 }
 
 // mustBeQueued reads heartbeats until the server reports a queued request.
@@ -85,7 +85,7 @@
 	}
 	close(service.release)
 	receive(t, drained)
-	mustBeWhole(t, postingAnswer, receive(t, running))
+	mustBeComplete(t, postingAnswer, receive(t, running))
 }
 
 // returnNotifier reports when a Run call of the sidecar returns.
@@ -129,7 +129,7 @@
 	}
 	resend := posting("r1")
 	resend.SetResend(true)
-	mustBeWhole(t, postingAnswer, send(client, resend))
+	mustBeComplete(t, postingAnswer, send(client, resend))
 	receive(t, drained)
 }
 
@@ -198,7 +198,7 @@
 	receive(t, service.arrived)
 	overtaken := make(chan *peerpb.OrderReply, 1)
 	go func() { overtaken <- order(t, client, load, 2) }()
-	mustHaveSeen(t, client, 2)
+	mustHaveFence(t, client, 2)
 	mustOrder(t, client, resume, 3)
 	close(service.release)
 	must.Nil(t, receive(t, replies).GetRefusal())
@@ -206,8 +206,8 @@
 	must.Eq(t, 1, service.runs.Load())
 }
 
-// mustHaveSeen waits until the sidecar refuses fencing tokens lower than fence.
-func mustHaveSeen(t *testing.T, client peerpb.SidecarClient, fence uint64) {
+// mustHaveFence waits until the sidecar refuses fencing tokens lower than fence.
+func mustHaveFence(t *testing.T, client peerpb.SidecarClient, fence uint64) {
 	t.Helper()
 	for range 10000 {
 		if order(t, client, resume, fence-1).HasRefusal() {
--- a/internal/entry/pool_test.go
+++ b/internal/entry/pool_test.go
@@ -25,11 +25,11 @@
 type pool struct {
 	*service
 
-	t       *testing.T
-	silence time.Duration
-	// dropsReplies makes the replies of witnesses get lost.
+	t           *testing.T
+	readTimeout time.Duration
+	// dropsReplies drops the replies of witnesses.
 	dropsReplies atomic.Bool
-	// isolated makes Isolated report true at every sidecar.
+	// isolated makes IsIsolated report true at every sidecar.
 	isolated atomic.Bool
 	fleet    atomic.Pointer[statepb.Fleet]
 	mutex    sync.Mutex
@@ -38,9 +38,9 @@
 	claims   map[string]*entry.Claims
 }
 
-func newPool(t *testing.T, service *service, silence time.Duration) *pool {
+func newPool(t *testing.T, service *service, readTimeout time.Duration) *pool {
 	t.Helper()
-	p := &pool{service: service, t: t, silence: silence, address: map[string]string{}, clients: map[string]peerpb.SidecarClient{}, claims: map[string]*entry.Claims{}}
+	p := &pool{service: service, t: t, readTimeout: readTimeout, address: map[string]string{}, clients: map[string]peerpb.SidecarClient{}, claims: map[string]*entry.Claims{}}
 	p.setFleet("live", "live")
 	p.start("s1", true)
 	p.start("s2", true)
@@ -65,7 +65,7 @@
 // start starts a sidecar; one that isn't the first has lost its claims.
 func (p *pool) start(id string, isFirst bool) {
 	plain := &backend.Plain{}
-	plain.Address, plain.Name, plain.ReadTimeout = p.URL, id, p.silence
+	plain.Address, plain.Name, plain.ReadTimeout = p.URL, id, p.readTimeout
 	server := &entry.Server{
 		Name: id, Pool: "ledger", Backend: plain, Loads: discardLoads{},
 		MaxRunning: 1, MaxQueued: 1, Retention: time.Minute, HeartbeatInterval: 20 * time.Millisecond,
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -29,8 +29,8 @@
 func (r *reader) follow(run *run) error {
 	run.attach()
 	defer run.detach()
-	beat := time.NewTimer(r.server.HeartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTimer(r.server.HeartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		frames, isLast, changed, refused := run.framesFrom(r.position)
 		if refused != nil {
@@ -39,11 +39,11 @@
 		if err := r.sendFrames(run, frames); err != nil || isLast {
 			return err
 		}
-		beat.Reset(r.server.HeartbeatInterval)
+		heartbeat.Reset(r.server.HeartbeatInterval)
 		select {
 		case <-changed:
-		case <-beat.C:
-			if err := r.beat(); err != nil {
+		case <-heartbeat.C:
+			if err := r.sendHeartbeat(); err != nil {
 				return err
 			}
 		case <-r.stream.Context().Done():
@@ -57,8 +57,8 @@
 	return r.send(peerpb.Frame_builder{Seq: r.position, Refusal: refused.ToMessage()}.Build())
 }
 
-// beat sends a heartbeat.
-func (r *reader) beat() error {
+// sendHeartbeat sends a frame that only shows that the stream is alive.
+func (r *reader) sendHeartbeat() error {
 	return r.send(peerpb.Frame_builder{Seq: r.position, Beat: &peerpb.Beat{}}.Build())
 }
 
--- a/internal/entry/registry.go
+++ b/internal/entry/registry.go
@@ -79,23 +79,23 @@
 
 // join returns the run with the request's ID. It creates one if there is none, or
 // if that one is proved not to have run and the request is not a resend. The
-// parameter remembersAll is true if this process knows every request that its
+// parameter knowsAllRequests is true if this process knows every request that its
 // backend server may have received.
-func (r *registry) join(request *peerpb.RunRequest, remembersAll bool) (existing *run, isNew bool, refused *refusal.Error) {
+func (r *registry) join(request *peerpb.RunRequest, knowsAllRequests bool) (existing *run, isNew bool, refused *refusal.Error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	existing = r.runs[request.GetId()]
 	if existing != nil && (request.GetResend() || !existing.isNotRun()) {
 		return existing, false, nil
 	}
-	if refused := r.admit(request, remembersAll); refused != nil {
+	if refused := r.admit(request, knowsAllRequests); refused != nil {
 		return nil, false, refused
 	}
 	if r.runs == nil {
 		r.runs = map[string]*run{}
 	}
 	created := newRun(request)
-	created.mayHaveRun = mayHaveRun(request, remembersAll)
+	created.mayHaveRun = mayHaveRun(request, knowsAllRequests)
 	r.runs[request.GetId()] = created
 	r.active++
 	return created, true, nil
@@ -106,9 +106,9 @@
 // the entry's resend would run the request twice, or continue one answer with
 // frames of another. Requests with a claim are checked by the sidecars that
 // recorded it.
-func (r *registry) admit(request *peerpb.RunRequest, remembersAll bool) *refusal.Error {
+func (r *registry) admit(request *peerpb.RunRequest, knowsAllRequests bool) *refusal.Error {
 	switch {
-	case mayHaveRun(request, remembersAll) && !request.GetIdempotent() && !isClaimed(request):
+	case mayHaveRun(request, knowsAllRequests) && !request.GetIdempotent() && !isClaimed(request):
 		return refusal.Unknown(http.StatusBadGateway, "not_known", "the request was sent before and is not known here")
 	case request.GetFrom() > 0:
 		return refusal.Unknown(http.StatusBadGateway, "not_known", "the answer to go on with is not known here")
@@ -122,16 +122,16 @@
 // mayHaveRun reports whether an earlier send of an unknown request may have run:
 // at the previous process, or in a run that was dropped, which happens to
 // idempotent runs first.
-func mayHaveRun(request *peerpb.RunRequest, remembersAll bool) bool {
-	return request.GetResend() && (request.GetIdempotent() || !remembersAll)
+func mayHaveRun(request *peerpb.RunRequest, knowsAllRequests bool) bool {
+	return request.GetResend() && (request.GetIdempotent() || !knowsAllRequests)
 }
 
-// sweep drops runs that ended longer ago than remember and cancels abandoned ones.
-func (r *registry) sweep(now time.Time, remember time.Duration) {
+// sweep drops runs that ended longer ago than retention, and cancels abandoned ones.
+func (r *registry) sweep(now time.Time, retention time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, list := range []*endedList{&r.idempotent, &r.nonIdempotent} {
-		for len(list.runs) > 0 && now.Sub(list.runs[0].time) > remember {
+		for len(list.runs) > 0 && now.Sub(list.runs[0].time) > retention {
 			r.dropOldest(list)
 		}
 	}
--- a/internal/entry/resend_test.go
+++ b/internal/entry/resend_test.go
@@ -18,8 +18,8 @@
 func TestResendOfLostSend(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
-	mustBeWhole(t, postingAnswer, send(p.clients[home], asResend(posting("r1"))))
-	mustBeWhole(t, postingAnswer, send(p.clients[home], asResend(posting("r1"))))
+	mustBeComplete(t, postingAnswer, send(p.clients[home], asResend(posting("r1"))))
+	mustBeComplete(t, postingAnswer, send(p.clients[home], asResend(posting("r1"))))
 	must.Eq(t, 1, p.runs.Load())
 }
 
@@ -47,7 +47,7 @@
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
 	p.start(home, false)
-	mustBeWhole(t, postingAnswer, send(p.clients[home], asResend(p.posting("r1"))))
+	mustBeComplete(t, postingAnswer, send(p.clients[home], asResend(p.posting("r1"))))
 	p.start(home, false)
 	mustBeRefused(t, unknown, "claimed_elsewhere", send(p.clients[home], asResend(p.posting("r1"))))
 	must.Eq(t, 1, p.runs.Load())
--- a/internal/entry/restore.go
+++ b/internal/entry/restore.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// restore asks each partner once. It fails until claim.Slack after the start, when
+// restore asks each partner once. It fails until claim.MaxFleetLag after the start, when
 // the local fleet is as new as the one that the previous process used for its claims.
 func (c *Claims) restore(ctx context.Context, now time.Time) error {
 	if now.Sub(c.Started) < claim.MaxFleetLag {
@@ -64,7 +64,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, kept := range reply.GetClaims() {
-		if _, _, err := c.keep(kept.GetClaim(), claim.NewRecord(kept.GetId(), kept.GetServer(), kept.GetDigest())); err != nil {
+		if _, _, err := c.recordClaim(kept.GetClaim(), claim.NewRecord(kept.GetId(), kept.GetServer(), kept.GetDigest())); err != nil {
 			return err
 		}
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -75,14 +75,14 @@
 	MaxQueued int
 	// Retention is how long an ended request stays known.
 	Retention time.Duration
-	// HeartbeatInterval is the heartbeat interval: the longest time without a frame on a stream.
+	// HeartbeatInterval is the longest time without a frame on a stream.
 	HeartbeatInterval time.Duration
 
-	limiter  limiter
-	registry registry
-	loads    loadSequence
-	orders   orderState
-	metrics  *metrics
+	limiter      limiter
+	registry     registry
+	loadSequence loadSequence
+	orders       orderState
+	metrics      *metrics
 }
 
 var _ peerpb.SidecarServer = &Server{}
@@ -123,7 +123,7 @@
 	reader := s.newReader(request, stream)
 	run, err := s.join(request)
 	if err != nil {
-		if mayHaveRun(request, s.remembersAll(time.Now())) {
+		if mayHaveRun(request, s.knowsAllRequests(time.Now())) {
 			err = toUnknown(err)
 		}
 		s.metrics.observeRefusal(err)
@@ -195,7 +195,7 @@
 }
 
 func (s *Server) joinByID(request *peerpb.RunRequest) (*run, *refusal.Error) {
-	run, isNew, refused := s.registry.join(request, s.remembersAll(time.Now()))
+	run, isNew, refused := s.registry.join(request, s.knowsAllRequests(time.Now()))
 	if refused != nil {
 		s.Decisions.Record(request.GetId(), "backend", "refused, %v", refused)
 		return nil, refused
@@ -213,10 +213,10 @@
 	return run, nil
 }
 
-// remembersAll reports whether this process knows every request that its backend
+// knowsAllRequests reports whether this process knows every request that its backend
 // server may have received and that may still be resent: it is the first
 // process, or older than any request.
-func (s *Server) remembersAll(now time.Time) bool {
+func (s *Server) knowsAllRequests(now time.Time) bool {
 	return s.Claims != nil && (s.Claims.Members.IsFirstProcess() || now.Sub(s.Claims.Started) >= maxRunTime)
 }
 
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -19,7 +19,7 @@
 	service := newService(t, false, answerPosting)
 	client := serve(t, newServer(service.URL))
 	a := send(client, posting("r1"))
-	mustBeWhole(t, `{"posting":1}`, a)
+	mustBeComplete(t, `{"posting":1}`, a)
 	must.Eq(t, int32(201), a.frames[0].GetHead().GetStatus())
 	must.Eq(t, "s1", a.frames[0].GetLoad().GetServer())
 }
@@ -36,9 +36,9 @@
 	resend.SetResend(true)
 	second := sendAsync(client, resend)
 	close(service.release)
-	mustBeWhole(t, `{"posting":1}`, receive(t, first))
-	mustBeWhole(t, `{"posting":1}`, receive(t, second))
-	mustBeWhole(t, `{"posting":1}`, send(client, resend))
+	mustBeComplete(t, `{"posting":1}`, receive(t, first))
+	mustBeComplete(t, `{"posting":1}`, receive(t, second))
+	mustBeComplete(t, `{"posting":1}`, send(client, resend))
 	must.Eq(t, 1, service.runs.Load())
 }
 
@@ -47,12 +47,12 @@
 func TestResumeByPosition(t *testing.T) {
 	service := newService(t, false, answerPosting)
 	client := serve(t, newServer(service.URL))
-	mustBeWhole(t, `{"posting":1}`, send(client, posting("r1")))
+	mustBeComplete(t, `{"posting":1}`, send(client, posting("r1")))
 	rest := posting("r1")
 	rest.SetResend(true)
 	rest.SetFrom(2)
 	a := send(client, rest)
-	mustBeWhole(t, "", a)
+	mustBeComplete(t, "", a)
 	must.Eq(t, 2, a.frames[0].GetSeq())
 }
 
@@ -62,7 +62,7 @@
 func TestResendToRestarted(t *testing.T) {
 	service := newService(t, false, answerPosting)
 	before := serve(t, newServer(service.URL))
-	mustBeWhole(t, `{"posting":1}`, send(before, posting("r1")))
+	mustBeComplete(t, `{"posting":1}`, send(before, posting("r1")))
 	restarted := serve(t, newServer(service.URL))
 	resend := posting("r1")
 	resend.SetResend(true)
@@ -83,7 +83,7 @@
 		must.True(t, frame.HasBeat())
 	}
 	close(service.release)
-	mustBeWhole(t, `{"posting":1}`, read(stream))
+	mustBeComplete(t, `{"posting":1}`, read(stream))
 }
 
 // A caller cancels a queued request. It was never forwarded, so it must end as
@@ -99,7 +99,7 @@
 	mustCancel(t, client, "waiting")
 	mustBeRefused(t, notRun, "cancelled", receive(t, waiting))
 	close(service.release)
-	mustBeWhole(t, postingAnswer, receive(t, running))
+	mustBeComplete(t, postingAnswer, receive(t, running))
 	must.Eq(t, 1, service.runs.Load())
 }
 
@@ -112,8 +112,8 @@
 	receive(t, service.arrived)
 	mustCancel(t, client, "r1")
 	close(service.release)
-	mustBeWhole(t, postingAnswer, receive(t, running))
-	mustBeWhole(t, postingAnswer, send(client, posting("r1")))
+	mustBeComplete(t, postingAnswer, receive(t, running))
+	mustBeComplete(t, postingAnswer, send(client, posting("r1")))
 	must.Eq(t, 1, service.runs.Load())
 }
 
