--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -250,14 +250,14 @@
 	must.StrNotContains(t, text(t, server.send(t, "GET", "/v1/models", otherKey, "")), "assist")
 }
 
-func respondPlain(status int32, size int, cut bool) func(context.Context, *peerpb.RunRequest, sidecar.Sink) (*peerpb.End, error) {
+func respondPlain(status int32, size int, truncate bool) func(context.Context, *peerpb.RunRequest, sidecar.Sink) (*peerpb.End, error) {
 	return func(_ context.Context, _ *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error) {
 		head := peerpb.Head_builder{Status: status, Headers: []*peerpb.Header{
 			peerpb.Header_builder{Name: "content-type", Value: "application/json"}.Build(),
 			peerpb.Header_builder{Name: "Set-Cookie", Value: "a=b"}.Build(),
 		}}.Build()
 		err := errors.Join(sink(peerpb.Frame_builder{Head: head}.Build()), sink(chunk(strings.Repeat("x", size))), sink(chunk("y")))
-		if cut {
+		if truncate {
 			err = refusal.Unknown(http.StatusBadGateway, "cut", "cut")
 		}
 		return &peerpb.End{}, err
--- a/internal/caller/responseformat.go
+++ b/internal/caller/responseformat.go
@@ -66,8 +66,8 @@
 	return "text_completion", choice{Text: &text, FinishReason: finish}
 }
 
-func (s completionFormat) chunk(text string, _ bool, finish *string) (string, choice) {
-	return s.full(text, finish)
+func (f completionFormat) chunk(text string, _ bool, finish *string) (string, choice) {
+	return f.full(text, finish)
 }
 
 // chatFormat is the format of chat completions.
