--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -33,8 +33,8 @@
 
 // Refusal codes after which a generation may be resumed.
 const (
-	codeCut    = "backend_cut"
-	codeSilent = "backend_silent"
+	codeInterrupted = "backend_cut"
+	codeReadTimeout = "backend_silent"
 )
 
 // ReadTimeoutError reports that the backend server sent nothing for the whole read timeout.
@@ -54,7 +54,7 @@
 	Address string
 	// Name identifies the backend server.
 	Name string
-	// ReadTimeout is the read timeout: how long the backend server may send nothing.
+	// ReadTimeout is how long the backend server may send nothing.
 	ReadTimeout time.Duration
 	// Idle is how long an unused connection is kept; 0 means the client's default.
 	Idle time.Duration
@@ -62,9 +62,9 @@
 	client atomic.Pointer[httpc.Service]
 }
 
-// answer is a response whose body returns an error once the backend server sends nothing
-// for the read timeout.
-type answer struct {
+// watchedResponse is a response whose body returns an error once the backend server sends
+// nothing for the read timeout.
+type watchedResponse struct {
 	*http.Response
 
 	watchdog *watchdog
@@ -87,7 +87,7 @@
 // exchange sends one request. The error is a *refusal.Error; its outcome is "not run" only
 // if no connection to the backend server was obtained, so that no byte of the request can
 // have reached it.
-func (s *Server) exchange(ctx context.Context, call call) (*answer, error) {
+func (s *Server) exchange(ctx context.Context, call call) (*watchedResponse, error) {
 	target, err := s.targetURL(call.path)
 	if err != nil {
 		return nil, refusal.NotRun(http.StatusBadRequest, "bad_path", "%v", err)
@@ -110,13 +110,13 @@
 	if call.noRepeat && len(call.body) == 0 {
 		request.Body = io.NopCloser(emptyBody{})
 	}
-	response, err := s.httpClient().DoRequest(request) //nolint:bodyclose // closed through answer
+	response, err := s.httpClient().DoRequest(request) //nolint:bodyclose // closed through watchedResponse
 	if err != nil {
 		defer watchdog.stop()
 		return nil, s.refuse(watchdog.cause(err), connected.Load())
 	}
 	response.Body = &watchedBody{ReadCloser: response.Body, watchdog: watchdog}
-	return &answer{Response: response, watchdog: watchdog}, nil
+	return &watchedResponse{Response: response, watchdog: watchdog}, nil
 }
 
 // setBody sets a body that can be read only once. net/http repeats a request on a new
@@ -180,17 +180,17 @@
 	if !connected {
 		return refusal.NotRun(http.StatusServiceUnavailable, "backend_unreachable", "%s can't be reached", s.Name).WithRetryAfter(retryAfter)
 	}
-	var silent *ReadTimeoutError
+	var timeout *ReadTimeoutError
 	switch {
-	case errors.As(err, &silent):
+	case errors.As(err, &timeout):
 		s.client.Store(nil)
-		return refusal.Unknown(http.StatusGatewayTimeout, codeSilent, "%s: %v", s.Name, silent)
+		return refusal.Unknown(http.StatusGatewayTimeout, codeReadTimeout, "%s: %v", s.Name, timeout)
 	case errors.Is(err, context.DeadlineExceeded):
 		return refusal.Unknown(http.StatusGatewayTimeout, "timeout", "%s had not answered when the request's time ended", s.Name)
 	case errors.Is(err, context.Canceled):
 		return refusal.Unknown(statusCancelled, "cancelled", "the request was cancelled while %s ran it", s.Name)
 	default:
-		return refusal.Unknown(http.StatusBadGateway, codeCut, "%s ended the connection before its answer was whole", s.Name)
+		return refusal.Unknown(http.StatusBadGateway, codeInterrupted, "%s ended the connection before its answer was whole", s.Name)
 	}
 }
 
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -236,12 +236,12 @@
 // A generation gets an idle connection that broke long ago. It is retried once on a new
 // connection; if that times out too, the outcome is unknown.
 func TestSilentFromTheFirst(t *testing.T) {
-	whole := reply{text: chunked(oneToken, finish, done) + lastChunk}
-	server := newFakeServer(t, reply{hold: true}, whole)
+	complete := reply{text: chunked(oneToken, finish, done) + lastChunk}
+	server := newFakeServer(t, reply{hold: true}, complete)
 	text, _, _, err := run(newEngine(server.url()), generation())
 	must.NoError(t, err)
 	must.Eq(t, "a", text)
-	server = newFakeServer(t, reply{hold: true}, reply{hold: true}, whole)
+	server = newFakeServer(t, reply{hold: true}, reply{hold: true}, complete)
 	_, _, end, err := run(newEngine(server.url()), generation())
 	mustBeRefused(t, unknown, "backend_silent", end, err)
 	must.Len(t, 2, server.requests())
@@ -279,7 +279,7 @@
 // All connections to an engine, including idle ones, silently stop carrying data, while
 // new ones work. A resumed generation must not use an idle one.
 func TestResumeTakesNewConnection(t *testing.T) {
-	whole := reply{text: chunked(oneToken, finish, done) + lastChunk, keepAlive: true}
+	complete := reply{text: chunked(oneToken, finish, done) + lastChunk, keepAlive: true}
 	both := &sync.WaitGroup{}
 	both.Add(2)
 	server := newFakeServer(t)
@@ -288,13 +288,13 @@
 		case total <= 2:
 			both.Done()
 			both.Wait()
-			return whole
+			return complete
 		case total == 3:
 			return reply{text: chunked(oneToken), hold: true}
 		case onConnection > 1:
 			return reply{hold: true}
 		default:
-			return whole
+			return complete
 		}
 	}
 	engine := newEngine(server.url())
--- a/internal/backend/direct.go
+++ b/internal/backend/direct.go
@@ -10,7 +10,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// Refusal codes that tell how a request ended at one server.
+// Refusal codes for the end of a request at one server.
 const (
 	// CodeFailed means that the server reported a failed run.
 	CodeFailed = "server_failed"
@@ -39,7 +39,7 @@
 	Body []byte
 	// Account is the client account; "" for requests without one.
 	Account string
-	// ReadTimeout is the read timeout: how long the server may send nothing.
+	// ReadTimeout is how long the server may send nothing.
 	ReadTimeout time.Duration
 	// TimeLeft is how much longer the caller waits; 0 if unknown.
 	TimeLeft time.Duration
@@ -53,7 +53,7 @@
 // of their answers.
 type Wire interface {
 	// Prepare sets the request's metadata in its header.
-	Prepare(header http.Header, send Request)
+	Prepare(header http.Header, request Request)
 	// IsAnswerTo reports whether an answer belongs to the request with this ID.
 	IsAnswerTo(answer *http.Response, id string) bool
 	// IsNotRun reports whether the server states that it ran nothing.
@@ -90,25 +90,25 @@
 // Do sends a request once. The error is a *refusal.Error whose outcome is "not run" only
 // if that is certain. Do also returns answers with an error status, unless the server
 // states that it ran nothing.
-func (d *Direct) Do(ctx context.Context, send Request) (*Answer, error) {
-	header := send.Header.Clone()
+func (d *Direct) Do(ctx context.Context, request Request) (*Answer, error) {
+	header := request.Header.Clone()
 	if header == nil {
 		header = http.Header{}
 	}
-	d.Wire.Prepare(header, send)
+	d.Wire.Prepare(header, request)
 	// Without this header net/http requests compression and changes the bytes of the
 	// answer.
 	if header.Get("Accept-Encoding") == "" {
 		header.Set("Accept-Encoding", "identity")
 	}
 	answer, err := d.exchange(ctx, call{
-		method:      send.Method,
-		host:        send.Host,
-		path:        send.Target,
+		method:      request.Method,
+		host:        request.Host,
+		path:        request.Target,
 		header:      header,
-		body:        send.Body,
+		body:        request.Body,
 		noRepeat:    true,
-		readTimeout: send.ReadTimeout,
+		readTimeout: request.ReadTimeout,
 	})
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 		}
 		return nil, refusal.NotRun(http.StatusServiceUnavailable, code, "%s answered %d and ran nothing", d.Name, answer.StatusCode).WithRetryAfter(retryAfter)
 	}
-	if !d.Wire.IsAnswerTo(answer.Response, send.ID) {
+	if !d.Wire.IsAnswerTo(answer.Response, request.ID) {
 		// Passing on an answer to a different request would leak another caller's data.
 		_ = answer.Body.Close()
 		return nil, refusal.Unknown(http.StatusBadGateway, CodeWrongRequest, "%s answered another request", d.Name)
@@ -140,13 +140,13 @@
 }
 
 // SetReadTimeout sets the read timeout for the rest of the answer.
-func (a *Answer) SetReadTimeout(silence time.Duration) { a.watchdog.setTimeout(silence) }
+func (a *Answer) SetReadTimeout(timeout time.Duration) { a.watchdog.setTimeout(timeout) }
 
 // Interrupted returns the refusal for an answer that ended early.
 func (a *Answer) Interrupted() error {
-	var silent *ReadTimeoutError
-	if errors.As(context.Cause(a.watchdog.ctx), &silent) {
-		return a.direct.refuse(silent, true)
+	var timeout *ReadTimeoutError
+	if errors.As(context.Cause(a.watchdog.ctx), &timeout) {
+		return a.direct.refuse(timeout, true)
 	}
 	return a.direct.refuse(io.ErrUnexpectedEOF, true)
 }
--- a/internal/backend/directstream.go
+++ b/internal/backend/directstream.go
@@ -39,7 +39,8 @@
 func (e *Events) Version() uint64 { return e.version }
 
 // Next returns the next event, or io.EOF after the last event of a complete answer. If the
-// answer ends within an event or with an error, Next returns the refusal of Answer.Cut.
+// answer ends within an event or with an error, Next returns the error of
+// Answer.Interrupted.
 func (e *Events) Next() (Event, error) {
 	event := Event{}
 	started, hasData := false, false
--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -94,8 +94,8 @@
 
 // relay passes the events to sink until [DONE]. An answer without [DONE] was interrupted
 // and gets no end frame.
-func (e *Engine) relay(answer *answer, prompt *prompt, sink Sink) (*peerpb.End, error) {
-	events := newEvents(answer.Body)
+func (e *Engine) relay(answer *watchedResponse, prompt *prompt, sink Sink) (*peerpb.End, error) {
+	events := newEngineEvents(answer.Body)
 	end := &peerpb.End{}
 	for {
 		event, err := events.next()
@@ -132,7 +132,7 @@
 
 // statusRefusal returns the refusal for a status other than 200. Only 503 states that the
 // engine did not accept the request; it may send any other status after it has started.
-func (e *Engine) statusRefusal(answer *answer) *refusal.Error {
+func (e *Engine) statusRefusal(answer *watchedResponse) *refusal.Error {
 	var body struct {
 		Error json.RawMessage `json:"error"`
 	}
--- a/internal/backend/engineevent.go
+++ b/internal/backend/engineevent.go
@@ -22,8 +22,8 @@
 // errDone reports the engine's end marker of a complete answer.
 var errDone = errors.New("done")
 
-// event is a server-sent event of an engine.
-type event struct {
+// engineEvent is a server-sent event of an engine.
+type engineEvent struct {
 	Choices []choice `json:"choices"`
 	Version uint64   `json:"weight_version"`
 	Usage   *usage   `json:"usage"`
@@ -48,7 +48,7 @@
 }
 
 // toChunk returns the chunk of the answer that the event carries, or nil if there is none.
-func (e *event) toChunk() *peerpb.Chunk {
+func (e *engineEvent) toChunk() *peerpb.Chunk {
 	if len(e.Choices) == 0 {
 		return nil
 	}
@@ -66,7 +66,7 @@
 }
 
 // fillEnd copies the event's finish reason and token usage into end.
-func (e *event) fillEnd(end *peerpb.End) {
+func (e *engineEvent) fillEnd(end *peerpb.End) {
 	if len(e.Choices) > 0 && e.Choices[0].Finish != "" {
 		end.SetFinish(e.Choices[0].Finish)
 	}
@@ -77,20 +77,20 @@
 	}
 }
 
-// events reads server-sent events.
-type events struct {
+// engineEvents reads server-sent events.
+type engineEvents struct {
 	scanner *bufio.Scanner
 }
 
-func newEvents(reader io.Reader) *events {
+func newEngineEvents(reader io.Reader) *engineEvents {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
-	return &events{scanner: scanner}
+	return &engineEvents{scanner: scanner}
 }
 
 // next returns the next event, errDone at the end marker of a complete answer, or
 // io.ErrUnexpectedEOF if the answer ends without it.
-func (e *events) next() (*event, error) {
+func (e *engineEvents) next() (*engineEvent, error) {
 	for e.scanner.Scan() {
 		data, isData := strings.CutPrefix(e.scanner.Text(), dataPrefix)
 		if !isData {
@@ -108,8 +108,8 @@
 	return nil, io.ErrUnexpectedEOF
 }
 
-func parseEvent(data string) (*event, error) {
-	parsed := &event{}
+func parseEvent(data string) (*engineEvent, error) {
+	parsed := &engineEvent{}
 	if err := json.Unmarshal([]byte(data), parsed); err != nil {
 		return nil, eris.Wrap(err, "parse event")
 	}
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -38,7 +38,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		events := newEvents(strings.NewReader(text))
+		events := newEngineEvents(strings.NewReader(text))
 		for {
 			event, err := events.next()
 			if err != nil {
--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -93,7 +93,7 @@
 }
 
 // readLoadedVersion stores and returns the version in the engine's reply to an order.
-func (e *Engine) readLoadedVersion(answer *answer) (uint64, error) {
+func (e *Engine) readLoadedVersion(answer *watchedResponse) (uint64, error) {
 	report, err := decodeVersionReport(answer)
 	if err != nil {
 		return e.Version(), refusal.Unknown(http.StatusBadGateway, "swap_unread", "%s answered an order with what can't be read", e.Name)
@@ -103,7 +103,7 @@
 	return e.Version(), nil
 }
 
-func decodeVersionReport(answer *answer) (versionReport, error) {
+func decodeVersionReport(answer *watchedResponse) (versionReport, error) {
 	var report versionReport
 	err := json.NewDecoder(http.MaxBytesReader(nil, answer.Body, maxEventBytes)).Decode(&report)
 	return report, err
--- a/internal/backend/plain.go
+++ b/internal/backend/plain.go
@@ -72,7 +72,7 @@
 
 // relay passes the body to sink in chunks. Reading a body that is shorter than its
 // Content-Length, or lacks its last chunk, fails with io.ErrUnexpectedEOF.
-func (p *Plain) relay(answer *answer, sink Sink) error {
+func (p *Plain) relay(answer *watchedResponse, sink Sink) error {
 	buffer := make([]byte, maxChunkBytes)
 	for {
 		n, err := answer.Body.Read(buffer)
--- a/internal/backend/prompt.go
+++ b/internal/backend/prompt.go
@@ -76,9 +76,9 @@
 		return false
 	}
 	if len(p.tokens) == p.sentTokens {
-		return p.sendCount == 1 && refused.Code == codeSilent
+		return p.sendCount == 1 && refused.Code == codeReadTimeout
 	}
-	return refused.Code == codeCut || refused.Code == codeSilent
+	return refused.Code == codeInterrupted || refused.Code == codeReadTimeout
 }
 
 func (p *prompt) setField(name string, value any) error {
