--- a/internal/sidecar/directory.go
+++ b/internal/sidecar/directory.go
@@ -121,7 +121,7 @@
 // report and the fleet; any of them may be the first to show that the server drains.
 func (d *directory) updateServer(s *server, process *peerpb.Process, draining map[string]bool, now time.Time) {
 	load := d.members.Load(s.Name())
-	s.SetEligibility(standing(process.GetState()))
+	s.SetEligibility(eligibilityOf(process.GetState()))
 	if load.GetDraining() || draining[s.Name()] {
 		s.SetEligibility(route.Closed)
 	}
@@ -135,7 +135,7 @@
 	})
 }
 
-func standing(state peerpb.State) route.Eligibility {
+func eligibilityOf(state peerpb.State) route.Eligibility {
 	switch state {
 	case peerpb.State_STATE_LIVE:
 		return route.Open
--- a/internal/sidecar/fakesidecar_test.go
+++ b/internal/sidecar/fakesidecar_test.go
@@ -32,8 +32,8 @@
 	address   string
 	stop      func()
 
-	mutex sync.Mutex
-	seen  []*peerpb.RunRequest
+	mutex    sync.Mutex
+	received []*peerpb.RunRequest
 }
 
 type frameStream = grpc.ServerStreamingServer[peerpb.Frame]
@@ -45,7 +45,7 @@
 
 func (f *fakeSidecar) Run(request *peerpb.RunRequest, stream frameStream) error {
 	f.mutex.Lock()
-	f.seen = append(f.seen, request)
+	f.received = append(f.received, request)
 	f.mutex.Unlock()
 	return f.handler(request, stream)
 }
@@ -53,7 +53,7 @@
 func (f *fakeSidecar) requests() []*peerpb.RunRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.seen
+	return f.received
 }
 
 func startFakeSidecar(t *testing.T, handler func(*peerpb.RunRequest, frameStream) error) *fakeSidecar {
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -17,7 +17,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// Sink receives the frames of one answer in order, each once, without beats.
+// Sink receives the frames of one answer in order, each once, without heartbeats.
 type Sink func(*peerpb.Frame) error
 
 // Restart discards what a sink received, so that the request can run again on another
@@ -30,7 +30,7 @@
 	Members     *member.Members
 	Decisions   *decision.Log
 	Credentials credentials.TransportCredentials
-	// ReadTimeout is the read timeout: how long a sidecar may send nothing.
+	// ReadTimeout is how long a sidecar may send nothing.
 	ReadTimeout time.Duration
 	// Homes finds the servers for requests with a claim; if nil, these are refused.
 	Homes Homes
@@ -39,7 +39,7 @@
 	// Metrics registers the pool's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
 
-	once        sync.Once
+	setupOnce   sync.Once
 	connections connections
 	directory   directory
 	cancels     chan cancellation
@@ -64,15 +64,15 @@
 // RunRestartable is Run for a sink that can discard what it received: an idempotent
 // request can then run again on another server after a part of its answer was received.
 func (p *Pool) RunRestartable(ctx context.Context, request *peerpb.RunRequest, sink Sink, restart Restart) (*peerpb.End, error) {
-	p.once.Do(p.setup)
+	p.setupOnce.Do(p.setup)
 	p.budget.addRequest(time.Now())
-	r := &run{pool: p, ctx: ctx, request: request, sink: sink, restart: restart, prefix: prefixOf(request), tried: map[string]bool{}, began: time.Now()}
+	r := &run{pool: p, ctx: ctx, request: request, sink: sink, restart: restart, prefix: prefixOf(request), tried: map[string]bool{}, start: time.Now()}
 	return r.execute()
 }
 
 // Serve sends cancellations to sidecars until the context ends.
 func (p *Pool) Serve(ctx context.Context) error {
-	p.once.Do(p.setup)
+	p.setupOnce.Do(p.setup)
 	var group sync.WaitGroup
 	for range cancelWorkers {
 		group.Go(func() { p.sendCancels(ctx) })
@@ -98,7 +98,8 @@
 	}
 }
 
-func (p *Pool) refuse(refused *refusal.Error) *refusal.Error {
+// countRefusal counts a refusal and returns it.
+func (p *Pool) countRefusal(refused *refusal.Error) *refusal.Error {
 	p.metrics.refusals.WithLabelValues(refused.Code).Inc()
 	return refused
 }
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -163,7 +163,7 @@
 func TestRunServerLost(t *testing.T) {
 	// A sidecar's host crashes while it runs a request. An idempotent request of which the
 	// caller received nothing runs on another server; a posting must not, since it may have
-	// been posted: its caller is told so at once.
+	// been posted: its caller gets that outcome at once.
 	startDying := func(t *testing.T, before ...string) *fakeSidecar {
 		server := startFakeSidecar(t, nil)
 		server.handler = func(request *peerpb.RunRequest, stream frameStream) error {
@@ -205,7 +205,7 @@
 	})
 	t.Run("idempotent, and no other can be reached", func(t *testing.T) {
 		// The second server is certain that it ran nothing. The first may have run the
-		// request, so the caller must not be told "not run".
+		// request, so the caller must not receive "not run".
 		first, second := startDying(t), startFakeSidecar(t, nil)
 		second.stop()
 		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
@@ -289,6 +289,6 @@
 	case id := <-server.cancelled:
 		must.Eq(t, "r1", id)
 	case <-time.After(testTimeout):
-		t.Fatal("the sidecar was not told")
+		t.Fatal("the sidecar received no cancellation")
 	}
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -20,11 +20,11 @@
 	// maxServers is the maximum number of servers tried for one request.
 	maxServers = 3
 	retryAfter = time.Second
-	// codeUnreached and codeLost are the refusal codes for connection errors.
-	codeUnreached = "no_connection"
-	codeLost      = "server_lost"
-	// codeSilent is the refusal code of sidecars whose backend server timed out.
-	codeSilent = "backend_silent"
+	// codeUnreachable and codeLost are the refusal codes for connection errors.
+	codeUnreachable = "no_connection"
+	codeLost        = "server_lost"
+	// codeReadTimeout is the refusal code of sidecars whose backend server timed out.
+	codeReadTimeout = "backend_silent"
 	// resumeDelay is the delay between two attempts to reconnect to a sidecar.
 	resumeDelay = 50 * time.Millisecond
 )
@@ -44,9 +44,9 @@
 	sent bool
 	// mayHaveRun is true once any server may have run the request.
 	mayHaveRun bool
-	// lastHeard is when the current server last sent a frame of the request.
-	lastHeard time.Time
-	began     time.Time
+	// lastFrameTime is when the current server last sent a frame of the request.
+	lastFrameTime time.Time
+	start         time.Time
 	// previous holds the servers from which the request moved on.
 	previous []*server
 	// tried holds the servers to which the request was assigned.
@@ -99,13 +99,13 @@
 //
 // The last server may be certain that it ran nothing, while an earlier one may have run
 // the request and then been lost. Once any server may have run it, the outcome is unknown,
-// and the caller must not be told "not run".
+// and the caller must not receive "not run".
 func (r *run) refuse(err error) *refusal.Error {
 	refused := *refusal.Of(err)
 	if r.mayHaveRun {
 		refused.Outcome = peerpb.Outcome_OUTCOME_UNKNOWN
 	}
-	return r.pool.refuse(&refused)
+	return r.pool.countRefusal(&refused)
 }
 
 // resetTried makes all servers eligible again after a delay if none could be reached and
@@ -113,10 +113,10 @@
 // sidecars would fail every request that starts meanwhile.
 func (r *run) resetTried(last error) bool {
 	code := refusal.Of(last).Code
-	if code != codeUnreached && code != codeLost {
+	if code != codeUnreachable && code != codeLost {
 		return false
 	}
-	if time.Since(r.began) >= r.pool.ReadTimeout || !r.pause() {
+	if time.Since(r.start) >= r.pool.ReadTimeout || !r.pause() {
 		return false
 	}
 	clear(r.tried)
@@ -127,17 +127,17 @@
 func (r *run) runAt(server *server) (*peerpb.End, error) {
 	r.tried[server.Name()] = true
 	r.sent = false
-	r.lastHeard = time.Now()
+	r.lastFrameTime = time.Now()
 	r.pool.directory.begin(server)
 	defer r.pool.directory.finish(server)
 	failures := 0
 	for isResume := false; ; isResume = true {
-		began, next := time.Now(), r.next
+		start, next := time.Now(), r.next
 		end, err := r.sendOnce(server)
 		if err == nil || !r.isBroken(err) || r.ctx.Err() != nil {
 			return end, r.toRefusal(server, err)
 		}
-		failures = r.countFailure(failures, isResume, began, next)
+		failures = r.countFailure(failures, isResume, start, next)
 		r.pool.metrics.resumes.Inc()
 		r.pool.Decisions.Record(r.request.GetId(), "route", "%s, again from frame %d: %v", server.Name(), r.next, err)
 		if failures >= maxFailures && r.shouldGiveUp() {
@@ -152,9 +152,9 @@
 // countFailure counts the consecutive streams that broke without progress. A resumed stream
 // that times out from its start reaches the limit at once: the sidecar does not answer on
 // a new connection either.
-func (r *run) countFailure(failures int, isResume bool, began time.Time, next uint64) int {
-	isAlive := r.lastHeard.After(began)
-	timedOut := time.Since(began) >= r.pool.ReadTimeout
+func (r *run) countFailure(failures int, isResume bool, start time.Time, next uint64) int {
+	isAlive := r.lastFrameTime.After(start)
+	timedOut := time.Since(start) >= r.pool.ReadTimeout
 	switch {
 	case r.next > next, isAlive && timedOut:
 		return 0
@@ -170,7 +170,7 @@
 // nothing for the read timeout, since the run may still continue there. Without that, a
 // brief network failure would cost every caller behind it the answer.
 func (r *run) shouldGiveUp() bool {
-	return r.request.GetIdempotent() && r.restartAnswer() || time.Since(r.lastHeard) >= r.pool.ReadTimeout
+	return r.request.GetIdempotent() && r.restartAnswer() || time.Since(r.lastFrameTime) >= r.pool.ReadTimeout
 }
 
 // pause waits between two attempts; it returns false once the context has ended.
@@ -191,7 +191,7 @@
 		return end, err
 	}
 	if !r.pool.connections.discard(server.address, conn) {
-		// Another stream closed this connection; that tells nothing about the server.
+		// Another stream closed this connection; that says nothing about the server.
 		return nil, &lostError{cause: err}
 	}
 	return nil, err
@@ -211,7 +211,7 @@
 	var notSent *notSentError
 	switch {
 	case !r.sent && (errors.As(err, &notSent) || isLost(err)):
-		return refusal.NotRun(http.StatusServiceUnavailable, codeUnreached, "%s can't be reached", server.Name()).WithRetryAfter(retryAfter)
+		return refusal.NotRun(http.StatusServiceUnavailable, codeUnreachable, "%s can't be reached", server.Name()).WithRetryAfter(retryAfter)
 	case errors.As(err, &notSent), isLost(err):
 		return refusal.Unknown(http.StatusBadGateway, codeLost, "%s no longer answers", server.Name()).WithRetryAfter(retryAfter)
 	default:
@@ -305,7 +305,7 @@
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusInternalServerError:
 		return true
 	default:
-		return refused.Code == codeSilent
+		return refused.Code == codeReadTimeout
 	}
 }
 
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -46,10 +46,10 @@
 func (e *sinkError) Unwrap() error { return e.cause }
 
 var (
-	errSilent     = errors.New("silent for too long")
-	errNoEnd      = errors.New("ended without its end frame")
-	errGap        = errors.New("a frame is missing")
-	errFrameCount = errors.New("the end frame counts other frames")
+	errReadTimeout = errors.New("silent for too long")
+	errNoEnd       = errors.New("ended without its end frame")
+	errGap         = errors.New("a frame is missing")
+	errFrameCount  = errors.New("the end frame counts other frames")
 )
 
 // stream receives an answer over one connection.
@@ -64,7 +64,7 @@
 func (r *run) stream(connection *grpc.ClientConn) (*peerpb.End, error) {
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
-	s := &stream{run: r, watchdog: time.AfterFunc(r.pool.ReadTimeout, func() { cancel(errSilent) })}
+	s := &stream{run: r, watchdog: time.AfterFunc(r.pool.ReadTimeout, func() { cancel(errReadTimeout) })}
 	defer s.watchdog.Stop()
 	if err := s.open(ctx, connection); err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 		s.run.pool.metrics.dropped.WithLabelValues("other_request").Inc()
 		return nil, nil
 	}
-	s.run.lastHeard = time.Now()
+	s.run.lastFrameTime = time.Now()
 	s.watchdog.Reset(s.run.pool.ReadTimeout)
 	switch frame.WhichPart() {
 	case peerpb.Frame_Beat_case, peerpb.Frame_Part_not_set_case:
