--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -36,7 +36,7 @@
 )
 
 // Forwarder sends callers' requests to backend servers. Exported fields are set before the
-// first one.
+// first request.
 type Forwarder struct {
 	Roster *roster.Roster
 }
@@ -48,7 +48,7 @@
 		forwarder: f,
 		request:   request,
 		pool:      request.Route.Pool(rand.Float64()),
-		policy:    policy{attempts: request.Route.Attempts, repeatable: request.isRepeatable(), target: request.Route.LatencyTarget},
+		policy:    policy{attempts: request.Route.Attempts, repeatable: request.isRepeatable(), latencyTarget: request.Route.LatencyTarget},
 		tried:     map[string]bool{},
 	}
 	ctx, cancel := context.WithTimeout(ctx, request.left())
@@ -69,7 +69,7 @@
 	pool      string
 	policy    policy
 	tried     map[string]bool
-	begun     bool
+	received  bool
 }
 
 func (r *run) execute(ctx context.Context) (*Answer, error) {
@@ -131,15 +131,15 @@
 }
 
 func (r *run) send(ctx context.Context, server *roster.Server) (*backend.Answer, error) {
-	left, began := r.request.left(), clock.Now()
+	left, start := r.request.left(), clock.Now()
 	answer, err := server.Direct().Do(ctx, r.request.sendTo(server.Name(), left, r.readTimeout(left)))
 	if err == nil || !refusal.IsNotRun(err) {
-		r.markBegun()
+		r.markReceived()
 	}
 	if err == nil {
 		r.forwarder.Roster.RecordAnswer(server)
 		if target := r.request.Route.LatencyTarget; target > 0 {
-			r.forwarder.Roster.RecordLatency(server, clock.Now().Sub(began) > target)
+			r.forwarder.Roster.RecordLatency(server, clock.Now().Sub(start) > target)
 		}
 	}
 	return answer, err
@@ -154,11 +154,11 @@
 	return r.policy.readTimeout(left)
 }
 
-func (r *run) markBegun() {
-	if r.begun {
+func (r *run) markReceived() {
+	if r.received {
 		return
 	}
-	r.begun = true
+	r.received = true
 	if r.request.OnBegan != nil {
 		r.request.OnBegan()
 	}
@@ -198,7 +198,7 @@
 }
 
 // NoteFailure reports a failed attempt to the roster. An attempt that ended because the
-// request timed out or its caller disconnected tells nothing about the server.
+// request timed out or its caller disconnected says nothing about the server.
 func NoteFailure(ctx context.Context, servers *roster.Roster, server *roster.Server, err error) {
 	refused := refusal.Of(err)
 	switch {
--- a/internal/forward/policy.go
+++ b/internal/forward/policy.go
@@ -16,8 +16,8 @@
 	// attempts is the maximum number of servers that may run the request.
 	attempts int
 	// repeatable is true if the request may run more than once.
-	repeatable bool
-	target     time.Duration
+	repeatable    bool
+	latencyTarget time.Duration
 
 	// executions counts the servers that may have run it.
 	executions int
@@ -32,7 +32,7 @@
 	if attemptsLeft <= 1 || !p.repeatable {
 		return left
 	}
-	return min(left, max(minTargetMultiple*p.target, left/time.Duration(attemptsLeft)))
+	return min(left, max(minTargetMultiple*p.latencyTarget, left/time.Duration(attemptsLeft)))
 }
 
 // recordFailure records an attempt without an answer, and reports whether another one is
--- a/internal/forward/policy_test.go
+++ b/internal/forward/policy_test.go
@@ -42,11 +42,11 @@
 }
 
 func TestSilence(t *testing.T) {
-	p := policy{attempts: 2, repeatable: true, target: 150 * time.Millisecond}
+	p := policy{attempts: 2, repeatable: true, latencyTarget: 150 * time.Millisecond}
 	must.Eq(t, 400*time.Millisecond, p.readTimeout(800*time.Millisecond))
 	must.Eq(t, 300*time.Millisecond, p.readTimeout(500*time.Millisecond))
 	must.True(t, p.recordFailure(errUnknown, time.Second))
 	must.Eq(t, 400*time.Millisecond, p.readTimeout(400*time.Millisecond))
-	once := policy{attempts: 2, target: 150 * time.Millisecond}
+	once := policy{attempts: 2, latencyTarget: 150 * time.Millisecond}
 	must.Eq(t, 800*time.Millisecond, once.readTimeout(800*time.Millisecond))
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -12,8 +12,8 @@
 
 // Request is a caller's request. Exported fields are set before it is run.
 type Request struct {
-	// Send is sent to each backend server, except for Server, Left and Silence, which are
-	// set for each attempt.
+	// Request is sent to each backend server; Server, TimeLeft and ReadTimeout are set for
+	// each attempt.
 	backend.Request
 
 	Route *table.Route
@@ -35,17 +35,17 @@
 func (r *Request) left() time.Duration { return r.Deadline.Sub(clock.Now()) }
 
 // sendTo returns the request to one server.
-func (r *Request) sendTo(server string, left, silence time.Duration) backend.Request {
-	send := r.Request
-	send.Server, send.TimeLeft, send.ReadTimeout = server, left, silence
-	return send
+func (r *Request) sendTo(server string, left, readTimeout time.Duration) backend.Request {
+	request := r.Request
+	request.Server, request.TimeLeft, request.ReadTimeout = server, left, readTimeout
+	return request
 }
 
 // Answer is a backend server's answer to a request.
 type Answer struct {
 	*backend.Answer
 
-	// Body is the part read so far; Whole is true if it is complete.
+	// Body is the part read so far; Complete is true if that is all.
 	Body     []byte
 	Complete bool
 	// Next returns the next part of an event stream, and io.EOF after the last one; if nil,
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -32,9 +32,9 @@
 
 // Next returns the next event as it is sent to the caller, or io.EOF after the last one.
 //
-// A sampler that crashes interrupts its stream. Instead of making the caller retry and
-// wait for a new start, Next gets the rest from another sampler, which is told the last
-// event that the caller has. The answer keeps the headers of the first sampler.
+// A server that crashes interrupts its stream. Instead of making the caller retry and wait
+// for a new start, Next gets the rest from another server, which receives the number of the
+// last event that the caller has. The answer keeps the headers of the first server.
 func (s *stream) Next() ([]byte, error) {
 	for {
 		event, err := s.events.Next()
