--- a/internal/listen/exchange.go
+++ b/internal/listen/exchange.go
@@ -9,8 +9,8 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// NewJSONRequest returns a request with a JSON body, or with none if body is nil. net/http never
-// repeats it.
+// NewJSONRequest returns a request with a JSON body, or with none if body is nil. net/http
+// never repeats it.
 func NewJSONRequest(ctx context.Context, method, address string, body []byte) (*http.Request, error) {
 	var reader io.Reader = http.NoBody
 	if body != nil {
--- a/internal/listen/listentest/address.go
+++ b/internal/listen/listentest/address.go
@@ -70,19 +70,19 @@
 }
 
 // reserveBlock reserves another block; it returns false if none is left.
-func (h *portAllocator) reserveBlock() bool {
-	if h.block == 0 {
-		h.block = firstPort
+func (a *portAllocator) reserveBlock() bool {
+	if a.block == 0 {
+		a.block = firstPort
 	}
-	for h.block+blockPorts <= lastPort {
-		first := h.block
-		h.block += blockPorts
+	for a.block+blockPorts <= lastPort {
+		first := a.block
+		a.block += blockPorts
 		lock, err := listen(fmt.Sprintf("127.0.0.1:%d", first))
 		if err != nil {
 			continue
 		}
-		h.locks = append(h.locks, lock)
-		h.next, h.end = first+1, first+blockPorts
+		a.locks = append(a.locks, lock)
+		a.next, a.end = first+1, first+blockPorts
 		return true
 	}
 	return false
--- a/internal/listen/listentest/address_test.go
+++ b/internal/listen/listentest/address_test.go
@@ -12,11 +12,11 @@
 // on a port chosen by the system; before the gateway listens, a connection of another test
 // gets the same port, and the gateway never becomes ready.
 func TestFree(t *testing.T) {
-	seen := map[string]bool{}
+	allocated := map[string]bool{}
 	for range blockPorts + 1 {
 		address := FreeAddress(t)
-		must.False(t, seen[address])
-		seen[address] = true
+		must.False(t, allocated[address])
+		allocated[address] = true
 		_, text, err := net.SplitHostPort(address)
 		must.NoError(t, err)
 		port, err := strconv.Atoi(text)
