--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -127,7 +127,7 @@
 			return err
 		}
 		if err != nil && ctx.Err() == nil {
-			klog.Warningf("usage: %v", err)
+			klog.Warningf("usage: round of window reports failed: %v", err)
 		}
 		select {
 		case <-ctx.Done():
