--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -39,8 +39,8 @@
 	CountOthers(pool string) int
 }
 
-// Claims records the claims of idempotency keys, as a home and as a witness.
-// Exported fields must be set before the first request.
+// Claims records the claims of idempotency keys, as a home and as a witness (see
+// package claim). Exported fields must be set before the first request.
 type Claims struct {
 	// Server is the ID of the backend server, Pool the pool that it serves.
 	Server string
