--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -78,7 +78,7 @@
 func (e *Engine) pollVersion(ctx context.Context) {
 	answer, err := e.exchange(ctx, call{method: http.MethodGet, path: pathLoad, header: http.Header{"User-Agent": {userAgent}}, readTimeout: e.ReadTimeout})
 	if err != nil {
-		klog.V(1).Infof("backend: %s: %v", e.Name, err)
+		klog.V(1).Infof("backend: cannot poll the load report of %s: %v", e.Name, err)
 		return
 	}
 	defer func() { _ = answer.Body.Close() }()
