--- a/internal/bramleyhatch/dutyholder.go
+++ b/internal/bramleyhatch/dutyholder.go
@@ -50,7 +50,7 @@
 	return h.isFree
 }
 
-// parse parses a change of the duty's key. The caller holds the mutex.
+// parse sets last and revision from a change of the duty's key. The caller holds the mutex.
 func (h *dutyHolder) parse(change store.Value) {
 	h.last, h.revision = nil, 0
 	if change.Deleted {
--- a/internal/bramleyhatch/entryduties.go
+++ b/internal/bramleyhatch/entryduties.go
@@ -136,7 +136,7 @@
 	return config.GetPools()
 }
 
-// elector returns what acquires and renews the lease of a duty for this entry.
+// elector returns the elector that acquires and renews a duty's lease for this entry.
 func (e *Entry) elector(name string) *duty.Elector {
 	settings := e.Settings.GetDuty()
 	return &duty.Elector{
--- a/internal/bramleyhatch/entrytrainers.go
+++ b/internal/bramleyhatch/entrytrainers.go
@@ -56,7 +56,7 @@
 		Locate:    t.locate,
 		Process:   e.Process.Settings.GetName(),
 		Weights:   t.coordinators,
-		IsListed:  t.isPlanned,
+		IsListed:  t.isListed,
 	}
 	handler := &trainer.Handler{
 		Grants:       e.view,
@@ -133,8 +133,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// isPlanned reports whether a plan lists the trainer; it reports true while no lists are known.
-func (t *trainerService) isPlanned(name string) bool {
+// isListed reports whether a plan lists the trainer; it reports true while no lists are known.
+func (t *trainerService) isListed(name string) bool {
 	config, _ := t.entry.view.Config()
 	return config == nil || slices.Contains(t.dutyNames(), rollout.TrainerDuty(name))
 }
--- a/internal/bramleyhatch/gateway.go
+++ b/internal/bramleyhatch/gateway.go
@@ -58,7 +58,7 @@
 	*Process
 
 	store      *platform.Store
-	caller     *detour.Caller
+	transport  *detour.Caller
 	hosts      *gateway.Hosts
 	session    *gateway.Session
 	view       *table.View
@@ -70,8 +70,8 @@
 	counter    *usage.Counter
 	steps      weight.Steps
 	dutyHolder dutyHolder
-	// retirements are the hosts with disks that operators retire.
-	retirements retirements
+	// hostsToEmpty are the hosts with disks that operators ask to empty.
+	hostsToEmpty hostsToEmpty
 	// peerServer serves the calls of other gateways.
 	peerServer *gateway.Server
 	// isDraining is true once the process is asked to stop.
@@ -99,8 +99,8 @@
 	settings := g.Settings.GetStore()
 	g.hosts = &gateway.Hosts{Name: g.Process.Settings.GetName()}
 	direct := &detour.Direct{Address: settings.GetAddress()}
-	g.caller = &detour.Caller{Direct: direct, Peers: g.hosts, Metrics: g.Metrics}
-	g.store = &platform.Store{Transport: g.caller, Timeout: settings.GetTimeout().AsDuration()}
+	g.transport = &detour.Caller{Direct: direct, Peers: g.hosts, Metrics: g.Metrics}
+	g.store = &platform.Store{Transport: g.transport, Timeout: settings.GetTimeout().AsDuration()}
 	g.session = g.addSession(g.store, gateway.PrefixHost, settings.GetLease().AsDuration())
 }
 
@@ -135,7 +135,7 @@
 		IsLeaving:  g.hosts.IsLeaving,
 		Peers:      &gateway.Peers{Hosts: g.hosts},
 		Keeper: &gateway.Keepers{
-			Hosts: g.hosts, Zone: g.Process.Settings.GetZone(), PreferOtherZones: settings.GetZones() > 0, Losses: int(settings.GetLosses()), Retired: g.retirements.has,
+			Hosts: g.hosts, Zone: g.Process.Settings.GetZone(), PreferOtherZones: settings.GetZones() > 0, Losses: int(settings.GetLosses()), Retired: g.hostsToEmpty.has,
 		},
 		Retention:  settings.GetKeep().AsDuration(),
 		GroupDelay: settings.GetGroup().AsDuration(),
@@ -143,7 +143,7 @@
 	}
 	g.AddTask("batches", g.board.Run)
 	g.peerServer = &gateway.Server{
-		Board: g.board, Direct: g.caller.Direct, Roster: g.roster, Incarnation: g.Incarnation, Mirrors: map[string]*mirror.Mirror{},
+		Board: g.board, Direct: g.transport.Direct, Roster: g.roster, Incarnation: g.Incarnation, Mirrors: map[string]*mirror.Mirror{},
 	}
 	g.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterGatewayServer(registrar, g.peerServer) })
 }
@@ -196,7 +196,7 @@
 func (g *Gateway) applyOperator(changes []store.Value) {
 	for _, change := range changes {
 		if platform.IsRetirement(change.Key) {
-			g.retirements.apply(change)
+			g.hostsToEmpty.apply(change)
 			continue
 		}
 		if zone, isDrain := platform.DrainedZone(change.Key); isDrain {
--- a/internal/bramleyhatch/gatewayduties.go
+++ b/internal/bramleyhatch/gatewayduties.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// dutyName is the only duty of gateways: its holder reports usage and orders the
-	// weight loads of samplers. A second lease would double the calls to the store
-	// without a benefit.
+	// dutyName is the only duty of gateways: its holder reports usage and emptied hosts,
+	// and orders weight loads and the number of servers. A second lease would double the
+	// calls to the store without a benefit.
 	dutyName = "control"
 	// dutyCheckInterval is the interval of checks whether the duty is free; they need no call
 	// to the store.
 	dutyCheckInterval = 200 * time.Millisecond
 	// maxLoadingShare bounds the share of a pool's samplers that load weights concurrently,
-	// so that one half goes on serving whatever version is named. Within the bound, the
+	// so that one half goes on serving whatever version is announced. Within the bound, the
 	// measured duration of loads decides the number.
 	maxLoadingShare = 0.5
 )
@@ -86,13 +86,13 @@
 	defer cancel()
 	jobs := []func(context.Context) error{
 		func(ctx context.Context) error { return g.newPoolCoordinator().Run(ctx, term) },
-		func(ctx context.Context) error { return g.reportRetired(ctx, term) },
+		func(ctx context.Context) error { return g.reportEmptyHosts(ctx, term) },
 	}
 	if g.Settings.GetStore().GetOrders() != "" {
-		duties := g.newDuties()
+		client := g.newDutyClient()
 		jobs = append(jobs,
-			func(ctx context.Context) error { return g.newReporter(duties).Run(ctx, term) },
-			func(ctx context.Context) error { return g.scalePools(ctx, term, duties) },
+			func(ctx context.Context) error { return g.newReporter(client).Run(ctx, term) },
+			func(ctx context.Context) error { return g.scalePools(ctx, term, client) },
 		)
 	}
 	ended := make(chan error, len(jobs))
@@ -109,8 +109,8 @@
 	return first
 }
 
-// newDuties returns the client for the platform calls that only the duty's holder may make.
-func (g *Gateway) newDuties() *platform.DutyClient {
+// newDutyClient returns the client for the platform calls that only the duty's holder may make.
+func (g *Gateway) newDutyClient() *platform.DutyClient {
 	return &platform.DutyClient{
 		Address: g.Settings.GetStore().GetOrders(),
 		Holder:  g.Process.Settings.GetName(),
@@ -118,9 +118,9 @@
 	}
 }
 
-func (g *Gateway) newReporter(duties *platform.DutyClient) *usage.Reporter {
+func (g *Gateway) newReporter(client *platform.DutyClient) *usage.Reporter {
 	reporter := g.Process.newReporter(g.Settings.GetUsage(), g.Settings.GetDuty())
-	reporter.Platform = holderStore{Store: g.store, DutyClient: duties}
+	reporter.Platform = holderStore{Store: g.store, DutyClient: client}
 	reporter.Collector = &usage.Collector{Directory: g.hosts, Peers: &usage.GRPCPeers{}}
 	reporter.Offer = func(*peerpb.Fact) bool { return true }
 	reporter.Fenced = g.Settings.GetDuty().GetFenced()
@@ -171,14 +171,14 @@
 }
 
 func (g *Gateway) samplerPool(current *table.Table, pool *table.Pool) weight.Pool {
-	samplers := weight.Pool{Name: pool.Name, Targets: map[string]weight.Target{}}
+	scheduled := weight.Pool{Name: pool.Name, Targets: map[string]weight.Target{}}
 	for _, model := range pool.Models {
-		samplers.Demand = append(samplers.Demand, g.steps.Demand(model))
+		scheduled.Demand = append(scheduled.Demand, g.steps.Demand(model))
 	}
-	samplers.DrainFirst = needsSingleVersion(current, pool.Name)
+	scheduled.DrainFirst = needsSingleVersion(current, pool.Name)
 	for _, entry := range g.roster.EntriesWithVersions(pool.Name) {
-		samplers.Samplers = append(samplers.Samplers, weight.SamplerState{ID: entry.ID, Zone: entry.Zone, StartedAtMillis: entry.StartedAtMillis, Slots: entry.Slots, Versions: entry.Versions})
-		samplers.Targets[entry.ID] = weight.Target{ID: entry.ID, Address: entry.Address, StartedAtMillis: entry.StartedAtMillis}
+		scheduled.Samplers = append(scheduled.Samplers, weight.SamplerState{ID: entry.ID, Zone: entry.Zone, StartedAtMillis: entry.StartedAtMillis, Slots: entry.Slots, Versions: entry.Versions})
+		scheduled.Targets[entry.ID] = weight.Target{ID: entry.ID, Address: entry.Address, StartedAtMillis: entry.StartedAtMillis}
 	}
-	return samplers
+	return scheduled
 }
--- a/internal/bramleyhatch/process.go
+++ b/internal/bramleyhatch/process.go
@@ -70,7 +70,7 @@
 	Caller string `json:"caller,omitempty"`
 }
 
-// newProcess returns a process without routes, services or duties.
+// newProcess returns a process without routes, services or tasks.
 func newProcess(process *settingspb.Process, secure *settingspb.Secure) *Process {
 	return &Process{
 		Settings:    process,
@@ -81,7 +81,7 @@
 	}
 }
 
-// Addresses returns the addresses in use; they are known before any duty runs.
+// Addresses returns the addresses in use; they are known before any task runs.
 func (p *Process) Addresses() Addresses {
 	return p.addresses
 }
@@ -118,17 +118,17 @@
 	}
 }
 
-// runTasks runs all duties until the context ends or one fails.
+// runTasks runs all tasks until the context ends or one fails.
 func (p *Process) runTasks(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	failed := make(chan error, len(p.tasks))
+	ended := make(chan error, len(p.tasks))
 	for _, task := range p.tasks {
-		go func() { failed <- runTask(ctx, task) }()
+		go func() { ended <- runTask(ctx, task) }()
 	}
 	var first error
 	for range p.tasks {
-		err := <-failed
+		err := <-ended
 		if err != nil && first == nil {
 			first = err
 			cancel()
@@ -145,7 +145,7 @@
 	if err == nil || errors.Is(err, context.Canceled) {
 		return nil
 	}
-	klog.Errorf("process: duty %s failed: %v", task.Name, err)
+	klog.Errorf("process: task %s failed: %v", task.Name, err)
 	return eris.Wrap(err, task.Name)
 }
 
@@ -181,8 +181,8 @@
 	}
 }
 
-// run starts the servers, then the duties, until the context ends or a server or duty
-// fails. It then runs the drains, stops the servers and, last, the duties.
+// run starts the servers, then the tasks, until the context ends or a server or task
+// fails. It then runs the drains, stops the servers and, last, the tasks.
 func (p *Process) run(ctx context.Context, caller *settingspb.Caller) error {
 	serverCtx, stopServers := context.WithCancel(context.Background())
 	defer stopServers()
@@ -192,10 +192,10 @@
 		return err
 	}
 	klog.Infof("process: %s listens for processes on %s, for callers on %q", p.addresses.Name, p.addresses.Peer, p.addresses.Caller)
-	dutyCtx, stopDuties := context.WithCancel(context.Background())
-	defer stopDuties()
+	taskCtx, stopTasks := context.WithCancel(context.Background())
+	defer stopTasks()
 	finished := make(chan error, 1)
-	go func() { finished <- p.runTasks(dutyCtx) }()
+	go func() { finished <- p.runTasks(taskCtx) }()
 	select {
 	case <-ctx.Done():
 		klog.Info("process: asked to stop, draining")
@@ -203,9 +203,9 @@
 	case err = <-stopped:
 		servers--
 	case err = <-finished:
-		// A process that went on serving without its duties would renew no lease and
+		// A process that went on serving without its tasks would renew no lease and
 		// receive no changes; one that exits is restarted.
-		klog.InfoS("process: a duty failed, draining", "err", err)
+		klog.InfoS("process: a task failed, draining", "err", err)
 		finished <- nil
 		p.runDrains()
 	}
@@ -213,7 +213,7 @@
 	for range servers {
 		err = errors.Join(err, <-stopped)
 	}
-	stopDuties()
+	stopTasks()
 	err = errors.Join(err, <-finished)
 	klog.InfoS("process: stopped", "name", p.addresses.Name, "err", err)
 	return err
--- a/internal/bramleyhatch/scaling.go
+++ b/internal/bramleyhatch/scaling.go
@@ -12,11 +12,11 @@
 
 // scalePools orders the number of servers of each pool until the term ends, where
 // the configuration leaves that number to the system.
-func (g *Gateway) scalePools(ctx context.Context, term *duty.Term, duties *platform.DutyClient) error {
+func (g *Gateway) scalePools(ctx context.Context, term *duty.Term, client *platform.DutyClient) error {
 	settings := g.Settings.GetDuty()
 	demands := &gateway.DemandCollector{Hosts: g.hosts, Own: g.peerServer}
 	counter := &fleet.Counter{
-		Platform:  duties,
+		Platform:  client,
 		Pools:     func(ctx context.Context) []fleet.CountedPool { return g.scaledPools(ctx, demands) },
 		Decisions: g.Decisions,
 		Target:    settings.GetTarget(),
--- a/internal/bramleyhatch/session.go
+++ b/internal/bramleyhatch/session.go
@@ -12,7 +12,7 @@
 // released expires by itself.
 const closeTimeout = time.Second
 
-// addSession adds the duty that registers this process for the others, under a lease
+// addSession adds the task that registers this process for the others, under a lease
 // and a prefix of the store's keys.
 func (p *Process) addSession(store gateway.SessionStore, prefix string, length time.Duration) *gateway.Session {
 	session := &gateway.Session{
--- a/internal/bramleyhatch/sidecarbackend.go
+++ b/internal/bramleyhatch/sidecarbackend.go
@@ -48,17 +48,17 @@
 // newBackend returns the client for the settings' kind of backend server.
 func (s *Sidecar) newBackend() entry.Backend {
 	settings := s.Settings.GetBackend()
-	address, name, silence := settings.GetAddress(), settings.GetServer(), settings.GetSilence().AsDuration()
+	address, name, readTimeout := settings.GetAddress(), settings.GetServer(), settings.GetSilence().AsDuration()
 	if settings.GetKind() == kindEngine {
 		engine := &backend.Engine{Decisions: s.Decisions}
-		engine.Address, engine.Name, engine.ReadTimeout = address, name, silence
+		engine.Address, engine.Name, engine.ReadTimeout = address, name, readTimeout
 		s.AddTask("engine", engine.Watch)
 		return engine
 	}
-	hashes := &callerKeys{}
-	s.members.OnFact(member.FactConfig, hashes.apply)
-	plain := &backend.Plain{Keys: hashes}
-	plain.Address, plain.Name, plain.ReadTimeout = address, name, silence
+	keys := &callerKeys{}
+	s.members.OnFact(member.FactConfig, keys.apply)
+	plain := &backend.Plain{Keys: keys}
+	plain.Address, plain.Name, plain.ReadTimeout = address, name, readTimeout
 	return plain
 }
 
--- a/internal/bramleyhatch/sidecarusage.go
+++ b/internal/bramleyhatch/sidecarusage.go
@@ -7,7 +7,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/usage"
 )
 
-// addUsage adds the usage counters and the duty that pushes them to the entries that hold copies.
+// addUsage adds the usage counters and the task that pushes them to the entries that hold copies.
 func (s *Sidecar) addUsage() {
 	settings := s.Settings.GetUsage()
 	s.counter = &usage.Counter{
