--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -93,7 +93,7 @@
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
 // Client calls the platform. Exported fields must be set before the first call.
-// It never retries a call: each duty decides that for itself.
+// It never retries a call: each task decides that for itself.
 type Client struct {
 	// Address is the base URL.
 	Address string
@@ -259,7 +259,7 @@
 func (c *Client) decode(status int, operation, key string, answer []byte, reply any) error {
 	switch status {
 	case http.StatusOK:
-		c.notifyHeard()
+		c.notifyResponse()
 		if reply == nil {
 			return nil
 		}
@@ -268,10 +268,10 @@
 		}
 		return nil
 	case http.StatusNotFound:
-		c.notifyHeard()
+		c.notifyResponse()
 		return &NotFoundError{Key: key}
 	case http.StatusConflict:
-		c.notifyHeard()
+		c.notifyResponse()
 		var current SwapReply
 		if err := json.Unmarshal(answer, &current); err != nil {
 			return &UnavailableError{Operation: operation, Status: status, Cause: err}
@@ -282,7 +282,7 @@
 	}
 }
 
-func (c *Client) notifyHeard() {
+func (c *Client) notifyResponse() {
 	if c.OnResponse != nil {
 		c.OnResponse()
 	}
--- a/internal/platform/platformtest/store.go
+++ b/internal/platform/platformtest/store.go
@@ -25,7 +25,7 @@
 	answersToLose int
 	beforeSwap    func()
 	calls         int
-	swaps         int
+	writes        int
 	// deleted holds the latest deletion event of each key, for watches.
 	deleted map[string]platform.Value
 	// compacted is the revision up to which changes were discarded.
@@ -93,13 +93,13 @@
 func (s *Store) RevokeLease(_ context.Context, lease uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.countCall("end"); err != nil {
+	if err := s.countCall("revoke"); err != nil {
 		return err
 	}
-	return s.end(lease)
+	return s.revoke(lease)
 }
 
-func (s *Store) end(lease uint64) error {
+func (s *Store) revoke(lease uint64) error {
 	timer := s.leases[lease]
 	if timer == nil {
 		return &platform.NotFoundError{Key: "lease"}
@@ -129,7 +129,7 @@
 	s.leases[lease] = time.AfterFunc(length, func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		_ = s.end(lease)
+		_ = s.revoke(lease)
 	})
 	return lease, nil
 }
@@ -267,7 +267,7 @@
 func (s *Store) Writes() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.swaps
+	return s.writes
 }
 
 // Watch waits up to wait for a change after the revision.
@@ -335,7 +335,7 @@
 		s.values = map[string]platform.Value{}
 	}
 	s.revision++
-	s.swaps++
+	s.writes++
 	s.values[key] = platform.Value{Key: key, Data: data, Revision: s.revision, Lease: lease}
 	s.notifyWatchers()
 }
