--- a/internal/secure/identity.go
+++ b/internal/secure/identity.go
@@ -123,10 +123,10 @@
 // CallerTLSConfig returns the TLS configuration of the server for callers, or nil if the
 // settings name no certificate.
 func CallerTLSConfig(secure *settingspb.Secure) (*tls.Config, error) {
-	return forCallers(secure, minCheckInterval)
+	return newCallerTLSConfig(secure, minCheckInterval)
 }
 
-func forCallers(secure *settingspb.Secure, interval time.Duration) (*tls.Config, error) {
+func newCallerTLSConfig(secure *settingspb.Secure, interval time.Duration) (*tls.Config, error) {
 	certificate, key := secure.GetCallerCertificate(), secure.GetCallerKey()
 	switch {
 	case certificate == "" && key == "":
--- a/internal/secure/identity_test.go
+++ b/internal/secure/identity_test.go
@@ -236,7 +236,7 @@
 func TestCallersTLS(t *testing.T) {
 	a, folder := newTestAuthority(t), t.TempDir()
 	issued := a.issue(t, folder, "callers", NameProcess)
-	config, err := forCallers(settingspb.Secure_builder{
+	config, err := newCallerTLSConfig(settingspb.Secure_builder{
 		CallerCertificate: issued.GetCertificate(),
 		CallerKey:         issued.GetKey(),
 	}.Build(), 0)
