--- a/pkg/client/example_test.go
+++ b/pkg/client/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/bramleyhatch/bramleyhatch/pkg/client"
 )
 
-func answering(status int, body string) *httptest.Server {
+func startServer(status int, body string) *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "2")
 		w.WriteHeader(status)
@@ -20,7 +20,7 @@
 }
 
 func ExampleClient_Chat() {
-	server := answering(http.StatusOK, `{"choices":[{"message":{"role":"assistant","content":"Dear member"}}]}`)
+	server := startServer(http.StatusOK, `{"choices":[{"message":{"role":"assistant","content":"Dear member"}}]}`)
 	defer server.Close()
 	caller := client.Client{Address: server.URL, Key: "a-key"}
 	text, err := caller.Chat(context.Background(), "assistant", []client.Message{{Role: "user", Content: "Draft a note"}}, 20)
@@ -29,7 +29,7 @@
 }
 
 func ExampleClient_Post() {
-	server := answering(http.StatusServiceUnavailable, `{"error":{"code":"draining","message":"the server drains","outcome":"not-run"}}`)
+	server := startServer(http.StatusServiceUnavailable, `{"error":{"code":"draining","message":"the server drains","outcome":"not-run"}}`)
 	defer server.Close()
 	caller := client.Client{Address: server.URL, Key: "a-key"}
 	err := caller.Post(context.Background(), "ledger", "/postings", "posting-17", map[string]any{"member": "ana", "hours": 2}, nil)
@@ -41,10 +41,10 @@
 }
 
 func ExampleTrainer_Pull() {
-	server := answering(http.StatusOK, `{"samples":[{"place":1,"slot":3,"versions":[{"from":0,"until":8,"version":4}]}],"next":2,"done":true}`)
+	server := startServer(http.StatusOK, `{"samples":[{"place":1,"slot":3,"versions":[{"from":0,"until":8,"version":4}]}],"next":2,"done":true}`)
 	defer server.Close()
 	trainer := client.Trainer{Client: client.Client{Address: server.URL, Key: "a-key"}, Name: "drafter"}
-	pulled, err := trainer.Pull(context.Background(), 1, 16, time.Second)
-	fmt.Println(len(pulled.Samples), pulled.Samples[0].Versions[0].Version, pulled.Next, pulled.Done, err)
+	result, err := trainer.Pull(context.Background(), 1, 16, time.Second)
+	fmt.Println(len(result.Samples), result.Samples[0].Versions[0].Version, result.Next, result.Done, err)
 	// Output: 1 4 2 true <nil>
 }
--- a/pkg/client/trainer.go
+++ b/pkg/client/trainer.go
@@ -73,7 +73,7 @@
 }
 
 // Announce reports that a weight version is in the weight store. Later pulls send the
-// version, so that a process which doesn't know it yet delivers no sample too old.
+// version, so that a process which doesn't know it yet delivers no stale sample.
 func (t *Trainer) Announce(ctx context.Context, model string, version uint64) error {
 	t.raiseNewest(version)
 	body := map[string]any{"model": model, "version": version}
@@ -100,9 +100,9 @@
 	if newest := t.newest.Load(); newest > 0 {
 		query.Set("version", strconv.FormatUint(newest, 10))
 	}
-	var pulled Pulled
-	err := t.call(ctx, http.MethodGet, t.path("samples")+"?"+query.Encode(), "", nil, &pulled)
-	return pulled, err
+	var result Pulled
+	err := t.call(ctx, http.MethodGet, t.path("samples")+"?"+query.Encode(), "", nil, &result)
+	return result, err
 }
 
 func (t *Trainer) raiseNewest(version uint64) {
