--- a/internal/measure/experiments.go
+++ b/internal/measure/experiments.go
@@ -13,8 +13,8 @@
 		Weights(),
 		Fleet(),
 	}
-	for _, site := range LoadsDeployments() {
-		all = append(all, Loads(site))
+	for _, deployment := range LoadsDeployments() {
+		all = append(all, Loads(deployment))
 	}
 	return all
 }
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -44,8 +44,8 @@
 // sizingPolicy returns the number of servers wanted; provisioned are live or starting.
 type sizingPolicy func(now time.Time, need fleet.Need, provisioned int) int
 
-func newSizerPolicy(target float64, calm time.Duration, slack float64) sizingPolicy {
-	sizer := &fleet.Sizer{Min: fleetMin, Max: fleetMax, Target: target, ScaleDownDelay: calm, Slack: slack}
+func newSizerPolicy(target float64, scaleDownDelay time.Duration, slack float64) sizingPolicy {
+	sizer := &fleet.Sizer{Min: fleetMin, Max: fleetMax, Target: target, ScaleDownDelay: scaleDownDelay, Slack: slack}
 	return func(now time.Time, need fleet.Need, _ int) int { return sizer.Decide(now, need) }
 }
 
--- a/internal/measure/loads.go
+++ b/internal/measure/loads.go
@@ -37,7 +37,7 @@
 	Slots    int
 	// StepSizes holds, for each trainer, the number of generations in a step.
 	StepSizes []int
-	// LoadTime is the time of one load; up to AtOnce loads run at full speed.
+	// LoadTime is the time of one load; up to FullSpeedLoads loads run at full speed.
 	LoadTime       time.Duration
 	FullSpeedLoads int
 	// SlowShare is the share of samplers that take four times as long to load.
@@ -67,8 +67,8 @@
 }
 
 // Loads compares policies for which sampler loads which version next, on one deployment.
-func Loads(site LoadsDeployment) Experiment {
-	return Experiment{Name: "Loads, " + site.Name, Run: func(seed uint64) []Result {
+func Loads(deployment LoadsDeployment) Experiment {
+	return Experiment{Name: "Loads, " + deployment.Name, Run: func(seed uint64) []Result {
 		var results []Result
 		for _, policy := range []loadsPolicy{
 			{name: "by lack", decide: decideBySchedule},
@@ -76,7 +76,7 @@
 			{name: "all everywhere", decide: decideReplicateAll},
 			{name: "no loads needed", hasAllVersions: true, decide: func(*loadsRun) {}},
 		} {
-			results = append(results, newLoadsRun(site, policy, seed).run())
+			results = append(results, newLoadsRun(deployment, policy, seed).run())
 		}
 		return results
 	}}
@@ -141,22 +141,22 @@
 	loadCount  int
 }
 
-func newLoadsRun(site LoadsDeployment, policy loadsPolicy, seed uint64) *loadsRun {
+func newLoadsRun(deployment LoadsDeployment, policy loadsPolicy, seed uint64) *loadsRun {
 	run := &loadsRun{
-		deployment: site, policy: policy, random: rand.New(rand.NewPCG(seed, 3)),
+		deployment: deployment, policy: policy, random: rand.New(rand.NewPCG(seed, 3)),
 		now: time.Unix(1000, 0), start: time.Unix(1000, 0),
 		schedule: weight.Schedule{Share: 0.5, Lag: weight.DefaultLag},
 	}
-	for i := range site.Samplers {
+	for i := range deployment.Samplers {
 		sampler := &loadsSampler{slowdown: 1, SamplerState: weight.SamplerState{
-			ID: fmt.Sprintf("s%03d", i), Zone: fmt.Sprintf("z%d", i%3), Slots: site.Slots, Versions: map[string]uint64{},
+			ID: fmt.Sprintf("s%03d", i), Zone: fmt.Sprintf("z%d", i%3), Slots: deployment.Slots, Versions: map[string]uint64{},
 		}}
-		if run.random.Float64() < site.SlowShare {
+		if run.random.Float64() < deployment.SlowShare {
 			sampler.slowdown = 4
 		}
 		run.samplers = append(run.samplers, sampler)
 	}
-	for i, size := range site.StepSizes {
+	for i, size := range deployment.StepSizes {
 		run.trainers = append(run.trainers, &loadsTrainer{model: fmt.Sprintf("m%d", i), stepSize: size, newest: 1})
 	}
 	return run
@@ -234,11 +234,11 @@
 	}
 	slices.SortFunc(step.waiting, func(a, b *loadsGeneration) int { return cmp.Compare(b.estimate, a.estimate) })
 	t.open = append(t.open, step)
-	r.steps.Open(fmt.Sprint(t.model, step.number), weight.Step{Model: t.model, Oldest: oldestVersion(step.number), Runs: t.stepSize})
+	r.steps.Open(fmt.Sprint(t.model, step.number), weight.Step{Model: t.model, Oldest: minVersion(step.number), Runs: t.stepSize})
 }
 
-// oldestVersion returns the oldest version that a step accepts.
-func oldestVersion(step int) uint64 { return uint64(max(1, step-1)) }
+// minVersion returns the oldest version that a step accepts.
+func minVersion(step int) uint64 { return uint64(max(1, step-1)) }
 
 func (r *loadsRun) startLoad(sampler *loadsSampler, model string, version uint64) {
 	sampler.remaining = time.Duration(sampler.slowdown * float64(r.deployment.LoadTime))
@@ -312,7 +312,7 @@
 	for len(step.waiting) > 0 {
 		var best *loadsSampler
 		for _, sampler := range r.samplers {
-			isUsable := r.policy.hasAllVersions || max(1, sampler.Versions[step.trainer.model]) >= oldestVersion(step.number)
+			isUsable := r.policy.hasAllVersions || max(1, sampler.Versions[step.trainer.model]) >= minVersion(step.number)
 			if isUsable && len(sampler.running) < sampler.Slots && (best == nil || len(sampler.running) < len(best.running)) {
 				best = sampler
 			}
--- a/internal/measure/loads_test.go
+++ b/internal/measure/loads_test.go
@@ -26,10 +26,10 @@
 // and no more steps are late than under any baseline.
 func TestLoadsOnManyDeployments(t *testing.T) {
 	const worst, late = "worst model p90 s", "late share"
-	for _, site := range LoadsDeployments() {
-		t.Run(site.Name, func(t *testing.T) {
-			table := Run(Loads(site), 3)
-			bound := medianFigure(t, table, "no loads needed", worst) + site.LoadTime.Seconds()
+	for _, deployment := range LoadsDeployments() {
+		t.Run(deployment.Name, func(t *testing.T) {
+			table := Run(Loads(deployment), 3)
+			bound := medianFigure(t, table, "no loads needed", worst) + deployment.LoadTime.Seconds()
 			must.LessEq(t, bound, medianFigure(t, table, "by lack", worst))
 			for _, baseline := range []string{"equal parts in order", "all everywhere"} {
 				must.LessEq(t, medianFigure(t, table, baseline, late), medianFigure(t, table, "by lack", late))
--- a/internal/measure/staleness.go
+++ b/internal/measure/staleness.go
@@ -28,5 +28,5 @@
 
 // isStale reports whether an attempt was stopped as stale, not because its slot is filled.
 func isStale(running *stragglerAttempt) bool {
-	return slices.ContainsFunc(running.step.StaleAttempts(), func(doomed rollout.Attempt) bool { return doomed.ID() == running.attempt.ID() })
+	return slices.ContainsFunc(running.step.StaleAttempts(), func(stale rollout.Attempt) bool { return stale.ID() == running.attempt.ID() })
 }
--- a/internal/measure/stragglers.go
+++ b/internal/measure/stragglers.go
@@ -301,13 +301,13 @@
 	})
 }
 
-// leastBusy returns the available sampler with the fewest attempts, at least at version oldest.
-func (r *stragglerRun) leastBusy(oldest uint64) *stragglerSampler {
+// leastBusy returns the available sampler with the fewest attempts among those at minVersion or newer.
+func (r *stragglerRun) leastBusy(minVersion uint64) *stragglerSampler {
 	var best *stragglerSampler
 	offset := r.random.IntN(len(r.samplers))
 	for i := range r.samplers {
 		sampler := r.samplers[(i+offset)%len(r.samplers)]
-		if sampler.version < oldest || sampler.running >= stragglerSlots || r.now.Before(sampler.downUntil) {
+		if sampler.version < minVersion || sampler.running >= stragglerSlots || r.now.Before(sampler.downUntil) {
 			continue
 		}
 		if best == nil || sampler.running < best.running {
@@ -333,18 +333,18 @@
 	if r.isAnnouncementDue(training) {
 		r.announce()
 	}
-	pulled, err := r.step.Pull(r.next, rollout.MaxSlots, 0)
+	result, err := r.step.Pull(r.next, rollout.MaxSlots, 0)
 	if err != nil {
 		return
 	}
-	for _, sample := range pulled.Samples() {
+	for _, sample := range result.Samples() {
 		r.staleness = append(r.staleness, float64(r.newest-min(r.newest, rollout.OldestVersion(sample))))
 	}
-	r.next = pulled.Next()
+	r.next = result.Next()
 	if !training {
 		r.idle += stragglerTick
 	}
-	if pulled.Done() && !r.isComplete {
+	if result.Done() && !r.isComplete {
 		r.isComplete = true
 		r.stepTimes = append(r.stepTimes, r.now.Sub(r.openedAt).Seconds())
 	}
