--- a/cmd/standin/cmd/recordcmd.go
+++ b/cmd/standin/cmd/recordcmd.go
@@ -53,16 +53,16 @@
 	if err != nil {
 		return err
 	}
-	seen := map[int64][]platform.Figure{}
+	firstReports := map[int64][]platform.Figure{}
 	totals := map[string]uint64{}
 	for _, window := range record.Usage {
-		if first, ok := seen[window.Start]; ok {
+		if first, ok := firstReports[window.Start]; ok {
 			if !reflect.DeepEqual(first, window.Figures) {
 				fmt.Fprintf(c.stdout, "window %d differs: %v, then %v\n", window.Start, first, window.Figures)
 			}
 			continue
 		}
-		seen[window.Start] = window.Figures
+		firstReports[window.Start] = window.Figures
 		for _, figure := range window.Figures {
 			totals[figure.Account] += figure.Requests
 		}
--- a/cmd/standin/cmd/weightscmd.go
+++ b/cmd/standin/cmd/weightscmd.go
@@ -9,6 +9,6 @@
 	Rate int `default:"16777216" help:"Rate limit of all downloads together, bytes per second."`
 }
 
-func (s *weightsCmd) Run() error {
-	return s.serve((&weights.Weights{Size: s.Size, Rate: s.Rate}).Routes())
+func (w *weightsCmd) Run() error {
+	return w.serve((&weights.Weights{Size: w.Size, Rate: w.Rate}).Routes())
 }
--- a/cmd/standin/internal/authority/authority.go
+++ b/cmd/standin/internal/authority/authority.go
@@ -24,7 +24,7 @@
 	authorityFile = "authority.pem"
 )
 
-// Authority signs certificates. Exported fields are set before Start.
+// Authority signs certificates. Exported fields are set before Init.
 type Authority struct {
 	// Folder receives authority.pem, and NAME.pem and NAME.key of each process.
 	Folder string
--- a/cmd/standin/internal/engine/generate.go
+++ b/cmd/standin/internal/engine/generate.go
@@ -127,7 +127,7 @@
 	g.writeAndFlush("data: [DONE]\n\n")
 }
 
-// wait waits for the duration and while Hang is set; it returns false if the caller left.
+// wait waits for the duration and while Hang is set; it returns false if ctx ends first.
 func (g *generation) wait(ctx context.Context, duration time.Duration) bool {
 	faults, _ := g.engine.state()
 	if faults.Slow > 0 {
--- a/cmd/standin/internal/ledger/ledger.go
+++ b/cmd/standin/internal/ledger/ledger.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// wait delays the response as the faults say; it returns false if the caller left.
+// wait delays the response as the faults say; it returns false if the request is canceled first.
 func (l *Ledger) wait(r *http.Request) bool {
 	l.mutex.Lock()
 	faults := l.faults
--- a/cmd/standin/internal/trainer/trainer.go
+++ b/cmd/standin/internal/trainer/trainer.go
@@ -80,24 +80,24 @@
 	if err := t.open(ctx, step); err != nil {
 		return err
 	}
-	seen := map[uint32]bool{}
+	seenSlots := map[uint32]bool{}
 	for {
-		var pulled client.Pulled
+		var result client.Pulled
 		err := t.callWithRetry(ctx, func() (err error) {
-			pulled, err = t.client.Pull(ctx, t.place, maxPull, pullWait)
+			result, err = t.client.Pull(ctx, t.place, maxPull, pullWait)
 			return err
 		})
 		if err != nil {
 			return err
 		}
-		for _, sample := range pulled.Samples {
-			t.receive(step, sample, seen)
+		for _, sample := range result.Samples {
+			t.receive(step, sample, seenSlots)
 		}
-		t.place = pulled.Next
-		if err := t.announce(ctx, len(seen)); err != nil {
+		t.place = result.Next
+		if err := t.announce(ctx, len(seenSlots)); err != nil {
 			return err
 		}
-		if pulled.Done {
+		if result.Done {
 			return nil
 		}
 	}
@@ -114,11 +114,11 @@
 	})
 }
 
-func (t *Trainer) receive(step uint64, sample client.Sample, seen map[uint32]bool) {
-	if seen[sample.Slot] || sample.Step != step {
+func (t *Trainer) receive(step uint64, sample client.Sample, seenSlots map[uint32]bool) {
+	if seenSlots[sample.Slot] || sample.Step != step {
 		t.addFault("step %d slot %d is a duplicate or belongs to another step", sample.Step, sample.Slot)
 	}
-	seen[sample.Slot] = true
+	seenSlots[sample.Slot] = true
 	if len(sample.Versions) == 0 {
 		t.addFault("slot %d has no weight version", sample.Slot)
 		sample.Versions = []client.Range{{}}
