--- a/cmd/standin/cmd/callcmd.go
+++ b/cmd/standin/cmd/callcmd.go
@@ -29,28 +29,28 @@
 
 // Run prints status, headers and body of each response as they arrive; it fails
 // if a response is truncated.
-func (r *callCmd) Run(c *config) error {
-	ctx, cancel := context.WithTimeout(context.Background(), r.Timeout)
+func (cc *callCmd) Run(c *config) error {
+	ctx, cancel := context.WithTimeout(context.Background(), cc.Timeout)
 	defer cancel()
-	for _, address := range r.Address {
-		if err := r.call(ctx, c, address); err != nil {
+	for _, address := range cc.Address {
+		if err := cc.call(ctx, c, address); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *callCmd) call(ctx context.Context, c *config, address string) error {
-	request, err := http.NewRequestWithContext(ctx, r.Method, address, strings.NewReader(r.Body))
+func (cc *callCmd) call(ctx context.Context, c *config, address string) error {
+	request, err := http.NewRequestWithContext(ctx, cc.Method, address, strings.NewReader(cc.Body))
 	if err != nil {
 		return err
 	}
-	for _, header := range r.Header {
+	for _, header := range cc.Header {
 		name, value, _ := strings.Cut(header, ":")
 		request.Header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
-	if r.Key != "" {
-		request.Header.Set("Authorization", "Bearer "+r.Key)
+	if cc.Key != "" {
+		request.Header.Set("Authorization", "Bearer "+cc.Key)
 	}
 	response, err := listen.Client("call").DoRequest(request)
 	if err != nil {
@@ -58,8 +58,8 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	fmt.Fprintln(c.stdout, "status", response.StatusCode)
-	if !r.Quiet {
-		r.printHeaders(c.stdout, response.Header)
+	if !cc.Quiet {
+		cc.printHeaders(c.stdout, response.Header)
 	}
 	if _, err := io.Copy(c.stdout, response.Body); err != nil {
 		return err
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (r *callCmd) printHeaders(w io.Writer, headers http.Header) {
+func (cc *callCmd) printHeaders(w io.Writer, headers http.Header) {
 	names := make([]string, 0, len(headers))
 	for name := range headers {
 		names = append(names, name)
--- a/cmd/standin/internal/demo/demo.go
+++ b/cmd/standin/internal/demo/demo.go
@@ -220,8 +220,8 @@
 	if err != nil {
 		return err
 	}
-	record := platform.Server{ID: server, Pool: pool, Kind: kind, Zone: zoneName(i), State: "live"}
-	if err := listen.Post(ctx, "control", d.platform+"/control/servers", record); err != nil {
+	registered := platform.Server{ID: server, Pool: pool, Kind: kind, Zone: zoneName(i), State: "live"}
+	if err := listen.Post(ctx, "control", d.platform+"/control/servers", registered); err != nil {
 		return err
 	}
 	return d.registerHost(ctx, name, "sidecar", addresses.Peer, i)
--- a/cmd/standin/internal/weights/weights.go
+++ b/cmd/standin/internal/weights/weights.go
@@ -23,16 +23,16 @@
 }
 
 // Routes returns the store's endpoints.
-func (s *Weights) Routes() []rest.Route {
-	s.limiter = rate.NewLimiter(rate.Limit(s.Rate), chunkBytes)
-	return []rest.Route{{Method: http.MethodGet, Path: "/weights/:model/:version", Handler: s.handleWeights}}
+func (ws *Weights) Routes() []rest.Route {
+	ws.limiter = rate.NewLimiter(rate.Limit(ws.Rate), chunkBytes)
+	return []rest.Route{{Method: http.MethodGet, Path: "/weights/:model/:version", Handler: ws.handleWeights}}
 }
 
-func (s *Weights) handleWeights(w http.ResponseWriter, r *http.Request) {
+func (ws *Weights) handleWeights(w http.ResponseWriter, r *http.Request) {
 	chunk := make([]byte, chunkBytes)
-	for left := s.Size; left > 0; left -= chunkBytes {
-		part := chunk[:min(left, chunkBytes)]
-		if err := s.limiter.WaitN(r.Context(), len(part)); err != nil {
+	for remaining := ws.Size; remaining > 0; remaining -= chunkBytes {
+		part := chunk[:min(remaining, chunkBytes)]
+		if err := ws.limiter.WaitN(r.Context(), len(part)); err != nil {
 			answer.Abort(w)
 			return
 		}
