--- a/cmd/standin/cmd/cmd.go
+++ b/cmd/standin/cmd/cmd.go
@@ -85,7 +85,7 @@
 func (s *serverFlags) serve(routes []rest.Route) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	server := &listen.HTTP{Address: s.Listen, Routes: routes, Listening: s.writeReady}
+	server := &listen.HTTP{Address: s.Listen, Routes: routes, OnListening: s.writeReady}
 	return server.Run(ctx, stopGrace)
 }
 
--- a/cmd/standin/internal/demo/demo.go
+++ b/cmd/standin/internal/demo/demo.go
@@ -155,7 +155,7 @@
 // serve starts serving the routes of a stand-in and returns its base URL.
 func (d *Demo) serve(ctx context.Context, routes []rest.Route) (string, error) {
 	listening := make(chan string, 1)
-	server := &listen.HTTP{Address: "127.0.0.1:0", Routes: routes, Listening: func(address string) { listening <- address }}
+	server := &listen.HTTP{Address: "127.0.0.1:0", Routes: routes, OnListening: func(address string) { listening <- address }}
 	go func() { d.exits <- server.Run(ctx, stopGrace) }()
 	select {
 	case address := <-listening:
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -56,8 +56,8 @@
 	Name string
 	// ReadTimeout is how long the backend server may send nothing.
 	ReadTimeout time.Duration
-	// Idle is how long an unused connection is kept; 0 means the client's default.
-	Idle time.Duration
+	// IdleTimeout is how long an unused connection is kept; 0 means the client's default.
+	IdleTimeout time.Duration
 
 	client atomic.Pointer[httpc.Service]
 }
@@ -166,7 +166,7 @@
 		if client := s.client.Load(); client != nil {
 			return *client
 		}
-		service := listen.ClientWithOptions("backend-"+s.Name, listen.ClientOptions{Idle: s.Idle})
+		service := listen.ClientWithOptions("backend-"+s.Name, listen.ClientOptions{IdleTimeout: s.IdleTimeout})
 		s.client.CompareAndSwap(nil, &service)
 	}
 }
--- a/internal/batch/board.go
+++ b/internal/batch/board.go
@@ -70,12 +70,12 @@
 // Board holds the batches that this process owns. Its exported fields are set before Run.
 type Board struct {
 	// Process is the name of this process.
-	Process string
-	Store   Store
-	Roster  *roster.Roster
-	Scorer  Scorer
-	Wire    HeaderEncoder
-	Routes  Routes
+	Process       string
+	Store         Store
+	Roster        *roster.Roster
+	Scorer        Scorer
+	HeaderEncoder HeaderEncoder
+	Routes        Routes
 	// Lease returns the lease that registers this process with the store, or 0 while it has
 	// none.
 	Lease func() uint64
@@ -247,8 +247,8 @@
 			route:         func() (Route, bool) { return b.Routes(batch) },
 			roster:        b.Roster,
 			scorer:        b.Scorer,
-			headerEncoder: b.Wire,
-			ledger:        newLedger(b.Store, batch.GetId(), b.GroupDelay, b.ValueBytes, state.Owner, state.Listed, b.metrics),
+			headerEncoder: b.HeaderEncoder,
+			ledger:        newLedger(b.Store, batch.GetId(), b.GroupDelay, b.ValueBytes, state.Ownership, state.Listed, b.metrics),
 			keeper:        b.Keeper,
 			metrics:       b.metrics,
 			keepLeftovers: b.leftovers.add,
--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -79,7 +79,7 @@
 	stop  func()
 }
 
-var knownRoute = Route{Pool: "lm", Rules: Rules{Attempts: 3}}
+var knownRoute = Route{Pool: "lm", Rules: Rules{MaxFailures: 3}}
 
 // newBoard returns a board that uses the lease and the routes of p.
 func newBoard(store Store, name string, p *process, hosts ...string) *Board {
--- a/internal/batch/claim.go
+++ b/internal/batch/claim.go
@@ -51,7 +51,7 @@
 	if b.owned[id] != nil {
 		return 0
 	}
-	wait := time.Duration(duty.Place(b.Process, b.Candidates(id))) * claimStagger
+	wait := time.Duration(duty.Position(b.Process, b.Candidates(id))) * claimStagger
 	if b.IsLeaving(lastOwner) {
 		return wait
 	}
@@ -197,7 +197,7 @@
 	klog.InfoS("batch: taken over", "batch", id, "owner", ownership.Revision, "listed", len(listed), "partly", len(partials))
 	delete(b.unowned, id)
 	b.metrics.takeovers.Inc()
-	b.start(Handover{Batch: batch, Owner: ownership, Listed: listed, Partials: partials}, clock.Now())
+	b.start(Handover{Batch: batch, Ownership: ownership, Listed: listed, Partials: partials}, clock.Now())
 }
 
 // awaitRoute waits until a configuration is known. A process that has just started may see its
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -105,10 +105,10 @@
 // Handover is the state of a batch that passes from one owner to the next.
 type Handover struct {
 	Batch *statepb.Batch
-	// Owner is the ownership of the process that has the batch.
-	Owner Ownership
-	// Open is the revision of the key that marks the batch as open.
-	Open uint64
+	// Ownership is the ownership of the process that has the batch.
+	Ownership Ownership
+	// OpenRevision is the revision of the key that marks the batch as open.
+	OpenRevision uint64
 	// Listed are the outcomes that the store holds, Pending those that it does not hold yet.
 	Listed, Pending []*statepb.Outcome
 	// Partials are the incomplete texts.
@@ -202,7 +202,7 @@
 	owner := owned.ledger.currentOwnership()
 	owned.mutex.Lock()
 	defer owned.mutex.Unlock()
-	state := Handover{Batch: owned.batch, Owner: owner, Open: open, Listed: listed, Pending: pending, Partials: owned.plan.Partials()}
+	state := Handover{Batch: owned.batch, Ownership: owner, OpenRevision: open, Listed: listed, Pending: pending, Partials: owned.plan.Partials()}
 	return state, isComplete && open != 0 && owner.Revision != 0 && !owned.plan.IsEnded()
 }
 
@@ -215,13 +215,13 @@
 func (b *Board) TakeHandover(ctx context.Context, state Handover) (bool, error) {
 	id := state.Batch.GetId()
 	// To the store, a revision of 0 means that the batch is not open, or has no owner.
-	if b.Lease() == 0 || state.Owner.Revision == 0 || state.Open == 0 || !b.reserveForTakeover(id) {
+	if b.Lease() == 0 || state.Ownership.Revision == 0 || state.OpenRevision == 0 || !b.reserveForTakeover(id) {
 		return false, nil
 	}
 	defer b.release(id)
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	ownership, err := b.writeOwner(ctx, id, platform.Expect{Key: ownerKey(id), Revision: state.Owner.Revision}, platform.Expect{Key: openKey(id), Revision: state.Open})
+	ownership, err := b.writeOwner(ctx, id, platform.Expect{Key: ownerKey(id), Revision: state.Ownership.Revision}, platform.Expect{Key: openKey(id), Revision: state.OpenRevision})
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) || err != nil && isNotCommitted(err) {
 		klog.InfoS("batch: not taken from its owner", "batch", id, "err", err.Error())
@@ -235,11 +235,11 @@
 	klog.InfoS("batch: taken from its owner", "batch", id, "owner", ownership.Revision, "listed", len(state.Listed), "pending", len(state.Pending), "partly", len(state.Partials))
 	b.metrics.takeovers.Inc()
 	b.open[id] = true
-	b.openRevisions[id] = state.Open
+	b.openRevisions[id] = state.OpenRevision
 	b.owners[id] = b.Process
 	b.ownerRevisions[id] = ownership.Revision
 	delete(b.unowned, id)
-	state.Owner = ownership
+	state.Ownership = ownership
 	b.start(state, clock.Now())
 	return true, nil
 }
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -98,7 +98,7 @@
 		_, err := store.Commit(t.Context(), platform.Commit{Remove: []string{openKey("b1")}})
 		must.NoError(t, err)
 		first.mutex.Lock()
-		state := Handover{Batch: first.owned["b1"].batch, Owner: Ownership{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
+		state := Handover{Batch: first.owned["b1"].batch, Ownership: Ownership{Revision: first.ownerRevisions["b1"]}, OpenRevision: first.openRevisions["b1"]}
 		first.mutex.Unlock()
 		taken, err := second.TakeHandover(t.Context(), state)
 		must.NoError(t, err)
@@ -146,7 +146,7 @@
 func TestHandoverAfterClaim(t *testing.T) {
 	store, first, second := setUpDrain(t)
 	first.mutex.Lock()
-	state := Handover{Batch: first.owned["b1"].batch, Owner: Ownership{Revision: first.ownerRevisions["b1"]}, Open: first.openRevisions["b1"]}
+	state := Handover{Batch: first.owned["b1"].batch, Ownership: Ownership{Revision: first.ownerRevisions["b1"]}, OpenRevision: first.openRevisions["b1"]}
 	first.mutex.Unlock()
 	_, err := store.Commit(t.Context(), platform.Commit{Writes: []platform.Write{{Key: ownerKey("b1")}}})
 	must.NoError(t, err)
--- a/internal/batch/earlyrun.go
+++ b/internal/batch/earlyrun.go
@@ -164,7 +164,7 @@
 	b.owners[id] = b.Process
 	b.ownerRevisions[id] = ownership.Revision
 	if owned == nil {
-		b.start(Handover{Batch: batch, Owner: ownership}, clock.Now())
+		b.start(Handover{Batch: batch, Ownership: ownership}, clock.Now())
 		return
 	}
 	owned.ledger.setOwnership(ownership)
--- a/internal/batch/plan.go
+++ b/internal/batch/plan.go
@@ -32,9 +32,9 @@
 
 // Rules are the settings of the batch's route.
 type Rules struct {
-	// Attempts is the number of failed answers, of the item's runs or of its scorer, after
+	// MaxFailures is the number of failed answers, of the item's runs or of its scorer, after
 	// which an item is given up.
-	Attempts int
+	MaxFailures int
 	// GiveUpAfter is how long after the batch was accepted waiting items are given up; 0 means
 	// never.
 	GiveUpAfter time.Duration
@@ -336,7 +336,7 @@
 func (p *Plan) Failed(job Job, isPermanent bool, now clock.Boot) {
 	item := p.items[job.index]
 	item.failures++
-	if isPermanent && item.failures >= maxRejections || item.failures >= p.rules.Attempts {
+	if isPermanent && item.failures >= maxRejections || item.failures >= p.rules.MaxFailures {
 		item.phase = waiting
 		p.fail(item, "runs failed "+strconv.Itoa(item.failures)+" times")
 		return
--- a/internal/batch/plan_test.go
+++ b/internal/batch/plan_test.go
@@ -27,7 +27,7 @@
 }
 
 func newPlan(expected ...uint64) *Plan {
-	return NewPlan(newBatch(expected...), Rules{Attempts: 3, GiveUpAfter: 40 * time.Second}, start)
+	return NewPlan(newBatch(expected...), Rules{MaxFailures: 3, GiveUpAfter: 40 * time.Second}, start)
 }
 
 // keepAll selects the texts of all items.
@@ -118,7 +118,7 @@
 // On a route that requires a single version, a sampler changes its weights in the middle of a
 // text. The text starts again, and the parts are never joined.
 func TestSingleVersionRestarts(t *testing.T) {
-	plan := NewPlan(newBatch(100), Rules{Attempts: 3, SingleVersion: true}, start)
+	plan := NewPlan(newBatch(100), Rules{MaxFailures: 3, SingleVersion: true}, start)
 	job := mustStart(t, plan, start, "i0")
 	must.True(t, plan.Event(job, "a", 3))
 	must.False(t, plan.Event(job, "b", 4))
@@ -262,7 +262,7 @@
 	t.Run("versions too old", func(t *testing.T) {
 		batch := newBatch(10, 20, 30, 40)
 		batch.SetOldest(4)
-		next := NewPlan(batch, Rules{Attempts: 3}, start)
+		next := NewPlan(batch, Rules{MaxFailures: 3}, start)
 		must.Eq(t, 1, next.Reuse(leftovers))
 		_, ok := next.NextScore(start)
 		must.False(t, ok)
@@ -286,12 +286,12 @@
 		}
 		return batch
 	}
-	first := NewPlan(withoutScorer(), Rules{Attempts: 3}, start)
+	first := NewPlan(withoutScorer(), Rules{MaxFailures: 3}, start)
 	job := mustStart(t, first, start, "i0")
 	must.True(t, first.Event(job, "a", 3))
 	first.Generated(job)
 	first.End()
-	next := NewPlan(withoutScorer(), Rules{Attempts: 3}, start)
+	next := NewPlan(withoutScorer(), Rules{MaxFailures: 3}, start)
 	must.Eq(t, 1, next.Reuse(first.Leftovers()))
 	_, ok := next.NextScore(start)
 	must.False(t, ok)
--- a/internal/batch/remove.go
+++ b/internal/batch/remove.go
@@ -31,7 +31,7 @@
 		}
 	}
 	for id, since := range b.stored {
-		if now.Sub(since) > b.Retention && b.owners[id] == "" && !b.open[id] && duty.Place(b.Process, b.Candidates(id)) == 0 {
+		if now.Sub(since) > b.Retention && b.owners[id] == "" && !b.open[id] && duty.Position(b.Process, b.Candidates(id)) == 0 {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/bramleyhatch/coldlimiter.go
+++ b/internal/bramleyhatch/coldlimiter.go
@@ -34,9 +34,9 @@
 	return &coldLimiter{view: view, now: clock.Now, hosts: cold.Senders{Self: self}, owners: cold.Senders{Self: self}, batchOwners: map[string]string{}}
 }
 
-// Share returns how many requests this gateway may send to a cold server within a time
+// Quota returns how many requests this gateway may send to a cold server within a time
 // window; isUnbounded is true where the pool sets no limit.
-func (c *coldLimiter) Share(poolName, server string, sender roster.Sender) (limit int, isUnbounded bool) {
+func (c *coldLimiter) Quota(poolName, server string, sender roster.Sender) (limit int, isUnbounded bool) {
 	pool := c.pool(poolName)
 	if pool == nil || pool.ColdRate == 0 {
 		return 0, true
--- a/internal/bramleyhatch/coldlimiter_test.go
+++ b/internal/bramleyhatch/coldlimiter_test.go
@@ -40,7 +40,7 @@
 	return view
 }
 
-// Guards against a share computed from gateways that don't send, or without some that do.
+// Guards against a quota computed from gateways that don't send, or without some that do.
 func TestColdLimiter(t *testing.T) {
 	limiter := newColdLimiter("g1", coldView())
 	now := clock.Now()
@@ -48,30 +48,30 @@
 	apply := func(changes ...store.Value) { limiter.apply(changes) }
 	apply(store.Value{Key: gateway.PrefixHost + "g1"}, store.Value{Key: gateway.PrefixHost + "g2"}, store.Value{Key: gateway.PrefixHost + "g3"})
 	apply(ownerChange(t, "b1", "g1"), ownerChange(t, "b2", "g1"), ownerChange(t, "b3", "g2"))
-	share := func(pool string, sender roster.Sender) int {
+	quota := func(pool string, sender roster.Sender) int {
 		t.Helper()
-		limit, isUnbounded := limiter.Share(pool, "s1", sender)
+		limit, isUnbounded := limiter.Quota(pool, "s1", sender)
 		must.False(t, isUnbounded)
 		return limit
 	}
 	t.Run("none just after a start", func(t *testing.T) {
 		limiter.markCurrent()
-		must.Eq(t, 0, share("batches", roster.SenderBatch))
+		must.Eq(t, 0, quota("batches", roster.SenderBatch))
 	})
 	now = now.Add(time.Minute)
 	limiter.markCurrent()
-	t.Run("batches are sent by owners", func(t *testing.T) { must.Eq(t, 6, share("batches", roster.SenderBatch)) })
+	t.Run("batches are sent by owners", func(t *testing.T) { must.Eq(t, 6, quota("batches", roster.SenderBatch)) })
 	t.Run("a rate for both is divided", func(t *testing.T) {
-		must.Eq(t, 3, share("both", roster.SenderBatch))
-		must.Eq(t, 2, share("both", roster.SenderCaller))
+		must.Eq(t, 3, quota("both", roster.SenderBatch))
+		must.Eq(t, 2, quota("both", roster.SenderCaller))
 	})
 	t.Run("a pool without a rate", func(t *testing.T) {
-		_, isUnbounded := limiter.Share("free", "s1", roster.SenderCaller)
+		_, isUnbounded := limiter.Quota("free", "s1", roster.SenderCaller)
 		must.True(t, isUnbounded)
 	})
 	t.Run("an owner of nothing counts for a while", func(t *testing.T) {
 		apply(ownerChange(t, "b3", ""))
-		must.Eq(t, 6, share("batches", roster.SenderBatch))
+		must.Eq(t, 6, quota("batches", roster.SenderBatch))
 	})
 	t.Run("how long a server is cold", func(t *testing.T) { must.Eq(t, time.Second, limiter.Duration("batches")) })
 }
--- a/internal/bramleyhatch/entrycallers.go
+++ b/internal/bramleyhatch/entrycallers.go
@@ -12,7 +12,7 @@
 func (e *Entry) addCallers() {
 	e.pool.Metrics = e.Metrics
 	e.pool.Homes = &sidecar.FleetHomes{Members: e.members, Choose: claim.Home}
-	e.AddTask("route", e.pool.Serve)
+	e.AddTask("route", e.pool.SendCancellations)
 	admission := &caller.Admission{Peers: e.members}
 	e.AddTask("limit", admission.Run)
 	settings := e.Settings.GetCaller()
@@ -20,7 +20,7 @@
 		Grants:       e.view,
 		Runner:       e.pool,
 		Admission:    admission,
-		Isolated:     e.members.IsIsolated,
+		IsIsolated:   e.members.IsIsolated,
 		Decisions:    e.Decisions,
 		Metrics:      e.Metrics,
 		MaxBodyBytes: settings.GetMaxBodyBytes(),
--- a/internal/bramleyhatch/entryduties.go
+++ b/internal/bramleyhatch/entryduties.go
@@ -33,11 +33,11 @@
 	server := &usage.Server{Ledger: e.ledger}
 	e.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterUsageServer(registrar, server) })
 	pusher := &usage.Pusher{
-		Source:    e.ledger,
-		Directory: e.members,
-		Peers:     &usage.GRPCPeers{Credentials: e.credentials()},
-		Retain:    settings.GetRetain().AsDuration(),
-		Keep:      settings.GetKeep().AsDuration(),
+		Source:            e.ledger,
+		Directory:         e.members,
+		Peers:             &usage.GRPCPeers{Credentials: e.credentials()},
+		ReportedRetention: settings.GetRetain().AsDuration(),
+		MaxRetention:      settings.GetKeep().AsDuration(),
 	}
 	e.AddTask("usage", pusher.Run)
 }
@@ -66,15 +66,15 @@
 // its clients of the platform and of other processes.
 func (p *Process) newReporter(settings *settingspb.Usage, duties *settingspb.Duty) *usage.Reporter {
 	return &usage.Reporter{
-		Process:       p.Settings.GetName(),
-		Decisions:     p.Decisions,
-		Window:        settings.GetWindow().AsDuration(),
-		Settle:        settings.GetSettle().AsDuration(),
-		Retain:        settings.GetRetain().AsDuration(),
-		Keep:          settings.GetKeep().AsDuration(),
-		Interval:      duties.GetInterval().AsDuration(),
-		Lease:         duties.GetLease().AsDuration(),
-		ReportTimeout: duties.GetOrder().AsDuration(),
+		Process:         p.Settings.GetName(),
+		Decisions:       p.Decisions,
+		Window:          settings.GetWindow().AsDuration(),
+		Settle:          settings.GetSettle().AsDuration(),
+		MaxLateness:     settings.GetRetain().AsDuration(),
+		WindowRetention: settings.GetKeep().AsDuration(),
+		Interval:        duties.GetInterval().AsDuration(),
+		Lease:           duties.GetLease().AsDuration(),
+		ReportTimeout:   duties.GetOrder().AsDuration(),
 	}
 }
 
@@ -116,16 +116,16 @@
 		Sidecars:  &fleet.SidecarClient{Credentials: e.credentials()},
 		Decisions: e.Decisions,
 		Pools:     e.pools,
-		Scale: fleet.Scale{
+		Scale: fleet.Scaler{
 			Target:          settings.GetTarget(),
 			ScaleDownDelay:  settings.GetCalm().AsDuration(),
 			Slack:           settings.GetSlack(),
 			ZoneLossTimeout: settings.GetLoss().AsDuration(),
 		},
-		Interval:   settings.GetInterval().AsDuration(),
-		Lease:      settings.GetLease().AsDuration(),
-		OrderBound: settings.GetOrder().AsDuration(),
-		DrainBound: settings.GetDrain().AsDuration(),
+		Interval:     settings.GetInterval().AsDuration(),
+		Lease:        settings.GetLease().AsDuration(),
+		OrderTimeout: settings.GetOrder().AsDuration(),
+		DrainTimeout: settings.GetDrain().AsDuration(),
 	}
 	return e.elector(name).Run(ctx, zone.Run)
 }
--- a/internal/bramleyhatch/entryoperators.go
+++ b/internal/bramleyhatch/entryoperators.go
@@ -43,9 +43,9 @@
 func (e *Entry) addWatchers(editor *lists.Editor) {
 	watches := func() bool { return e.members.IsResponsible("watch", watcherCount) }
 	for _, prefix := range []string{member.FactConfig, member.FactFleet} {
-		watcher := &lists.Watcher{Store: e.platform, Prefix: prefix, Offer: e.members.Offer, InCharge: watches}
+		watcher := &lists.Watcher{Store: e.platform, Prefix: prefix, Offer: e.members.Offer, IsResponsible: watches}
 		e.AddTask("watch "+prefix, watcher.Run)
 	}
-	syncer := &lists.WithdrawalSyncer{Members: e.members, Editor: editor, InCharge: watches}
+	syncer := &lists.WithdrawalSyncer{Members: e.members, Editor: editor, IsResponsible: watches}
 	e.AddTask("settle", syncer.Run)
 }
--- a/internal/bramleyhatch/gateway.go
+++ b/internal/bramleyhatch/gateway.go
@@ -58,7 +58,7 @@
 	*Process
 
 	store      *platform.Store
-	transport  *detour.Caller
+	transport  *detour.Transport
 	hosts      *gateway.Hosts
 	session    *gateway.Session
 	view       *table.View
@@ -99,7 +99,7 @@
 	settings := g.Settings.GetStore()
 	g.hosts = &gateway.Hosts{Name: g.Process.Settings.GetName()}
 	direct := &detour.Direct{Address: settings.GetAddress()}
-	g.transport = &detour.Caller{Direct: direct, Peers: g.hosts, Metrics: g.Metrics}
+	g.transport = &detour.Transport{Direct: direct, Peers: g.hosts, Metrics: g.Metrics}
 	g.store = &platform.Store{Transport: g.transport, Timeout: settings.GetTimeout().AsDuration()}
 	g.session = g.addSession(g.store, gateway.PrefixHost, settings.GetLease().AsDuration())
 }
@@ -112,7 +112,7 @@
 		Zone:              g.Process.Settings.GetZone(),
 		Region:            g.Process.Settings.GetRegion(),
 		Wire:              platform.Wire{},
-		Idle:              idleConnTimeout,
+		IdleTimeout:       idleConnTimeout,
 		ColdLimits:        g.cold,
 		ReregisterTimeout: g.Settings.GetDirectory().GetBack().AsDuration(),
 	}
@@ -123,19 +123,19 @@
 func (g *Gateway) addBatches() {
 	settings := g.Settings.GetBatches()
 	g.board = &batch.Board{
-		Process:    g.Process.Settings.GetName(),
-		Store:      g.store,
-		Roster:     g.roster,
-		Scorer:     &gateway.Scorer{View: g.view, Forwarder: g.forwarder, Proof: platform.Wire{}.Proof},
-		Wire:       platform.Wire{},
-		Routes:     gateway.Routes(g.view),
-		Metrics:    g.Metrics,
-		Lease:      g.session.Lease,
-		Candidates: g.hosts.Candidates,
-		IsLeaving:  g.hosts.IsLeaving,
-		Peers:      &gateway.Peers{Hosts: g.hosts},
+		Process:       g.Process.Settings.GetName(),
+		Store:         g.store,
+		Roster:        g.roster,
+		Scorer:        &gateway.Scorer{View: g.view, Forwarder: g.forwarder, Proof: platform.Wire{}.Proof},
+		HeaderEncoder: platform.Wire{},
+		Routes:        gateway.Routes(g.view),
+		Metrics:       g.Metrics,
+		Lease:         g.session.Lease,
+		Candidates:    g.hosts.Candidates,
+		IsLeaving:     g.hosts.IsLeaving,
+		Peers:         &gateway.Peers{Hosts: g.hosts},
 		Keeper: &gateway.Keepers{
-			Hosts: g.hosts, Zone: g.Process.Settings.GetZone(), PreferOtherZones: settings.GetZones() > 0, Losses: int(settings.GetLosses()), Retired: g.hostsToEmpty.has,
+			Hosts: g.hosts, Zone: g.Process.Settings.GetZone(), PreferOtherZones: settings.GetZones() > 0, Losses: int(settings.GetLosses()), IsEmptying: g.hostsToEmpty.has,
 		},
 		Retention:  settings.GetKeep().AsDuration(),
 		GroupDelay: settings.GetGroup().AsDuration(),
@@ -189,7 +189,7 @@
 			klog.ErrorS(err, "weight: cannot parse an open batch", "key", change.Key)
 			continue
 		}
-		steps.Open(id, weight.Step{Model: open.GetModel(), Oldest: open.GetOldest(), Runs: int(open.GetItems())})
+		steps.Open(id, weight.Step{Model: open.GetModel(), MinVersion: open.GetOldest(), Runs: int(open.GetItems())})
 	}
 }
 
@@ -257,7 +257,7 @@
 func (g *Gateway) addCallers() {
 	handler := &gateway.Handler{
 		Wire:          platform.Wire{},
-		Formats:       gateway.Formats{ReadBatch: platform.ReadBatch, WriteOutcomes: platform.EncodeOutcomes},
+		Formats:       gateway.Formats{ReadBatch: platform.ReadBatch, EncodeOutcomes: platform.EncodeOutcomes},
 		View:          g.view,
 		Forwarder:     g.forwarder,
 		Board:         g.board,
--- a/internal/bramleyhatch/gatewayduties.go
+++ b/internal/bramleyhatch/gatewayduties.go
@@ -48,12 +48,12 @@
 	server := &usage.Server{Ledger: &usage.Ledger{}, Counter: g.counter}
 	g.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterUsageServer(registrar, server) })
 	pusher := &usage.Pusher{
-		Source:    g.counter,
-		Directory: g.hosts,
-		Peers:     &usage.GRPCPeers{},
-		Interval:  g.Settings.GetUsage().GetPush().AsDuration(),
-		Retain:    g.Settings.GetUsage().GetRetain().AsDuration(),
-		Keep:      g.Settings.GetUsage().GetKeep().AsDuration(),
+		Source:            g.counter,
+		Directory:         g.hosts,
+		Peers:             &usage.GRPCPeers{},
+		Interval:          g.Settings.GetUsage().GetPush().AsDuration(),
+		ReportedRetention: g.Settings.GetUsage().GetRetain().AsDuration(),
+		MaxRetention:      g.Settings.GetUsage().GetKeep().AsDuration(),
 	}
 	g.AddTask("usage", pusher.Run)
 	elector := &duty.Elector{
@@ -69,7 +69,7 @@
 		PollInterval: dutyCheckInterval,
 		Lease:        settings.GetLease().AsDuration(),
 		Margin:       settings.GetMargin().AsDuration(),
-		Rank:         func() int { return duty.Place(g.Process.Settings.GetName(), g.hosts.Candidates(dutyName)) },
+		Rank:         func() int { return duty.Position(g.Process.Settings.GetName(), g.hosts.Candidates(dutyName)) },
 		Decisions:    g.Decisions,
 	}
 	g.AddTask("control", func(ctx context.Context) error { return elector.Run(ctx, g.runControlDuty) })
@@ -132,7 +132,7 @@
 	return &weight.PoolCoordinator{
 		Samplers:  &platform.SamplerClient{Holder: g.Process.Settings.GetName(), Timeout: g.Settings.GetStore().GetTimeout().AsDuration(), IdleTimeout: idleConnTimeout},
 		Pools:     g.samplerPools,
-		Loaded:    g.recordLoad,
+		OnLoaded:  g.recordLoad,
 		Decisions: g.Decisions,
 		Share:     maxLoadingShare,
 	}
@@ -171,14 +171,14 @@
 }
 
 func (g *Gateway) samplerPool(current *table.Table, pool *table.Pool) weight.Pool {
-	scheduled := weight.Pool{Name: pool.Name, Targets: map[string]weight.Target{}}
+	scheduled := weight.Pool{Name: pool.Name, Instances: map[string]weight.SamplerInstance{}}
 	for _, model := range pool.Models {
 		scheduled.Demand = append(scheduled.Demand, g.steps.Demand(model))
 	}
 	scheduled.DrainFirst = needsSingleVersion(current, pool.Name)
 	for _, entry := range g.roster.EntriesWithVersions(pool.Name) {
 		scheduled.Samplers = append(scheduled.Samplers, weight.SamplerState{ID: entry.ID, Zone: entry.Zone, StartedAtMillis: entry.StartedAtMillis, Slots: entry.Slots, Versions: entry.Versions})
-		scheduled.Targets[entry.ID] = weight.Target{ID: entry.ID, Address: entry.Address, StartedAtMillis: entry.StartedAtMillis}
+		scheduled.Instances[entry.ID] = weight.SamplerInstance{ID: entry.ID, Address: entry.Address, StartedAtMillis: entry.StartedAtMillis}
 	}
 	return scheduled
 }
--- a/internal/bramleyhatch/keeper.go
+++ b/internal/bramleyhatch/keeper.go
@@ -31,7 +31,7 @@
 	k.AddTask("texts", server.Run)
 	settings := k.Settings.GetStore()
 	store := &platform.Store{
-		Transport: &detour.Caller{Direct: &detour.Direct{Address: settings.GetAddress()}},
+		Transport: &detour.Transport{Direct: &detour.Direct{Address: settings.GetAddress()}},
 		Timeout:   settings.GetTimeout().AsDuration(),
 	}
 	session := k.addSession(store, gateway.PrefixKeeper, settings.GetLease().AsDuration())
--- a/internal/bramleyhatch/process.go
+++ b/internal/bramleyhatch/process.go
@@ -228,7 +228,7 @@
 		Register:    p.register,
 		Credentials: p.credentials(),
 		Options:     p.serverOptions(),
-		Listening:   func(address string) { peers <- address },
+		OnListening: func(address string) { peers <- address },
 	}
 	address, err := serve(ctx, peerServer, peers, p.Grace(), stopped)
 	if err != nil {
@@ -247,7 +247,7 @@
 		TLS:         p.callerTLS,
 		Certificate: p.Secure.GetCallerCertificate(),
 		Key:         p.Secure.GetCallerKey(),
-		Listening:   func(address string) { callers <- address },
+		OnListening: func(address string) { callers <- address },
 	}
 	address, err = serve(ctx, callerServer, callers, p.Grace(), stopped)
 	if err != nil {
--- a/internal/bramleyhatch/scaling.go
+++ b/internal/bramleyhatch/scaling.go
@@ -16,15 +16,15 @@
 	settings := g.Settings.GetDuty()
 	demands := &gateway.DemandCollector{Hosts: g.hosts, Own: g.peerServer}
 	counter := &fleet.Counter{
-		Platform:  client,
-		Pools:     func(ctx context.Context) []fleet.CountedPool { return g.scaledPools(ctx, demands) },
-		Decisions: g.Decisions,
-		Target:    settings.GetTarget(),
-		Slack:     settings.GetSlack(),
-		Interval:  settings.GetInterval().AsDuration(),
-		Lease:     settings.GetLease().AsDuration(),
-		Bound:     settings.GetOrder().AsDuration(),
-		Fenced:    settings.GetFenced(),
+		Platform:     client,
+		Pools:        func(ctx context.Context) []fleet.CountedPool { return g.scaledPools(ctx, demands) },
+		Decisions:    g.Decisions,
+		Target:       settings.GetTarget(),
+		Slack:        settings.GetSlack(),
+		Interval:     settings.GetInterval().AsDuration(),
+		Lease:        settings.GetLease().AsDuration(),
+		OrderTimeout: settings.GetOrder().AsDuration(),
+		Fenced:       settings.GetFenced(),
 	}
 	return counter.Run(ctx, term)
 }
@@ -53,7 +53,7 @@
 		census, need := g.roster.Census(pool.Name), needs[pool.Name]
 		need.Slots = census.Slots
 		pools = append(pools, fleet.CountedPool{
-			Name: pool.Name, Min: pool.Scale.Min, Max: pool.Scale.Max, StartupTime: pool.Scale.Boot,
+			Name: pool.Name, Min: pool.Scale.Min, Max: pool.Scale.Max, StartupTime: pool.Scale.StartupTime,
 			Present: census.Present, Need: need,
 		})
 	}
--- a/internal/bramleyhatch/sidecarbackend.go
+++ b/internal/bramleyhatch/sidecarbackend.go
@@ -38,7 +38,7 @@
 		Retention:         settings.GetRemember().AsDuration(),
 		HeartbeatInterval: settings.GetBeat().AsDuration(),
 	}
-	server.Open()
+	server.Init()
 	s.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterSidecarServer(registrar, server) })
 	s.AddTask("backend", server.Maintain)
 	s.AddTask("claim", server.Claims.Restore)
--- a/internal/bramleyhatch/sidecarusage.go
+++ b/internal/bramleyhatch/sidecarusage.go
@@ -18,12 +18,12 @@
 	server := &usage.Server{Ledger: &usage.Ledger{}, Counter: s.counter}
 	s.AddService(func(registrar grpc.ServiceRegistrar) { peerpb.RegisterUsageServer(registrar, server) })
 	pusher := &usage.Pusher{
-		Source:    s.counter,
-		Directory: s.members,
-		Peers:     &usage.GRPCPeers{Credentials: s.credentials()},
-		Interval:  settings.GetPush().AsDuration(),
-		Retain:    settings.GetRetain().AsDuration(),
-		Keep:      settings.GetKeep().AsDuration(),
+		Source:            s.counter,
+		Directory:         s.members,
+		Peers:             &usage.GRPCPeers{Credentials: s.credentials()},
+		Interval:          settings.GetPush().AsDuration(),
+		ReportedRetention: settings.GetRetain().AsDuration(),
+		MaxRetention:      settings.GetKeep().AsDuration(),
 	}
 	s.AddTask("usage", pusher.Run)
 }
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -73,7 +73,7 @@
 	hash := lists.HashKey(key)
 	c.ctx, c.cancel = context.WithCancelCause(ctx)
 	defer c.cancel(nil)
-	stop := c.handler.Grants.UntilWithdrawn(hash, c.withdraw)
+	stop := c.handler.Grants.OnWithdrawal(hash, c.withdraw)
 	defer stop()
 	grant, ok := c.handler.Grants.Grant(hash)
 	if !ok {
@@ -118,7 +118,7 @@
 
 // admit decides whether this process accepts new work, and whether the account's limits allow it.
 func (c *call) admit(tokens int64) (done func(used int64), err error) {
-	if c.handler.Isolated != nil && c.handler.Isolated(time.Now()) {
+	if c.handler.IsIsolated != nil && c.handler.IsIsolated(time.Now()) {
 		return nil, refusal.NotRun(http.StatusServiceUnavailable, "isolated",
 			"this entry hears neither the store nor most of its peers").WithRetryAfter(isolatedRetryAfter)
 	}
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -27,7 +27,7 @@
 // Grants looks up what keys allow.
 type Grants interface {
 	Grant(hash string) (lists.Grant, bool)
-	UntilWithdrawn(hash string, end func()) (stop func())
+	OnWithdrawal(hash string, end func()) (stop func())
 }
 
 var _ Grants = &lists.View{}
@@ -45,11 +45,11 @@
 	Runner Runner
 	// Admission enforces the limits of plans; nil means no limits.
 	Admission *Admission
-	// Isolated reports whether this process can't learn of changes elsewhere, such
+	// IsIsolated reports whether this process can't learn of changes elsewhere, such
 	// as withdrawn keys, and so accepts no new work; nil means never.
-	Isolated  func(now time.Time) bool
-	Decisions *decision.Log
-	Metrics   prometheus.Registerer
+	IsIsolated func(now time.Time) bool
+	Decisions  *decision.Log
+	Metrics    prometheus.Registerer
 	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
 	// Timeout limits the time of a request.
--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -75,7 +75,7 @@
 	view    *lists.View
 	runner  *fakeRunner
 	address string
-	// isolated is the result of Handler.Isolated.
+	// isolated is the result of Handler.IsIsolated.
 	isolated atomic.Bool
 }
 
@@ -94,7 +94,7 @@
 		Grants:       s.view,
 		Runner:       s.runner,
 		Admission:    &caller.Admission{Peers: member.NewMembers(&peerpb.Process{})},
-		Isolated:     func(time.Time) bool { return s.isolated.Load() },
+		IsIsolated:   func(time.Time) bool { return s.isolated.Load() },
 		Decisions:    &decision.Log{},
 		Metrics:      prometheus.NewRegistry(),
 		MaxBodyBytes: 4096,
@@ -103,11 +103,11 @@
 	handler.RegisterMetrics()
 	listening := make(chan string, 1)
 	server := &listen.HTTP{
-		Address:    "127.0.0.1:0",
-		Routes:     handler.Routes(),
-		NotFound:   http.HandlerFunc(handler.NotFound),
-		NotAllowed: http.HandlerFunc(handler.NotAllowed),
-		Listening:  func(address string) { listening <- address },
+		Address:     "127.0.0.1:0",
+		Routes:      handler.Routes(),
+		NotFound:    http.HandlerFunc(handler.NotFound),
+		NotAllowed:  http.HandlerFunc(handler.NotAllowed),
+		OnListening: func(address string) { listening <- address },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan error, 1)
--- a/internal/detour/detour.go
+++ b/internal/detour/detour.go
@@ -73,9 +73,9 @@
 	return "turned away with " + strconv.Itoa(e.Status) + " after a try without an answer"
 }
 
-// Caller makes calls directly, or through peers while direct calls fail. Exported
+// Transport makes calls directly, or through peers while direct calls fail. Exported
 // fields are set before the first call. It is safe for concurrent use.
-type Caller struct {
+type Transport struct {
 	Direct *Direct
 	// Peers is nil where there are none.
 	Peers Peers
@@ -96,22 +96,22 @@
 // calls only would lose its leases, its batches and updates on withdrawn keys though
 // every other gateway could make the calls for it. All writes are conditional, so one
 // that was applied without an answer may safely be sent again.
-func (c *Caller) Do(ctx context.Context, call Call) (Answer, error) {
-	c.once.Do(func() { c.calls = newCallCounter(c.Metrics) })
+func (t *Transport) Do(ctx context.Context, call Call) (Answer, error) {
+	t.once.Do(func() { t.calls = newCallCounter(t.Metrics) })
 	isOutcomeUnknown := false
-	if c.isDirectDown() {
-		if call.Probe && c.claimDirectCheck() {
-			go c.checkDirect(context.WithoutCancel(ctx), call)
+	if t.isDirectDown() {
+		if call.Probe && t.claimDirectCheck() {
+			go t.checkDirect(context.WithoutCancel(ctx), call)
 		}
-		answer, result := c.detour(ctx, call)
+		answer, result := t.detour(ctx, call)
 		if result == Answered {
 			return answer, nil
 		}
 		isOutcomeUnknown = result == OutcomeUnknown
 	}
-	answer, err := c.direct(ctx, call)
+	answer, err := t.direct(ctx, call)
 	if err == nil && !platform.IsRejected(answer.Status) {
-		c.markReachable()
+		t.markReachable()
 		return answer, nil
 	}
 	isOutcomeUnknown = isOutcomeUnknown || err != nil
@@ -119,8 +119,8 @@
 	if ctx.Err() != nil || errors.As(err, &longAnswer) {
 		return unknownIfRejected(answer, err, isOutcomeUnknown)
 	}
-	c.markUnreachable(call, answer.Status, err)
-	detoured, result := c.detour(ctx, call)
+	t.markUnreachable(call, answer.Status, err)
+	detoured, result := t.detour(ctx, call)
 	if result == Answered {
 		return unknownIfRejected(detoured, nil, isOutcomeUnknown)
 	}
@@ -137,49 +137,49 @@
 	return answer, err
 }
 
-func (c *Caller) direct(ctx context.Context, call Call) (Answer, error) {
-	answer, err := c.Direct.Do(ctx, call)
+func (t *Transport) direct(ctx context.Context, call Call) (Answer, error) {
+	answer, err := t.Direct.Do(ctx, call)
 	switch {
 	case err != nil:
-		c.calls.WithLabelValues(wayDirect, resultNoAnswer).Inc()
+		t.calls.WithLabelValues(wayDirect, resultNoAnswer).Inc()
 	case platform.IsRejected(answer.Status):
-		c.calls.WithLabelValues(wayDirect, resultRejected).Inc()
+		t.calls.WithLabelValues(wayDirect, resultRejected).Inc()
 	default:
-		c.calls.WithLabelValues(wayDirect, resultAnswered).Inc()
+		t.calls.WithLabelValues(wayDirect, resultAnswered).Inc()
 	}
 	return answer, err
 }
 
 // detour makes a call through another process.
-func (c *Caller) detour(ctx context.Context, call Call) (Answer, RelayResult) {
-	if c.Peers == nil {
+func (t *Transport) detour(ctx context.Context, call Call) (Answer, RelayResult) {
+	if t.Peers == nil {
 		return Answer{}, NotSent
 	}
-	answer, result := c.Peers.Detour(ctx, call)
+	answer, result := t.Peers.Detour(ctx, call)
 	if result == Answered {
-		c.calls.WithLabelValues(wayDetour, resultAnswered).Inc()
+		t.calls.WithLabelValues(wayDetour, resultAnswered).Inc()
 	} else {
-		c.calls.WithLabelValues(wayDetour, resultNoAnswer).Inc()
+		t.calls.WithLabelValues(wayDetour, resultNoAnswer).Inc()
 	}
 	return answer, result
 }
 
-func (c *Caller) isDirectDown() bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.directFailedAt != 0
+func (t *Transport) isDirectDown() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.directFailedAt != 0
 }
 
 // claimDirectCheck reports whether a direct check is due, and starts the next interval
 // if so.
-func (c *Caller) claimDirectCheck() bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+func (t *Transport) claimDirectCheck() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	now := clock.Now()
-	if now.Sub(c.directFailedAt) < directCheckInterval {
+	if now.Sub(t.directFailedAt) < directCheckInterval {
 		return false
 	}
-	c.directFailedAt = now
+	t.directFailedAt = now
 	return true
 }
 
@@ -187,27 +187,27 @@
 //
 // It runs in the background: a host that is cut off without an error spends the whole
 // timeout on each direct call, and so would callers of its batches.
-func (c *Caller) checkDirect(ctx context.Context, call Call) {
-	answer, err := c.Direct.exchange(ctx, call)
+func (t *Transport) checkDirect(ctx context.Context, call Call) {
+	answer, err := t.Direct.exchange(ctx, call)
 	if err == nil && !platform.IsRejected(answer.Status) {
-		c.markReachable()
+		t.markReachable()
 	}
 }
 
-func (c *Caller) markReachable() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.directFailedAt != 0 {
+func (t *Transport) markReachable() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.directFailedAt != 0 {
 		klog.InfoS("store: direct calls succeed again")
 	}
-	c.directFailedAt = 0
+	t.directFailedAt = 0
 }
 
-func (c *Caller) markUnreachable(call Call, status int, err error) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.directFailedAt == 0 {
+func (t *Transport) markUnreachable(call Call, status int, err error) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.directFailedAt == 0 {
 		klog.InfoS("store: direct calls fail", "call", call.Method+" "+call.Target, "status", status, "err", err)
 	}
-	c.directFailedAt = clock.Now()
+	t.directFailedAt = clock.Now()
 }
--- a/internal/detour/detour_test.go
+++ b/internal/detour/detour_test.go
@@ -41,9 +41,9 @@
 	return &Direct{Address: strings.TrimPrefix(server.URL, "http://")}, calls
 }
 
-func do(t *testing.T, caller *Caller) (Answer, error) {
+func do(t *testing.T, transport *Transport) (Answer, error) {
 	t.Helper()
-	return caller.Do(t.Context(), Call{Method: http.MethodGet, Target: "/x", Timeout: 300 * time.Millisecond})
+	return transport.Do(t.Context(), Call{Method: http.MethodGet, Target: "/x", Timeout: 300 * time.Millisecond})
 }
 
 // Guards against failed calls while the store rejects a gateway for seconds: they go
@@ -54,20 +54,20 @@
 	status.Store(http.StatusServiceUnavailable)
 	direct, calls := newStore(t, status)
 	peer := &fakePeers{result: Answered}
-	caller := &Caller{Direct: direct, Peers: peer}
+	transport := &Transport{Direct: direct, Peers: peer}
 	for range 10 {
-		answer, err := do(t, caller)
+		answer, err := do(t, transport)
 		must.NoError(t, err)
 		must.Eq(t, "by a peer", string(answer.Body))
 	}
 	must.Eq(t, 1, calls.Load())
 	must.Eq(t, 10, peer.calls.Load())
 	status.Store(http.StatusOK)
-	caller.directFailedAt = caller.directFailedAt.Add(-directCheckInterval)
-	_, err := caller.Do(t.Context(), Call{Method: http.MethodPost, Target: "/x", Timeout: 300 * time.Millisecond, Probe: true})
+	transport.directFailedAt = transport.directFailedAt.Add(-directCheckInterval)
+	_, err := transport.Do(t.Context(), Call{Method: http.MethodPost, Target: "/x", Timeout: 300 * time.Millisecond, Probe: true})
 	must.NoError(t, err)
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return !caller.isDirectDown() }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
-	_, err = do(t, caller)
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return !transport.isDirectDown() }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
+	_, err = do(t, transport)
 	must.NoError(t, err)
 	must.Eq(t, 11, peer.calls.Load())
 }
@@ -78,13 +78,13 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{result: Answered}}
-	_, err = do(t, caller)
+	transport := &Transport{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{result: Answered}}
+	_, err = do(t, transport)
 	must.NoError(t, err)
-	caller.directFailedAt = caller.directFailedAt.Add(-directCheckInterval)
+	transport.directFailedAt = transport.directFailedAt.Add(-directCheckInterval)
 	began := time.Now()
 	for range 5 {
-		_, err := do(t, caller)
+		_, err := do(t, transport)
 		must.NoError(t, err)
 	}
 	must.Less(t, 200*time.Millisecond, time.Since(began))
@@ -96,15 +96,15 @@
 	status.Store(http.StatusPreconditionFailed)
 	direct, _ := newStore(t, status)
 	peer := &fakePeers{result: Answered}
-	answer, err := do(t, &Caller{Direct: direct, Peers: peer})
+	answer, err := do(t, &Transport{Direct: direct, Peers: peer})
 	must.NoError(t, err)
 	must.Eq(t, http.StatusPreconditionFailed, answer.Status)
 	must.Eq(t, 0, peer.calls.Load())
 }
 
 func TestNoStoreAndNoPeer(t *testing.T) {
-	caller := &Caller{Direct: &Direct{Address: "127.0.0.1:1"}, Peers: &fakePeers{}}
-	_, err := do(t, caller)
+	transport := &Transport{Direct: &Direct{Address: "127.0.0.1:1"}, Peers: &fakePeers{}}
+	_, err := do(t, transport)
 	must.Error(t, err)
 }
 
@@ -120,16 +120,16 @@
 	rejecting, _ := newStore(t, status)
 	var unknown *OutcomeUnknownError
 	t.Run("direct without an answer, refused through a peer", func(t *testing.T) {
-		caller := &Caller{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{result: Answered, status: http.StatusServiceUnavailable}}
-		_, err := do(t, caller)
+		transport := &Transport{Direct: &Direct{Address: listener.Addr().String()}, Peers: &fakePeers{result: Answered, status: http.StatusServiceUnavailable}}
+		_, err := do(t, transport)
 		must.True(t, errors.As(err, &unknown))
 	})
 	t.Run("refused directly, without an answer through a peer", func(t *testing.T) {
-		_, err := do(t, &Caller{Direct: rejecting, Peers: &fakePeers{result: OutcomeUnknown}})
+		_, err := do(t, &Transport{Direct: rejecting, Peers: &fakePeers{result: OutcomeUnknown}})
 		must.True(t, errors.As(err, &unknown))
 	})
 	t.Run("refused on both ways", func(t *testing.T) {
-		answer, err := do(t, &Caller{Direct: rejecting, Peers: &fakePeers{result: NotSent}})
+		answer, err := do(t, &Transport{Direct: rejecting, Peers: &fakePeers{result: NotSent}})
 		must.NoError(t, err)
 		must.Eq(t, http.StatusServiceUnavailable, answer.Status)
 	})
@@ -177,11 +177,11 @@
 	}))
 	t.Cleanup(server.Close)
 	peer := &fakePeers{result: Answered}
-	caller := &Caller{Direct: &Direct{Address: strings.TrimPrefix(server.URL, "http://")}, Peers: peer}
-	_, err := do(t, caller)
+	transport := &Transport{Direct: &Direct{Address: strings.TrimPrefix(server.URL, "http://")}, Peers: peer}
+	_, err := do(t, transport)
 	var longAnswer *LongAnswerError
 	must.True(t, errors.As(err, &longAnswer))
-	must.False(t, caller.isDirectDown())
+	must.False(t, transport.isDirectDown())
 	must.Eq(t, 0, peer.calls.Load())
 }
 
--- a/internal/duty/elector.go
+++ b/internal/duty/elector.go
@@ -52,7 +52,7 @@
 	// PollInterval is the time between two polls of a duty that another process holds; 0 means
 	// half of the lease.
 	PollInterval time.Duration
-	// Rank returns this process's place among the candidates; nil means 0.
+	// Rank returns this process's position among the candidates; nil means 0.
 	Rank func() int
 	// OnHeld is called when the duty is acquired and released; it may be nil.
 	OnHeld    func(name string, held bool)
--- a/internal/duty/rank.go
+++ b/internal/duty/rank.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Rank returns the place of a process among the candidates for a duty, from 0. Each duty has
+// Rank returns the position of a process among the candidates for a duty, from 0. Each duty has
 // its own order (rendezvous hashing), so duties spread and a candidate that joins or leaves
 // moves few of them. A process that is not a candidate gets the number of candidates.
 func Rank(name, process string, candidates []string) int {
@@ -26,14 +26,14 @@
 	return rank
 }
 
-// Place returns the place of a process in an order of candidates, from 0. A process
+// Position returns the position of a process in an order of candidates, from 0. A process
 // that is not a candidate gets the number of candidates.
-func Place(process string, order []string) int {
-	place := slices.Index(order, process)
-	if place < 0 {
+func Position(process string, order []string) int {
+	position := slices.Index(order, process)
+	if position < 0 {
 		return len(order)
 	}
-	return place
+	return position
 }
 
 // Candidate is a process that may do a duty.
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -14,8 +14,8 @@
 	deliveryPollInterval = 20 * time.Millisecond
 )
 
-// Open starts to admit requests. It must be called once before serving.
-func (s *Server) Open() {
+// Init starts to admit requests. It must be called once before serving.
+func (s *Server) Init() {
 	s.metrics = newMetrics(s)
 	s.limiter.open(s.MaxRunning, s.MaxQueued)
 }
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -91,14 +91,14 @@
 // serveAs runs a sidecar behind service, which wraps it.
 func serveAs(t *testing.T, server *entry.Server, service peerpb.SidecarServer) peerpb.SidecarClient {
 	t.Helper()
-	server.Open()
+	server.Init()
 	ctx, cancel := context.WithCancel(context.Background())
 	address := make(chan string, 1)
 	stopped := make(chan error, 1)
 	grpcServer := &listen.GRPC{
-		Address:   "127.0.0.1:0",
-		Register:  func(registrar grpc.ServiceRegistrar) { peerpb.RegisterSidecarServer(registrar, service) },
-		Listening: func(chosen string) { address <- chosen },
+		Address:     "127.0.0.1:0",
+		Register:    func(registrar grpc.ServiceRegistrar) { peerpb.RegisterSidecarServer(registrar, service) },
+		OnListening: func(chosen string) { address <- chosen },
 	}
 	go func() { stopped <- grpcServer.Run(ctx, 10*time.Millisecond) }()
 	connection, err := listen.Dial(<-address, nil)
--- a/internal/entry/pool_test.go
+++ b/internal/entry/pool_test.go
@@ -94,14 +94,14 @@
 }
 
 func (p *pool) serve(id string, server *entry.Server) {
-	server.Open()
+	server.Init()
 	ctx, cancel := context.WithCancel(context.Background())
 	address := make(chan string, 1)
 	stopped := make(chan error, 1)
 	listener := &listen.GRPC{
-		Address:   "127.0.0.1:0",
-		Register:  func(registrar grpc.ServiceRegistrar) { peerpb.RegisterSidecarServer(registrar, server) },
-		Listening: func(chosen string) { address <- chosen },
+		Address:     "127.0.0.1:0",
+		Register:    func(registrar grpc.ServiceRegistrar) { peerpb.RegisterSidecarServer(registrar, server) },
+		OnListening: func(chosen string) { address <- chosen },
 	}
 	go func() { stopped <- listener.Run(ctx, time.Millisecond) }()
 	p.setAddress(id, <-address)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -49,7 +49,7 @@
 }
 
 // Server is the gRPC service for entries and other sidecars.
-// Exported fields must be set before Open.
+// Exported fields must be set before Init.
 type Server struct {
 	peerpb.UnimplementedSidecarServer
 
--- a/internal/fleet/capacity_test.go
+++ b/internal/fleet/capacity_test.go
@@ -88,7 +88,7 @@
 			Name: zone, Process: name, Platform: process, Members: members,
 			Sidecars: &sidecars{running: map[string]uint32{}, draining: map[string]bool{}},
 			Pools:    func() []*listpb.Pool { return nil },
-			Interval: time.Second, Lease: lease, OrderBound: bound, DrainBound: drainBound,
+			Interval: time.Second, Lease: lease, OrderTimeout: orderTimeout, DrainTimeout: drainTimeout,
 		}
 		rank := duty.Rank(fleet.DutyPrefix+zone, name, candidates)
 		elector := &duty.Elector{
--- a/internal/fleet/counter.go
+++ b/internal/fleet/counter.go
@@ -32,10 +32,10 @@
 	Slack  float64
 	// Interval is the time between rounds.
 	Interval time.Duration
-	// Lease is the length of the duty's lease, Bound the maximum time that an order
-	// may be in flight.
-	Lease time.Duration
-	Bound time.Duration
+	// Lease is the length of the duty's lease, OrderTimeout the maximum time that an
+	// order may be in flight.
+	Lease        time.Duration
+	OrderTimeout time.Duration
 	// Fenced is true if the platform refuses orders with an old fencing number.
 	Fenced bool
 }
@@ -43,7 +43,7 @@
 // Run performs the duty until its term ends. If the platform checks no fencing
 // number, the first order waits until none of an earlier term can be in flight.
 func (c *Counter) Run(ctx context.Context, term Term) error {
-	if !c.Fenced && !pause.For(ctx, c.Lease+c.Bound) {
+	if !c.Fenced && !pause.For(ctx, c.Lease+c.OrderTimeout) {
 		return nil
 	}
 	planner := &CountPlanner{Target: c.Target, Slack: c.Slack}
@@ -79,7 +79,7 @@
 }
 
 func (c *Counter) send(ctx context.Context, term Term, count Count) error {
-	ctx, cancel := context.WithTimeout(ctx, c.Bound)
+	ctx, cancel := context.WithTimeout(ctx, c.OrderTimeout)
 	defer cancel()
 	guard := func() error {
 		if !term.Valid(time.Now()) {
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -30,7 +30,7 @@
 }
 
 // drain stops a server once its sidecar reports no running or queued requests, or
-// after DrainBound.
+// after DrainTimeout.
 //
 // Stopping a server cuts off its running requests, so its sidecar is asked to drain
 // first. The request is repeated each round, as a restarted sidecar has lost it.
@@ -41,7 +41,7 @@
 	switch {
 	case isIdle(load):
 		return z.stop(ctx, server, "it is drained")
-	case waited >= z.DrainBound:
+	case waited >= z.DrainTimeout:
 		return z.stop(ctx, server, "it was not drained within the bound")
 	default:
 		return nil
--- a/internal/fleet/orders_test.go
+++ b/internal/fleet/orders_test.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	lease  = 10 * time.Second
-	margin = 3 * time.Second
-	bound  = 2 * time.Second
+	lease        = 10 * time.Second
+	margin       = 3 * time.Second
+	orderTimeout = 2 * time.Second
 	// maxUncheckedDelay is how long an order may be delayed after its last check if the
 	// receiver checks nothing; see docs/design/one-in-charge.md.
-	maxUncheckedDelay = lease + margin + bound
+	maxUncheckedDelay = lease + margin + orderTimeout
 )
 
 func newOrderer(fake *process, name string, term fleet.Term) *fleet.Orderer {
-	return &fleet.Orderer{Zone: "a", Process: name, Platform: fake, Term: term, Lease: lease, Bound: bound}
+	return &fleet.Orderer{Zone: "a", Process: name, Platform: fake, Term: term, Lease: lease, Bound: orderTimeout}
 }
 
 // runProcess is a candidate for the zone's duty and sends an order every two seconds of
--- a/internal/fleet/scale.go
+++ b/internal/fleet/scaler.go
@@ -15,12 +15,12 @@
 // before it counts as missing again.
 const startTimeout = time.Minute
 
-// Scale decides the number of servers of each pool in a zone. It has no clock and
+// Scaler decides the number of servers of each pool in a zone. It has no clock and
 // does no input or output. Exported fields are set before use.
 //
 // The holders of all zones' duties reach consistent decisions, each for its own zone,
 // as they see the same servers in the store and nearly the same loads.
-type Scale struct {
+type Scaler struct {
 	// Target, ScaleDownDelay and Slack are those of a Sizer.
 	Target         float64
 	ScaleDownDelay time.Duration
@@ -45,7 +45,7 @@
 
 // Share returns the target number of servers of a pool in the zone, and whether the
 // pool is sized in this zone at all.
-func (s *Scale) Share(now time.Time, pool *listpb.Pool, observed Observation) (int, bool) {
+func (s *Scaler) Share(now time.Time, pool *listpb.Pool, observed Observation) (int, bool) {
 	if pool.GetMax() <= 0 || !slices.Contains(pool.GetZones(), s.zone) {
 		return 0, false
 	}
@@ -55,7 +55,7 @@
 }
 
 // Missing returns the number of servers to start so that the zone has its share.
-func (s *Scale) Missing(now time.Time, pool string, share int, fleet *statepb.Fleet) int {
+func (s *Scaler) Missing(now time.Time, pool string, share int, fleet *statepb.Fleet) int {
 	known := map[string]bool{}
 	for _, server := range fleet.GetServers() {
 		known[server.GetId()] = true
@@ -74,7 +74,7 @@
 }
 
 // RecordOrdered records that a server was ordered, as the platform's list may lag.
-func (s *Scale) RecordOrdered(now time.Time, pool, server string) {
+func (s *Scaler) RecordOrdered(now time.Time, pool, server string) {
 	if s.orderedAt[pool] == nil {
 		s.orderedAt[pool] = map[string]time.Time{}
 	}
@@ -83,7 +83,7 @@
 
 // Surplus returns the servers of the zone in excess of its share: first those that
 // don't serve yet, then the least loaded.
-func (s *Scale) Surplus(share int, observed Observation) []string {
+func (s *Scaler) Surplus(share int, observed Observation) []string {
 	var active []*statepb.Server
 	for _, server := range observed.Fleet.GetServers() {
 		if server.GetZone() == s.zone && isActive(server) {
@@ -104,7 +104,7 @@
 }
 
 // Begin sets the zone and discards the state of an earlier term.
-func (s *Scale) Begin(zone string) {
+func (s *Scaler) Begin(zone string) {
 	s.zone = zone
 	s.sizers = map[string]*Sizer{}
 	s.unreachableSince = map[string]time.Time{}
@@ -112,7 +112,7 @@
 }
 
 // presentServers counts a pool's servers in each zone that is not lost.
-func (s *Scale) presentServers(now time.Time, pool *listpb.Pool, observed Observation) map[string]int {
+func (s *Scaler) presentServers(now time.Time, pool *listpb.Pool, observed Observation) map[string]int {
 	counts := map[string]int{}
 	for _, server := range observed.Fleet.GetServers() {
 		if isActive(server) {
@@ -131,7 +131,7 @@
 // isLost reports whether a zone with servers has had no known process for
 // ZoneLossTimeout. A new holder knows no processes at first, so the time counts from its
 // first observation.
-func (s *Scale) isLost(now time.Time, zone string, servers int, observed Observation) bool {
+func (s *Scaler) isLost(now time.Time, zone string, servers int, observed Observation) bool {
 	if zone == s.zone || servers == 0 || observed.ReachableZones[zone] {
 		delete(s.unreachableSince, zone)
 		return false
@@ -142,7 +142,7 @@
 	return now.Sub(s.unreachableSince[zone]) >= s.ZoneLossTimeout
 }
 
-func (s *Scale) sizer(now time.Time, pool *listpb.Pool, present map[string]int) *Sizer {
+func (s *Scaler) sizer(now time.Time, pool *listpb.Pool, present map[string]int) *Sizer {
 	sizer := s.sizers[pool.GetName()]
 	if sizer == nil {
 		sizer = &Sizer{Target: s.Target, ScaleDownDelay: s.ScaleDownDelay, Slack: s.Slack}
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scaler_test.go
@@ -14,11 +14,11 @@
 
 var scalePool = listpb.Pool_builder{Name: "p", Zones: []string{"a", "b"}, Min: 2, Max: 8}.Build()
 
-func newScale(t *testing.T) *fleet.Scale {
+func newScaler(t *testing.T) *fleet.Scaler {
 	t.Helper()
-	scale := &fleet.Scale{Target: 0.75, ScaleDownDelay: time.Minute, Slack: 0, ZoneLossTimeout: time.Minute}
-	scale.Begin("a")
-	return scale
+	scaler := &fleet.Scaler{Target: 0.75, ScaleDownDelay: time.Minute, Slack: 0, ZoneLossTimeout: time.Minute}
+	scaler.Begin("a")
+	return scaler
 }
 
 // newObservation returns servers in zones a and b, each with a number of running requests.
@@ -36,52 +36,52 @@
 	return fleet.Observation{Fleet: state, ReachableZones: map[string]bool{"a": true, "b": true}, Load: func(string) *peerpb.Load { return load }}
 }
 
-func mustShare(t *testing.T, scale *fleet.Scale, now time.Time, observed fleet.Observation, want int) {
+func mustShare(t *testing.T, scaler *fleet.Scaler, now time.Time, observed fleet.Observation, want int) {
 	t.Helper()
-	share, isSized := scale.Share(now, scalePool, observed)
+	share, isSized := scaler.Share(now, scalePool, observed)
 	must.True(t, isSized)
 	must.Eq(t, want, share)
 }
 
 func TestScaleFollowsLoad(t *testing.T) {
-	scale, now := newScale(t), time.Unix(1000, 0)
-	mustShare(t, scale, now, newObservation(1, 1, 7), 1)
-	mustShare(t, scale, now, newObservation(1, 1, 15), 2)
-	must.Eq(t, 1, scale.Missing(now, "p", 2, newObservation(1, 1, 15).Fleet))
+	scaler, now := newScaler(t), time.Unix(1000, 0)
+	mustShare(t, scaler, now, newObservation(1, 1, 7), 1)
+	mustShare(t, scaler, now, newObservation(1, 1, 15), 2)
+	must.Eq(t, 1, scaler.Missing(now, "p", 2, newObservation(1, 1, 15).Fleet))
 }
 
 // A new holder that knows no loads would consider the pool idle and drain half of it,
 // cutting off requests. It must keep the servers until ScaleDownDelay has passed.
 func TestScaleOfNewHolderKeepsServers(t *testing.T) {
-	scale, now := newScale(t), time.Unix(1000, 0)
+	scaler, now := newScaler(t), time.Unix(1000, 0)
 	observed := newObservation(3, 3, 0)
 	observed.Load = func(string) *peerpb.Load { return nil }
-	mustShare(t, scale, now, observed, 3)
-	mustShare(t, scale, now.Add(59*time.Second), observed, 3)
-	mustShare(t, scale, now.Add(2*time.Minute), observed, 1)
-	must.Len(t, 2, scale.Surplus(1, observed))
+	mustShare(t, scaler, now, observed, 3)
+	mustShare(t, scaler, now.Add(59*time.Second), observed, 3)
+	mustShare(t, scaler, now.Add(2*time.Minute), observed, 1)
+	must.Len(t, 2, scaler.Surplus(1, observed))
 }
 
 // A zone goes down. Its servers stay in the platform's list, but none of its processes
 // is known any more. After ZoneLossTimeout its share must move to the other zone.
 func TestScaleReplacesLostZone(t *testing.T) {
-	scale, now := newScale(t), time.Unix(1000, 0)
+	scaler, now := newScaler(t), time.Unix(1000, 0)
 	observed := newObservation(2, 2, 7)
-	mustShare(t, scale, now, observed, 2)
+	mustShare(t, scaler, now, observed, 2)
 	observed.ReachableZones = map[string]bool{"a": true}
-	mustShare(t, scale, now, observed, 2)
-	mustShare(t, scale, now.Add(61*time.Second), observed, 4)
+	mustShare(t, scaler, now, observed, 2)
+	mustShare(t, scaler, now.Add(61*time.Second), observed, 4)
 	observed.ReachableZones = map[string]bool{"a": true, "b": true}
-	mustShare(t, scale, now.Add(62*time.Second), observed, 2)
+	mustShare(t, scaler, now.Add(62*time.Second), observed, 2)
 }
 
 // The platform's list lags and doesn't yet contain an ordered server. If each round
 // ordered it again, a pool that lacks one server would get ten.
 func TestScaleOrdersOnce(t *testing.T) {
-	scale, now := newScale(t), time.Unix(1000, 0)
+	scaler, now := newScaler(t), time.Unix(1000, 0)
 	observed := newObservation(1, 1, 7)
-	must.Eq(t, 1, scale.Missing(now, "p", 2, observed.Fleet))
-	scale.RecordOrdered(now, "p", "new")
-	must.Eq(t, 0, scale.Missing(now, "p", 2, observed.Fleet))
-	must.Eq(t, 1, scale.Missing(now.Add(2*time.Minute), "p", 2, observed.Fleet))
+	must.Eq(t, 1, scaler.Missing(now, "p", 2, observed.Fleet))
+	scaler.RecordOrdered(now, "p", "new")
+	must.Eq(t, 0, scaler.Missing(now, "p", 2, observed.Fleet))
+	must.Eq(t, 1, scaler.Missing(now.Add(2*time.Minute), "p", 2, observed.Fleet))
 }
--- a/internal/fleet/zone.go
+++ b/internal/fleet/zone.go
@@ -47,15 +47,15 @@
 	// Pools returns the pools of the lists.
 	Pools func() []*listpb.Pool
 	// Scale decides the number of servers of each pool in the zone.
-	Scale Scale
+	Scale Scaler
 	// Interval is the time between rounds.
 	Interval time.Duration
 	// Lease is the length of the duty's lease.
 	Lease time.Duration
-	// OrderBound is the maximum time that an order may be in flight.
-	OrderBound time.Duration
-	// DrainBound is the maximum wait for a server to drain.
-	DrainBound time.Duration
+	// OrderTimeout is the maximum time that an order may be in flight.
+	OrderTimeout time.Duration
+	// DrainTimeout is the maximum wait for a server to drain.
+	DrainTimeout time.Duration
 
 	orderer *Orderer
 	// knownPools are the pools of the lists and those that had a server in the zone.
@@ -75,7 +75,7 @@
 		Term:      term,
 		Decisions: z.Decisions,
 		Lease:     z.Lease,
-		Bound:     z.OrderBound,
+		Bound:     z.OrderTimeout,
 	}
 	if err := z.orderer.Begin(ctx); err != nil {
 		return err
--- a/internal/fleet/zone_test.go
+++ b/internal/fleet/zone_test.go
@@ -19,7 +19,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-const drainBound = time.Minute
+const drainTimeout = time.Minute
 
 // sidecars is a fake of the sidecars of all servers.
 type sidecars struct {
@@ -63,16 +63,16 @@
 		fake.servers[server] = platform.Server{ID: server, Pool: "m", Zone: "a", State: "live"}
 	}
 	return &zoneFixture{fakePlatform: fake, members: members, sidecars: sidecars, duty: &fleet.Zone{
-		Name:       "a",
-		Process:    "e1",
-		Platform:   &process{fakePlatform: fake},
-		Members:    &processes{Members: members},
-		Sidecars:   sidecars,
-		Pools:      func() []*listpb.Pool { return nil },
-		Interval:   time.Second,
-		Lease:      lease,
-		OrderBound: bound,
-		DrainBound: drainBound,
+		Name:         "a",
+		Process:      "e1",
+		Platform:     &process{fakePlatform: fake},
+		Members:      &processes{Members: members},
+		Sidecars:     sidecars,
+		Pools:        func() []*listpb.Pool { return nil },
+		Interval:     time.Second,
+		Lease:        lease,
+		OrderTimeout: orderTimeout,
+		DrainTimeout: drainTimeout,
 	}}
 }
 
@@ -164,7 +164,7 @@
 		zone.sidecars.run("s1", 1)
 		zone.start(t)
 		zone.markHostLeaving()
-		waitRounds(int(drainBound/time.Second) - 2)
+		waitRounds(int(drainTimeout/time.Second) - 2)
 		must.Len(t, 0, zone.arrivedOrders())
 		waitRounds(4)
 		must.Len(t, 1, zone.arrivedOrders())
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -48,7 +48,7 @@
 		forwarder: f,
 		request:   request,
 		pool:      request.Route.Pool(rand.Float64()),
-		policy:    policy{attempts: request.Route.Attempts, repeatable: request.isRepeatable(), latencyTarget: request.Route.LatencyTarget},
+		policy:    policy{maxAttempts: request.Route.MaxAttempts, repeatable: request.isRepeatable(), latencyTarget: request.Route.LatencyTarget},
 		tried:     map[string]bool{},
 	}
 	ctx, cancel := context.WithTimeout(ctx, request.left())
@@ -103,7 +103,7 @@
 func (r *run) resetTried(ctx context.Context, last error) (bool, error) {
 	if last == nil {
 		klog.InfoS("route: no server available", "id", r.request.ID, "pool", r.pool)
-		r.forwarder.Roster.RecordRefusal(r.pool)
+		r.forwarder.Roster.RecordNoRoom(r.pool)
 		return false, refusal.NotRun(http.StatusServiceUnavailable, "no_server", "no backend server of the pool gets work").WithRetryAfter(noServerRetryAfter)
 	}
 	if !refusal.IsNotRun(last) || r.request.left() < 2*retryDelay {
@@ -159,8 +159,8 @@
 		return
 	}
 	r.received = true
-	if r.request.OnBegan != nil {
-		r.request.OnBegan()
+	if r.request.OnReceived != nil {
+		r.request.OnReceived()
 	}
 }
 
@@ -185,7 +185,7 @@
 	if answer.StatusCode == http.StatusInternalServerError && r.request.OnFailed != nil {
 		r.request.OnFailed()
 	}
-	if answer.StatusCode >= http.StatusInternalServerError && r.policy.repeatable && r.policy.executions+1 < r.policy.attempts {
+	if answer.StatusCode >= http.StatusInternalServerError && r.policy.repeatable && r.policy.executions+1 < r.policy.maxAttempts {
 		_ = answer.Body.Close()
 		return nil, refusal.Unknown(http.StatusBadGateway, backend.CodeFailed, "%s answered %d", server.Name(), answer.StatusCode)
 	}
@@ -229,7 +229,7 @@
 		refused.Status = http.StatusGatewayTimeout
 	}
 	if refused.Code == backend.CodeFull {
-		r.forwarder.Roster.RecordRefusal(r.pool)
+		r.forwarder.Roster.RecordNoRoom(r.pool)
 	}
 	klog.InfoS("route: request refused", "id", r.request.ID, "status", refused.Status, "code", refused.Code, "tried", len(r.tried), "left", r.request.left(), "at", clock.Now())
 	return &refused
--- a/internal/forward/policy.go
+++ b/internal/forward/policy.go
@@ -13,8 +13,8 @@
 
 // policy decides on the attempts of one request. It does no I/O.
 type policy struct {
-	// attempts is the maximum number of servers that may run the request.
-	attempts int
+	// maxAttempts is the maximum number of servers that may run the request.
+	maxAttempts int
 	// repeatable is true if the request may run more than once.
 	repeatable    bool
 	latencyTarget time.Duration
@@ -28,7 +28,7 @@
 // readTimeout returns how long the next attempt may go without an answer. The last attempt
 // gets all the remaining time; an earlier one leaves a share for the others.
 func (p *policy) readTimeout(left time.Duration) time.Duration {
-	attemptsLeft := p.attempts - p.executions
+	attemptsLeft := p.maxAttempts - p.executions
 	if attemptsLeft <= 1 || !p.repeatable {
 		return left
 	}
@@ -52,5 +52,5 @@
 	if p.mayHaveRun && !p.repeatable {
 		return false
 	}
-	return p.executions < p.attempts
+	return p.executions < p.maxAttempts
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -22,8 +22,8 @@
 	// OnFailed, if not nil, is called for each answer in which a backend server reports that
 	// the request failed there.
 	OnFailed func()
-	// OnBegan, if not nil, is called when the first backend server has received the request.
-	OnBegan func()
+	// OnReceived, if not nil, is called when the first backend server has received the request.
+	OnReceived func()
 }
 
 // isRepeatable reports whether the request may run more than once.
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -76,8 +76,8 @@
 
 // Formats decodes and encodes the bodies of trainers' calls.
 type Formats struct {
-	ReadBatch     func(id string, text []byte) (*statepb.Batch, error)
-	WriteOutcomes func(total, after uint64, outcomes []*statepb.Outcome) ([]byte, error)
+	ReadBatch      func(id string, text []byte) (*statepb.Batch, error)
+	EncodeOutcomes func(total, after uint64, outcomes []*statepb.Outcome) ([]byte, error)
 }
 
 // Handler serves callers and trainers. Exported fields are set before the first request.
@@ -178,8 +178,8 @@
 // readBody reads the request body, up to the configured limit.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	maxBytes := int64(defaultMaxBodyBytes)
-	if current := h.View.Current(); current != nil && current.Limits.BodyBytes > 0 {
-		maxBytes = current.Limits.BodyBytes
+	if current := h.View.Current(); current != nil && current.Limits.MaxBodyBytes > 0 {
+		maxBytes = current.Limits.MaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	var large *http.MaxBytesError
@@ -240,7 +240,7 @@
 		Deadline: admitted.began.Add(h.requestTimeout(r, admitted.route)),
 	}
 	if h.CountStart != nil && admitted.account.Name != "" {
-		request.OnBegan = func() { h.CountStart(admitted.account.Name, admitted.route.Name) }
+		request.OnReceived = func() { h.CountStart(admitted.account.Name, admitted.route.Name) }
 	}
 	answer, err := h.Forwarder.Run(r.Context(), request)
 	if err != nil {
@@ -283,7 +283,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := h.Formats.WriteOutcomes(page.Total, call.After, page.Outcomes)
+	text, err := h.Formats.EncodeOutcomes(page.Total, call.After, page.Outcomes)
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/keepers.go
+++ b/internal/gateway/keepers.go
@@ -55,8 +55,8 @@
 	// Losses is the number of hosts that may be lost at once. Texts have one replica
 	// more, so that they survive the loss of all gateways and that many disks.
 	Losses int
-	// Retired reports whether a keeper is being emptied: it gets no more texts.
-	Retired func(keeper string) bool
+	// IsEmptying reports whether a keeper is being emptied: it gets no more texts.
+	IsEmptying func(keeper string) bool
 
 	mutex sync.Mutex
 	// holders are the keepers that have all texts of a batch, by batch.
@@ -150,7 +150,7 @@
 // As long as one of its keepers answers, a batch gets no other: sending all its texts
 // again for each keeper that comes and goes would saturate the owner's link.
 func (k *Keepers) choose(id string) []keeperClient {
-	clients := slices.DeleteFunc(k.clients(), func(keeper keeperClient) bool { return k.Retired(keeper.name) })
+	clients := slices.DeleteFunc(k.clients(), func(keeper keeperClient) bool { return k.IsEmptying(keeper.name) })
 	answering := slices.DeleteFunc(slices.Clone(clients), func(keeper keeperClient) bool { return k.hasFailedRecently(keeper.name) })
 	if len(answering) == 0 {
 		return clients[:min(len(clients), 1)]
--- a/internal/gateway/keepers_test.go
+++ b/internal/gateway/keepers_test.go
@@ -39,7 +39,7 @@
 		must.NoError(t, err)
 		hosts.ApplyChanges([]platform.Value{{Key: PrefixKeeper + name, Data: data, Revision: 1}})
 	}
-	return running, &Keepers{Hosts: hosts, Zone: zones[0], Retired: func(string) bool { return false }}
+	return running, &Keepers{Hosts: hosts, Zone: zones[0], IsEmptying: func(string) bool { return false }}
 }
 
 func startKeeper(t *testing.T) (*keeperHost, string) {
@@ -48,9 +48,9 @@
 	must.NoError(t, host.Open())
 	address := make(chan string, 1)
 	server := &listen.GRPC{
-		Address:   "127.0.0.1:0",
-		Register:  func(registrar grpc.ServiceRegistrar) { peerpb.RegisterKeeperServer(registrar, host.Server) },
-		Listening: func(listening string) { address <- listening },
+		Address:     "127.0.0.1:0",
+		Register:    func(registrar grpc.ServiceRegistrar) { peerpb.RegisterKeeperServer(registrar, host.Server) },
+		OnListening: func(listening string) { address <- listening },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -97,7 +97,7 @@
 		return false, nil
 	}
 	reply, err := client.HandOver(ctx, peerpb.HandOverRequest_builder{
-		Batch: state.Batch, Owner: state.Owner.Revision, Open: state.Open, Listed: state.Listed, Pending: state.Pending, Partials: state.Partials,
+		Batch: state.Batch, Owner: state.Ownership.Revision, Open: state.OpenRevision, Listed: state.Listed, Pending: state.Pending, Partials: state.Partials,
 	}.Build())
 	return reply.GetTaken(), err
 }
@@ -130,7 +130,7 @@
 // HandOver takes over a batch of another gateway.
 func (s *Server) HandOver(ctx context.Context, request *peerpb.HandOverRequest) (*peerpb.HandOverReply, error) {
 	taken, err := s.Board.TakeHandover(context.WithoutCancel(ctx), batch.Handover{
-		Batch: request.GetBatch(), Owner: batch.Ownership{Revision: request.GetOwner()}, Open: request.GetOpen(),
+		Batch: request.GetBatch(), Ownership: batch.Ownership{Revision: request.GetOwner()}, OpenRevision: request.GetOpen(),
 		Listed: request.GetListed(), Pending: request.GetPending(), Partials: request.GetPartials(),
 	})
 	if err != nil {
--- a/internal/gateway/scorer.go
+++ b/internal/gateway/scorer.go
@@ -81,7 +81,7 @@
 		Deadline: clock.Now().Add(routeTimeout(route)),
 	})
 	if err != nil && failures > 0 {
-		return "", &batch.ScoreError{Failures: failures, MaxFailures: route.Attempts}
+		return "", &batch.ScoreError{Failures: failures, MaxFailures: route.MaxAttempts}
 	}
 	if err != nil {
 		return "", err
@@ -92,7 +92,7 @@
 		return proof, nil
 	}
 	if failures > 0 {
-		return "", &batch.ScoreError{Failures: failures, MaxFailures: route.Attempts}
+		return "", &batch.ScoreError{Failures: failures, MaxFailures: route.MaxAttempts}
 	}
 	return "", refusal.Unknown(http.StatusBadGateway, "not_judged", "the scorer answered %d without a whole proof", answer.StatusCode)
 }
@@ -110,7 +110,7 @@
 		}
 		return batch.Route{
 			Pool:  route.Pool(table.HashFraction(accepted.GetId())),
-			Rules: batch.Rules{Attempts: route.Attempts, GiveUpAfter: route.GiveUpAfter, SingleVersion: route.SingleVersion},
+			Rules: batch.Rules{MaxFailures: route.MaxAttempts, GiveUpAfter: route.GiveUpAfter, SingleVersion: route.SingleVersion},
 		}, true
 	}
 }
--- a/internal/listen/client.go
+++ b/internal/listen/client.go
@@ -33,8 +33,8 @@
 type ClientOptions struct {
 	// TLS is nil for the system's settings.
 	TLS *tls.Config
-	// Idle is how long an unused connection is kept; 0 means 30 s.
-	Idle time.Duration
+	// IdleTimeout is how long an unused connection is kept; 0 means 30 s.
+	IdleTimeout time.Duration
 }
 
 // ClientWithOptions returns a Client with options.
@@ -42,8 +42,8 @@
 	setupOnce.Do(setup)
 	logx.SetWriter(klogWriter{})
 	breaker.NoBreakerFor(name)
-	if options.Idle == 0 {
-		options.Idle = defaultIdleTimeout
+	if options.IdleTimeout == 0 {
+		options.IdleTimeout = defaultIdleTimeout
 	}
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepaliveTime}
 	client := &http.Client{
@@ -51,7 +51,7 @@
 			DialContext:         dialer.DialContext,
 			TLSClientConfig:     options.TLS,
 			MaxIdleConnsPerHost: maxIdleConnections,
-			IdleConnTimeout:     options.Idle,
+			IdleConnTimeout:     options.IdleTimeout,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
--- a/internal/listen/grpc.go
+++ b/internal/listen/grpc.go
@@ -47,8 +47,8 @@
 	Options []grpc.ServerOption
 	// Register registers the services.
 	Register func(grpc.ServiceRegistrar)
-	// Listening is called once with the actual address.
-	Listening func(address string)
+	// OnListening is called once with the actual address.
+	OnListening func(address string)
 }
 
 // Run serves until the context ends, then waits for open calls for up to grace.
@@ -58,8 +58,8 @@
 		return &Error{Address: g.Address, Problem: err.Error()}
 	}
 	server := g.build()
-	if g.Listening != nil {
-		g.Listening(listener.Addr().String())
+	if g.OnListening != nil {
+		g.OnListening(listener.Addr().String())
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
--- a/internal/listen/http.go
+++ b/internal/listen/http.go
@@ -60,8 +60,8 @@
 	TLS         *tls.Config
 	Certificate string
 	Key         string
-	// Listening is called once with the actual address.
-	Listening func(address string)
+	// OnListening is called once with the actual address.
+	OnListening func(address string)
 
 	mutex  sync.Mutex
 	server *http.Server
@@ -133,8 +133,8 @@
 		// http.Server passes its listener to BaseContext, the only way to get the port that
 		// the system chose.
 		s.BaseContext = func(listener net.Listener) context.Context {
-			if h.Listening != nil {
-				h.Listening(listener.Addr().String())
+			if h.OnListening != nil {
+				h.OnListening(listener.Addr().String())
 			}
 			return context.Background()
 		}
--- a/internal/lists/distribution_test.go
+++ b/internal/lists/distribution_test.go
@@ -110,7 +110,7 @@
 func TestWatchesOnlyInCharge(t *testing.T) {
 	store := &platformtest.Store{}
 	asked := make(chan bool, 1)
-	watcher := &lists.Watcher{Store: store, Offer: newMembers().Offer, Wait: shortWait, InCharge: func() bool {
+	watcher := &lists.Watcher{Store: store, Offer: newMembers().Offer, Wait: shortWait, IsResponsible: func() bool {
 		select {
 		case asked <- true:
 		default:
@@ -138,7 +138,7 @@
 
 	store.SetUnavailable(true)
 	members.Withdraw(peerpb.Withdrawal_builder{Key: hash, Operator: "bob"}.Build())
-	syncer := &lists.WithdrawalSyncer{Members: members, Editor: editor, InCharge: func() bool { return true }, Interval: shortWait}
+	syncer := &lists.WithdrawalSyncer{Members: members, Editor: editor, IsResponsible: func() bool { return true }, Interval: shortWait}
 	run(t, syncer.Run)
 	_, granted := view.Grant(hash)
 	must.False(t, granted)
--- a/internal/lists/view.go
+++ b/internal/lists/view.go
@@ -106,9 +106,9 @@
 	v.activate(newSnapshot(config, fact.GetRevision()))
 }
 
-// UntilWithdrawn calls end once the key with this hash has no grant any more, so that
+// OnWithdrawal calls end once the key with this hash has no grant any more, so that
 // running streams end too. The returned function unregisters end.
-func (v *View) UntilWithdrawn(hash string, end func()) (stop func()) {
+func (v *View) OnWithdrawal(hash string, end func()) (stop func()) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if v.watchers == nil {
--- a/internal/lists/watch.go
+++ b/internal/lists/watch.go
@@ -32,10 +32,10 @@
 	Prefix string
 	// Offer publishes a fact.
 	Offer func(*peerpb.Fact) bool
-	// InCharge reports whether this process has to watch now: a few entries of each
+	// IsResponsible reports whether this process has to watch now: a few entries of each
 	// zone do, so that the load on the store doesn't grow with the number of
 	// processes. nil always watches.
-	InCharge func() bool
+	IsResponsible func() bool
 	// Wait bounds the duration of one watch; 0 means 5 s.
 	Wait time.Duration
 }
@@ -47,7 +47,7 @@
 // the next one. During a store outage the watcher keeps retrying.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if w.InCharge != nil && !w.InCharge() {
+		if w.IsResponsible != nil && !w.IsResponsible() {
 			pause.For(ctx, min(idleInterval, cmp.Or(w.Wait, defaultWait)))
 			continue
 		}
--- a/internal/lists/withdrawalsyncer.go
+++ b/internal/lists/withdrawalsyncer.go
@@ -43,8 +43,8 @@
 	Members Withdrawals
 	// Editor writes to the store; nil only drops withdrawals, as sidecars do.
 	Editor Withdrawer
-	// InCharge reports whether this process has to write to the store now.
-	InCharge func() bool
+	// IsResponsible reports whether this process has to write to the store now.
+	IsResponsible func() bool
 	// Interval is the time between two rounds; 0 means 1 s.
 	Interval time.Duration
 }
@@ -53,7 +53,7 @@
 func (s *WithdrawalSyncer) Run(ctx context.Context) error {
 	for pause.For(ctx, jitter(cmp.Or(s.Interval, syncInterval))) {
 		pending := s.dropStored()
-		if len(pending) == 0 || s.Editor == nil || !s.InCharge() {
+		if len(pending) == 0 || s.Editor == nil || !s.IsResponsible() {
 			continue
 		}
 		revision, err := s.Editor.Withdraw(ctx, pending[:min(maxWithdrawalsPerWrite, len(pending))])
--- a/internal/measure/loads.go
+++ b/internal/measure/loads.go
@@ -234,7 +234,7 @@
 	}
 	slices.SortFunc(step.waiting, func(a, b *loadsGeneration) int { return cmp.Compare(b.estimate, a.estimate) })
 	t.open = append(t.open, step)
-	r.steps.Open(fmt.Sprint(t.model, step.number), weight.Step{Model: t.model, Oldest: minVersion(step.number), Runs: t.stepSize})
+	r.steps.Open(fmt.Sprint(t.model, step.number), weight.Step{Model: t.model, MinVersion: minVersion(step.number), Runs: t.stepSize})
 }
 
 // minVersion returns the oldest version that a step accepts.
--- a/internal/member/fixture_test.go
+++ b/internal/member/fixture_test.go
@@ -55,9 +55,9 @@
 	running, stopRunning := context.WithCancel(context.Background())
 	listening := make(chan string, 1)
 	server := &listen.GRPC{
-		Address:   "127.0.0.1:0",
-		Register:  func(registrar grpc.ServiceRegistrar) { peerpb.RegisterMemberServer(registrar, exchanger) },
-		Listening: func(address string) { listening <- address },
+		Address:     "127.0.0.1:0",
+		Register:    func(registrar grpc.ServiceRegistrar) { peerpb.RegisterMemberServer(registrar, exchanger) },
+		OnListening: func(address string) { listening <- address },
 	}
 	served, ran := make(chan error, 1), make(chan error, 1)
 	go func() { served <- server.Run(serving, 0) }()
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -122,7 +122,7 @@
 	_, granted := f.view.Grant(hash)
 	must.True(t, granted)
 	ended := false
-	stop := f.view.UntilWithdrawn(hash, func() { ended = true })
+	stop := f.view.OnWithdrawal(hash, func() { ended = true })
 	defer stop()
 
 	f.store.SetUnavailable(true)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -25,7 +25,7 @@
 // Error names the key.
 func (e *OverwrittenError) Error() string { return "record: another process has changed " + e.Key }
 
-// Record reads and writes one value. Exported fields are set before Load. It is
+// Record reads and writes one value. Exported fields are set before Read. It is
 // not safe for concurrent use.
 type Record struct {
 	Store Store
@@ -42,8 +42,8 @@
 // IsSettled reports whether the outcome of every write is known.
 func (r *Record) IsSettled() bool { return r.unacknowledged == nil }
 
-// Load reads the value; nil if there is none.
-func (r *Record) Load(ctx context.Context) ([]byte, error) {
+// Read reads the value; nil if there is none.
+func (r *Record) Read(ctx context.Context) ([]byte, error) {
 	value, err := r.get(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/rollout/entries_test.go
+++ b/internal/rollout/entries_test.go
@@ -98,9 +98,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	listening := make(chan string, 1)
 	server := &listen.GRPC{
-		Address:   "127.0.0.1:0",
-		Register:  func(registrar grpc.ServiceRegistrar) { peerpb.RegisterStepServer(registrar, e.service) },
-		Listening: func(address string) { listening <- address },
+		Address:     "127.0.0.1:0",
+		Register:    func(registrar grpc.ServiceRegistrar) { peerpb.RegisterStepServer(registrar, e.service) },
+		OnListening: func(address string) { listening <- address },
 	}
 	var group sync.WaitGroup
 	group.Go(func() { _ = server.Run(ctx, 0) })
--- a/internal/rollout/interleaving_test.go
+++ b/internal/rollout/interleaving_test.go
@@ -169,7 +169,7 @@
 		i.replicator.replicas["x"] = &Replicas{}
 	}
 	next := &actor{record: &record.Record{Store: i.store, Key: "step"}}
-	data, err := next.record.Load(context.Background())
+	data, err := next.record.Read(context.Background())
 	must.NoError(t, err)
 	state, err := decode(data, &statepb.Step{})
 	must.NoError(t, err)
--- a/internal/rollout/open.go
+++ b/internal/rollout/open.go
@@ -62,7 +62,7 @@
 		return nil, refusal.NotRun(http.StatusConflict, "step_differs", "step %d is open with other content", request.GetStep())
 	case request.GetStep() < h.step.Number():
 		return nil, refusal.NotRun(http.StatusConflict, "step_past", "step %d is past, step %d is open", request.GetStep(), h.step.Number())
-	case !h.step.IsWhole():
+	case !h.step.IsComplete():
 		return nil, refusal.NotRun(http.StatusConflict, "step_open", "step %d is not whole yet", h.step.Number()).WithRetryAfter(retryAfter)
 	default:
 		return h.step, nil
@@ -85,7 +85,7 @@
 		return err
 	}
 	promptsRecord := &record.Record{Store: h.Store, Key: PromptsKey(h.Trainer, step.Number())}
-	stored, err := promptsRecord.Load(ctx)
+	stored, err := promptsRecord.Read(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -109,8 +109,8 @@
 	return len(s.slots) == 0 || s.open.GetAccount() == account
 }
 
-// IsWhole reports whether each slot is committed in the store or acknowledged by the trainer.
-func (s *Step) IsWhole() bool {
+// IsComplete reports whether each slot is committed in the store or acknowledged by the trainer.
+func (s *Step) IsComplete() bool {
 	for _, slot := range s.slots {
 		if !slot.acknowledged && !slot.committed {
 			return false
--- a/internal/rollout/takeover.go
+++ b/internal/rollout/takeover.go
@@ -98,7 +98,7 @@
 
 // loadStep returns the step that the store holds, or one without slots if there is none yet.
 func (h *Holder) loadStep(ctx context.Context, fence uint64) (*Step, error) {
-	data, err := h.state.Load(ctx)
+	data, err := h.state.Read(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/roster/coldlimits.go
+++ b/internal/roster/coldlimits.go
@@ -21,9 +21,9 @@
 
 // ColdLimits limits the requests sent to cold servers.
 type ColdLimits interface {
-	// Share returns how many requests this process may send to a cold server of a pool
+	// Quota returns how many requests this process may send to a cold server of a pool
 	// within a time window; isUnbounded where the pool's servers need no limit.
-	Share(pool, server string, sender Sender) (limit int, isUnbounded bool)
+	Quota(pool, server string, sender Sender) (limit int, isUnbounded bool)
 	// Duration returns how long a server of a pool is cold.
 	Duration(pool string) time.Duration
 }
@@ -41,11 +41,11 @@
 }
 
 // isOverColdLimit reports whether a server is cold and this process has used up its
-// share of requests to it.
+// quota of requests to it.
 func (r *Roster) isOverColdLimit(server *Server, sender Sender, now clock.Boot) bool {
 	if r.ColdLimits == nil || now >= server.coldUntil {
 		return false
 	}
-	limit, isUnbounded := r.ColdLimits.Share(server.entry.Pool, server.Name(), sender)
+	limit, isUnbounded := r.ColdLimits.Quota(server.entry.Pool, server.Name(), sender)
 	return !isUnbounded && !server.recentSends.Allows(limit, now)
 }
--- a/internal/roster/coldlimits_test.go
+++ b/internal/roster/coldlimits_test.go
@@ -9,13 +9,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/clock"
 )
 
-// coldShares limits the requests to cold servers by sender.
-type coldShares map[Sender]int
+// coldQuotas limits the requests to cold servers by sender.
+type coldQuotas map[Sender]int
 
-var _ ColdLimits = coldShares{}
+var _ ColdLimits = coldQuotas{}
 
-func (c coldShares) Share(_, _ string, sender Sender) (int, bool) { return c[sender], false }
-func (c coldShares) Duration(string) time.Duration                { return time.Hour }
+func (c coldQuotas) Quota(_, _ string, sender Sender) (int, bool) { return c[sender], false }
+func (c coldQuotas) Duration(string) time.Duration                { return time.Hour }
 
 func coldSampler() Entry {
 	entry := sampler("s1", 8)
@@ -27,9 +27,9 @@
 // can take.
 func TestColdServer(t *testing.T) {
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
-	shares := coldShares{SenderBatch: 2, SenderCaller: 1}
+	quotas := coldQuotas{SenderBatch: 2, SenderCaller: 1}
 	withCold := func(entries ...Entry) *Roster {
-		roster := &Roster{Zone: "a", ReregisterTimeout: 2 * time.Second, ColdLimits: shares}
+		roster := &Roster{Zone: "a", ReregisterTimeout: 2 * time.Second, ColdLimits: quotas}
 		for _, entry := range entries {
 			roster.Set(entry)
 		}
--- a/internal/roster/connections.go
+++ b/internal/roster/connections.go
@@ -21,9 +21,9 @@
 
 // hasIdleConnection removes connections that have reached the idle timeout, and reports
 // whether one is left.
-func (s *Server) hasIdleConnection(now clock.Boot, idle time.Duration) bool {
+func (s *Server) hasIdleConnection(now clock.Boot, idleTimeout time.Duration) bool {
 	expired := 0
-	for expired < len(s.idleConnections) && now.Sub(s.idleConnections[expired]) >= idle {
+	for expired < len(s.idleConnections) && now.Sub(s.idleConnections[expired]) >= idleTimeout {
 		expired++
 	}
 	s.idleConnections = s.idleConnections[expired:]
--- a/internal/roster/demand.go
+++ b/internal/roster/demand.go
@@ -55,8 +55,8 @@
 	return meter.Demand
 }
 
-// RecordRefusal records that no server of a pool had room for a request.
-func (r *Roster) RecordRefusal(pool string) {
+// RecordNoRoom records that no server of a pool had room for a request.
+func (r *Roster) RecordNoRoom(pool string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.meter(pool).Refused++
--- a/internal/roster/registrations.go
+++ b/internal/roster/registrations.go
@@ -41,7 +41,7 @@
 		entry:            entry,
 		reportedVersions: map[string]uint64{},
 		direct: &backend.Direct{
-			Server: backend.Server{Address: "http://" + entry.Address, Name: entry.ID, Idle: r.Idle},
+			Server: backend.Server{Address: "http://" + entry.Address, Name: entry.ID, IdleTimeout: r.IdleTimeout},
 			Wire:   r.Wire,
 		},
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -19,8 +19,8 @@
 	Zone   string
 	Region string
 	Wire   backend.Wire
-	// Idle is how long an unused connection to a server is kept.
-	Idle time.Duration
+	// IdleTimeout is how long an unused connection to a server is kept.
+	IdleTimeout time.Duration
 	// ColdLimits limits the requests to cold servers; nil sets no limit.
 	ColdLimits ColdLimits
 	// ReregisterTimeout is how long servers whose registrations expired in a store
@@ -100,7 +100,7 @@
 		if r.isOverColdLimit(server, SenderCaller, now) {
 			server.SetEligibility(route.Closed)
 		}
-		server.SetIdleConn(server.mayPreferConnection() && server.hasIdleConnection(now, r.Idle))
+		server.SetIdleConn(server.mayPreferConnection() && server.hasIdleConnection(now, r.IdleTimeout))
 	}
 	choice := r.chooser.Choose(r.pools[pool], route.Request{Now: time.Now(), Tried: tried})
 	if choice.Server == nil {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -258,7 +258,7 @@
 // requests for many servers drew a random server each time.
 func TestUnusedConnectionFirst(t *testing.T) {
 	begin := func() *Roster {
-		roster := &Roster{Zone: "a", Idle: time.Minute}
+		roster := &Roster{Zone: "a", IdleTimeout: time.Minute}
 		roster.initMaps()
 		roster.chooser.Random = rand.New(rand.NewPCG(1, 2))
 		for _, id := range []string{"s1", "s2", "s3", "s4", "s5"} {
@@ -292,7 +292,7 @@
 		roster := begin()
 		first := choose(roster)
 		roster.Finish(first)
-		first.idleConnections[0] = first.idleConnections[0].Add(-2 * roster.Idle)
+		first.idleConnections[0] = first.idleConnections[0].Add(-2 * roster.IdleTimeout)
 		_, reason := roster.Choose(pool, nil)
 		must.Eq(t, route.ReasonZone, reason)
 	})
--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -23,14 +23,14 @@
 	retries     [2]float64
 }
 
-// Request counts an initial attempt, as opposed to a retry.
-func (b *Budget) Request(now time.Time) {
+// CountRequest counts an initial attempt, as opposed to a retry.
+func (b *Budget) CountRequest(now time.Time) {
 	b.rotate(now)
 	b.requests[0]++
 }
 
-// Retry reports whether one more retry is within the budget, and counts it if so.
-func (b *Budget) Retry(now time.Time) bool {
+// AllowRetry reports whether one more retry is within the budget, and counts it if so.
+func (b *Budget) AllowRetry(now time.Time) bool {
 	b.rotate(now)
 	if b.retries[0]+b.retries[1]+1 > minRetries+maxRetryRatio*(b.requests[0]+b.requests[1]) {
 		return false
--- a/internal/route/budget_test.go
+++ b/internal/route/budget_test.go
@@ -18,8 +18,8 @@
 	for range 10000 {
 		now = now.Add(10 * time.Millisecond)
 		requests++
-		budget.Request(now)
-		if budget.Retry(now) {
+		budget.CountRequest(now)
+		if budget.AllowRetry(now) {
 			retries++
 		}
 	}
--- a/internal/secure/identity_test.go
+++ b/internal/secure/identity_test.go
@@ -116,7 +116,7 @@
 		Credentials: identity,
 		Options:     ServerOptions(),
 		Register:    func(registrar grpc.ServiceRegistrar) { peerpb.RegisterMemberServer(registrar, memberServer{}) },
-		Listening:   func(address string) { listening <- address },
+		OnListening: func(address string) { listening <- address },
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -256,7 +256,7 @@
 		TLS:         config,
 		Certificate: issued.GetCertificate(),
 		Key:         issued.GetKey(),
-		Listening:   func(address string) { listening <- address },
+		OnListening: func(address string) { listening <- address },
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/sidecar/budget.go
+++ b/internal/sidecar/budget.go
@@ -16,11 +16,11 @@
 func (b *lockedBudget) addRequest(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.budget.Request(now)
+	b.budget.CountRequest(now)
 }
 
 func (b *lockedBudget) takeRetry(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.budget.Retry(now)
+	return b.budget.AllowRetry(now)
 }
--- a/internal/sidecar/fakesidecar_test.go
+++ b/internal/sidecar/fakesidecar_test.go
@@ -61,9 +61,9 @@
 	f := &fakeSidecar{handler: handler, cancelled: make(chan string, 16)}
 	listening := make(chan string, 1)
 	server := &listen.GRPC{
-		Address:   "127.0.0.1:0",
-		Register:  func(registrar grpc.ServiceRegistrar) { peerpb.RegisterSidecarServer(registrar, f) },
-		Listening: func(address string) { listening <- address },
+		Address:     "127.0.0.1:0",
+		Register:    func(registrar grpc.ServiceRegistrar) { peerpb.RegisterSidecarServer(registrar, f) },
+		OnListening: func(address string) { listening <- address },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan error, 1)
@@ -91,7 +91,7 @@
 	pool := &sidecar.Pool{Members: members, Decisions: &decision.Log{}, ReadTimeout: readTimeout}
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
-	go func() { served <- pool.Serve(ctx) }()
+	go func() { served <- pool.SendCancellations(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		<-served
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -70,8 +70,8 @@
 	return r.execute()
 }
 
-// Serve sends cancellations to sidecars until the context ends.
-func (p *Pool) Serve(ctx context.Context) error {
+// SendCancellations sends cancellations to sidecars until the context ends.
+func (p *Pool) SendCancellations(ctx context.Context) error {
 	p.setupOnce.Do(p.setup)
 	var group sync.WaitGroup
 	for range cancelWorkers {
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -46,8 +46,8 @@
 	Timeout time.Duration
 	// LatencyTarget is the time within which an answer has full value.
 	LatencyTarget time.Duration
-	// Attempts is the maximum number of backend servers that one request is sent to.
-	Attempts int
+	// MaxAttempts is the maximum number of backend servers that one request is sent to.
+	MaxAttempts int
 	// Priority is highest at 0.
 	Priority int
 	// Public routes require no key.
@@ -67,8 +67,8 @@
 type Scale struct {
 	Min int
 	Max int
-	// Boot is the time from an order to the first request served.
-	Boot time.Duration
+	// StartupTime is the time from an order to the first request served.
+	StartupTime time.Duration
 }
 
 // Pool is a group of equivalent backend servers.
@@ -76,8 +76,8 @@
 	Name string
 	// Health is the path of the health check.
 	Health string
-	// Connections is the maximum number of connections to a server from all callers.
-	Connections int
+	// MaxConnections is the maximum number of connections to a server from all callers.
+	MaxConnections int
 	// Scale is nil where the number of servers is not managed.
 	Scale *Scale
 	// Models are the models that its engines serve; none for a plain service.
@@ -107,10 +107,10 @@
 
 // Limits bounds what callers may send.
 type Limits struct {
-	HeaderBytes int64
-	BodyBytes   int64
-	// Idle is how long a connection may be idle.
-	Idle time.Duration
+	MaxHeaderBytes int64
+	MaxBodyBytes   int64
+	// IdleTimeout is how long a connection may be idle.
+	IdleTimeout time.Duration
 }
 
 // Table is one version of the configuration. It is immutable once in use.
--- a/internal/trainer/handler.go
+++ b/internal/trainer/handler.go
@@ -20,7 +20,7 @@
 // Grants looks up what a key allows.
 type Grants interface {
 	Grant(hash string) (lists.Grant, bool)
-	UntilWithdrawn(hash string, end func()) (stop func())
+	OnWithdrawal(hash string, end func()) (stop func())
 }
 
 // Steps forwards calls to the holder of a trainer's steps.
@@ -79,7 +79,7 @@
 	hash := lists.HashKey(key)
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer h.Grants.UntilWithdrawn(hash, cancel)()
+	defer h.Grants.OnWithdrawal(hash, cancel)()
 	grant, ok := h.Grants.Grant(hash)
 	if !ok {
 		return refusal.NotRun(http.StatusUnauthorized, "unknown_key", "the key is unknown or was withdrawn")
--- a/internal/usage/fleet_test.go
+++ b/internal/usage/fleet_test.go
@@ -183,16 +183,16 @@
 
 func newReporter(fleet *fleet, platform usage.Platform, name string) *usage.Reporter {
 	return &usage.Reporter{
-		Process:       name,
-		Platform:      platform,
-		Collector:     &usage.Collector{Directory: fleet, Peers: fleet},
-		Offer:         func(*peerpb.Fact) bool { return true },
-		Window:        length,
-		Settle:        settle,
-		Retain:        10 * length,
-		Keep:          time.Hour,
-		Interval:      time.Second,
-		Lease:         lease,
-		ReportTimeout: reportTimeout,
+		Process:         name,
+		Platform:        platform,
+		Collector:       &usage.Collector{Directory: fleet, Peers: fleet},
+		Offer:           func(*peerpb.Fact) bool { return true },
+		Window:          length,
+		Settle:          settle,
+		MaxLateness:     10 * length,
+		WindowRetention: time.Hour,
+		Interval:        time.Second,
+		Lease:           lease,
+		ReportTimeout:   reportTimeout,
 	}
 }
--- a/internal/usage/pusher.go
+++ b/internal/usage/pusher.go
@@ -39,10 +39,10 @@
 	Peers     Peers
 	// Interval is the time between two pushes; 0 pushes only on shutdown.
 	Interval time.Duration
-	// Retain is how long counters are kept after their window was reported.
-	Retain time.Duration
-	// Keep is the longest time that counters are kept, whether reported or not.
-	Keep time.Duration
+	// ReportedRetention is how long counters are kept after their window was reported.
+	ReportedRetention time.Duration
+	// MaxRetention is the longest time that counters are kept, whether reported or not.
+	MaxRetention time.Duration
 
 	acknowledged map[entryIncarnation]uint64
 }
@@ -108,9 +108,9 @@
 
 // oldestNeeded returns the start of the oldest window whose counters must be kept.
 func (p *Pusher) oldestNeeded(now time.Time) int64 {
-	oldest := now.Add(-p.Keep).Unix()
+	oldest := now.Add(-p.MaxRetention).Unix()
 	if reported, ok := ParseReported(p.Directory.Fact(FactReported)); ok {
-		oldest = max(oldest, reported-int64(p.Retain/time.Second))
+		oldest = max(oldest, reported-int64(p.ReportedRetention/time.Second))
 	}
 	return oldest
 }
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -81,10 +81,10 @@
 	Window time.Duration
 	// Settle is the delay between the end of a window and its closing.
 	Settle time.Duration
-	// Retain is how long after its window a count is still accepted, as a late figure.
-	Retain time.Duration
-	// Keep is how long closed windows stay in the store.
-	Keep time.Duration
+	// MaxLateness is how long after its window a count is still accepted, as a late figure.
+	MaxLateness time.Duration
+	// WindowRetention is how long closed windows stay in the store.
+	WindowRetention time.Duration
 	// Interval is the time between two rounds.
 	Interval time.Duration
 	// Lease is the duration of the duty's lease.
@@ -242,7 +242,7 @@
 // become late figures.
 func (r *Reporter) closeWindow(ctx context.Context, start int64) error {
 	length := max(int64(r.Window/time.Second), 1)
-	counts, unreachable := r.Collector.Collect(ctx, start-int64(r.Retain/time.Second), start+length)
+	counts, unreachable := r.Collector.Collect(ctx, start-int64(r.MaxLateness/time.Second), start+length)
 	deadline := time.Unix(start+length, 0).Add(2 * r.Settle)
 	if len(unreachable) > 0 && r.now().Before(deadline) {
 		return nil
@@ -378,7 +378,7 @@
 
 // deleteExpired deletes reported windows that are too old for late figures.
 func (r *Reporter) deleteExpired(ctx context.Context, now time.Time) error {
-	oldest := now.Add(-max(r.Keep, r.Retain+2*r.Window+2*r.Settle)).Unix()
+	oldest := now.Add(-max(r.WindowRetention, r.MaxLateness+2*r.Window+2*r.Settle)).Unix()
 	deleted := 0
 	for start, stored := range r.windows {
 		if start >= oldest || !stored.window.GetReported() || deleted == maxDeletes {
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -259,7 +259,7 @@
 				counter := newCounter()
 				// The end of the response carries the counters to the entry.
 				countResponse(fleet, counter, "s1", "e1")
-				pusher := &usage.Pusher{Source: counter, Directory: fleet, Peers: fleet, Interval: time.Second, Keep: time.Hour}
+				pusher := &usage.Pusher{Source: counter, Directory: fleet, Peers: fleet, Interval: time.Second, MaxRetention: time.Hour}
 				ctx, cancel := context.WithCancel(t.Context())
 				ended := make(chan error, 1)
 				go func() { ended <- pusher.Run(ctx) }()
@@ -286,7 +286,7 @@
 		sidecar := peerpb.Process_builder{Name: "s1", Zone: "a", Role: peerpb.Role_ROLE_SIDECAR}.Build()
 		fleet := newFleet(sidecar, entry("e1", "a"), entry("e2", "b"), entry("e3", "c"))
 		counter := newCounter()
-		pusher := &usage.Pusher{Source: counter, Directory: fleet, Peers: fleet, Interval: time.Hour, Keep: time.Hour}
+		pusher := &usage.Pusher{Source: counter, Directory: fleet, Peers: fleet, Interval: time.Hour, MaxRetention: time.Hour}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- pusher.Run(ctx) }()
--- a/internal/weight/coordinator.go
+++ b/internal/weight/coordinator.go
@@ -34,8 +34,8 @@
 
 // Record keeps the target version in the platform's store.
 type Record interface {
-	// Load returns the stored value, nil if there is none.
-	Load(ctx context.Context) ([]byte, error)
+	// Read returns the stored value, nil if there is none.
+	Read(ctx context.Context) ([]byte, error)
 	// Write replaces the value unless another process has changed it.
 	Write(ctx context.Context, data []byte) error
 }
@@ -46,13 +46,13 @@
 	Valid(now time.Time) bool
 }
 
-// NotLoadedError reports that the version in the store has not been read yet.
-type NotLoadedError struct {
+// TargetUnknownError reports that the version in the store has not been read yet.
+type TargetUnknownError struct {
 	Model string
 }
 
 // Error names the model.
-func (e *NotLoadedError) Error() string {
+func (e *TargetUnknownError) Error() string {
 	return "weight: the version kept for " + e.Model + " isn't known yet"
 }
 
@@ -97,7 +97,7 @@
 	c.storeMutex.Lock()
 	defer c.storeMutex.Unlock()
 	if !c.hasReadTarget {
-		return &NotLoadedError{Model: c.Model}
+		return &TargetUnknownError{Model: c.Model}
 	}
 	return c.writeTarget(ctx)
 }
@@ -172,7 +172,7 @@
 	if c.hasReadTarget {
 		return
 	}
-	data, err := c.Record.Load(ctx)
+	data, err := c.Record.Read(ctx)
 	if err != nil {
 		return
 	}
--- a/internal/weight/coordinator_test.go
+++ b/internal/weight/coordinator_test.go
@@ -92,7 +92,7 @@
 
 var _ Record = &fakeRecord{}
 
-func (r *fakeRecord) Load(context.Context) ([]byte, error) {
+func (r *fakeRecord) Read(context.Context) ([]byte, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.isUnavailable {
--- a/internal/weight/poolcoordinator.go
+++ b/internal/weight/poolcoordinator.go
@@ -29,8 +29,8 @@
 // ErrAlreadyLoaded reports that a sampler already has the version that it was ordered to load.
 var ErrAlreadyLoaded = errors.New("weight: the sampler has that version already")
 
-// Target is a sampler that receives orders.
-type Target struct {
+// SamplerInstance is a sampler that receives orders.
+type SamplerInstance struct {
 	ID      string
 	Address string
 	// StartedAtMillis identifies a start of the sampler; a new start has forgotten all orders.
@@ -61,8 +61,8 @@
 	// Load returns nil once the sampler has accepted the order, ErrAlreadyLoaded if it
 	// already has the version, and a *platform.ConflictError if a newer holder has sent it
 	// orders.
-	Load(ctx context.Context, sampler Target, load Load, guard func() error) error
-	State(ctx context.Context, sampler Target) (State, error)
+	Load(ctx context.Context, sampler SamplerInstance, load Load, guard func() error) error
+	State(ctx context.Context, sampler SamplerInstance) (State, error)
 }
 
 // Pool is a pool of samplers that several models share.
@@ -73,8 +73,8 @@
 	// DrainFirst lets running generations end before new weights are loaded.
 	DrainFirst bool
 	Samplers   []SamplerState
-	// Targets by sampler identity.
-	Targets map[string]Target
+	// Instances by sampler identity.
+	Instances map[string]SamplerInstance
 }
 
 // PoolCoordinator rolls out the versions that trainers name to pools of samplers that several
@@ -83,8 +83,8 @@
 	Samplers Samplers
 	// Pools returns the current pools.
 	Pools func() []Pool
-	// Loaded is called when a sampler has a version.
-	Loaded    func(sampler, model string, version uint64)
+	// OnLoaded is called when a sampler has a version.
+	OnLoaded  func(sampler, model string, version uint64)
 	Decisions *decision.Log
 	// Share is the maximum share of a pool's samplers that load at the same time.
 	Share float64
@@ -92,7 +92,7 @@
 	mutex     sync.Mutex
 	schedules map[string]*Schedule
 	// orders is the number of orders that a sampler has accepted since its start.
-	orders      map[Target]uint64
+	orders      map[SamplerInstance]uint64
 	minLoadTime time.Duration
 	loads       sync.WaitGroup
 }
@@ -101,7 +101,7 @@
 func (c *PoolCoordinator) Run(ctx context.Context, term Term) error {
 	c.mutex.Lock()
 	c.schedules = map[string]*Schedule{}
-	c.orders = map[Target]uint64{}
+	c.orders = map[SamplerInstance]uint64{}
 	c.minLoadTime = initialLoadTime
 	c.mutex.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -132,37 +132,37 @@
 	schedule.SetDemand(pool.Demand)
 	schedule.Observe(pool.Samplers, now)
 	for _, change := range schedule.Next(now) {
-		target := pool.Targets[change.Sampler]
+		sampler := pool.Instances[change.Sampler]
 		c.Decisions.Record(change.Sampler, "weight", "chosen for version %d of %s, which has %d samplers for its open step and %d for the next of %d; %d of %d load",
 			change.Version, change.Model, change.Open, change.Next, change.Wanted, schedule.InFlight(), schedule.Limit())
 		load := Load{Model: change.Model, Version: change.Version, Fence: term.Fence(), DrainFirst: pool.DrainFirst}
-		c.loads.Go(func() { c.load(ctx, term, schedule, target, load, cancel) })
+		c.loads.Go(func() { c.load(ctx, term, schedule, sampler, load, cancel) })
 	}
 }
 
 // load orders one sampler and waits until it has the version.
-func (c *PoolCoordinator) load(ctx context.Context, term Term, schedule *Schedule, target Target, load Load, cancel context.CancelCauseFunc) {
+func (c *PoolCoordinator) load(ctx context.Context, term Term, schedule *Schedule, sampler SamplerInstance, load Load, cancel context.CancelCauseFunc) {
 	began := time.Now()
 	ctx, stop := context.WithTimeout(ctx, loadTimeout)
 	defer stop()
-	err := c.order(ctx, term, target, load)
+	err := c.order(ctx, term, sampler, load)
 	if err == nil {
-		err = c.awaitVersion(ctx, target, load, began)
+		err = c.awaitVersion(ctx, sampler, load, began)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var superseded *platform.ConflictError
 	switch {
 	case err == nil:
-		c.Decisions.Record(target.ID, "weight", "has version %d of %s after %s", load.Version, load.Model, time.Since(began))
-		schedule.Done(target.ID, load.Version, time.Now())
-		c.Loaded(target.ID, load.Model, load.Version)
+		c.Decisions.Record(sampler.ID, "weight", "has version %d of %s after %s", load.Version, load.Model, time.Since(began))
+		schedule.Done(sampler.ID, load.Version, time.Now())
+		c.OnLoaded(sampler.ID, load.Model, load.Version)
 	case errors.As(err, &superseded):
-		c.Decisions.Record(target.ID, "weight", "a newer holder than term %d has sent it orders", load.Fence)
+		c.Decisions.Record(sampler.ID, "weight", "a newer holder than term %d has sent it orders", load.Fence)
 		cancel(err)
 	default:
-		c.Decisions.Record(target.ID, "weight", "did not load version %d of %s: %v", load.Version, load.Model, err)
-		schedule.Failed(target.ID, time.Now())
+		c.Decisions.Record(sampler.ID, "weight", "did not load version %d of %s: %v", load.Version, load.Model, err)
+		schedule.Failed(sampler.ID, time.Now())
 	}
 }
 
@@ -171,17 +171,17 @@
 // An order without an answer may be accepted seconds later, after a newer one, and would set
 // the sampler back. So each order carries the number of orders accepted before it, and after a
 // lost answer the sampler is asked for that number.
-func (c *PoolCoordinator) order(ctx context.Context, term Term, target Target, load Load) error {
+func (c *PoolCoordinator) order(ctx context.Context, term Term, sampler SamplerInstance, load Load) error {
 	c.mutex.Lock()
-	orders, known := c.orders[target]
+	orders, known := c.orders[sampler]
 	c.mutex.Unlock()
 	if !known {
-		state, err := c.Samplers.State(ctx, target)
+		state, err := c.Samplers.State(ctx, sampler)
 		if err != nil {
 			return err
 		}
 		if state.Versions[load.Model] >= load.Version && !state.IsLoading {
-			c.setOrders(target, state.Orders)
+			c.setOrders(sampler, state.Orders)
 			return nil
 		}
 		orders = state.Orders
@@ -193,37 +193,37 @@
 		}
 		return nil
 	}
-	c.Decisions.Record(target.ID, "weight", "ordered to load version %d of %s, term %d, order %d", load.Version, load.Model, load.Fence, orders+1)
-	err := c.Samplers.Load(ctx, target, load, guard)
+	c.Decisions.Record(sampler.ID, "weight", "ordered to load version %d of %s, term %d, order %d", load.Version, load.Model, load.Fence, orders+1)
+	err := c.Samplers.Load(ctx, sampler, load, guard)
 	switch {
 	case err == nil:
-		c.setOrders(target, orders+1)
+		c.setOrders(sampler, orders+1)
 		return nil
 	case errors.Is(err, ErrAlreadyLoaded):
-		c.setOrders(target, orders)
+		c.setOrders(sampler, orders)
 		return nil
 	default:
 		c.mutex.Lock()
-		delete(c.orders, target)
+		delete(c.orders, sampler)
 		c.mutex.Unlock()
 		return err
 	}
 }
 
-func (c *PoolCoordinator) setOrders(target Target, orders uint64) {
+func (c *PoolCoordinator) setOrders(sampler SamplerInstance, orders uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.orders[target] = orders
+	c.orders[sampler] = orders
 }
 
 // awaitVersion polls the sampler from the time at which it should have the version.
-func (c *PoolCoordinator) awaitVersion(ctx context.Context, target Target, load Load, began time.Time) error {
+func (c *PoolCoordinator) awaitVersion(ctx context.Context, sampler SamplerInstance, load Load, began time.Time) error {
 	c.mutex.Lock()
 	expected := c.minLoadTime
 	c.mutex.Unlock()
 	pause.For(ctx, expected)
 	for wait := pollInterval; ; wait = time.Duration(pollGrowth * float64(wait)) {
-		state, err := c.Samplers.State(ctx, target)
+		state, err := c.Samplers.State(ctx, sampler)
 		if err == nil && state.Versions[load.Model] >= load.Version {
 			c.mutex.Lock()
 			c.minLoadTime = min(c.minLoadTime, time.Since(began)-pollInterval)
@@ -231,7 +231,7 @@
 			return nil
 		}
 		if !pause.For(ctx, wait) {
-			return &platform.UnavailableError{Operation: "load " + target.ID, Cause: ctx.Err()}
+			return &platform.UnavailableError{Operation: "load " + sampler.ID, Cause: ctx.Err()}
 		}
 	}
 }
--- a/internal/weight/poolcoordinator_test.go
+++ b/internal/weight/poolcoordinator_test.go
@@ -41,7 +41,7 @@
 	return &fakePool{versions: map[string]uint64{}, orders: map[string]uint64{}, loading: map[string]bool{}, target: 2}
 }
 
-func (f *fakePool) Load(_ context.Context, sampler Target, load Load, guard func() error) error {
+func (f *fakePool) Load(_ context.Context, sampler SamplerInstance, load Load, guard func() error) error {
 	if err := guard(); err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (f *fakePool) State(_ context.Context, sampler Target) (State, error) {
+func (f *fakePool) State(_ context.Context, sampler SamplerInstance) (State, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return State{IsLoading: f.loading[sampler.ID], Orders: f.orders[sampler.ID], Versions: map[string]uint64{"m": f.versions[sampler.ID]}}, nil
@@ -79,11 +79,11 @@
 func (f *fakePool) pools() []Pool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	pool := Pool{Name: "lm", Demand: []Demand{{Model: "m", NewestVersion: f.target, MinVersion: f.target, NextMinVersion: f.target}}, Targets: map[string]Target{}}
+	pool := Pool{Name: "lm", Demand: []Demand{{Model: "m", NewestVersion: f.target, MinVersion: f.target, NextMinVersion: f.target}}, Instances: map[string]SamplerInstance{}}
 	for _, sampler := range newSamplers(6) {
 		sampler.Versions["m"] = max(1, f.versions[sampler.ID])
 		pool.Samplers = append(pool.Samplers, sampler)
-		pool.Targets[sampler.ID] = Target{ID: sampler.ID}
+		pool.Instances[sampler.ID] = SamplerInstance{ID: sampler.ID}
 	}
 	return []Pool{pool}
 }
@@ -103,7 +103,7 @@
 	t.Helper()
 	coordinator := &PoolCoordinator{
 		Samplers: f, Pools: f.pools, Share: 0.34,
-		Loaded: func(string, string, uint64) {},
+		OnLoaded: func(string, string, uint64) {},
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -304,7 +304,7 @@
 	t.Run("steps take the version before too", func(t *testing.T) {
 		var steps Steps
 		steps.RecordVersion("a", 6)
-		steps.Open("b1", Step{Model: "a", Oldest: 5, Runs: 64})
+		steps.Open("b1", Step{Model: "a", MinVersion: 5, Runs: 64})
 		must.Eq(t, Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 64}, steps.Demand("a"))
 		// The step is over and its trainer names the next version: its next step is about to
 		// come and accepts versions from 6 on.
@@ -315,8 +315,8 @@
 	t.Run("an older step that is heard of late changes nothing", func(t *testing.T) {
 		var steps Steps
 		steps.RecordVersion("a", 6)
-		steps.Open("b2", Step{Model: "a", Oldest: 5, Runs: 64})
-		steps.Open("b1", Step{Model: "a", Oldest: 4, Runs: 32})
+		steps.Open("b2", Step{Model: "a", MinVersion: 5, Runs: 64})
+		steps.Open("b1", Step{Model: "a", MinVersion: 4, Runs: 32})
 		must.Eq(t, Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 64}, steps.Demand("a"))
 	})
 	t.Run("a version named before is not new", func(t *testing.T) {
--- a/internal/weight/steps.go
+++ b/internal/weight/steps.go
@@ -5,8 +5,8 @@
 // Step is an open step of a trainer.
 type Step struct {
 	Model string
-	// Oldest is the oldest version that may generate any of its tokens.
-	Oldest uint64
+	// MinVersion is the oldest version that may generate any of its tokens.
+	MinVersion uint64
 	// Runs is the number of its generations.
 	Runs int
 }
@@ -50,12 +50,12 @@
 	}
 	s.open[batch] = step
 	last, isKnown := s.lastSteps[step.Model]
-	if isKnown && step.Oldest < last.step.Oldest {
+	if isKnown && step.MinVersion < last.step.MinVersion {
 		return
 	}
 	next := lastStep{step: step}
-	if named := s.named[step.Model]; named > step.Oldest {
-		next.lag = named - step.Oldest
+	if named := s.named[step.Model]; named > step.MinVersion {
+		next.lag = named - step.MinVersion
 	}
 	s.lastSteps[step.Model] = next
 }
--- a/test/gateway/scaling_test.go
+++ b/test/gateway/scaling_test.go
@@ -62,7 +62,7 @@
 	d, pool := newScalingDeployment(t)
 	g := d.start(t, "g1")
 	pool.SetWork(50 * time.Millisecond)
-	pool.LoseAnswers(2)
+	pool.DropOrders(2)
 	g.startLoad(t, 7)
 	await(t, "all servers are ordered", func() bool { return pool.Wanted() == 3 })
 }
