--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -198,7 +198,7 @@
 		"engine refuses unexplained": {true, reply{text: "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"}, unknown, "engine_failed"},
 		"engine rejects":             {true, reply{text: "HTTP/1.1 400 x\r\nContent-Length: 15\r\n\r\n{\"error\":\"bad\"}"}, unknown, "engine_rejected"},
 		"engine fails":               {true, reply{text: "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"}, unknown, "engine_failed"},
-		"engine sends no mark":       {true, reply{text: chunked(finish) + lastChunk}, unknown, "backend_cut"},
+		"engine sends no end marker": {true, reply{text: chunked(finish) + lastChunk}, unknown, "backend_cut"},
 		"engine gives no reason":     {true, reply{text: chunked(oneToken, done) + lastChunk}, unknown, "unfinished"},
 		"engine fails in the middle": {true, reply{text: chunked(`data: {"error":"out of memory"}`+"\n\n", done) + lastChunk}, unknown, "backend_cut"},
 		"engine sends garbage":       {true, reply{text: chunked("data: {{\n\n", done) + lastChunk}, unknown, "backend_cut"},
@@ -235,7 +235,7 @@
 
 // A generation gets an idle connection that broke long ago. It is retried once on a new
 // connection; if that times out too, the outcome is unknown.
-func TestSilentFromTheFirst(t *testing.T) {
+func TestTimeoutBeforeFirstToken(t *testing.T) {
 	complete := reply{text: chunked(oneToken, finish, done) + lastChunk}
 	server := newFakeServer(t, reply{hold: true}, complete)
 	text, _, _, err := run(newEngine(server.url()), generation())
--- a/internal/backend/direct_test.go
+++ b/internal/backend/direct_test.go
@@ -14,7 +14,7 @@
 
 // Guards against a stalled stream that is held to the read timeout of its first event, and
 // reported as an interrupted connection.
-func TestBoundWithinAnAnswer(t *testing.T) {
+func TestReadTimeoutWithinAnswer(t *testing.T) {
 	const event = "id: 1\ndata: x\n\n"
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nAttempt-Id: i0\r\nTransfer-Encoding: chunked\r\n\r\n"
 	server := newFakeServer(t, reply{text: head + "f\r\n" + event + "\r\n", hold: true})
--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -160,7 +160,7 @@
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	must.True(t, p.holds())
-	t.Run("the store is away", func(t *testing.T) {
+	t.Run("the store is unavailable", func(t *testing.T) {
 		store.SetUnavailable(true)
 		defer store.SetUnavailable(false)
 		other := newBatch(10)
@@ -211,7 +211,7 @@
 
 // A batch was sent to its owner and no answer came, and the gateway cannot reach the store
 // either. It must not say "not run" of a batch that may run.
-func TestUnsurePeer(t *testing.T) {
+func TestPeerTimeout(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1", "g2")
 	p.Peers = timeoutPeer{}
 	p.lease.Store(0)
@@ -246,7 +246,7 @@
 }
 
 // When the route of a batch is removed from the configuration, its items are given up.
-func TestRouteGone(t *testing.T) {
+func TestRouteRemoved(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	p.routes.set(Route{}, true)
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -157,7 +157,7 @@
 
 // The next owner is on a small host and answers late. If the previous owner gives up waiting
 // and goes through the store, its readers have to wait for the watch.
-func TestHandoverToASlowHost(t *testing.T) {
+func TestHandoverToSlowHost(t *testing.T) {
 	_, first, second := setUpDrain(t)
 	first.Peers = nextOwner{board: func() *Board { return second.Board }, late: takeoverTimeout + 100*time.Millisecond}
 	var commits atomic.Int32
--- a/internal/batch/earlyrun_test.go
+++ b/internal/batch/earlyrun_test.go
@@ -103,7 +103,7 @@
 		await(t, func() bool { return isClosed(again.done) })
 		must.True(t, p.holds())
 	})
-	t.Run("ends with its trainer's word", func(t *testing.T) {
+	t.Run("ends when its trainer ends it", func(t *testing.T) {
 		store, p := startUnavailable(t)
 		must.True(t, p.StopOwned("b1", ""))
 		await(t, func() bool { return p.earlyRunOf("b1") == nil })
--- a/internal/batch/plan_test.go
+++ b/internal/batch/plan_test.go
@@ -267,7 +267,7 @@
 		_, ok := next.NextScore(start)
 		must.False(t, ok)
 	})
-	t.Run("whole groups are not kept", func(t *testing.T) {
+	t.Run("complete groups are not kept", func(t *testing.T) {
 		whole := newPlan(400, 300)
 		whole.Scored(mustGenerate(t, whole, mustStart(t, whole, start, "i0"), 3, "a"), "p")
 		whole.Scored(mustGenerate(t, whole, mustStart(t, whole, start, "i1"), 3, "a"), "p")
--- a/internal/batch/run_test.go
+++ b/internal/batch/run_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestStallTime(t *testing.T) {
+func TestStallTimeout(t *testing.T) {
 	for name, test := range map[string]struct{ pace, want time.Duration }{
 		"no pace is known": {0, silenceTimeout},
 		"fast":             {50 * time.Millisecond, minStallTimeout},
--- a/internal/bramleyhatch/process_test.go
+++ b/internal/bramleyhatch/process_test.go
@@ -38,7 +38,7 @@
 // because the address for readiness is in use when a gateway starts: it renews no
 // lease and receives no changes, and is not restarted since the process is alive.
 func TestFailedTaskEndsProcess(t *testing.T) {
-	t.Run("a duty fails", func(t *testing.T) {
+	t.Run("a task fails", func(t *testing.T) {
 		process, errBroken := newTestProcess(), errors.New("broken")
 		drained := false
 		process.AddDrain(func(context.Context) { drained = true })
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -93,7 +93,7 @@
 		text      content
 		maxTokens int64
 	}{
-		"whole":                 {`{"model":"m","messages":[{"role":"user","content":"ab"}],"max_tokens":3}`, "ab", 3},
+		"single string":         {`{"model":"m","messages":[{"role":"user","content":"ab"}],"max_tokens":3}`, "ab", 3},
 		"parts":                 {`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, "ab", 0},
 		"max_completion_tokens": {`{"model":"m","messages":[{"role":"user","content":"ab"}],"max_completion_tokens":4}`, "ab", 4},
 		"null content":          {`{"model":"m","messages":[{"role":"assistant","content":null}]}`, "", 0},
--- a/internal/cold/senders_test.go
+++ b/internal/cold/senders_test.go
@@ -31,7 +31,7 @@
 	return senders, now
 }
 
-func TestShare(t *testing.T) {
+func TestQuota(t *testing.T) {
 	t.Run("divided among users", func(t *testing.T) {
 		senders, now := settled("a", "a", "b", "c")
 		must.Eq(t, 4, senders.Quota("s", 13.5, now))
--- a/internal/detour/detour_test.go
+++ b/internal/detour/detour_test.go
@@ -49,7 +49,7 @@
 // Guards against failed calls while the store rejects a gateway for seconds: they go
 // through another gateway at once, and a check now and then detects that the store
 // serves this one again.
-func TestTurnedAway(t *testing.T) {
+func TestRejectedCallsAreRelayed(t *testing.T) {
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
 	direct, calls := newStore(t, status)
@@ -111,7 +111,7 @@
 // Guards against a rejection in place of an unknown outcome: the first attempt at
 // storing a batch gets no answer, the second is rejected with 503. The trainer must not
 // be told that nothing runs, which is false as soon as the first attempt is applied.
-func TestUnsureIsNoRefusal(t *testing.T) {
+func TestUnknownOutcomeIsNoRejection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -137,7 +137,7 @@
 
 // Guards against overload of a store that recovers: after an outage of seconds,
 // repeated calls from all parts of all gateways would use up its rate limit.
-func TestRefusalIsRemembered(t *testing.T) {
+func TestRejectionIsRemembered(t *testing.T) {
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
 	direct, calls := newStore(t, status)
@@ -168,7 +168,7 @@
 // Guards against taking a slow download for an outage: a megabyte of outcomes takes
 // longer than the timeout on a narrow link. All calls of the process went through
 // others for a second, and the megabyte crossed the same link twice.
-func TestLongAnswerIsNoLoss(t *testing.T) {
+func TestLongAnswerIsNoOutage(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "1000")
 		_, _ = w.Write(make([]byte, 10))
@@ -209,7 +209,7 @@
 	answer, err := direct.Do(t.Context(), call)
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, answer.Status)
-	t.Run("one that is cut says nothing of the others", func(t *testing.T) {
+	t.Run("single reset is not a rejection", func(t *testing.T) {
 		isHealthy.Store(false)
 		_, err := direct.Do(t.Context(), call)
 		must.Error(t, err)
--- a/internal/duty/elector_test.go
+++ b/internal/duty/elector_test.go
@@ -156,7 +156,7 @@
 
 // Guards against a whole lease in which nobody orders servers: the write that acquired the
 // duty took effect, its answer was lost, and the process gave up the duty that it held.
-func TestTakesDutyWhoseAnswerWasLost(t *testing.T) {
+func TestKeepsDutyAfterLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
 		elector := newElector(&losingStore{store: store}, "e1", 0)
@@ -289,7 +289,7 @@
 // The store is unavailable for longer than a term and counts no lease meanwhile. A holder that
 // waits for its own lease to lapse loads no weights for three seconds more. It resumes as soon
 // as the store has renewed its lease, under the same fence; until then it does nothing.
-func TestTermGoesOnUnderItsLease(t *testing.T) {
+func TestTermResumesUnderItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
 		held, other := &workLog{}, &workLog{}
--- a/internal/duty/term_test.go
+++ b/internal/duty/term_test.go
@@ -23,7 +23,7 @@
 
 // The wall clock of a holder's host is set back and forth by seconds. The lease in the store
 // isn't affected, so the term neither ends nor grows.
-func TestTermIgnoresTimeOfDay(t *testing.T) {
+func TestTermIgnoresWallClock(t *testing.T) {
 	now := time.Now()
 	boot := clock.Boot(time.Hour)
 	term := newTerm(7, now.Add(3*time.Second), now, func() clock.Boot { return boot })
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -15,7 +15,7 @@
 	unknown = peerpb.Outcome_OUTCOME_UNKNOWN
 )
 
-func TestRunWhole(t *testing.T) {
+func TestRunComplete(t *testing.T) {
 	service := newService(t, false, answerPosting)
 	client := serve(t, newServer(service.URL))
 	a := send(client, posting("r1"))
--- a/internal/fleet/countplanner_test.go
+++ b/internal/fleet/countplanner_test.go
@@ -56,7 +56,7 @@
 }
 
 func TestCountPlanner(t *testing.T) {
-	t.Run("a rise is followed at once, a fall once it is calm", func(t *testing.T) {
+	t.Run("a rise is followed at once, a fall after the delay", func(t *testing.T) {
 		p := newSimulatedPool()
 		p.advance(5, "a", "b")
 		must.SliceEmpty(t, p.sent)
@@ -119,7 +119,7 @@
 	p.pool.Present["b"] = 0
 	p.advance(12, "a")
 	mustHave(t, p, 4, 0)
-	t.Run("and is back: nothing is given up before its servers are there", func(t *testing.T) {
+	t.Run("and is back: no server is stopped before its servers are present", func(t *testing.T) {
 		p.pool.Present["b"] = 1
 		p.advance(3, "a")
 		mustHave(t, p, 3, 1)
--- a/internal/forward/policy_test.go
+++ b/internal/forward/policy_test.go
@@ -15,7 +15,7 @@
 	errUnknown = refusal.Unknown(502, "backend_cut", "cut")
 )
 
-func TestFailed(t *testing.T) {
+func TestRecordFailure(t *testing.T) {
 	const left = time.Second
 	t.Run("an idempotent request goes on until its attempts are used", func(t *testing.T) {
 		p := policy{maxAttempts: 2, repeatable: true}
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestSilence(t *testing.T) {
+func TestReadTimeout(t *testing.T) {
 	p := policy{maxAttempts: 2, repeatable: true, latencyTarget: 150 * time.Millisecond}
 	must.Eq(t, 400*time.Millisecond, p.readTimeout(800*time.Millisecond))
 	must.Eq(t, 300*time.Millisecond, p.readTimeout(500*time.Millisecond))
--- a/internal/listen/listentest/address_test.go
+++ b/internal/listen/listentest/address_test.go
@@ -11,7 +11,7 @@
 // Guards against a port that is taken before its process listens. A test starts a gateway
 // on a port chosen by the system; before the gateway listens, a connection of another test
 // gets the same port, and the gateway never becomes ready.
-func TestFree(t *testing.T) {
+func TestFreeAddress(t *testing.T) {
 	allocated := map[string]bool{}
 	for range blockPorts + 1 {
 		address := FreeAddress(t)
@@ -27,7 +27,7 @@
 }
 
 // Two test programs run at once; each must skip the blocks reserved by the other.
-func TestBlocksAreHeld(t *testing.T) {
+func TestBlocksAreReserved(t *testing.T) {
 	first, second := &portAllocator{}, &portAllocator{}
 	must.True(t, first.reserveBlock())
 	must.True(t, second.reserveBlock())
--- a/internal/member/exchange_test.go
+++ b/internal/member/exchange_test.go
@@ -21,7 +21,7 @@
 
 // Guards against a reverted configuration change: a reconnected process or a
 // delayed store watch can deliver the lists of an older revision, which must be rejected.
-func TestLowerRevisionIsNeverTaken(t *testing.T) {
+func TestLowerRevisionIsRejected(t *testing.T) {
 	nodes := startNodes(t, "a", "b")
 	nodes[0].Offer(newFact(7))
 	waitUntil(t, func() bool { return nodes[1].Fact(member.FactConfig).GetRevision() == 7 })
--- a/internal/member/isolation_test.go
+++ b/internal/member/isolation_test.go
@@ -96,7 +96,7 @@
 }
 
 // One process of three still reaches the store, which counts for all of them.
-func TestStoreHeardByAnother(t *testing.T) {
+func TestStoreAnswerToAnotherProcess(t *testing.T) {
 	a, b, c := newMembers("a"), newMembers("b"), newMembers("c")
 	c.RecordStoreAnswer(start)
 	exchange(c, b, start)
--- a/internal/member/prober_test.go
+++ b/internal/member/prober_test.go
@@ -182,7 +182,7 @@
 			p.failEarlier(t)
 			return "s2"
 		},
-		"told by one that came later": func(p *pair) string {
+		"reported by a late joiner": func(p *pair) string {
 			p.failEarlier(t)
 			p.a = newLateJoiner(p)
 			return "s2"
--- a/internal/member/starthistory_test.go
+++ b/internal/member/starthistory_test.go
@@ -12,7 +12,7 @@
 // A sidecar restarts, or another host takes over its backend server, and its
 // in-memory state is lost. It must learn from the others that there was an
 // earlier process, in any order of their messages.
-func TestIsFirst(t *testing.T) {
+func TestIsFirstProcess(t *testing.T) {
 	process := func(name, server string, incarnation uint64) *peerpb.Process {
 		return peerpb.Process_builder{Name: name, Server: server, Incarnation: incarnation}.Build()
 	}
@@ -21,7 +21,7 @@
 		received []*peerpb.Process
 		isFirst  bool
 	}{
-		"nobody heard":           {nil, false},
+		"no other process known": {nil, false},
 		"older knows of none":    {[]*peerpb.Process{older}, true},
 		"only younger ones":      {[]*peerpb.Process{younger}, true},
 		"started again":          {[]*peerpb.Process{older, process("s1", "server", 4)}, false},
--- a/internal/rollout/holder_test.go
+++ b/internal/rollout/holder_test.go
@@ -121,7 +121,7 @@
 		_, err := holder.Open(t.Context(), openRequest(1, 2, 3, 1))
 		mustRefuse(t, err, "step_differs")
 	})
-	t.Run("the next step waits for the whole one", func(t *testing.T) {
+	t.Run("the next step waits until this one is complete", func(t *testing.T) {
 		_, err := holder.Open(t.Context(), openRequest(2, 2, 2, 1))
 		mustRefuse(t, err, "step_open")
 	})
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -104,7 +104,7 @@
 		commit(step)
 		mustDeliver(t, step, 1)
 	})
-	t.Run("one handed over is dropped when it is pulled again", func(t *testing.T) {
+	t.Run("a delivered one is dropped when it is pulled again", func(t *testing.T) {
 		step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 1)
 		must.True(t, finishAttempt(t, step, mustNext(t, step, start), start, 1))
 		commit(step)
@@ -145,7 +145,7 @@
 		must.Eq(t, 3, mustNext(t, step, start).MinVersion(), must.Sprint("dropped as stale before"))
 		must.Eq(t, 2, mustNext(t, step, start).MinVersion(), must.Sprint("the bound alone"))
 	})
-	t.Run("a whole stale sample is not taken", func(t *testing.T) {
+	t.Run("a complete stale sample is rejected", func(t *testing.T) {
 		step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 3)
 		must.False(t, finishAttempt(t, step, mustNext(t, step, start), start, 3, 1))
 	})
@@ -189,7 +189,7 @@
 		must.Eq(t, 1, step.Counts().Wasted())
 		must.False(t, step.Progress(slow, 1, 1, start.Add(26*time.Second)))
 	})
-	t.Run("so is one that stands still", func(t *testing.T) {
+	t.Run("so is a stalled one", func(t *testing.T) {
 		step, slow := stepWithStraggler(t, 4)
 		must.Eq(t, slow.Slot(), mustNext(t, step, start.Add(20*time.Second)).Slot())
 	})
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -96,7 +96,7 @@
 		roster.RecordFailure(roster.servers["s2"], "silent")
 		must.NotEq(t, "s2", roster.Place(need).Name())
 	})
-	t.Run("not one that was heard long ago", func(t *testing.T) {
+	t.Run("not one whose last event is old", func(t *testing.T) {
 		roster := newRoster(sampler("s1", 4), sampler("s2", 4))
 		busy := roster.Place(need)
 		setPace(roster, busy.Name(), 20*time.Millisecond)
@@ -156,7 +156,7 @@
 
 // One of two samplers is three times slower. Moving a run from it is useful only if the
 // other has a free slot and is not slow itself.
-func TestIsBetter(t *testing.T) {
+func TestHasFasterServer(t *testing.T) {
 	roster := newRoster(sampler("slow", 2), sampler("fast", 1))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	must.False(t, roster.HasFasterServer(roster.servers["slow"], need))
--- a/internal/route/chooser_test.go
+++ b/internal/route/chooser_test.go
@@ -87,7 +87,7 @@
 	must.Between(t, 90, servers[0].Inflight(), 120)
 }
 
-func TestChooseStanding(t *testing.T) {
+func TestChooseEligibility(t *testing.T) {
 	tests := map[string]struct {
 		eligibilities [3]route.Eligibility
 		chosen        string
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -56,7 +56,7 @@
 	must.Positive(t, refused.RetryAfter)
 }
 
-func TestRunWhole(t *testing.T) {
+func TestRunComplete(t *testing.T) {
 	server := startFakeSidecar(t, answerWords("a", "b", "c"))
 	mustAnswer(t, newPool(t, processInfo{"s1", server.address, "assist", 0}), idempotent(), "abc")
 }
@@ -211,14 +211,14 @@
 		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
 		mustRefuse(t, pool, idempotent(), peerpb.Outcome_OUTCOME_UNKNOWN, "no_connection")
 	})
-	t.Run("a part was seen", func(t *testing.T) {
+	t.Run("a part was delivered", func(t *testing.T) {
 		first, second := startDying(t, "x"), startFakeSidecar(t, answerWords("a"))
 		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
 		_, err := pool.Run(t.Context(), idempotent(), stopOnFrame(first, &collector{}))
 		mustBeRefusal(t, err, peerpb.Outcome_OUTCOME_UNKNOWN, "server_lost")
 		must.SliceEmpty(t, second.requests())
 	})
-	t.Run("a part can be forgotten", func(t *testing.T) {
+	t.Run("a part can be discarded", func(t *testing.T) {
 		first, second := startDying(t, "x"), startFakeSidecar(t, answerWords("a"))
 		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
 		sink := &collector{}
--- a/internal/usage/ledger_bench_test.go
+++ b/internal/usage/ledger_bench_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkClose closes a window of 930 sidecars and 8 accounts.
-func BenchmarkClose(b *testing.B) {
+// BenchmarkCloseWindow closes a window of 930 sidecars and 8 accounts.
+func BenchmarkCloseWindow(b *testing.B) {
 	counts := counters(930, 8)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/usage/ledger_test.go
+++ b/internal/usage/ledger_test.go
@@ -67,7 +67,7 @@
 	must.Eq(t, 1, ledger.Size())
 }
 
-func TestChangedSinceMark(t *testing.T) {
+func TestChangedSinceSequence(t *testing.T) {
 	counter := newCounter()
 	counter.Add("a", "m", noon, 1, 1)
 	counts, sequence := counter.Changed(0)
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -198,7 +198,7 @@
 }
 
 // Guards against late figures caused by a process that is unreachable for a moment.
-func TestWaitsForSilentProcess(t *testing.T) {
+func TestWaitsForUnreachableProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
 		stop := start(t, newReporter(fleet, fleet, "e1"), 1)
--- a/internal/weight/coordinator_test.go
+++ b/internal/weight/coordinator_test.go
@@ -181,7 +181,7 @@
 		coordinator.order(t.Context(), fakeTerm{isOver: true}, "a")
 		must.MapEmpty(t, samplers.orders)
 	})
-	t.Run("while the store is away the version is ordered, but not acknowledged", func(t *testing.T) {
+	t.Run("while the store is unavailable the version is ordered, but not acknowledged", func(t *testing.T) {
 		samplers := newFakeSamplers("a")
 		record := &fakeRecord{}
 		coordinator := runCoordinator(t, samplers, record, fakeTerm{fence: 1})
--- a/internal/weight/poolcoordinator_test.go
+++ b/internal/weight/poolcoordinator_test.go
@@ -110,7 +110,7 @@
 	return coordinator.Run(ctx, during)
 }
 
-func TestSteering(t *testing.T) {
+func TestPoolCoordinator(t *testing.T) {
 	t.Run("all load, a few at a time", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFakePool()
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -122,9 +122,9 @@
 		set  func(p *pool)
 		want string
 	}{
-		"weights that no step takes any more":    {func(p *pool) { p.setVersion("a", 5, 0, 1).setVersion("a", 4, 2).setVersion("a", 6, 3) }, "s02"},
-		"weights that the coming step can't use": {func(p *pool) { p.setVersion("a", 6, 0, 1, 2).setVersion("a", 5, 3) }, "s03"},
-		"one that other models don't use":        {func(p *pool) { p.setVersion("b", 3, 0, 1, 3) }, "s02"},
+		"weights that no step accepts any more": {func(p *pool) { p.setVersion("a", 5, 0, 1).setVersion("a", 4, 2).setVersion("a", 6, 3) }, "s02"},
+		"weights that the next step can't use":  {func(p *pool) { p.setVersion("a", 6, 0, 1, 2).setVersion("a", 5, 3) }, "s03"},
+		"one that other models don't use":       {func(p *pool) { p.setVersion("b", 3, 0, 1, 3) }, "s02"},
 		"one that runs less": {func(p *pool) {
 			p.samplers[0].Running, p.samplers[1].Running, p.samplers[2].Running = 3, 2, 4
 			p.samplers[3].Running = 1
@@ -301,7 +301,7 @@
 		must.True(t, steps.RecordVersion("a", 2))
 		must.Eq(t, Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}, steps.Demand("a"))
 	})
-	t.Run("steps take the version before too", func(t *testing.T) {
+	t.Run("steps accept the version before too", func(t *testing.T) {
 		var steps Steps
 		steps.RecordVersion("a", 6)
 		steps.Open("b1", Step{Model: "a", MinVersion: 5, Runs: 64})
@@ -312,7 +312,7 @@
 		must.True(t, steps.RecordVersion("a", 7))
 		must.Eq(t, Demand{Model: "a", NewestVersion: 7, MinVersion: 6, NextMinVersion: 7, Runs: 64}, steps.Demand("a"))
 	})
-	t.Run("an older step that is heard of late changes nothing", func(t *testing.T) {
+	t.Run("an older step opened late changes nothing", func(t *testing.T) {
 		var steps Steps
 		steps.RecordVersion("a", 6)
 		steps.Open("b2", Step{Model: "a", MinVersion: 5, Runs: 64})
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -50,7 +50,7 @@
 // Guards against corrupt responses: a server cuts off its response, sends one that belongs
 // to another request, refuses or fails. The caller must get the whole response of a retry,
 // and none of the bad bytes.
-func TestServersThatSpoilAnswers(t *testing.T) {
+func TestCorruptServerResponses(t *testing.T) {
 	for name, fault := range map[string]wiretest.Fault{"cut": wiretest.FaultTruncate, "foreign": wiretest.FaultWrongRequest, "refused": wiretest.FaultRefuse, "failed": wiretest.FaultFail} {
 		t.Run(name, func(t *testing.T) {
 			d := newDeployment(t)
@@ -165,7 +165,7 @@
 
 // Guards against lost or repeated events when a sampler dies while it generates texts.
 // Another sampler must resume them after their last event.
-func TestCutRunGoesOn(t *testing.T) {
+func TestCutRunResumes(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
 	bad, good := d.NewSampler(t, "s1", "lm", "m"), d.NewSampler(t, "s2", "lm", "m")
@@ -178,7 +178,7 @@
 
 // Guards against long waits when a zone is lost during a step: its samplers send no more
 // events, and the longest texts waited 1.5 s at each silent sampler in turn.
-func TestStalledRunGoesOn(t *testing.T) {
+func TestStalledRunResumes(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
 	bad, good := d.NewSampler(t, "s1", "lm", "m"), d.NewSampler(t, "s2", "lm", "m")
@@ -195,7 +195,7 @@
 // Guards against counting timeouts as failures. A slow sampler and a slow scorer answer
 // several times that a run timed out, and once that it failed; the next runs would succeed,
 // but with timeouts counted the text would be given up.
-func TestLateAnswersAreNoFailures(t *testing.T) {
+func TestTimeoutsAreNotFailures(t *testing.T) {
 	d := newDeployment(t)
 	scorer, sampler := d.NewSampler(t, "a1", "app", ""), d.NewSampler(t, "s1", "lm", "m")
 	faulty := func(_ string, runs int) wiretest.Fault {
@@ -249,7 +249,7 @@
 
 // A sampler dies while a caller reads its stream. Another one must continue the same
 // response after the last event that the caller has.
-func TestStreamGoesOn(t *testing.T) {
+func TestStreamResumes(t *testing.T) {
 	d := newDeployment(t)
 	once := func(_ string, runs int) wiretest.Fault {
 		if runs == 0 {
@@ -276,7 +276,7 @@
 }
 
 // Guards against malformed store values: they must register no server and change nothing.
-func TestBadEntries(t *testing.T) {
+func TestMalformedStoreValues(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
 	d.PutText(t, "servers/bad", []byte("{"))
--- a/test/gateway/store_test.go
+++ b/test/gateway/store_test.go
@@ -35,7 +35,7 @@
 // within a second, and the keeper, which reads its disk first, registers a little later than
 // the gateways: its texts would go unused, and all would be generated again while the
 // trainer waits.
-func TestKeeperComesLater(t *testing.T) {
+func TestKeeperRegistersLate(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
 	sampler := d.NewSampler(t, "s1", "lm", "m")
@@ -58,7 +58,7 @@
 
 // The store refuses one gateway and serves the others. A key that is withdrawn meanwhile
 // must be refused there as well, and batches must be accepted.
-func TestTurnedAwayByTheStore(t *testing.T) {
+func TestGatewayRefusedByStore(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
 	d.NewSampler(t, "s1", "lm", "m")
@@ -80,7 +80,7 @@
 // gateways, and one that asks a peer to make its call may ask another refused one: its
 // batches would be refused and withdrawn keys stay valid there, although a third gateway
 // reaches the store.
-func TestTurnedAwayWithOthers(t *testing.T) {
+func TestSeveralGatewaysRefusedByStore(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
 	d.NewSampler(t, "s1", "lm", "m")
