--- a/internal/bramleyhatch/gateway.go
+++ b/internal/bramleyhatch/gateway.go
@@ -208,11 +208,11 @@
 		}
 		if model, version, ok, err := platform.ReadVersion(change.Key, change.Data); ok {
 			if err != nil {
-				klog.ErrorS(err, "weight: cannot parse the version that an operator named", "revision", change.Revision)
+				klog.ErrorS(err, "weight: cannot parse the version that a trainer announced", "revision", change.Revision)
 				continue
 			}
 			if g.steps.RecordVersion(model, version) {
-				klog.InfoS("weight: an operator named a version", "model", model, "version", version)
+				klog.InfoS("weight: a trainer announced a version", "model", model, "version", version)
 			}
 			continue
 		}
--- a/internal/weight/poolcoordinator.go
+++ b/internal/weight/poolcoordinator.go
@@ -77,7 +77,7 @@
 	Instances map[string]SamplerInstance
 }
 
-// PoolCoordinator rolls out the versions that trainers name to pools of samplers that several
+// PoolCoordinator rolls out the versions that trainers announce to pools of samplers that several
 // models share, while this process holds the duty. Exported fields are set before Run.
 type PoolCoordinator struct {
 	Samplers Samplers
--- a/internal/weight/schedule.go
+++ b/internal/weight/schedule.go
@@ -16,7 +16,7 @@
 // Demand is what the steps of a model's trainer need from the samplers of a pool.
 type Demand struct {
 	Model string
-	// NewestVersion is the newest version that the trainer has named, 0 if none.
+	// NewestVersion is the newest version that the trainer has announced, 0 if none.
 	NewestVersion uint64
 	// MinVersion is the oldest version that the open step accepts, or the next step if none is
 	// open.
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// Versions are named faster than samplers load. One named while another loads is skipped once
+// Versions are announced faster than samplers load. One announced while another loads is skipped once
 // a newer one exists, since it would be too old before it was used.
 func TestVersionsAreSkipped(t *testing.T) {
 	p := newPool(2)
--- a/internal/weight/steps.go
+++ b/internal/weight/steps.go
@@ -11,11 +11,11 @@
 	Runs int
 }
 
-// Steps tracks the versions that trainers have named and the open steps, and derives what they
+// Steps tracks the versions that trainers have announced and the open steps, and derives what they
 // need from samplers. Its zero value is empty. It is safe for concurrent use.
 type Steps struct {
 	mutex     sync.Mutex
-	named     map[string]uint64
+	announced map[string]uint64
 	open      map[string]Step
 	lastSteps map[string]lastStep
 }
@@ -23,20 +23,20 @@
 // lastStep is the newest step of a model.
 type lastStep struct {
 	step Step
-	// lag is how far the oldest version that the step accepts is behind the newest one named
+	// lag is how far the oldest version that the step accepts is behind the newest one announced
 	// when it was opened.
 	lag uint64
 }
 
-// RecordVersion records a named version and reports whether it is newer than all before.
+// RecordVersion records an announced version and reports whether it is newer than all before.
 func (s *Steps) RecordVersion(model string, version uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.initMaps()
-	if version <= s.named[model] {
+	if version <= s.announced[model] {
 		return false
 	}
-	s.named[model] = version
+	s.announced[model] = version
 	return true
 }
 
@@ -54,8 +54,8 @@
 		return
 	}
 	next := lastStep{step: step}
-	if named := s.named[step.Model]; named > step.MinVersion {
-		next.lag = named - step.MinVersion
+	if announced := s.announced[step.Model]; announced > step.MinVersion {
+		next.lag = announced - step.MinVersion
 	}
 	s.lastSteps[step.Model] = next
 }
@@ -69,25 +69,25 @@
 
 // Demand returns what the steps of a model need from samplers.
 //
-// A trainer requests its next step as soon as it has named a version, and that step accepts
+// A trainer requests its next step as soon as it has announced a version, and that step accepts
 // versions as far behind it as the previous step did. So the next step is known once its
-// version is named, and the step after it accepts versions from the following
+// version is announced, and the step after it accepts versions from the following
 // one on.
 func (s *Steps) Demand(model string) Demand {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	named := s.named[model]
+	announced := s.announced[model]
 	last := s.lastSteps[model]
-	demand := Demand{Model: model, NewestVersion: named, MinVersion: named - min(named, last.lag), Runs: last.step.Runs}
-	demand.NextMinVersion = min(named, demand.MinVersion+1)
+	demand := Demand{Model: model, NewestVersion: announced, MinVersion: announced - min(announced, last.lag), Runs: last.step.Runs}
+	demand.NextMinVersion = min(announced, demand.MinVersion+1)
 	return demand
 }
 
 func (s *Steps) initMaps() {
-	if s.named != nil {
+	if s.announced != nil {
 		return
 	}
-	s.named = map[string]uint64{}
+	s.announced = map[string]uint64{}
 	s.open = map[string]Step{}
 	s.lastSteps = map[string]lastStep{}
 }
