--- a/internal/batch/claim_test.go
+++ b/internal/batch/claim_test.go
@@ -114,14 +114,14 @@
 }
 
 // A stopping gateway hands its batch over, so the next one need not wait for it. A gateway
-// whose lease lapsed in a store outage may be alive: if others claim its batch at once, the
+// whose lease expired in a store outage may be alive: if others claim its batch at once, the
 // batch loses what was generated meanwhile.
 func TestClaimDelay(t *testing.T) {
 	hosts := []string{"g1", "g2", "g3"}
 	order := duty.Order("b1", hosts)
 	board := &Board{Process: order[1], Candidates: func(string) []string { return order }, IsLeaving: func(host string) bool { return host == "leaving" }}
 	must.Eq(t, ownerHeadStart+claimStagger, board.claimDelay("b1", "g1"))
-	must.Eq(t, ownerHeadStart+claimStagger, board.claimDelay("b1", "lapsed"))
+	must.Eq(t, ownerHeadStart+claimStagger, board.claimDelay("b1", "expired"))
 	must.Eq(t, claimStagger, board.claimDelay("b1", "leaving"))
 	board.owned = map[string]*ownedBatch{"b1": {}}
 	must.Eq(t, 0, board.claimDelay("b1", "g1"))
--- a/internal/bramleyhatch/gateway.go
+++ b/internal/bramleyhatch/gateway.go
@@ -361,7 +361,7 @@
 	}
 }
 
-// drain reports this process as not ready, hands its batches over, and goes on
+// drain reports this process as not ready, hands its batches over, and keeps
 // serving until the load balancer has noticed.
 func (g *Gateway) drain(ctx context.Context) {
 	g.isDraining.Store(true)
--- a/internal/bramleyhatch/gatewayduties.go
+++ b/internal/bramleyhatch/gatewayduties.go
@@ -25,7 +25,7 @@
 	// to the store.
 	dutyCheckInterval = 200 * time.Millisecond
 	// maxLoadingShare bounds the share of a pool's samplers that load weights concurrently,
-	// so that one half goes on serving whatever version is announced. Within the bound, the
+	// so that one half keeps serving whatever version is announced. Within the bound, the
 	// measured duration of loads decides the number.
 	maxLoadingShare = 0.5
 )
--- a/internal/bramleyhatch/members.go
+++ b/internal/bramleyhatch/members.go
@@ -95,7 +95,7 @@
 }
 
 // announceDraining reports this process as draining to the load balancer and the other
-// processes, and goes on serving for a while.
+// processes, and keeps serving for a while.
 //
 // They notice the new state with a delay. If the process closed its listeners at
 // once, requests sent in the meantime would be cut off.
--- a/internal/bramleyhatch/process_test.go
+++ b/internal/bramleyhatch/process_test.go
@@ -34,7 +34,7 @@
 	}.Build(), &settingspb.Secure{})
 }
 
-// Guards against a process that goes on serving after a task has failed, for example
+// Guards against a process that keeps serving after a task has failed, for example
 // because the address for readiness is in use when a gateway starts: it renews no
 // lease and receives no changes, and is not restarted since the process is alive.
 func TestFailedTaskEndsProcess(t *testing.T) {
@@ -60,7 +60,7 @@
 	})
 }
 
-// A process whose tasks have all returned goes on serving until it is stopped.
+// A process whose tasks have all returned keeps serving until it is stopped.
 func TestFinishedTasksKeepProcessRunning(t *testing.T) {
 	process := newTestProcess()
 	process.AddTask("short", func(context.Context) error { return nil })
--- a/internal/cmd/output.go
+++ b/internal/cmd/output.go
@@ -41,7 +41,7 @@
 }
 
 // printMessage prints a message as JSON. protojson varies its white space; printJSON
-// indents it anew, so that the output is stable.
+// reindents it, so that the output is stable.
 func printMessage(w io.Writer, message proto.Message) error {
 	text, err := protojson.Marshal(message)
 	if err != nil {
--- a/internal/duty/elector_test.go
+++ b/internal/duty/elector_test.go
@@ -129,7 +129,7 @@
 
 // Guards against two processes that send orders to one zone: the answer of a renewal comes
 // late and is the last one before an outage. Counted from the answer, the term would end
-// locally only after the lease has lapsed in the store.
+// locally only after the lease has expired in the store.
 func TestTermCountsFromBeforeRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
--- a/internal/duty/term.go
+++ b/internal/duty/term.go
@@ -52,7 +52,7 @@
 // The monotonic clock stops while the host is suspended, and the term would seem to continue
 // after it had ended in the store, so Valid adds the time that only the boot clock has
 // counted. The wall clock can't be used for that: it jumps by seconds on hosts where it is
-// corrected, and would end a valid term or extend a lapsed one.
+// corrected, and would end a valid term or extend an expired one.
 func (t *Term) Valid(now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/fair/admit.go
+++ b/internal/fair/admit.go
@@ -86,15 +86,15 @@
 	if float64(held+1) > float64(q.Size)*request.Weight/total {
 		return nil
 	}
-	victim := q.mostOverShare(request.Account)
+	victim := q.findVictim(request.Account)
 	if victim == nil {
 		return nil
 	}
 	return q.removeAt(victim, len(victim.items)-1)
 }
 
-// mostOverShare returns the other account with the most items per weight, or nil.
-func (q *Queue[T]) mostOverShare(except string) *account[T] {
+// findVictim returns the other account with the most items per weight, or nil.
+func (q *Queue[T]) findVictim(except string) *account[T] {
 	var found *account[T]
 	maxRatio := 0.0
 	for _, account := range q.waiting {
--- a/internal/fleet/counter.go
+++ b/internal/fleet/counter.go
@@ -14,7 +14,7 @@
 
 // CountPlatform starts and stops servers to match a number per pool and zone.
 type CountPlatform interface {
-	// SetServerCount orders a number of servers with a term's fencing number. It calls guard
+	// SetServerCount orders a number of servers with a term's fencing token. It calls guard
 	// immediately before it sends the order, and returns a *platform.ConflictError
 	// if a newer holder has sent orders.
 	SetServerCount(ctx context.Context, count Count, fence uint64, guard func() error) error
@@ -36,12 +36,12 @@
 	// order may be in flight.
 	Lease        time.Duration
 	OrderTimeout time.Duration
-	// Fenced is true if the platform refuses orders with an old fencing number.
+	// Fenced is true if the platform refuses orders with an old fencing token.
 	Fenced bool
 }
 
 // Run performs the duty until its term ends. If the platform checks no fencing
-// number, the first order waits until none of an earlier term can be in flight.
+// token, the first order waits until none of an earlier term can be in flight.
 func (c *Counter) Run(ctx context.Context, term Term) error {
 	if !c.Fenced && !pause.For(ctx, c.Lease+c.OrderTimeout) {
 		return nil
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -45,7 +45,7 @@
 	Newer uint64
 }
 
-// Error includes the zone and both fencing numbers.
+// Error includes the zone and both fencing tokens.
 func (e *SupersededError) Error() string {
 	return fmt.Sprintf("order: zone %s: term %d is superseded by %d", e.Zone, e.Fence, e.Newer)
 }
@@ -80,7 +80,7 @@
 //
 // Four guards protect an order: its intent is written by compare-and-swap, which
 // fails once a newer holder has written; the term is checked immediately before
-// the order is sent; the order carries the fencing number and an expiry time; and
+// the order is sent; the order carries the fencing token and an expiry time; and
 // a successor waits until no earlier order can be in flight.
 type Orderer struct {
 	Zone      string
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// Versions are announced faster than samplers load. One announced while another loads is skipped once
-// a newer one exists, since it would be too old before it was used.
+// Versions are announced faster than samplers load. One announced while another loads is skipped
+// once a newer one exists, since it would be too old before it was used.
 func TestVersionsAreSkipped(t *testing.T) {
 	p := newPool(2)
 	for version := uint64(2); version <= 9; version++ {
