--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -96,7 +96,7 @@
 		roster.RecordFailure(roster.servers["s2"], "silent")
 		must.NotEq(t, "s2", roster.Place(need).Name())
 	})
-	t.Run("not one that was heard long ago", func(t *testing.T) {
+	t.Run("not one whose last event is old", func(t *testing.T) {
 		roster := newRoster(sampler("s1", 4), sampler("s2", 4))
 		busy := roster.Place(need)
 		setPace(roster, busy.Name(), 20*time.Millisecond)
@@ -156,7 +156,7 @@
 
 // One of two samplers is three times slower. Moving a run from it is useful only if the
 // other has a free slot and is not slow itself.
-func TestIsBetter(t *testing.T) {
+func TestHasFasterServer(t *testing.T) {
 	roster := newRoster(sampler("slow", 2), sampler("fast", 1))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	must.False(t, roster.HasFasterServer(roster.servers["slow"], need))
@@ -258,7 +258,7 @@
 // requests for many servers drew a random server each time.
 func TestUnusedConnectionFirst(t *testing.T) {
 	begin := func() *Roster {
-		roster := &Roster{Zone: "a", Idle: time.Minute}
+		roster := &Roster{Zone: "a", IdleTimeout: time.Minute}
 		roster.initMaps()
 		roster.chooser.Random = rand.New(rand.NewPCG(1, 2))
 		for _, id := range []string{"s1", "s2", "s3", "s4", "s5"} {
@@ -292,7 +292,7 @@
 		roster := begin()
 		first := choose(roster)
 		roster.Finish(first)
-		first.idleConnections[0] = first.idleConnections[0].Add(-2 * roster.Idle)
+		first.idleConnections[0] = first.idleConnections[0].Add(-2 * roster.IdleTimeout)
 		_, reason := roster.Choose(pool, nil)
 		must.Eq(t, route.ReasonZone, reason)
 	})
