--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,8 +1,8 @@
-// Package duty elects one process for each duty that must have exactly one.
+// Package duty elects one process as the holder of each duty.
 //
-// The holder of a duty owns a key in the platform's store that is bound to a lease. Its term
-// counts on the local clock from before the last renewal was sent, less a margin, so it ends
-// locally before it ends in the store.
+// The holder of a duty owns a key in the platform's store that is bound to a lease. Its term is
+// counted on the local clock from before the last renewal was sent, less a margin, so the term ends
+// locally before the lease expires in the store.
 package duty
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Prefix of the store's keys that name the holders of duties.
+// Prefix is the prefix of the store keys that hold the holders of duties.
 const Prefix = "duty/"
 
 // Reader reads one value of the platform's store.
@@ -47,10 +47,10 @@
 
 // ParseHolder decodes the value of a duty's key.
 //
-// The fence is the revision at which the holder created the key. The store's revisions are one
-// sequence that never falls, so the fence also grows after the key has expired with its lease;
-// a counter in the value would be lost then. Only a term resumed by a new start of its holder
-// has its fence in the value, since it began at an earlier revision of the key.
+// The fence is the revision at which the holder created the key. The store's revisions are a single
+// sequence that never decreases, so the fence also grows after the key has expired with its lease;
+// a counter in the value would be lost then. Only a term that a restarted holder resumes has its
+// fence in the value, since the term began at an earlier revision of the key.
 func ParseHolder(value platform.Value) (*statepb.Holder, error) {
 	holder := &statepb.Holder{}
 	if err := proto.Unmarshal(value.Data, holder); err != nil {
--- a/internal/duty/elector.go
+++ b/internal/duty/elector.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxCandidates bounds the processes that poll the store for one duty, so that the number
-	// of calls doesn't grow with the processes.
+	// maxCandidates bounds the processes that poll the store for one duty, so that the number of
+	// calls doesn't grow with the number of processes.
 	maxCandidates = 3
 	// renewalsPerLease is how often a lease is renewed within its length.
 	renewalsPerLease = 4
@@ -26,12 +26,12 @@
 	releaseTimeout = 2 * time.Second
 )
 
-// WorkFunc does a duty until its context ends, at the latest with the term. A nil error within
-// the term means that the duty has nothing left to do.
+// WorkFunc does a duty until its context ends, which is no later than the end of the term. A nil
+// error within the term means that the duty has nothing left to do.
 type WorkFunc func(ctx context.Context, term *Term) error
 
-// Elector takes part in one duty for a process: it acquires the duty when it is free, works
-// while it holds it, and releases it. Exported fields are set before Run.
+// Elector takes part in one duty for a process: it acquires the duty when nobody holds it, runs the
+// work during the term, and releases the duty. Exported fields are set before Run.
 type Elector struct {
 	Store Store
 	// Name of the duty.
@@ -42,12 +42,13 @@
 	Lease time.Duration
 	// Margin is how much earlier a term ends locally than in the store.
 	Margin time.Duration
-	// Prefix of the duty's key; "" means the package's.
+	// Prefix of the duty's store key; "" means the package constant Prefix.
 	Prefix string
 	// IsFree reports whether nobody holds the duty, if that is known without asking the store;
 	// nil asks the store.
 	IsFree func() bool
-	// PriorClaim returns what an earlier start of this process holds; nil means nothing.
+	// PriorClaim returns the claim of an earlier start of this process on the duty; nil means no
+	// claim.
 	PriorClaim func() PriorClaim
 	// PollInterval is the time between two polls of a duty that another process holds; 0 means
 	// half of the lease.
@@ -64,8 +65,8 @@
 	revision uint64
 }
 
-// PriorClaim is what an earlier start of a process still holds of a duty; its zero value is
-// nothing.
+// PriorClaim is the claim that an earlier start of a process still has on a duty; the zero value
+// means no claim.
 type PriorClaim struct {
 	// Revision of the duty's key.
 	Revision uint64
@@ -123,7 +124,7 @@
 		return nil, 0
 	}
 	until := sent.Add(e.Lease - e.Margin)
-	revision, err := e.write(ctx, prior, lease, until)
+	revision, err := e.writeHolder(ctx, prior, lease, until)
 	if err != nil {
 		return nil, 0
 	}
@@ -137,15 +138,16 @@
 	return NewTerm(fence, until), lease
 }
 
-// claimOfEarlierStart returns what an earlier start of this process still holds.
+// claimOfEarlierStart returns the claim that an earlier start of this process still has on the
+// duty.
 //
-// Without it, a process that was killed and restarted waits for its own lease to lapse. When
-// all processes had ended at once, no weights were loaded for the length of the lease, and the
-// steps requested meanwhile waited for samplers. The earlier start is gone for good, since
-// this one has its address. Its term is resumed under its fence, so that a late call of it
-// isn't one of an earlier holder. Under a new fence, a platform that accepts such calls has to
-// be left alone for a while first, and usage windows were reported too late. A term that this
-// start has held is resumed by resume, or not at all.
+// Otherwise, a process that was killed and restarted waits for its own lease to expire. After all
+// processes had ended at once, no weights were loaded for the length of the lease, and the steps
+// requested meanwhile waited for samplers. The earlier start no longer runs, since this start has
+// its address. Its term is resumed under the same fence, so that its late calls don't count as
+// calls of an earlier holder. Under a new fence, the process must first pause its calls to a
+// platform that accepts such late calls, and usage windows were reported too late. A term that this
+// start has held is only resumed by the method resume.
 func (e *Elector) claimOfEarlierStart() PriorClaim {
 	if e.PriorClaim == nil || e.hasHeld {
 		return PriorClaim{}
@@ -169,13 +171,13 @@
 	return errors.As(err, &missing)
 }
 
-// write creates the duty's key, or replaces the one left by an earlier start, and returns its
+// writeHolder creates the duty's key, or replaces the one left by an earlier start, and returns its
 // revision, which is the fence of a new term.
 //
-// The answer may be lost after the change took effect; giving up then would leave the duty
-// without a holder for a whole lease. Only this process knows the lease's number, so a key
-// bound to that lease is its own write.
-func (e *Elector) write(ctx context.Context, prior PriorClaim, lease uint64, until time.Time) (uint64, error) {
+// The answer may be lost after the change took effect; giving up then would leave the duty without
+// a holder for a whole lease. Only this process knows the lease's number, so a key bound to that
+// lease was written by this process.
+func (e *Elector) writeHolder(ctx context.Context, prior PriorClaim, lease uint64, until time.Time) (uint64, error) {
 	data, err := e.encodeHolder(prior.Fence)
 	if err != nil {
 		return 0, err
@@ -184,13 +186,13 @@
 	var unavailable *platform.UnavailableError
 	for errors.As(err, &unavailable) && ctx.Err() == nil && time.Now().Before(until) {
 		pause.For(ctx, e.Lease/(2*renewalsPerLease))
-		revision, err = e.readBack(ctx, lease)
+		revision, err = e.readRevision(ctx, lease)
 	}
 	return revision, err
 }
 
-// encodeHolder returns the value of the duty's key. A new term's fence is the revision that
-// the key gets, so the value only has the fence of a resumed term.
+// encodeHolder returns the value of the duty's key. The fence of a new term is the revision that
+// the key gets, so the value holds a fence only for a resumed term.
 func (e *Elector) encodeHolder(fence uint64) ([]byte, error) {
 	holder := statepb.Holder_builder{
 		Process: e.Process,
@@ -203,7 +205,7 @@
 	return data, eris.Wrap(err, "encode holder")
 }
 
-func (e *Elector) readBack(ctx context.Context, lease uint64) (uint64, error) {
+func (e *Elector) readRevision(ctx context.Context, lease uint64) (uint64, error) {
 	value, err := e.Store.Get(ctx, e.key())
 	if err != nil {
 		return 0, err
@@ -214,8 +216,8 @@
 	return value.Revision, nil
 }
 
-// serve works through a term and all that follow under the same lease, then releases the duty.
-// It returns the last term.
+// serve runs the work in a term and in all further terms under the same lease, then releases the
+// duty. It returns the last term.
 func (e *Elector) serve(ctx context.Context, term *Term, lease uint64, work WorkFunc) (*Term, error) {
 	for {
 		hasExpired, err := e.runTerm(ctx, term, lease, work)
@@ -231,20 +233,20 @@
 	}
 }
 
-// resume returns a new term under the lease of one that has expired, nil if the lease or the
-// context has ended.
+// resume returns a new term under the lease of an expired term, nil if the lease or the context has
+// ended.
 //
-// A store that was unavailable for longer than a term may count no lease meanwhile. Without
-// resume, the holder waits for its own lease to lapse, as all others do, and the duty isn't
-// done for another lease. As long as the lease is valid and the key is unchanged, nobody else
-// has held the duty, so the holder continues under its own fence.
+// A store may stop the clocks of its leases while it is unavailable. If that takes longer than a
+// term, a holder without resume would wait for its own lease to expire, like all other processes,
+// and the duty wouldn't be done for another lease. If the lease is valid and the key is unchanged,
+// nobody else has held the duty, so the holder continues under its own fence.
 func (e *Elector) resume(ctx context.Context, term *Term, lease uint64) *Term {
 	for ctx.Err() == nil {
 		sent := time.Now()
 		err := e.Store.RenewLease(ctx, lease, e.Lease)
 		var revision uint64
 		if err == nil {
-			revision, err = e.readBack(ctx, lease)
+			revision, err = e.readRevision(ctx, lease)
 		}
 		switch {
 		case err == nil && revision == e.revision:
@@ -260,16 +262,16 @@
 	return nil
 }
 
-// isLeaseGone reports whether a store error says that a lease or its key is gone.
+// isLeaseGone reports whether a store error means that a lease or its key no longer exists.
 func isLeaseGone(err error) bool {
 	var missing *platform.NotFoundError
 	var conflict *platform.ConflictError
 	return errors.As(err, &missing) || errors.As(err, &conflict)
 }
 
-// runTerm works until the term ends, and reports whether it expired while the state of its
-// lease was unknown. It returns only after the work has, so that a successor never runs at the
-// same time.
+// runTerm runs the work until the term ends, and reports whether the term expired while the state
+// of its lease was unknown. It returns only after the work has returned, so that a successor never
+// runs at the same time.
 func (e *Elector) runTerm(ctx context.Context, term *Term, lease uint64, work WorkFunc) (hasExpired bool, err error) {
 	e.notifyHeld(true)
 	defer e.notifyHeld(false)
@@ -293,9 +295,9 @@
 	}
 }
 
-// renew extends the lease until the context ends or the lease is gone. A term counts from
-// before the renewal is sent: the store may have counted the lease from any moment since, and
-// the answer may come late.
+// renew extends the lease until the context ends or the lease no longer exists. A term is counted
+// from before the renewal is sent: the lease may run in the store from any moment after that, and
+// the answer may arrive late.
 func (e *Elector) renew(ctx context.Context, term *Term, lease uint64, cancel func()) {
 	for pause.For(ctx, e.Lease/renewalsPerLease) {
 		sent := time.Now()
@@ -313,9 +315,9 @@
 	}
 }
 
-// endAtExpiry ends the work at the end of the term, and reports whether it did. It also ends
-// the term for good, since a renewal's late answer would otherwise revive it while its work is
-// being stopped.
+// endAtExpiry stops the work when the term expires, and reports whether the term expired. It also
+// ends the term permanently, since a renewal's late answer would otherwise extend the term while
+// its work is being stopped.
 func endAtExpiry(ctx context.Context, term *Term, cancel func()) bool {
 	for pause.For(ctx, time.Until(term.Until())) {
 		if !term.Valid(time.Now()) {
--- a/internal/duty/elector_test.go
+++ b/internal/duty/elector_test.go
@@ -23,7 +23,7 @@
 	tick = time.Millisecond
 )
 
-// workLog records what the holders of a duty did.
+// workLog records the terms in which holders worked, and how many holders work now.
 type workLog struct {
 	mutex     sync.Mutex
 	terms     []*duty.Term
@@ -31,7 +31,7 @@
 	maxActive int
 }
 
-// work stays in its term until the context ends.
+// work is a WorkFunc that blocks until the context ends.
 func (w *workLog) work(ctx context.Context, term *duty.Term) error {
 	w.enter(term, 1)
 	defer w.enter(nil, -1)
@@ -55,7 +55,7 @@
 	return len(w.terms)
 }
 
-// working returns how many holders work now.
+// working returns how many holders are working now.
 func (w *workLog) working() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -110,9 +110,9 @@
 	})
 }
 
-// Guards against two processes that send orders to one zone: in a store outage the holder's
-// lease lapses unnoticed, and the holder works on. Its term must end locally before the store
-// can give the duty to another process.
+// Guards against two processes that send orders to the same zone: in a store outage the holder's
+// lease expires unnoticed, and the holder continues its work. Its term must end locally before the
+// store can give the duty to another process.
 func TestTermEndsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
@@ -127,9 +127,9 @@
 	})
 }
 
-// Guards against two processes that send orders to one zone: the answer of a renewal comes
-// late and is the last one before an outage. Counted from the answer, the term would end
-// locally only after the lease has expired in the store.
+// Guards against two processes that send orders to the same zone: the answer to a renewal arrives
+// late, and an outage follows. Counted from the answer, the term would end locally only after the
+// lease has expired in the store.
 func TestTermCountsFromBeforeRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
@@ -154,8 +154,8 @@
 	return err
 }
 
-// Guards against a whole lease in which nobody orders servers: the write that acquired the
-// duty took effect, its answer was lost, and the process gave up the duty that it held.
+// Guards against a whole lease without a holder: the write that acquired the duty took effect, its
+// answer was lost, and the process didn't use the duty that it held.
 func TestKeepsDutyAfterLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, record := newStore(), &workLog{}
@@ -253,9 +253,9 @@
 	must.SliceEmpty(t, duty.Order("usage", nil))
 }
 
-// A holder is killed and restarts within its lease. If it waits for its own lease to lapse,
-// the duty isn't done for seconds: no weights are loaded, and the steps requested meanwhile
-// find no sampler. What it has held in its own start is not resumed this way.
+// A holder is killed and restarts within its lease. If it waits for its own lease to expire, the
+// duty isn't done for seconds: no weights are loaded, and the steps requested meanwhile find no
+// sampler. A term that the same start has held is not resumed this way.
 func TestResumesDutyOfEarlierStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
@@ -273,7 +273,7 @@
 		must.Eq(t, 1, resuming.count())
 		must.Eq(t, 0, waiting.count())
 		must.Eq(t, revision, resuming.term(0).Fence())
-		// If it is killed once more, the next start must resume under the same fence.
+		// If the process is killed again, the next start must resume under the same fence.
 		value, err := store.Get(t.Context(), duty.Key("order-a"))
 		must.NoError(t, err)
 		holder := &statepb.Holder{}
@@ -286,9 +286,10 @@
 	})
 }
 
-// The store is unavailable for longer than a term and counts no lease meanwhile. A holder that
-// waits for its own lease to lapse loads no weights for three seconds more. It resumes as soon
-// as the store has renewed its lease, under the same fence; until then it does nothing.
+// The store is unavailable for longer than a term and stops the clocks of its leases meanwhile. A
+// holder that waits for its own lease to expire loads no weights for three seconds more. The holder
+// must resume under the same fence as soon as the store has renewed its lease, and do nothing
+// before.
 func TestTermResumesUnderItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
@@ -311,8 +312,8 @@
 	})
 }
 
-// The store is unavailable for longer than a lease and counts it. Another process may hold the
-// duty by then, and the former holder must not continue its term.
+// The store is unavailable for longer than a lease, and the lease expires meanwhile. Another
+// process may then hold the duty, so the former holder must not continue its term.
 func TestTermEndsWithItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &platformtest.Store{}
--- a/internal/duty/group.go
+++ b/internal/duty/group.go
@@ -15,7 +15,7 @@
 // Group takes part in duties whose names change over time, such as one for each zone. Exported
 // fields are set before Start.
 type Group struct {
-	// Names returns the duties wanted now.
+	// Names returns the names of the duties to take part in now.
 	Names func() []string
 	// Run takes part in one duty until its context ends.
 	Run func(ctx context.Context, name string) error
@@ -65,6 +65,6 @@
 func (g *Group) run(ctx context.Context, name string) {
 	err := g.Run(ctx, name)
 	if err != nil && !errors.Is(err, context.Canceled) {
-		klog.Errorf("duty: %s failed: %v", name, err)
+		klog.Errorf("duty: running %s failed: %v", name, err)
 	}
 }
--- a/internal/duty/rank.go
+++ b/internal/duty/rank.go
@@ -43,11 +43,11 @@
 	Cores float64
 }
 
-// OrderBySize returns the candidates for a duty, first those with at least half of the largest
-// one's CPU time.
+// OrderBySize returns the candidates for a duty in order; candidates with at least half of the CPU
+// time of the largest come first.
 //
-// A duty uses the CPU time of one process. On a small one its work waits while larger ones are
-// idle.
+// A duty uses the CPU time of a single process. On a small process its work waits while larger
+// processes are idle.
 func OrderBySize(name string, candidates []Candidate) []string {
 	var largest float64
 	for _, candidate := range candidates {
@@ -64,7 +64,7 @@
 	return append(Order(name, large), Order(name, small)...)
 }
 
-// cores returns the CPU time; an unknown one counts as a whole core.
+// cores returns the candidate's cores; an unknown number counts as one core.
 func (c Candidate) cores() float64 {
 	if c.Cores <= 0 {
 		return 1
@@ -72,7 +72,7 @@
 	return c.Cores
 }
 
-// Order returns the candidates for a duty by their rank.
+// Order returns the candidates for a duty sorted by rank.
 func Order(name string, candidates []string) []string {
 	scores := make(map[string]uint64, len(candidates))
 	for _, candidate := range candidates {
--- a/internal/duty/rank_test.go
+++ b/internal/duty/rank_test.go
@@ -11,8 +11,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/duty"
 )
 
-// Guards against small hosts as owners: all trainers' batches were owned by hosts with a sixth
-// of the CPU time of others, which were idle.
+// Guards against small hosts as owners: all trainers' batches were owned by hosts with a sixth of
+// the CPU time of other hosts, which were idle.
 func TestSmallHostsComeLast(t *testing.T) {
 	candidates := []duty.Candidate{{Name: "small1", Cores: 0.15}, {Name: "small2", Cores: 0.15}, {Name: "large1", Cores: 0.8}, {Name: "large2", Cores: 0.6}}
 	for _, work := range []string{"model/a", "model/b", "model/c", "model/d", "model/e"} {
@@ -22,7 +22,7 @@
 	}
 }
 
-// A process of unknown size counts as one with a whole core, like one without a CPU limit.
+// A process of unknown size, such as a process without a CPU limit, counts as having one core.
 func TestUnknownSize(t *testing.T) {
 	must.Eq(t, "unknown", duty.OrderBySize("work", []duty.Candidate{{Name: "small", Cores: 0.3}, {Name: "unknown"}})[0])
 }
--- a/internal/duty/store_test.go
+++ b/internal/duty/store_test.go
@@ -20,7 +20,7 @@
 	calls    int
 	// isDown makes calls fail before they take effect.
 	isDown bool
-	// lostAnswers is the number of answers to lose after the change took effect.
+	// lostAnswers is the number of next calls whose changes take effect but whose answers are lost.
 	lostAnswers int
 }
 
@@ -123,7 +123,7 @@
 	return s.calls
 }
 
-// leaseEnd returns when a lease lapses.
+// leaseEnd returns when a lease expires.
 func (s *store) leaseEnd(lease uint64) time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/duty/term.go
+++ b/internal/duty/term.go
@@ -30,7 +30,7 @@
 	return &Term{fence: fence, until: until, readBoot: boot, startedAt: now, startedBoot: boot()}
 }
 
-// End ends the term now and for good.
+// End ends the term permanently.
 func (t *Term) End() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -40,19 +40,19 @@
 // Fence returns the fencing token, higher than that of every earlier holder.
 func (t *Term) Fence() uint64 { return t.fence }
 
-// Until returns the end of the term, zero once it was ended.
+// Until returns the end of the term, the zero time after End.
 func (t *Term) Until() time.Time {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.until
 }
 
-// Valid reports whether the duty is held at a time that time.Now returned.
+// Valid reports whether the duty is held at now, a time returned by time.Now.
 //
-// The monotonic clock stops while the host is suspended, and the term would seem to continue
-// after it had ended in the store, so Valid adds the time that only the boot clock has
-// counted. The wall clock can't be used for that: it jumps by seconds on hosts where it is
-// corrected, and would end a valid term or extend an expired one.
+// The monotonic clock stops while the host is suspended, and the term would seem to continue after
+// it had ended in the store, so Valid adds the time that only the boot clock has counted. The wall
+// clock is unsuitable: on hosts where it is corrected, it jumps by seconds and would end a valid
+// term or extend an expired one.
 func (t *Term) Valid(now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -64,14 +64,14 @@
 	return max(0, t.readBoot().Sub(t.startedBoot)-now.Sub(t.startedAt))
 }
 
-// extend moves the end to a time counted from now; an ended term stays ended.
+// extend moves the end of the term to a later time, unless the term has ended.
 func (t *Term) extend(until time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
 	if !t.until.IsZero() && until.After(t.until) {
-		// A suspension before now doesn't shorten a lease that is renewed after it; one
-		// between sending the renewal and now must stay counted.
+		// A suspension before the renewal was sent doesn't shorten the renewed lease; a suspension
+		// between sending the renewal and now must still be counted.
 		t.until = until.Add(t.suspended(now))
 	}
 }
--- a/internal/duty/term_test.go
+++ b/internal/duty/term_test.go
@@ -9,9 +9,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/clock"
 )
 
-// A host is suspended for longer than a lease while it holds a duty. When it wakes, its
-// monotonic clock shows that no time has passed; by that alone the process would send an order
-// although another one has long held the duty.
+// A host is suspended for longer than a lease while it holds a duty. After the host resumes, its
+// monotonic clock shows that no time has passed; relying on that clock alone, the process would
+// send an order although another process holds the duty.
 func TestTermCountsSuspension(t *testing.T) {
 	now := time.Now()
 	boot := clock.Boot(time.Hour)
@@ -21,8 +21,8 @@
 	must.False(t, term.Valid(now.Add(time.Millisecond)))
 }
 
-// The wall clock of a holder's host is set back and forth by seconds. The lease in the store
-// isn't affected, so the term neither ends nor grows.
+// The wall clock of a holder's host is set back and forth by seconds. The lease in the store isn't
+// affected, so the term must neither end early nor be extended.
 func TestTermIgnoresWallClock(t *testing.T) {
 	now := time.Now()
 	boot := clock.Boot(time.Hour)
--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -5,7 +5,8 @@
 const (
 	// maxRetryRatio is the share of requests that may be retried on another server.
 	maxRetryRatio = 0.1
-	// minRetries are allowed on top, so that an entry with few requests can retry at all.
+	// minRetries is the number of retries allowed in addition, so that an entry with few requests
+	// can retry at all.
 	minRetries = 10
 	// retryWindow is the length of a counting window.
 	retryWindow = 30 * time.Second
@@ -15,15 +16,15 @@
 // the requests plus a small constant. The zero value is ready to use.
 // It is not safe for concurrent use.
 //
-// Without a limit, an overloaded fleet gets each request several times, which
-// slows it down further. The limit holds however many requests fail.
+// Without a limit, an overloaded fleet receives each request several times, which slows the fleet
+// down further. The limit holds however many requests fail.
 type Budget struct {
 	windowStart time.Time
 	requests    [2]float64
 	retries     [2]float64
 }
 
-// CountRequest counts an initial attempt, as opposed to a retry.
+// CountRequest counts the initial attempt of a request.
 func (b *Budget) CountRequest(now time.Time) {
 	b.rotate(now)
 	b.requests[0]++
--- a/internal/route/chooser.go
+++ b/internal/route/chooser.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// DefaultPrefixBytes is the length of the prompt prefix that decides the server.
-	// Requests of one assistant share their first bytes and thus the engine's cache.
+	// DefaultPrefixBytes is the length of the prompt prefix by which the server is chosen. Requests
+	// of the same assistant share their first bytes and thus the engine's cache.
 	DefaultPrefixBytes = 256
 	// DefaultBound is the maximum utilization of a prefix's server relative to the mean.
 	DefaultBound = 1.25
@@ -19,11 +19,12 @@
 	// maxIdleConnUtilization is the utilization from which a server with an idle
 	// connection is no longer preferred.
 	maxIdleConnUtilization = 0.5
-	// zoneMargin is how much lower the utilization in another zone must be to leave this one.
+	// zoneMargin is how much lower the utilization in another zone must be for a request to leave
+	// this zone.
 	zoneMargin = 0.25
 )
 
-// Reason says why a server was chosen.
+// Reason is the reason for choosing a server.
 type Reason string
 
 // Reasons.
@@ -79,10 +80,10 @@
 	idle     []*Server
 }
 
-// Choose returns the server for a request. With a prefix it prefers the servers
-// with the highest rendezvous hash for it, on which all entries agree without
-// communication; if those are loaded, it picks the less loaded of two random
-// servers. Without a prefix it does the latter, in this zone first.
+// Choose returns the server for a request. With a prefix it prefers the servers with the highest
+// rendezvous hash for it, on which all entries agree without communication; if those are loaded, it
+// picks the less loaded of two random servers. Without a prefix it picks the less loaded of two
+// random servers, preferably of this zone.
 func (c *Chooser) Choose(servers []*Server, request Request) Choice {
 	c.selectEligible(servers, request, Open)
 	if len(c.eligible) == 0 {
@@ -97,8 +98,8 @@
 	return c.chooseByZone()
 }
 
-// selectEligible collects the servers that may be chosen, only those of this region
-// if it has any.
+// selectEligible collects the servers that may be chosen: those of this region, or those of all
+// regions if this region has none.
 func (c *Chooser) selectEligible(servers []*Server, request Request, worst Eligibility) {
 	c.eligible = c.eligible[:0]
 	c.nearby = c.nearby[:0]
@@ -143,8 +144,8 @@
 	return Choice{Server: c.pickLessLoaded(c.eligible), Reason: ReasonSuspect}
 }
 
-// chooseByPrefix chooses the less loaded of two replicas of the prefix if it is within
-// the bound, else none.
+// chooseByPrefix chooses the less loaded of two replicas of the prefix if its utilization is within
+// the bound, otherwise no server.
 func (c *Chooser) chooseByPrefix(prefix uint64) Choice {
 	replicas := c.replicas(c.popularity.Add(prefix))
 	i := c.randomIndex(replicas)
@@ -162,9 +163,9 @@
 // replicas returns the number of servers over which a prefix is spread: in
 // proportion to its share of the requests, and at least two.
 //
-// No fixed number works. With a small one, a popular prefix overloads its few
-// servers, since entries learn of the queue there only from delayed reports. With
-// a large one, a rare prefix is cached nowhere.
+// No fixed number works. With a small one, a popular prefix overloads its few servers, since
+// entries see the queues of these servers only in delayed reports. With a large number, a rare
+// prefix is cached nowhere.
 func (c *Chooser) replicas(share float64) int {
 	spread := c.Spread
 	if spread == 0 {
@@ -203,8 +204,8 @@
 	return best, best2
 }
 
-// chooseByZone chooses a server of this zone, or of any zone if this one is full and
-// the other server clearly less loaded.
+// chooseByZone chooses a server of this zone, or of any zone if the server of this zone is full and
+// the other server's utilization is lower by more than zoneMargin.
 func (c *Chooser) chooseByZone() Choice {
 	if len(c.nearby) == 0 {
 		return Choice{Server: c.pickLessLoaded(c.eligible), Reason: ReasonRandom}
@@ -220,12 +221,12 @@
 	return Choice{Server: local, Reason: ReasonZone}
 }
 
-// chooseByIdleConn picks a server of this zone with an idle connection, or returns
-// nil if the picked one is too loaded or there is none.
+// chooseByIdleConn picks a server of this zone with an idle connection, or returns nil if the
+// picked server is too loaded or no connection is idle.
 //
-// With many entries and servers, an entry sends to each server so rarely that the
-// connection is closed before the next request. Preferring recently used servers
-// limits an entry to a few of them until these are half full.
+// With many entries and servers, an entry sends to each server so rarely that the connection is
+// closed before the next request. Preferring recently used servers keeps an entry's requests on a
+// few servers until those are half full.
 func (c *Chooser) chooseByIdleConn() *Server {
 	c.idle = c.idle[:0]
 	for _, server := range c.nearby {
--- a/internal/route/chooser_test.go
+++ b/internal/route/chooser_test.go
@@ -32,7 +32,7 @@
 	servers := newServers(9, 4)
 	chosen := map[string]int{}
 	for range 2 {
-		// A second entry agrees with the first without communication.
+		// A second entry chooses the same server as the first without communication.
 		chooser := newChooser()
 		for i := range 50 {
 			chosen[chooser.Choose(servers, route.Request{Prefix: route.Hash([]byte("assistant"))}).Server.Name()]++
@@ -52,8 +52,8 @@
 }
 
 func TestChooseLeavesLoadedPrefixServers(t *testing.T) {
-	// Guards against requests of one prefix queueing at its two servers while
-	// other servers are idle.
+	// Guards against requests of one prefix queueing at its two servers while other servers are
+	// idle.
 	servers := newServers(9, 1)
 	chooser := newChooser()
 	for i := range 500 {
@@ -171,9 +171,8 @@
 }
 
 func TestChooseSpreadsPopularPrefix(t *testing.T) {
-	// A third of all requests share a prefix. If only two of 930 servers took
-	// them, they would queue for minutes, and the load reports that show it
-	// arrive seconds late.
+	// A third of all requests share a prefix. If only two of 930 servers ran these requests, they
+	// would queue for minutes, and the load reports that show the queue arrive seconds late.
 	servers := newServers(930, 7)
 	chooser := newChooser()
 	chosen := map[string]bool{}
--- a/internal/route/leastutilized.go
+++ b/internal/route/leastutilized.go
@@ -7,20 +7,20 @@
 	Slowness float64
 }
 
-// maxSlowness is the slowness above which a server gets new work only if no other
-// has a free slot. Healthy samplers of a pool differ by less than half; one slowed
-// by a fault takes at least three times as long.
+// maxSlowness is the slowness above which a server gets new work only if no other server has a free
+// slot. Healthy samplers of a pool differ by less than half; a sampler slowed by a fault takes at
+// least three times as long.
 const maxSlowness = 1.8
 
-// IsSlow reports whether a server is so slow that others are preferred for new work.
+// IsSlow reports whether other servers are preferred over a server of this slowness for new work.
 func IsSlow(slowness float64) bool { return slowness > maxSlowness }
 
 // LeastUtilized returns the server with the smallest share of its slots in use, or nil
 // if none has a free slot. Slow and suspect servers come last; among equals, those
 // of the zone come first.
 //
-// A generation queued at a server can't move to another, while one queued here
-// takes the first slot that any server frees. So no server gets more generations
+// A generation queued at a server can't move to another server, while a generation queued in this
+// process gets the first slot that becomes free at any server. So no server gets more generations
 // than it has slots.
 func LeastUtilized(candidates []Candidate, zone string) *Server {
 	var best Candidate
--- a/internal/route/server.go
+++ b/internal/route/server.go
@@ -1,5 +1,5 @@
-// Package route chooses the backend server for a request. It does no input or
-// output: its callers pass in all state.
+// Package route chooses the backend server for a request. It does no I/O: callers pass in all
+// state.
 package route
 
 import (
@@ -11,17 +11,17 @@
 // reportHalfWeightAge is the age at which a report has half its weight.
 const reportHalfWeightAge = 500 * time.Millisecond
 
-// assumedSlots is the number of slots of a server that has not reported it yet.
+// assumedSlots is the number of slots assumed for a server that has not reported its number yet.
 const assumedSlots = 8
 
-// Eligibility says whether a server gets new work.
+// Eligibility is whether a server gets new work.
 type Eligibility int
 
 // Eligibilities, from best to worst.
 const (
 	// Open servers get new work.
 	Open Eligibility = iota
-	// Suspect servers get new work only if there is no open one.
+	// Suspect servers get new work only if no server is open.
 	Suspect
 	// Closed servers are draining, have left or have failed, and get no new work.
 	Closed
@@ -76,9 +76,9 @@
 	s.ended++
 }
 
-// Load estimates the requests running or queued at the server: those of the last
-// report, corrected by what this entry has sent and finished since, but at least
-// this entry's own.
+// Load estimates the number of requests running or queued at the server: the number in the last
+// report, corrected by the requests that this entry has sent and finished since, but at least this
+// entry's own running requests.
 //
 // Without the correction, all requests between two reports would go to the server
 // with the lowest load in the first of them.
@@ -153,8 +153,8 @@
 // Zone returns the availability zone of the server.
 func (s *Server) Zone() string { return s.zone }
 
-// Hash returns the hash that matches prefixes to servers; it is the same in every
-// process.
+// Hash returns the hash by which prefixes are matched to servers; all processes compute the same
+// hash.
 func Hash(text []byte) uint64 {
 	return xxhash.Sum64(text)
 }
--- a/internal/weight/choice.go
+++ b/internal/weight/choice.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// nextStepOffset ranks the next step against the open one: a model with less than half of the
-// samplers that its open step can use comes before one with all of them and none for the next
+// nextStepOffset ranks the next step against the open step: a model with less than half of the
+// samplers that its open step can use comes before a model with all of them and none for its next
 // step.
 const nextStepOffset = 0.5
 
@@ -20,7 +20,7 @@
 	// zones lists the samplers that may load the model's newest version, in each zone by
 	// increasing cost.
 	zones map[string][]*sampler
-	// isExhausted is true once no such sampler is left.
+	// isExhausted is true once zones holds no more samplers.
 	isExhausted bool
 }
 
@@ -39,7 +39,7 @@
 	return plans
 }
 
-// countLoad adds a sampler that is ordered to load.
+// countLoad counts a sampler that is ordered to load the plan's version.
 func (p *plan) countLoad(sampler *sampler) {
 	if sampler.versions[p.Model] < p.demand.MinVersion {
 		p.Open++
@@ -49,8 +49,8 @@
 	}
 }
 
-// neediest returns the plan of the model that lacks samplers most, nil if no model lacks one
-// that it may load.
+// neediest returns the plan of the model with the lowest share of its wanted samplers, nil if no
+// model lacks a sampler that may load its version.
 func neediest(plans []*plan) *plan {
 	var best *plan
 	for _, candidate := range plans {
@@ -64,18 +64,18 @@
 	return best
 }
 
-// isMoreUrgent reports whether c goes before other: its model is served worse, or equally well
-// and can use more samplers.
+// isMoreUrgent reports whether c takes precedence over other: its model has a lower service level,
+// or the same level and can use more samplers.
 func (c Change) isMoreUrgent(other Change) bool {
-	if served, otherServed := c.served(), other.served(); served != otherServed {
+	if served, otherServed := c.serviceLevel(), other.serviceLevel(); served != otherServed {
 		return served < otherServed
 	}
 	return c.Wanted > other.Wanted
 }
 
-// served returns how well a model is served: the share of the samplers it can use that its
-// open step has, or that of its next step plus nextStepOffset if that is lower.
-func (c Change) served() float64 {
+// serviceLevel returns the lower of two shares of the samplers that the model can use: the share
+// that its open step has, and the share that its next step has plus nextStepOffset.
+func (c Change) serviceLevel() float64 {
 	open := float64(c.Open) / float64(c.Wanted)
 	next := nextStepOffset + float64(c.Next)/float64(c.Wanted)
 	return min(open, next)
@@ -84,7 +84,7 @@
 // coverage counts the samplers that have a model's versions, including those that are loading
 // them.
 func (s *Schedule) coverage(demand *Demand) Change {
-	change := Change{Model: demand.Model, Version: demand.NewestVersion, Wanted: s.wanted(demand)}
+	change := Change{Model: demand.Model, Version: demand.NewestVersion, Wanted: s.wantedSamplers(demand)}
 	for _, sampler := range s.samplers {
 		version := sampler.versions[demand.Model]
 		if sampler.isLoading && sampler.orderedModel == demand.Model {
@@ -100,9 +100,9 @@
 	return change
 }
 
-// wanted returns how many samplers a step can use: enough to run all generations that it
-// begins at once.
-func (s *Schedule) wanted(demand *Demand) int {
+// wantedSamplers returns how many samplers a step can use: enough to run all generations that the
+// step starts at once.
+func (s *Schedule) wantedSamplers(demand *Demand) int {
 	slots := 0
 	for _, sampler := range s.samplers {
 		slots += sampler.slots
@@ -134,7 +134,7 @@
 	return zones
 }
 
-// cheapestSampler returns the sampler at which a plan's next load costs least, nil if none is
+// cheapestSampler returns the sampler with the lowest cost for a plan's next load, nil if none is
 // left. Ties go to the zone with the fewest loads in progress.
 func (s *Schedule) cheapestSampler(plan *plan, loadsByZone map[string]int) *sampler {
 	var best *sampler
@@ -162,18 +162,18 @@
 
 // Costs of a load at a sampler. Each exceeds the sum of all lower ones.
 const (
-	// otherModelCost is added for each other model that can use the sampler, which spreads the
-	// models.
+	// otherModelCost is added for each other model that can use the sampler, to spread the models
+	// over the samplers.
 	otherModelCost = 1
-	// nextStepCost is added for weights that the next step also accepts, openStepCost for
-	// those that the open step accepts. Weights that no step accepts any more cost nothing.
+	// nextStepCost is added if the next step accepts the weights to be replaced, openStepCost if
+	// the open step accepts them. Replacing weights that no step accepts any more costs nothing.
 	nextStepCost = 1 << 20
 	openStepCost = 1 << 21
 )
 
 // loadCost returns the cost of a load at a sampler.
 func (s *Schedule) loadCost(demand *Demand, sampler *sampler) int {
-	cost := otherModelCost * s.otherModels(demand, sampler)
+	cost := otherModelCost * s.otherModelCount(demand, sampler)
 	version := sampler.versions[demand.Model]
 	if version >= demand.NextMinVersion {
 		cost += nextStepCost
@@ -184,8 +184,8 @@
 	return cost
 }
 
-// otherModels returns how many other models can use a sampler for their open step.
-func (s *Schedule) otherModels(demand *Demand, sampler *sampler) int {
+// otherModelCount returns how many other models can use a sampler for their open step.
+func (s *Schedule) otherModelCount(demand *Demand, sampler *sampler) int {
 	count := 0
 	for i := range s.demands {
 		other := &s.demands[i]
--- a/internal/weight/coordinator.go
+++ b/internal/weight/coordinator.go
@@ -32,7 +32,7 @@
 	Load(server string) *peerpb.Load
 }
 
-// Record keeps the target version in the platform's store.
+// Record stores the target version in the platform's store.
 type Record interface {
 	// Read returns the stored value, nil if there is none.
 	Read(ctx context.Context) ([]byte, error)
@@ -46,12 +46,12 @@
 	Valid(now time.Time) bool
 }
 
-// TargetUnknownError reports that the version in the store has not been read yet.
+// TargetUnknownError reports that a model's target version has not been read from the store yet.
 type TargetUnknownError struct {
 	Model string
 }
 
-// Error names the model.
+// Error returns a message that names the model.
 func (e *TargetUnknownError) Error() string {
 	return "weight: the version kept for " + e.Model + " isn't known yet"
 }
@@ -88,8 +88,8 @@
 	return &Coordinator{Model: model, wake: make(chan struct{}, 1)}
 }
 
-// Announce sets the target version. Samplers are ordered to load it at once; an error means
-// that the store doesn't hold it yet and that it has to be announced again.
+// Announce sets the target version and orders samplers to load it at once. An error means that the
+// version isn't stored yet and must be announced again.
 func (c *Coordinator) Announce(ctx context.Context, version uint64) error {
 	if c.announce(version) {
 		c.Decisions.Record(Key(c.Model), "weight", "version %d is wanted on all samplers", version)
@@ -129,7 +129,7 @@
 	return c.Record.Write(ctx, data)
 }
 
-// Run orders samplers until the context ends, at the latest with the term.
+// Run orders samplers until the context ends, which is no later than the end of the term.
 func (c *Coordinator) Run(ctx context.Context, term Term) error {
 	c.mutex.Lock()
 	c.wave.Share = c.Share
@@ -148,7 +148,7 @@
 		case <-c.wake:
 		}
 		c.readTarget(ctx)
-		for _, server := range c.next() {
+		for _, server := range c.nextServers() {
 			group.Go(func() { c.order(ctx, term, server) })
 		}
 		timer.Reset(c.interval())
@@ -165,7 +165,7 @@
 	return idleInterval
 }
 
-// readTarget reads the target version from the store, until the store has answered once.
+// readTarget reads the target version from the store unless an earlier read has succeeded.
 func (c *Coordinator) readTarget(ctx context.Context) {
 	c.storeMutex.Lock()
 	defer c.storeMutex.Unlock()
@@ -185,9 +185,9 @@
 	c.announce(value.GetVersion())
 }
 
-func (c *Coordinator) next() []string {
+func (c *Coordinator) nextServers() []string {
 	now := time.Now()
-	live := c.live()
+	live := c.liveSamplers()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.wave.Observe(live, now)
@@ -198,7 +198,7 @@
 	return c.wave.Next(now)
 }
 
-func (c *Coordinator) live() []Sampler {
+func (c *Coordinator) liveSamplers() []Sampler {
 	var live []Sampler
 	for _, process := range c.Directory.Processes(peerpb.Role_ROLE_SIDECAR) {
 		if process.GetPool() != c.Model || process.GetState() != peerpb.State_STATE_LIVE {
--- a/internal/weight/coordinator_test.go
+++ b/internal/weight/coordinator_test.go
@@ -117,7 +117,7 @@
 	r.isUnavailable = unavailable
 }
 
-// fakeTerm is a term that is over or not.
+// fakeTerm is a term that is valid unless isOver is set.
 type fakeTerm struct {
 	fence  uint64
 	isOver bool
@@ -177,7 +177,7 @@
 		samplers := newFakeSamplers("a")
 		coordinator := runCoordinator(t, samplers, &fakeRecord{}, fakeTerm{fence: 1, isOver: true})
 		announce(t, coordinator)
-		coordinator.next()
+		coordinator.nextServers()
 		coordinator.order(t.Context(), fakeTerm{isOver: true}, "a")
 		must.MapEmpty(t, samplers.orders)
 	})
--- a/internal/weight/coordinators.go
+++ b/internal/weight/coordinators.go
@@ -11,18 +11,18 @@
 
 const (
 	retryAfter = time.Second
-	// announceTimeout bounds the wait for the store in an announcement.
+	// announceTimeout bounds the wait for the store during an announcement.
 	announceTimeout = 3 * time.Second
 )
 
-// Coordinators holds the coordinators of the models whose weights this process is in charge
-// of. The zero value holds none. It is safe for concurrent use.
+// Coordinators holds the coordinators of the models whose weight duty this process holds. The zero
+// value is empty. It is safe for concurrent use.
 type Coordinators struct {
 	mutex   sync.Mutex
 	byModel map[string]*Coordinator
 }
 
-// Add adds a coordinator until the returned function is called.
+// Add registers a coordinator. The returned function removes it.
 func (c *Coordinators) Add(coordinator *Coordinator) (remove func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/weight/limiter.go
+++ b/internal/weight/limiter.go
@@ -7,33 +7,35 @@
 )
 
 const (
-	// initialShare is the part of the maximum limit with which the limit starts, and
-	// minInitialLimit its minimum.
+	// initialShare is the initial limit as a share of the maximum limit, and minInitialLimit the
+	// smallest initial limit.
 	initialShare    = 0.125
 	minInitialLimit = 2
-	// minQueued and maxQueued bound the share of the loads in progress that only wait for the
-	// weight store.
+	// minQueued and maxQueued bound the share of the loads in progress that queue at the weight
+	// store.
 	minQueued = 0.2
 	maxQueued = 0.5
-	// maxSmallLimit is the largest limit of which one load is more than minQueued.
+	// maxSmallLimit is the largest limit at which a single load makes up at least the share
+	// minQueued.
 	maxSmallLimit = 5
 	// probePeriod is the number of loads after which a small limit is raised by one as a
 	// probe.
 	probePeriod = 10
-	// capacitySamples is the number of last loads from which the store's capacity is
-	// estimated: those of a few seconds, so that one slow sampler doesn't decide.
+	// capacitySamples is the number of most recent loads from which the store's capacity is
+	// estimated: the loads of a few seconds, so that one slow sampler doesn't determine the
+	// estimate.
 	capacitySamples = 6
-	// growthPerRound is how much the limit grows in a round, once loads have queued; in a
-	// round, as many loads end as are in progress.
+	// growthPerRound is how much the limit grows per round once loads have queued. A round is as
+	// many completed loads as are in progress.
 	growthPerRound = 8
-	// shrinkPerRound is how much it shrinks in a round while loads queue at the store.
+	// shrinkPerRound is how much the limit shrinks per round while loads queue at the store.
 	shrinkPerRound = 24
 )
 
-// limiter adapts the number of concurrent loads to the capacity of the weight store, as
-// delay-based congestion control does: a load that takes longer than the fastest one seen has
-// queued at the store, and more concurrent loads only take more samplers out of service
-// without finishing earlier.
+// limiter adapts the number of concurrent loads to the capacity of the weight store, as delay-based
+// congestion control does: a load that takes longer than the fastest load so far has queued at the
+// store, and more concurrent loads only take more samplers out of service without finishing
+// earlier.
 type limiter struct {
 	current   float64
 	fastest   time.Duration
@@ -52,8 +54,8 @@
 	return max(1, int(l.current))
 }
 
-// recordLoad updates the limit by the duration of a load and the mean number of loads in
-// progress meanwhile.
+// recordLoad updates the limit from the duration of a load and the mean number of loads in progress
+// during it.
 func (l *limiter) recordLoad(duration time.Duration, inFlight float64) {
 	if duration <= 0 {
 		return
@@ -63,7 +65,7 @@
 	}
 	queued := 1 - float64(l.fastest)/float64(duration)
 	if l.current <= maxSmallLimit {
-		l.recordSmall(queued, inFlight)
+		l.recordAtSmallLimit(queued, inFlight)
 		return
 	}
 	switch {
@@ -79,14 +81,15 @@
 	}
 }
 
-// recordSmall updates a small limit, of which one load is a large part.
+// recordAtSmallLimit updates a limit of at most maxSmallLimit, where each load is a large part of
+// the limit.
 //
-// At a store with a capacity of two, three concurrent loads take half as long again: as many
-// end per second, and each ends later. Each load yields an estimate of the capacity: the
-// number of loads in progress, less the part of its time that it queued. The highest of the
-// last few estimates counts, since a sampler that is slow by itself says nothing about the
-// store. A higher limit is probed now and then.
-func (l *limiter) recordSmall(queued, inFlight float64) {
+// At a store with a capacity of two, three concurrent loads each take 1.5 times as long: the
+// throughput is the same, and each load ends later. Each load yields an estimate of the capacity:
+// the number of loads in progress, reduced by the share of its duration that the load queued. The
+// limit is the highest of the last few estimates, since a slow sampler says nothing about the
+// store. Every probePeriod loads, the limit is raised by one as a probe.
+func (l *limiter) recordAtSmallLimit(queued, inFlight float64) {
 	l.capacities[l.loads%len(l.capacities)] = inFlight * (1 - queued)
 	l.loads++
 	l.hasQueued = l.hasQueued || queued > minQueued
@@ -100,8 +103,8 @@
 	}
 }
 
-// recordFailure updates the limit by the duration of a failed load: a long one has queued at
-// the store, one that failed at once says nothing about it.
+// recordFailure updates the limit from the duration of a failed load: a long load has queued at the
+// store, a load that failed at once says nothing about the store.
 func (l *limiter) recordFailure(duration time.Duration) {
 	if l.fastest > 0 && 1-float64(l.fastest)/float64(duration) > maxQueued {
 		l.hasQueued = true
--- a/internal/weight/limiter_test.go
+++ b/internal/weight/limiter_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// recordLoads ends loads that take as long as at a store with a capacity of two at a time.
+// recordLoads records loads with the durations of a store that serves two loads at a time.
 func recordLoads(l *limiter, count int) {
 	for range count {
 		inFlight := l.limit(5)
@@ -21,8 +21,8 @@
 		recordLoads(&l, 30)
 		must.Between(t, 2, l.limit(5), 3)
 	})
-	// One sampler is slow by itself while it loads alone. Taken for queueing at the store,
-	// this limited loads to one at a time for 10 s.
+	// Guards against mistaking a slow sampler for queueing at the store, which limited loads to one
+	// at a time for 10 s: the sampler is slow although no other load is in progress.
 	t.Run("one slow sampler", func(t *testing.T) {
 		var l limiter
 		recordLoads(&l, 12)
--- a/internal/weight/poolcoordinator.go
+++ b/internal/weight/poolcoordinator.go
@@ -14,15 +14,16 @@
 const (
 	// scheduleInterval is the time between two scheduling rounds.
 	scheduleInterval = 50 * time.Millisecond
-	// pollInterval is the time between two polls for the end of a load: a small part of a
-	// load, since the next one starts only when the end is seen.
+	// pollInterval is the first wait between two polls for the end of a load. It is a small part of
+	// a load's duration, since the next load starts only after a poll detects the end.
 	pollInterval = 60 * time.Millisecond
-	// pollGrowth is the factor between two successive waits: a load that queues behind others
-	// is polled about half as often, and its end is seen at most a quarter of its wait late.
+	// pollGrowth is the factor between two successive waits between polls: a load that queues
+	// behind others is polled about half as often, and its end is detected at most a quarter of its
+	// wait late.
 	pollGrowth = 1.3
 	// initialLoadTime is the expected duration of the first load.
 	initialLoadTime = 900 * time.Millisecond
-	// loadTimeout bounds one load, which is then ordered again.
+	// loadTimeout bounds one load; after the timeout the load is ordered again.
 	loadTimeout = 5 * time.Second
 )
 
@@ -33,7 +34,7 @@
 type SamplerInstance struct {
 	ID      string
 	Address string
-	// StartedAtMillis identifies a start of the sampler; a new start has forgotten all orders.
+	// StartedAtMillis identifies a start of the sampler; a restarted sampler has lost all orders.
 	StartedAtMillis int64
 }
 
@@ -44,23 +45,24 @@
 	Fence   uint64
 	// Orders is the number of orders that the sampler has accepted before this one.
 	Orders uint64
-	// DrainFirst lets running generations end first; otherwise they continue under the new version.
+	// DrainFirst lets running generations end before the load; otherwise they continue under the
+	// new version.
 	DrainFirst bool
 }
 
 // State is what a sampler reports about itself.
 type State struct {
 	IsLoading bool
-	// Orders is the number of orders that it has accepted since its start.
+	// Orders is the number of orders that the sampler has accepted since its start.
 	Orders   uint64
 	Versions map[string]uint64
 }
 
 // Samplers sends orders and state requests to samplers.
 type Samplers interface {
-	// Load returns nil once the sampler has accepted the order, ErrAlreadyLoaded if it
-	// already has the version, and a *platform.ConflictError if a newer holder has sent it
-	// orders.
+	// Load returns nil once the sampler has accepted the order, ErrAlreadyLoaded if the sampler
+	// already has the version, and a *platform.ConflictError if a newer holder has sent orders to
+	// the sampler.
 	Load(ctx context.Context, sampler SamplerInstance, load Load, guard func() error) error
 	State(ctx context.Context, sampler SamplerInstance) (State, error)
 }
@@ -73,7 +75,7 @@
 	// DrainFirst lets running generations end before new weights are loaded.
 	DrainFirst bool
 	Samplers   []SamplerState
-	// Instances by sampler identity.
+	// Instances maps the ID of a sampler to its instance.
 	Instances map[string]SamplerInstance
 }
 
@@ -83,7 +85,7 @@
 	Samplers Samplers
 	// Pools returns the current pools.
 	Pools func() []Pool
-	// OnLoaded is called when a sampler has a version.
+	// OnLoaded is called when a sampler has loaded a version.
 	OnLoaded  func(sampler, model string, version uint64)
 	Decisions *decision.Log
 	// Share is the maximum share of a pool's samplers that load at the same time.
@@ -91,7 +93,7 @@
 
 	mutex     sync.Mutex
 	schedules map[string]*Schedule
-	// orders is the number of orders that a sampler has accepted since its start.
+	// orders maps a sampler to the number of orders that it has accepted since its start.
 	orders      map[SamplerInstance]uint64
 	minLoadTime time.Duration
 	loads       sync.WaitGroup
@@ -168,9 +170,9 @@
 
 // order sends an order.
 //
-// An order without an answer may be accepted seconds later, after a newer one, and would set
-// the sampler back. So each order carries the number of orders accepted before it, and after a
-// lost answer the sampler is asked for that number.
+// An unanswered order may be accepted seconds later, after a newer order, and would revert the
+// sampler to an older version. So each order carries the number of orders accepted before it, and
+// after a lost answer that number is read from the sampler.
 func (c *PoolCoordinator) order(ctx context.Context, term Term, sampler SamplerInstance, load Load) error {
 	c.mutex.Lock()
 	orders, known := c.orders[sampler]
@@ -216,7 +218,8 @@
 	c.orders[sampler] = orders
 }
 
-// awaitVersion polls the sampler from the time at which it should have the version.
+// awaitVersion waits for the expected duration of a load, then polls the sampler until it has the
+// version.
 func (c *PoolCoordinator) awaitVersion(ctx context.Context, sampler SamplerInstance, load Load, began time.Time) error {
 	c.mutex.Lock()
 	expected := c.minLoadTime
--- a/internal/weight/poolcoordinator_test.go
+++ b/internal/weight/poolcoordinator_test.go
@@ -31,7 +31,7 @@
 	fences     []uint64
 	// loseAnswer makes the next order take effect without an answer.
 	loseAnswer bool
-	// isSuperseded makes samplers refuse orders as those of an earlier holder.
+	// isSuperseded makes samplers reject orders as if a newer holder had sent some.
 	isSuperseded bool
 	// target is the target version.
 	target uint64
@@ -120,9 +120,9 @@
 			must.LessEq(t, 2, f.maxLoading)
 		})
 	})
-	// The answer to an order is lost although the order takes effect. It is sent again only
-	// with the number of orders that the sampler has accepted, so that a late order can't set
-	// it back.
+	// The answer to an order is lost although the order takes effect. The order is resent only with
+	// the number of orders that the sampler has accepted, so that a late order can't revert the
+	// sampler to an older version.
 	t.Run("an answer is lost", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFakePool()
@@ -140,9 +140,9 @@
 			must.SliceEmpty(t, f.fences)
 		})
 	})
-	// An order without an answer may be accepted seconds later. A sampler detects it by the
-	// number of orders before it, so each order must carry that number: one with another
-	// number is refused, and the second version is never loaded.
+	// An unanswered order may be accepted seconds later. A sampler detects a late order by the
+	// number of orders accepted before it, so each order must carry that number: an order with a
+	// wrong number is rejected, and the second version is never loaded.
 	t.Run("each order names those before it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFakePool()
@@ -158,8 +158,8 @@
 			must.MapLen(t, 6, f.versions)
 		})
 	})
-	// A suspended holder wakes after samplers have had orders of a newer one: it must stop at
-	// once and send nothing more.
+	// A suspended holder resumes after samplers have accepted orders of a newer holder: the former
+	// holder must stop at once and send nothing more.
 	t.Run("a newer holder", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFakePool()
--- a/internal/weight/schedule.go
+++ b/internal/weight/schedule.go
@@ -9,7 +9,7 @@
 const (
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// DefaultLag is how long a load report may show the version from before a load.
+	// DefaultLag is how long after a load a load report may still show the previous version.
 	DefaultLag = 3 * time.Second
 )
 
@@ -18,14 +18,14 @@
 	Model string
 	// NewestVersion is the newest version that the trainer has announced, 0 if none.
 	NewestVersion uint64
-	// MinVersion is the oldest version that the open step accepts, or the next step if none is
-	// open.
+	// MinVersion is the oldest version that the open step accepts; if no step is open, the oldest
+	// that the next step accepts.
 	MinVersion uint64
-	// NextMinVersion is the oldest version that the step after that one accepts; it is at most
-	// NewestVersion.
+	// NextMinVersion is the oldest version that the step after the step of MinVersion accepts; it
+	// is at most NewestVersion.
 	NextMinVersion uint64
-	// Runs is the number of generations that a step begins at once; 0 if unknown, which wants
-	// all samplers.
+	// Runs is the number of generations that a step starts at once; 0 if unknown, in which case the
+	// step can use all samplers.
 	Runs int
 }
 
@@ -33,37 +33,37 @@
 type SamplerState struct {
 	ID   string
 	Zone string
-	// StartedAtMillis identifies a start of the sampler; a new start has forgotten all orders.
+	// StartedAtMillis identifies a start of the sampler; a restarted sampler has lost all orders.
 	StartedAtMillis int64
-	// Slots is the number of generations that it can run at the same time, 0 if unknown.
+	// Slots is the number of generations that the sampler can run concurrently, 0 if unknown.
 	Slots int
-	// Running is the number of generations that it runs now, 0 if unknown.
+	// Running is the number of generations that the sampler runs now, 0 if unknown.
 	Running uint32
-	// Versions of the loaded weights by model.
+	// Versions maps a model to the version of its loaded weights.
 	Versions map[string]uint64
 }
 
-// Change is a scheduled load: a sampler, and the version of a model that it is to load.
+// Change is a scheduled load of a version of a model on a sampler.
 type Change struct {
 	Sampler string
 	Model   string
 	Version uint64
-	// Open and Next count the samplers that the model had for its open step and for the next
-	// one, Wanted those that it can use. These counts decided on the load.
+	// Open and Next are the numbers of samplers that the model had for its open step and for its
+	// next step, Wanted is the number that it can use. The load was chosen by these counts.
 	Open, Next, Wanted int
 }
 
 // Schedule decides which sampler of a pool loads which version of which model next. It does no
 // I/O, takes the time from its caller and is not safe for concurrent use.
 //
-// Loads are scarce: the weight store serves a few at a time, and a version is used by few
-// steps. A sampler holds weights of every model at once, and a load replaces those of one
-// model only, so samplers aren't divided between models: each load goes to the model whose
-// step lacks samplers most, and replaces the oldest weights of that model.
+// Loads are scarce: the weight store serves a few at a time, and a version is used by few steps. A
+// sampler holds weights of every model at once, and a load replaces the weights of one model only,
+// so samplers aren't divided between models: each load goes to the model with the lowest service
+// level, and replaces the oldest weights of that model.
 type Schedule struct {
 	// Share is the maximum share of the samplers that load at the same time.
 	Share float64
-	// Lag is how long a load report may show the version from before a load.
+	// Lag is how long after a load a load report may still show the previous version.
 	Lag time.Duration
 
 	samplers map[string]*sampler
@@ -80,28 +80,28 @@
 type sampler struct {
 	server string
 	zone   string
-	// startedAtMillis identifies its start.
+	// startedAtMillis identifies the start of the sampler.
 	startedAtMillis int64
 	slots           int
 	running         uint32
-	// cost of a load in the current round.
+	// cost is the cost of a load on this sampler in the current round.
 	cost     int
 	versions map[string]uint64
-	// orderedModel and orderedVersion are those of the newest order.
+	// orderedModel and orderedVersion are the model and version of the newest order.
 	orderedModel   string
 	orderedVersion uint64
 	isLoading      bool
 	orderedAt      time.Time
 	// loadTime is the schedule's loadTime when the order was sent.
 	loadTime time.Duration
-	// answeredAt is when it last answered an order.
+	// answeredAt is when the sampler last answered an order.
 	answeredAt time.Time
 	failures   int
 	retryAt    time.Time
 }
 
-// SetDemand sets what the models' steps need. A version newer than before is tried at once, even
-// where the previous one has failed.
+// SetDemand sets what the models' steps need. A newer version of any model is tried at once, also
+// on samplers where a load has failed.
 func (s *Schedule) SetDemand(demands []Demand) {
 	for _, demand := range demands {
 		before := s.findDemand(demand.Model)
@@ -162,8 +162,8 @@
 	return entry
 }
 
-// observeVersion applies the version of a load report. Reports lag: just after a load they
-// still show the previous version, and believing them would order it again.
+// observeVersion applies the version of a load report. Reports lag: just after a load they still
+// show the previous version, and using them would order the load again.
 func (s *Schedule) observeVersion(sampler *sampler, model string, version uint64, now time.Time) {
 	if version == 0 || version == sampler.versions[model] {
 		return
@@ -179,9 +179,9 @@
 
 // Done records the version of the ordered model that a sampler shows after an order.
 //
-// A swap can fail although the order is answered, and an old order can set back an engine that
-// ignores fencing tokens. So only the version shown counts, and one that is too old is ordered
-// again.
+// A swap can fail although the order is answered, and an old order can revert an engine that
+// ignores fencing tokens. So only the version that the sampler shows counts, and if it is too old,
+// the load is ordered again.
 func (s *Schedule) Done(server string, shown uint64, now time.Time) {
 	sampler := s.samplers[server]
 	if sampler == nil || !sampler.isLoading {
@@ -199,15 +199,15 @@
 	s.limiter.recordLoad(duration, (s.loadTime-sampler.loadTime).Seconds()/duration.Seconds())
 }
 
-// Failed records that an order was refused or not answered.
+// Failed records that an order was rejected or not answered.
 func (s *Schedule) Failed(server string, now time.Time) {
 	sampler := s.samplers[server]
 	if sampler == nil || !sampler.isLoading {
 		return
 	}
 	s.endLoad(sampler, now)
-	// An order that timed out has waited for the store; one refused at once says nothing about
-	// it.
+	// An order that timed out has waited for the store; an order rejected at once says nothing
+	// about the store.
 	s.limiter.recordFailure(now.Sub(sampler.orderedAt))
 	sampler.backOff(now)
 }
@@ -256,8 +256,8 @@
 	return changes
 }
 
-// updateLoadTime adds the time of the loads in progress. How many were in progress during a
-// load tells whether it had to share the bandwidth to the weights.
+// updateLoadTime adds the time of the loads in progress. The mean number of loads in progress
+// during a load shows whether the load shared the bandwidth to the weight store.
 func (s *Schedule) updateLoadTime(now time.Time) {
 	s.loadTime += time.Duration(s.inFlight) * now.Sub(s.countedAt)
 	s.countedAt = now
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -19,7 +19,7 @@
 	loads map[string]int
 }
 
-// pendingLoad is a load in progress and when it ends.
+// pendingLoad is a load in progress with its end time.
 type pendingLoad struct {
 	Change
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// setVersion sets the version that samplers have of a model.
+// setVersion sets the version of a model that samplers have.
 func (p *pool) setVersion(model string, version uint64, samplers ...int) *pool {
 	for _, sampler := range samplers {
 		p.samplers[sampler].Versions[model] = version
@@ -66,7 +66,7 @@
 	}
 }
 
-// usable counts the samplers that have a version of a model or a newer one.
+// usable counts the samplers that have the given or a newer version of a model.
 func (p *pool) usable(model string, version uint64) int {
 	count := 0
 	for _, sampler := range p.samplers {
@@ -85,11 +85,11 @@
 	return all
 }
 
-// Guards against refreshing one model while another waits for samplers. Three trainers share
-// eleven samplers. One has a single sampler whose weights its open step accepts; the others
-// have four each, which still serve this step and the next. When loads follow the order of
-// names, each new version of the others is loaded first, and all generations of the one wait
-// for its single sampler.
+// Guards against refreshing one model while another waits for samplers. Three trainers share eleven
+// samplers. The first trainer has a single sampler whose weights its open step accepts; the other
+// two have four each, which still serve their open and next steps. If loads follow the order of
+// names, each new version of the other trainers is loaded first, and all generations of the first
+// trainer wait for its single sampler.
 func TestWaitingModelGoesFirst(t *testing.T) {
 	p := newPool(11)
 	p.setVersion("a", 5, indices(0, 3)...).setVersion("b", 5, indices(4, 7)...).setVersion("c", 5, 8)
@@ -101,9 +101,9 @@
 	}
 }
 
-// Guards against equal parts for unequal work. One trainer's steps have four times the
-// generations of the other's. With equal parts its generations wait while slots of the other
-// part are idle.
+// Guards against dividing samplers equally between unequal loads. One trainer's steps have four
+// times as many generations as the other's. With equal shares, the larger trainer's generations
+// wait while slots of the smaller trainer are idle.
 func TestSamplersByWork(t *testing.T) {
 	p := newPool(10)
 	large := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2, Runs: 64}
@@ -144,8 +144,8 @@
 	}
 }
 
-// Versions are announced faster than samplers load. One announced while another loads is skipped
-// once a newer one exists, since it would be too old before it was used.
+// Versions are announced faster than samplers load. A version announced during the load of another
+// is skipped once a newer version exists, since it would be too old before it was used.
 func TestVersionsAreSkipped(t *testing.T) {
 	p := newPool(2)
 	for version := uint64(2); version <= 9; version++ {
@@ -166,8 +166,8 @@
 	must.Eq(t, 3, p.loads["a 4"])
 }
 
-// Guards against one sampler blocking the others: it answers no order and is ordered again and
-// again.
+// Guards against one sampler blocking the others: the failing sampler answers no order and is
+// ordered repeatedly.
 func TestOneSamplerFails(t *testing.T) {
 	p := newPool(6)
 	demand := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}
@@ -183,8 +183,8 @@
 	must.Eq(t, 5, p.usable("a", 2))
 }
 
-// A sampler restarts while it loads and loses all its weights. The new start must be ordered
-// again: an answer to the earlier order says nothing about it.
+// A sampler restarts while it loads and loses all its weights. The restarted sampler must be
+// ordered again: an answer to the earlier order says nothing about its weights.
 func TestSamplerStartsAgain(t *testing.T) {
 	p := newPool(1)
 	demand := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}
@@ -194,7 +194,7 @@
 	must.Len(t, 1, p.next(demand))
 }
 
-// A new holder knows nothing of its predecessor's decisions. It derives them from the
+// A new holder doesn't know its predecessor's decisions. The new holder derives them from the
 // samplers' versions, since each change of a sampler's model costs a load.
 func TestScheduleAfterTakeover(t *testing.T) {
 	p := newPool(4)
@@ -204,7 +204,7 @@
 	must.SliceEmpty(t, p.next(m1, m2))
 }
 
-// drawDemands draws models whose trainers are anywhere in their steps.
+// drawDemands draws the demands of models with arbitrary versions and step sizes.
 func drawDemands(t *rapid.T) []Demand {
 	var demands []Demand
 	for i := range rapid.IntRange(1, 8).Draw(t, "models") {
@@ -218,9 +218,8 @@
 	return demands
 }
 
-// Guards against starving a model. For any models and samplers, each model has a sampler for
-// its open step within as many loads as there are models, before any model has all that it can
-// use twice over.
+// Guards against starving a model. For any models and samplers, each model has a sampler for its
+// open step after at most as many loads as there are models.
 func TestNoModelStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(rapid.IntRange(1, 30).Draw(t, "samplers"))
@@ -243,8 +242,8 @@
 	})
 }
 
-// While nothing changes, loads end: no version is loaded more often than there are samplers,
-// and each model has the samplers that it can use.
+// If the demands don't change, scheduling ends: no version is loaded more often than there are
+// samplers, and no model has more samplers than it can use.
 func TestLoadsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 20).Draw(t, "samplers")
@@ -257,12 +256,12 @@
 		must.SliceEmpty(t, p.next(demands...))
 		for _, demand := range demands {
 			must.LessEq(t, count, p.loads[fmt.Sprintf("%s %d", demand.Model, demand.NewestVersion)])
-			must.GreaterEq(t, p.schedule.wanted(&demand), p.usable(demand.Model, demand.NextMinVersion))
+			must.GreaterEq(t, p.schedule.wantedSamplers(&demand), p.usable(demand.Model, demand.NextMinVersion))
 		}
 	})
 }
 
-// Model names decide nothing but the order of two equal models.
+// Model names affect only the order of models with equal demands.
 func TestNamesDoNotAffectSchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t)
@@ -277,7 +276,7 @@
 		// out.
 		for i := range demands {
 			for j := range demands[:i] {
-				if p.schedule.wanted(&demands[i]) == p.schedule.wanted(&demands[j]) {
+				if p.schedule.wantedSamplers(&demands[i]) == p.schedule.wantedSamplers(&demands[j]) {
 					return
 				}
 			}
@@ -306,8 +305,8 @@
 		steps.RecordVersion("a", 6)
 		steps.Open("b1", Step{Model: "a", MinVersion: 5, Runs: 64})
 		must.Eq(t, Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 64}, steps.Demand("a"))
-		// The step is over and its trainer names the next version: its next step is about to
-		// come and accepts versions from 6 on.
+		// The step has ended and its trainer announces the next version: the trainer's next step is
+		// imminent and accepts versions from 6 on.
 		steps.Close("b1")
 		must.True(t, steps.RecordVersion("a", 7))
 		must.Eq(t, Demand{Model: "a", NewestVersion: 7, MinVersion: 6, NextMinVersion: 7, Runs: 64}, steps.Demand("a"))
--- a/internal/weight/steps.go
+++ b/internal/weight/steps.go
@@ -5,14 +5,14 @@
 // Step is an open step of a trainer.
 type Step struct {
 	Model string
-	// MinVersion is the oldest version that may generate any of its tokens.
+	// MinVersion is the oldest version that may generate any of the step's tokens.
 	MinVersion uint64
-	// Runs is the number of its generations.
+	// Runs is the number of the step's generations.
 	Runs int
 }
 
-// Steps tracks the versions that trainers have announced and the open steps, and derives what they
-// need from samplers. Its zero value is empty. It is safe for concurrent use.
+// Steps tracks the announced versions and the open steps of trainers, and derives the demand for
+// samplers from them. The zero value is empty. It is safe for concurrent use.
 type Steps struct {
 	mutex     sync.Mutex
 	announced map[string]uint64
@@ -23,12 +23,13 @@
 // lastStep is the newest step of a model.
 type lastStep struct {
 	step Step
-	// lag is how far the oldest version that the step accepts is behind the newest one announced
-	// when it was opened.
+	// lag is the number of versions by which the oldest version that the step accepts was behind
+	// the newest announced version when the step was opened.
 	lag uint64
 }
 
-// RecordVersion records an announced version and reports whether it is newer than all before.
+// RecordVersion records an announced version and reports whether it is newer than all previous
+// ones.
 func (s *Steps) RecordVersion(model string, version uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -69,10 +70,10 @@
 
 // Demand returns what the steps of a model need from samplers.
 //
-// A trainer requests its next step as soon as it has announced a version, and that step accepts
-// versions as far behind it as the previous step did. So the next step is known once its
-// version is announced, and the step after it accepts versions from the following
-// one on.
+// A trainer requests its next step as soon as it has announced a version. The next step accepts
+// versions as far behind the announced version as the previous step did. So the oldest version that
+// the next step accepts is known once its version is announced, and for the step after the next it
+// is one version newer.
 func (s *Steps) Demand(model string) Demand {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/weight/wave.go
+++ b/internal/weight/wave.go
@@ -1,8 +1,8 @@
 // Package weight rolls out new weights to the samplers of models.
 //
 // Schedule decides which samplers load next and takes the time from its caller; Wave is the
-// schedule of one model that all its samplers serve. PoolCoordinator and Coordinator send the
-// orders.
+// schedule of samplers that all serve the same single model. PoolCoordinator and Coordinator send
+// the orders.
 package weight
 
 import "time"
@@ -19,7 +19,7 @@
 type Sampler struct {
 	Server string
 	Zone   string
-	// Version that it shows, 0 if unknown.
+	// Version is the version that the sampler shows, 0 if unknown.
 	Version uint64
 	Running uint32
 }
@@ -27,8 +27,7 @@
 // soleModel is the name of the only model in a wave's schedule.
 const soleModel = ""
 
-// Announce sets the target version and reports whether it is newer than before; others are
-// ignored.
+// Announce sets the target version if it is newer than the current one, and reports whether it is.
 func (w *Wave) Announce(version uint64) bool {
 	if version <= w.target {
 		return false
@@ -49,8 +48,8 @@
 	return behind
 }
 
-// Next returns the samplers to order now: first those in the zones with the fewest loads, and
-// among them the least busy.
+// Next returns the samplers to order now: samplers in the zones with the fewest loads first, and
+// within a zone the least busy first.
 func (w *Wave) Next(now time.Time) []string {
 	changes := w.Schedule.Next(now)
 	var chosen []string
--- a/internal/weight/wave_test.go
+++ b/internal/weight/wave_test.go
@@ -40,9 +40,9 @@
 	must.SliceEmpty(t, wave.Next(now))
 }
 
-// Guards against taking a rollout for complete while samplers serve old weights: one sampler's
-// swap fails, and one that ignores fencing tokens is set back by an old order. Only the
-// version shown counts.
+// Guards against treating a rollout as complete while samplers serve old weights: one sampler's
+// swap fails, and an old order reverts another sampler that ignores fencing tokens. Only the
+// version that a sampler shows counts.
 func TestWaveOrdersAgain(t *testing.T) {
 	t.Run("a swap that fails is retried after a pause", func(t *testing.T) {
 		wave := newWave(1, 1)
