--- a/internal/roster/coldlimits.go
+++ b/internal/roster/coldlimits.go
@@ -21,15 +21,15 @@
 
 // ColdLimits limits the requests sent to cold servers.
 type ColdLimits interface {
-	// Quota returns how many requests this process may send to a cold server of a pool
-	// within a time window; isUnbounded where the pool's servers need no limit.
+	// Quota returns how many requests this process may send to a cold server of a pool within
+	// cold.Window; isUnbounded is true if the pool's servers need no limit.
 	Quota(pool, server string, sender Sender) (limit int, isUnbounded bool)
-	// Duration returns how long a server of a pool is cold.
+	// Duration returns how long a server of a pool stays cold.
 	Duration(pool string) time.Duration
 }
 
-// markCold notes that a server is cold for a time from now on. A later end that is
-// already known stays: registrations may arrive out of order.
+// markCold marks a server as cold for the remaining time. It never shortens the time that is
+// already set, since registrations may arrive out of order.
 func (s *Server) markCold(remaining time.Duration, now clock.Boot) {
 	if remaining <= 0 || now.Add(remaining) <= s.coldUntil {
 		return
@@ -40,8 +40,8 @@
 	s.coldUntil = now.Add(remaining)
 }
 
-// isOverColdLimit reports whether a server is cold and this process has used up its
-// quota of requests to it.
+// isOverColdLimit reports whether a server is cold and this process has used up its quota of
+// requests to that server.
 func (r *Roster) isOverColdLimit(server *Server, sender Sender, now clock.Boot) bool {
 	if r.ColdLimits == nil || now >= server.coldUntil {
 		return false
--- a/internal/roster/coldlimits_test.go
+++ b/internal/roster/coldlimits_test.go
@@ -23,8 +23,7 @@
 	return entry
 }
 
-// Guards against a server that fails again because it is sent more than a cold server
-// can take.
+// Guards against overloading a cold server, which then fails again.
 func TestColdServer(t *testing.T) {
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	quotas := coldQuotas{SenderBatch: 2, SenderCaller: 1}
--- a/internal/roster/demand.go
+++ b/internal/roster/demand.go
@@ -7,24 +7,24 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// Demand is what this process has requested of a pool since it started. All figures are
-// cumulative.
+// Demand is the use of a pool by this process's requests. All fields are totals since the process
+// started.
 type Demand struct {
 	// Busy is the total time that requests have spent at servers.
 	Busy time.Duration
-	// Ended counts the requests that have left their server.
+	// Ended counts the requests that have ended at their server.
 	Ended uint64
-	// Refused counts the requests for which no server had room.
+	// Refused counts the requests for which no server had capacity.
 	Refused uint64
 }
 
 // Census counts the registered servers of a pool.
 type Census struct {
-	// Present counts the servers that may get work, by zone, including zones that had
-	// one before.
+	// Present counts the servers that may get work, by zone. Zones that only had servers in the
+	// past are included.
 	Present map[string]int
-	// Slots is the mean number of requests that a server runs concurrently, or ran
-	// while there was one; 0 if there never was.
+	// Slots is the mean number of requests that a server runs concurrently; the last known mean if
+	// the pool has no server now, 0 if it never had one.
 	Slots float64
 }
 
@@ -36,7 +36,7 @@
 	updatedAt clock.Boot
 }
 
-// adjust changes the number of running requests; a negative change is the end of one.
+// adjust changes the number of running requests; a negative change is the end of a request.
 func (m *meter) adjust(change int, now clock.Boot) {
 	m.Busy += time.Duration(m.running) * now.Sub(m.updatedAt)
 	m.updatedAt = now
@@ -55,7 +55,7 @@
 	return meter.Demand
 }
 
-// RecordNoRoom records that no server of a pool had room for a request.
+// RecordNoRoom records that no server of a pool had capacity for a request.
 func (r *Roster) RecordNoRoom(pool string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -89,7 +89,7 @@
 	return census
 }
 
-// meter returns the meter of a pool. The mutex is held.
+// meter returns the meter of a pool. The caller holds the mutex.
 func (r *Roster) meter(pool string) *meter {
 	r.initMaps()
 	if r.meters[pool] == nil {
--- a/internal/roster/engine.go
+++ b/internal/roster/engine.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// paceWeight is the weight of a new interval in the moving mean: small, since
-	// events arrive in bursts where a host is short of processor time.
+	// paceWeight is the weight of a new interval in the moving mean. It is small, since events
+	// arrive in bursts on a host that is short of CPU time.
 	paceWeight = 0.04
-	// maxPaceAge is how long a pace is valid after its last event; a slow server is
-	// tried again after that.
+	// maxPaceAge is how long a pace is valid after its last event; afterwards a slow server gets
+	// work again.
 	maxPaceAge = 5 * time.Second
 	// minPaceEvents is the number of events before a pace is valid.
 	minPaceEvents = 12
-	// activeWindow is how recently an active server has sent an event: some event
-	// intervals, and less than it takes to detect that a server is silent.
+	// activeWindow is the maximum time since the last event of an active server: several event
+	// intervals, and less than the time in which a silent server is detected.
 	activeWindow = 300 * time.Millisecond
 )
 
@@ -41,7 +41,7 @@
 	p.meanGap += time.Duration(paceWeight * float64(gap-p.meanGap))
 }
 
-// isActive reports whether an event arrived within activeWindow.
+// isActive reports whether an event arrived within the last activeWindow.
 func (p *pace) isActive(now clock.Boot) bool {
 	return p.events > 0 && now.Sub(p.lastEventAt) < activeWindow
 }
@@ -60,15 +60,15 @@
 	Model string
 	// MinVersion is the lowest acceptable weight version.
 	MinVersion uint64
-	// Tried servers are skipped.
+	// Tried holds the names of servers to exclude.
 	Tried map[string]bool
-	// PreferActive prefers servers that have sent an event recently, if one of these has
-	// room.
+	// PreferActive prefers servers that have sent an event within activeWindow, if any of them has
+	// a free slot.
 	PreferActive bool
 }
 
-// Place returns a server with a free slot for a generation, which counts there until
-// Finish; nil if no server has one.
+// Place returns a server with a free slot for a generation, nil if no server has a free slot. The
+// generation counts as running at the server until Finish.
 func (r *Roster) Place(need Need) *Server {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -81,8 +81,8 @@
 	return server
 }
 
-// HasFasterServer reports whether a generation on a slow server would find a free slot
-// on one that is not slow.
+// HasFasterServer reports whether a generation on a slow server could move to a free slot of a
+// server that is not slow.
 func (r *Roster) HasFasterServer(server *Server, need Need) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -104,8 +104,8 @@
 	return true
 }
 
-// selectServer returns the server that Place would use, without starting a request; nil
-// if no server has a free slot. The mutex is held.
+// selectServer returns the server that Place would use, without starting a request; nil if no
+// server has a free slot. The caller holds the mutex.
 func (r *Roster) selectServer(need Need) *route.Server {
 	r.initMaps()
 	now := clock.Now()
@@ -171,8 +171,8 @@
 	return server.pace.value(now)
 }
 
-// typicalPace returns the pace that the fastest quarter of a pool's servers reach; 0 if
-// none is known. The single fastest one is often an outlier.
+// typicalPace returns the pace that the fastest quarter of a pool's servers reach; 0 if no pace is
+// known. The single fastest server is often an outlier.
 func (r *Roster) typicalPace(pool string, now clock.Boot) time.Duration {
 	var paces []time.Duration
 	for _, routed := range r.pools[pool] {
--- a/internal/roster/faults.go
+++ b/internal/roster/faults.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// minSuspectTime is how long a server that failed gets work only where no other is
-	// left; it doubles with each consecutive failure, up to maxSuspectTime. The minimum
-	// is about the interval between registrations.
+	// minSuspectTime is how long a server is suspect after its first failure, and gets work only if
+	// no other server is available. The time doubles with each consecutive failure, up to
+	// maxSuspectTime. The minimum is about the interval between registrations.
 	minSuspectTime = time.Second
 	maxSuspectTime = 8 * time.Second
-	// minBackoff is how long a server that refused for want of room, or failed, is
-	// skipped: about the time in which one of its requests ends. It doubles each
-	// consecutive time up to maxFullBackoff, a fraction of the time of a weight load.
+	// minBackoff is how long a server that was full or failed is skipped at first: about the time
+	// until one of its requests ends. The time doubles with each consecutive refusal or failure up
+	// to maxBackoff, a fraction of the time of a weight load.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 200 * time.Millisecond
 )
 
-// RecordFailure records that a server was unreachable or silent.
+// RecordFailure records that a server was unreachable or sent no data in time.
 //
-// A fault ends all requests at a server together and counts once: failures before the
-// server is tried again carry no new information.
+// A fault ends all requests at a server at the same time and counts once: failures during the
+// backoff carry no new information.
 func (r *Roster) RecordFailure(server *Server, reason string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -41,30 +41,29 @@
 	klog.InfoS("roster: server is suspected", "server", server.Name(), "reason", reason, "failures", server.failures, "for", length)
 }
 
-// RecordFull records that a server refused a request for want of room.
+// RecordFull records that a server rejected a request because it was full.
 func (r *Roster) RecordFull(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	server.backOff(clock.Now())
 }
 
-// backOff withholds generations from a server for a moment, and then sends it one at a
-// time as a probe until it answers.
+// backOff withholds generations from a server for the backoff time. Afterwards the server gets one
+// generation at a time, as a probe, until it answers.
 func (s *Server) backOff(now clock.Boot) {
 	s.backoffUntil = now.Add(min(minBackoff<<min(s.refusals, 4), maxBackoff))
 	s.refusals++
 	s.isProbed = false
 }
 
-// RecordReplaced records that another server answers at a server's address: this one is
-// gone.
+// RecordReplaced records that a server is gone because another server answers at its address.
 func (r *Roster) RecordReplaced(server *Server) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.servers[server.Name()] != server {
 		return
 	}
-	klog.InfoS("roster: another server answers at the address", "server", server.Name(), "address", server.entry.Address)
+	klog.InfoS("roster: server replaced by another one at its address", "server", server.Name(), "address", server.entry.Address)
 	server.SetEligibility(route.Closed)
 	server.isGone = true
 }
--- a/internal/roster/registrations.go
+++ b/internal/roster/registrations.go
@@ -8,7 +8,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// Set applies a registration.
+// Set adds or updates a server by its registration. A registration of an earlier start of the
+// server is ignored.
 func (r *Roster) Set(entry Entry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -19,7 +20,7 @@
 		return
 	}
 	if known == nil || known.entry.StartedAtMillis != entry.StartedAtMillis || known.entry.Address != entry.Address || known.entry.Pool != entry.Pool {
-		r.add(entry)
+		r.addServer(entry)
 	} else {
 		known.entry = entry
 		known.missingSince, known.isGone = 0, false
@@ -31,10 +32,9 @@
 	r.notifyChanged()
 }
 
-// add adds a server that is new or has restarted: earlier state no longer applies to
-// it.
-func (r *Roster) add(entry Entry) {
-	r.drop(entry.ID)
+// addServer adds a server that is new or has restarted, and discards the state of its earlier start.
+func (r *Roster) addServer(entry Entry) {
+	r.removeServer(entry.ID)
 	klog.InfoS("roster: server registered", "server", entry.ID, "pool", entry.Pool, "address", entry.Address, "zone", entry.Zone, "born", entry.StartedAtMillis, "draining", entry.Draining)
 	server := &Server{
 		Server:           route.NewServer(entry.ID, r.Region, entry.Zone),
@@ -53,7 +53,7 @@
 	r.zones[entry.Pool][entry.Zone] = true
 }
 
-func (r *Roster) drop(id string) {
+func (r *Roster) removeServer(id string) {
 	known := r.servers[id]
 	if known == nil {
 		return
@@ -68,11 +68,11 @@
 	}
 }
 
-// Remove applies the end of a registration.
+// Remove removes a server whose registration has ended.
 //
-// Registrations expire during an outage of the store while their servers live, and are
-// renewed within ReregisterTimeout of its end; removing them at once would leave no
-// server for that time. A server that is still missing then is gone.
+// During a store outage the registrations of running servers expire. The servers register again
+// within ReregisterTimeout of the end of the outage; removing them at once would leave no server
+// until then. A server that has not registered by then is gone.
 func (r *Roster) Remove(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -89,18 +89,18 @@
 	}
 	klog.InfoS("roster: registration ended", "server", id, "pool", server.entry.Pool)
 	server.SetEligibility(route.Closed)
-	r.drop(id)
+	r.removeServer(id)
 	r.notifyChanged()
 }
 
-// RecordStoreLost records that the store no longer answers.
+// RecordStoreLost records the start of a store outage.
 func (r *Roster) RecordStoreLost() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.isStoreLost = true
 }
 
-// RecordStoreRegained records that the store answers again.
+// RecordStoreRegained records the end of a store outage.
 func (r *Roster) RecordStoreRegained() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -108,14 +108,14 @@
 	r.regainedAt = clock.Now()
 }
 
-// MarkListed records that all registrations have been read once.
+// MarkListed records that all registrations have been read from the store at least once.
 func (r *Roster) MarkListed() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.isListed = true
 }
 
-// IsListed reports whether all registrations have been read once.
+// IsListed reports whether all registrations have been read from the store at least once.
 func (r *Roster) IsListed() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster tracks the backend servers that register themselves, and selects one
-// for each request.
+// Package roster tracks the backend servers that register themselves, and selects a server for each
+// request.
 package roster
 
 import (
@@ -23,8 +23,8 @@
 	IdleTimeout time.Duration
 	// ColdLimits limits the requests to cold servers; nil sets no limit.
 	ColdLimits ColdLimits
-	// ReregisterTimeout is how long servers whose registrations expired in a store
-	// outage may take to register again after it.
+	// ReregisterTimeout is how long after a store outage a server whose registration expired may
+	// take to register again.
 	ReregisterTimeout time.Duration
 
 	mutex   sync.Mutex
@@ -33,21 +33,19 @@
 	// zones are the zones in which a pool has or had a server.
 	zones  map[string]map[string]bool
 	meters map[string]*meter
-	// meanSlots are the last known mean slots of a pool's servers, by pool.
+	// meanSlots maps a pool to the last known mean number of slots of its servers.
 	meanSlots map[string]float64
 	chooser   *route.Chooser
-	// drainedAt is when this process learned that an operator has drained a zone.
+	// drainedAt maps a drained zone to the time at which its drain took effect in this process.
 	drainedAt   map[string]clock.Boot
 	isStoreLost bool
-	// regainedAt is when the store last answered again after an outage; zero if there
-	// was none.
+	// regainedAt is when the last store outage ended; zero if none has ended.
 	regainedAt clock.Boot
 	changed    chan struct{}
 	isListed   bool
 }
 
-// Changed returns a channel that is closed at the next change of a registration
-// or end of a request.
+// Changed returns a channel that is closed when a registration next changes or a request next ends.
 func (r *Roster) Changed() <-chan struct{} {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -88,7 +86,7 @@
 	return server
 }
 
-// Choose returns a server of a pool for a request, which counts there until Finish.
+// Choose returns a server of a pool for a request, which counts as running there until Finish.
 func (r *Roster) Choose(pool string, tried map[string]bool) (*Server, route.Reason) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -109,7 +107,7 @@
 	return r.startRequest(choice.Server), choice.Reason
 }
 
-// startRequest counts a request at a server until Finish. The mutex is held.
+// startRequest counts a request as running at a server until Finish. The caller holds the mutex.
 func (r *Roster) startRequest(chosen *route.Server) *Server {
 	chosen.Begin()
 	server := r.servers[chosen.Name()]
@@ -128,14 +126,14 @@
 	defer r.mutex.Unlock()
 	server.Finish()
 	server.idleConnections = append(server.idleConnections, clock.Now())
-	// Every end allows the next probe: an end that says nothing about the server would
-	// otherwise withhold all generations from it forever.
+	// Any end of the probe allows the next one: otherwise a probe that ends without a result would
+	// withhold all generations from the server forever.
 	server.isProbed = false
 	r.meter(server.entry.Pool).adjust(-1, clock.Now())
 	r.notifyChanged()
 }
 
-// Running returns the number of requests that this process has at a server.
+// Running returns the number of this process's requests that run at a server.
 func (r *Roster) Running(server *Server) int64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -32,8 +32,7 @@
 	}
 }
 
-// mustGetOneProbe checks that a server gets one generation, and not a second, once its
-// backoff has expired.
+// mustGetOneProbe checks that a server gets exactly one generation after its backoff has expired.
 func mustGetOneProbe(t *testing.T, roster *Roster, server *Server, need Need) {
 	t.Helper()
 	server.backoffUntil = clock.Now()
@@ -78,8 +77,8 @@
 	})
 }
 
-// Guards against a generation that moves between the silent servers of a lost zone
-// while other servers send events.
+// Guards against moving a generation between the silent servers of a lost zone while other servers
+// send events.
 func TestPlacePrefersActiveServer(t *testing.T) {
 	roster := newRoster(sampler("s1", 4), sampler("s2", 4), sampler("s3", 4))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2, PreferActive: true}
@@ -105,9 +104,9 @@
 	})
 }
 
-// Guards against floods of refused requests: a sampler that loads weights refuses all
-// new work for a second, and eight items at a time were sent to it twenty times a
-// second, half of all requests to samplers.
+// Guards against floods of rejected requests: a sampler that loads weights rejects all new work for
+// a second, and eight items at a time were sent to that sampler twenty times a second, half of all
+// requests to samplers.
 func TestRefusingSamplerIsProbed(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
@@ -120,9 +119,9 @@
 	must.NotNil(t, roster.Place(need))
 }
 
-// Guards against a retry loop: where all other samplers are full, the items that wait
-// go to a crashed one and are refused a connection within a millisecond. A thousand
-// attempts a second and their log lines used up the gateway's processor.
+// Guards against a retry loop: while all other samplers are full, waiting items are sent to a
+// crashed sampler, whose host refuses the connection within a millisecond. A thousand attempts a
+// second and their log lines used up the gateway's CPU time.
 func TestFailedSamplerIsProbed(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
@@ -139,9 +138,8 @@
 	})
 }
 
-// Guards against a server that gets no generation for the lifetime of the gateway: the
-// probe of a failed sampler ends with a failed run or with its batch, which says
-// nothing about the sampler.
+// Guards against a server that gets no generation for the lifetime of the gateway: the probe of a
+// failed sampler ends without a result about the sampler, because its run fails or its batch ends.
 func TestProbeWithoutResult(t *testing.T) {
 	roster := newRoster(sampler("s1", 8))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
@@ -154,8 +152,8 @@
 	}
 }
 
-// One of two samplers is three times slower. Moving a run from it is useful only if the
-// other has a free slot and is not slow itself.
+// One of two samplers is three times slower. Moving a run from the slow sampler is useful only if
+// the other sampler has a free slot and is not slow.
 func TestHasFasterServer(t *testing.T) {
 	roster := newRoster(sampler("slow", 2), sampler("fast", 1))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
@@ -168,9 +166,9 @@
 	must.False(t, roster.HasFasterServer(roster.servers["slow"], need))
 }
 
-// Guards against the removal of live samplers whose registrations expire in a store
-// outage: they register again within two seconds of its end, and no request would find
-// a server for that long. One that does not return is gone.
+// Guards against the removal of live samplers whose registrations expire in a store outage: the
+// samplers register again within two seconds of the end of the outage, and until then no request
+// would find a server. A sampler that does not register again is gone.
 func TestRegistrationsThatLapse(t *testing.T) {
 	roster := newRoster(sampler("s1", 2), sampler("s2", 2))
 	roster.RecordStoreLost()
@@ -190,8 +188,8 @@
 	must.Nil(t, roster.Find("s1"))
 }
 
-// Guards against a late registration of a sampler's earlier start: it must not restore
-// the old address.
+// Guards against restoring a sampler's old address when a registration of its earlier start arrives
+// late.
 func TestOlderStartIsPassedOver(t *testing.T) {
 	older, newer := sampler("s1", 2), sampler("s1", 2)
 	newer.StartedAtMillis, newer.Address = 2, "127.0.0.1:2"
@@ -199,8 +197,8 @@
 	must.Eq(t, newer.Address, roster.Find("s1").Entry().Address)
 }
 
-// Guards against requests to an address that another service uses now: once its server
-// has said that it is not the intended one, the old server gets none, even while the
+// Guards against requests to an address that another service uses now: once the service there has
+// answered that it is not the intended server, the old server gets no requests, even while the
 // store lists it.
 func TestReplaced(t *testing.T) {
 	roster := newRoster(sampler("s1", 2))
@@ -220,8 +218,8 @@
 	must.Eq(t, route.ReasonSuspect, reason)
 }
 
-// Guards against counting one fault several times: it resets all six connections to a
-// sampler that recovers at once, and the sampler was avoided for 8 s instead of one.
+// Guards against counting a single fault several times: the fault resets all six connections to a
+// sampler that recovers at once, and the sampler was suspect for 8 s instead of 1 s.
 func TestOneFaultIsSuspectedOnce(t *testing.T) {
 	roster := newRoster(sampler("s1", 6), sampler("s2", 6))
 	for range 6 {
@@ -236,9 +234,8 @@
 	})
 }
 
-// Guards against taking bursts for a slow sampler: a gateway that is short of processor
-// time reads none of its events for 200 ms, then all at once. Its runs must not be
-// moved.
+// Guards against mistaking bursts for a slow sampler: a gateway that is short of CPU time reads no
+// events of the sampler for 200 ms, then all at once. The sampler's runs must not be moved.
 func TestBurstsAreNotSlowness(t *testing.T) {
 	roster := newRoster(sampler("s1", 6), sampler("s2", 6), sampler("s3", 6), sampler("s4", 6))
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
@@ -254,8 +251,8 @@
 	}
 }
 
-// Guards against a new connection for nearly every request: a gateway with few look-up
-// requests for many servers drew a random server each time.
+// Guards against a new connection for nearly every request: a gateway with few look-up requests for
+// many servers chose a random server each time.
 func TestUnusedConnectionFirst(t *testing.T) {
 	begin := func() *Roster {
 		roster := &Roster{Zone: "a", IdleTimeout: time.Minute}
--- a/internal/roster/server.go
+++ b/internal/roster/server.go
@@ -22,7 +22,7 @@
 	ColdFor time.Duration
 	// StartedAtMillis is the start time of the server in milliseconds since 1970 UTC.
 	StartedAtMillis int64
-	// Versions are the weight versions by model.
+	// Versions maps a model to its weight version.
 	Versions map[string]uint64
 }
 
@@ -32,24 +32,24 @@
 
 	entry  Entry
 	direct *backend.Direct
-	// reportedVersions are the weight versions that answers have reported since the
-	// registration, by model.
+	// reportedVersions maps a model to the weight version that answers have reported since the
+	// registration.
 	reportedVersions map[string]uint64
 	// failures counts consecutive faults.
 	failures     int
 	suspectUntil clock.Boot
 	backoffUntil clock.Boot
-	// refusals counts consecutive refusals for want of room and failures; while it is
-	// not 0, the server gets only one generation at a time, as a probe. isProbed is set
-	// while that probe runs.
+	// refusals counts consecutive refusals of a full server and failures. While refusals is not 0,
+	// the server gets only one generation at a time, as a probe. isProbed is set while the probe
+	// runs.
 	refusals int
 	isProbed bool
-	// missingSince is when the registration expired in a store outage; zero if it is
-	// present.
+	// missingSince is when the registration expired in a store outage; zero if the server is
+	// registered.
 	missingSince clock.Boot
 	isGone       bool
 	pace         pace
-	// idleConnections are the open unused connections, by the time of their last use.
+	// idleConnections holds the time of the last use of each open idle connection, oldest first.
 	idleConnections []clock.Boot
 	// isLate reports whether the last answer exceeded the latency target of its route.
 	isLate bool
--- a/internal/roster/zones.go
+++ b/internal/roster/zones.go
@@ -6,8 +6,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/clock"
 )
 
-// DrainZone withholds new work from all servers of a zone until RestoreZone. Running
-// requests finish there: restarted elsewhere, they would end later.
+// DrainZone withholds new work from all servers of a zone until RestoreZone. Running requests
+// continue in the zone, since restarting them elsewhere would delay them.
 func (r *Roster) DrainZone(zone string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -20,8 +20,8 @@
 	r.notifyChanged()
 }
 
-// RestoreZone lets a drained zone's servers get work again. They have been without
-// work, so they count as cold.
+// RestoreZone ends the drain of a zone. Its servers may get work again and count as cold, since
+// they were idle.
 func (r *Roster) RestoreZone(zone string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -40,14 +40,14 @@
 	r.notifyChanged()
 }
 
-// isDrained reports whether an operator has drained a zone. The mutex is held.
+// isDrained reports whether an operator has drained a zone. The caller holds the mutex.
 func (r *Roster) isDrained(zone string) bool {
 	_, isDrained := r.drainedAt[zone]
 	return isDrained
 }
 
-// DrainedZones returns the number of drained zones, and of this process's requests that
-// still run there.
+// DrainedZones returns the number of drained zones and the number of this process's requests that
+// still run in them.
 func (r *Roster) DrainedZones() (zones int, running int64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -58,8 +58,8 @@
 	return len(r.drainedAt), running
 }
 
-// runningIn returns the number of this process's requests at a zone's servers. The
-// mutex is held.
+// runningIn returns the number of this process's requests at a zone's servers. The caller holds the
+// mutex.
 func (r *Roster) runningIn(zone string) int64 {
 	var running int64
 	for _, server := range r.servers {
--- a/internal/roster/zones_test.go
+++ b/internal/roster/zones_test.go
@@ -11,7 +11,7 @@
 	return entry
 }
 
-// Guards against new work for servers of a zone that an operator has drained.
+// Guards against sending new work to servers of a zone that an operator has drained.
 func TestDrainedZone(t *testing.T) {
 	need := Need{Pool: pool, Model: "m", MinVersion: 2}
 	twoZones := func() *Roster { return newRoster(withZone(sampler("s1", 2), "a"), withZone(sampler("s2", 2), "b")) }
