--- a/internal/fleet/capacity_test.go
+++ b/internal/fleet/capacity_test.go
@@ -18,18 +18,18 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// measuredTime is the measured period of a capacity run, after the start.
+// measuredTime is the length of the measured period, which follows the startup.
 const measuredTime = 30 * lease
 
-// deployment is the size of a capacity run.
+// deployment is the size of the simulated deployment.
 type deployment struct {
 	processes int
 	zones     int
 	pools     int
 }
 
-// The calls of the duties to the store must not grow with the number of processes.
-// docs/design/duties-capacity.md has the table of the figures that -v prints.
+// The number of store calls made for duties must not grow with the number of processes. With -v the
+// test prints the figures of the table in docs/design/duties-capacity.md.
 func TestStoreCallsBySize(t *testing.T) {
 	base := storeCalls(t, deployment{processes: 10, zones: 1, pools: 1})
 	tests := []deployment{
@@ -46,7 +46,7 @@
 	}
 }
 
-// storeCalls returns the calls per second to the key-value service.
+// storeCalls returns the number of calls per second to the key-value service.
 func storeCalls(t *testing.T, size deployment) float64 {
 	var calls float64
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/fleet/counter.go
+++ b/internal/fleet/counter.go
@@ -12,11 +12,11 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// CountPlatform starts and stops servers to match a number per pool and zone.
+// CountPlatform is a platform that starts and stops servers to match a number per pool and zone.
 type CountPlatform interface {
 	// SetServerCount orders a number of servers with a term's fencing token. It calls guard
-	// immediately before it sends the order, and returns a *platform.ConflictError
-	// if a newer holder has sent orders.
+	// immediately before sending the order, and returns a *platform.ConflictError if a newer holder
+	// has sent orders.
 	SetServerCount(ctx context.Context, count Count, fence uint64, guard func() error) error
 }
 
@@ -27,21 +27,21 @@
 	// Pools returns the current pools.
 	Pools     func(ctx context.Context) []CountedPool
 	Decisions *decision.Log
-	// Target and Slack are those of a Sizer.
+	// Target and Slack are passed to each pool's Sizer.
 	Target float64
 	Slack  float64
 	// Interval is the time between rounds.
 	Interval time.Duration
-	// Lease is the length of the duty's lease, OrderTimeout the maximum time that an
-	// order may be in flight.
+	// Lease is the length of the duty's lease; OrderTimeout is the maximum time that an order may
+	// be in flight.
 	Lease        time.Duration
 	OrderTimeout time.Duration
-	// Fenced is true if the platform refuses orders with an old fencing token.
+	// Fenced is true if the platform rejects orders with an old fencing token.
 	Fenced bool
 }
 
-// Run performs the duty until its term ends. If the platform checks no fencing
-// token, the first order waits until none of an earlier term can be in flight.
+// Run performs the duty until its term ends. If the platform doesn't check fencing tokens, the
+// first order waits until no order of an earlier term can be in flight.
 func (c *Counter) Run(ctx context.Context, term Term) error {
 	if !c.Fenced && !pause.For(ctx, c.Lease+c.OrderTimeout) {
 		return nil
@@ -59,7 +59,7 @@
 	}
 }
 
-// order sends the orders due for a pool. An error means that the term is over.
+// order sends the orders due for a pool. An error means that the term has ended.
 func (c *Counter) order(ctx context.Context, term Term, planner *CountPlanner, pool CountedPool) error {
 	for _, count := range planner.Due(time.Now(), pool) {
 		err := c.send(ctx, term, count)
--- a/internal/fleet/countplanner.go
+++ b/internal/fleet/countplanner.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// scaleDownStartups is how long the need must have been lower before fewer servers
-	// are ordered, in startup times of a server: a server stopped too early is missing
-	// for one startup time, while one kept too long costs its running time.
+	// scaleDownStartups is how long the need must have been lower before fewer servers are ordered,
+	// as a multiple of a server's startup time: a server stopped too early is missing for one
+	// startup time, while a server kept too long costs its running time.
 	scaleDownStartups = 3
-	// minScaleDownDelay is the lower bound of that time: two steps of a trainer, between which
-	// its samplers are idle for some seconds.
+	// minScaleDownDelay is the minimum delay before fewer servers are ordered: the length of two
+	// steps of a trainer, since samplers are idle for some seconds between steps.
 	minScaleDownDelay = 10 * time.Second
-	// lateOrderBound is how long after an unanswered order it may still be carried
-	// out, and how long the registrations may lag behind one that was.
+	// lateOrderBound is how long after sending an unanswered order may still be carried out, and
+	// how long the registrations may lag behind an order that was carried out.
 	lateOrderBound = 5 * time.Second
 )
 
-// CountedPool is a pool whose servers the platform starts and stops by itself, given
-// their number per zone.
+// CountedPool is a pool whose servers the platform starts and stops to match an ordered number per
+// zone.
 type CountedPool struct {
 	Name string
 	// Min and Max are the minimum and maximum number of servers of each zone.
@@ -28,7 +28,8 @@
 	Max int
 	// StartupTime is the time from an order to the first request served.
 	StartupTime time.Duration
-	// Present is the number of servers that may get work, by zones that have or had one.
+	// Present is the number of servers that may get work, by zone. Zones that only had servers in
+	// the past are included.
 	Present map[string]int
 	Need    Need
 }
@@ -46,17 +47,17 @@
 	Servers int
 }
 
-// CountPlanner decides the number of servers of each pool in each zone, and when to
-// order it. It has no clock and does no input or output. Exported fields are set
-// before use; it is not safe for concurrent use.
+// CountPlanner decides the number of servers of each pool in each zone, and when to order it. It
+// has no clock and does no I/O. Exported fields are set before use; it is not safe for concurrent
+// use.
 type CountPlanner struct {
-	// Target and Slack are those of a Sizer.
+	// Target and Slack are passed to each pool's Sizer.
 	Target float64
 	Slack  float64
 
 	sizers map[string]*Sizer
 	orders map[PoolZone]order
-	// emptySince is the time since which a zone has had no server though it should.
+	// emptySince is the time since which a zone that should have servers has had none.
 	emptySince map[PoolZone]time.Time
 }
 
@@ -88,12 +89,11 @@
 	p.orders[count.PoolZone] = order{servers: count.Servers, at: now, isAccepted: isAccepted}
 }
 
-// isDue reports whether a number has to be ordered.
+// isDue reports whether a number of servers must be ordered now.
 //
-// An unanswered order may be carried out seconds later, after newer ones, and would
-// leave a zone with an outdated number for good. So the number is ordered again until
-// the platform accepts it, and again if the registrations still differ after every
-// earlier order must have been carried out.
+// An unanswered order may be carried out seconds later, after newer orders, and would leave a zone
+// with an outdated number permanently. So the number is ordered again until the platform accepts
+// it, and again if the registrations still differ from it when no earlier order can be outstanding.
 func (p *CountPlanner) isDue(now time.Time, poolZone PoolZone, servers int, pool CountedPool) bool {
 	last, isKnown := p.orders[poolZone]
 	switch {
@@ -120,7 +120,8 @@
 	p.retainServers(pool, shares)
 	for zone := range pool.Present {
 		if _, hasShare := shares[zone]; !hasShare {
-			// Still order one server: its registration shows that the zone is back.
+			// A lost zone still gets an order for one server, whose registration shows that the
+			// zone is available again.
 			shares[zone] = 1
 		}
 		shares[zone] = min(max(shares[zone], pool.Min), pool.Max)
@@ -128,10 +129,11 @@
 	return shares
 }
 
-// retainServers keeps surplus servers of zones as long as other zones lack theirs.
+// retainServers keeps surplus servers of zones while other zones lack servers.
 //
-// When a lost zone is back, the other zones release the servers that replaced its
-// own. Released at once, they would be missing until the zone's own have started.
+// When a lost zone is available again, the other zones release the servers that replaced that
+// zone's servers. If they were released at once, the pool would lack servers until those of the
+// recovered zone have started.
 func (p *CountPlanner) retainServers(pool CountedPool, shares map[string]int) {
 	missing := 0
 	for zone, share := range shares {
--- a/internal/fleet/countplanner_test.go
+++ b/internal/fleet/countplanner_test.go
@@ -10,7 +10,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/fleet"
 )
 
-// simulatedPool is a pool in two zones whose platform carries out what is ordered.
+// simulatedPool is a pool in two zones whose platform carries out accepted orders.
 type simulatedPool struct {
 	planner *fleet.CountPlanner
 	pool    fleet.CountedPool
@@ -32,8 +32,8 @@
 	}
 }
 
-// advance advances the time, with a round each second. Accepted orders take effect
-// by the next round, in the given zones.
+// advance advances the time, with a round each second. Accepted orders take effect by the next
+// round, but only in the given zones.
 func (p *simulatedPool) advance(seconds int, zones ...string) {
 	for range seconds {
 		due := p.planner.Due(p.now, p.pool)
@@ -84,8 +84,8 @@
 	})
 }
 
-// An order gets no answer, so the platform may not have accepted it. If the order
-// counted as done, the pool would stay too small.
+// An order is not answered, so the platform may not have accepted it. If the order counted as
+// accepted, the pool would stay too small.
 func TestCountPlannerWithoutAnswer(t *testing.T) {
 	p := newSimulatedPool()
 	p.accepts = false
@@ -97,9 +97,9 @@
 	mustHave(t, p, 2, 2)
 }
 
-// An unanswered order of four servers is repeated; then the need falls, and an order
-// of one server is accepted. Seconds later the first order is carried out. Without a
-// new order, its servers would stay for good.
+// An unanswered order of four servers is repeated; then the need falls, and an order of one server
+// is accepted. Seconds later the order of four servers is carried out. Without a new order, the
+// surplus servers would stay permanently.
 func TestCountPlannerLateOrder(t *testing.T) {
 	p := newSimulatedPool()
 	p.advance(1, "a", "b")
@@ -109,8 +109,8 @@
 	mustHave(t, p, 1, 1)
 }
 
-// A zone loses all its servers and none starts there. Without replacement in the other
-// zone, half of the needed capacity would be missing during the outage.
+// A zone loses all its servers and no server starts there. Without replacement in the other zone,
+// half of the needed capacity would be missing during the outage.
 func TestCountPlannerZoneLost(t *testing.T) {
 	p := newSimulatedPool()
 	p.pool.Need.Running = 20
@@ -128,7 +128,7 @@
 	})
 }
 
-// The orders of a lost zone must not be below the configured minimum.
+// Orders for a lost zone must not be below the configured minimum.
 func TestCountPlannerZoneLostKeepsMin(t *testing.T) {
 	p := newSimulatedPool()
 	p.pool.Min = 2
@@ -140,8 +140,8 @@
 	}
 }
 
-// However the need changes, each zone's orders must stay within its bounds, and once
-// the need is constant there must be no more orders.
+// However the need changes, orders must stay within the bounds of each zone, and once the need is
+// constant no more orders must be due.
 func TestCountPlannerSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newSimulatedPool()
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -12,11 +12,11 @@
 
 // Sidecars sends orders to sidecars.
 type Sidecars interface {
-	// Drain makes a sidecar refuse new work and returns its load afterwards.
+	// Drain makes a sidecar reject new work and returns the server's load afterwards.
 	Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error)
 }
 
-// drainAll continues the drain of each draining server of the zone.
+// drainAll calls drain for each draining server of the zone.
 func (z *Zone) drainAll(ctx context.Context, fleet *statepb.Fleet) error {
 	for _, server := range fleet.GetServers() {
 		if server.GetZone() != z.Name || server.GetState() != StateDraining || z.stopping[server.GetId()] {
@@ -32,9 +32,9 @@
 // drain stops a server once its sidecar reports no running or queued requests, or
 // after DrainTimeout.
 //
-// Stopping a server cuts off its running requests, so its sidecar is asked to drain
-// first. The request is repeated each round, as a restarted sidecar has lost it.
-// Once the sidecar refuses new work and reports none, no request can start there.
+// Stopping a server aborts its running requests, so its sidecar is ordered to drain first. The
+// order is repeated each round, since a restarted sidecar has lost it. Once the sidecar rejects new
+// work and reports no requests, no request can start at the server.
 func (z *Zone) drain(ctx context.Context, server *statepb.Server) error {
 	waited := time.Since(time.Unix(server.GetSince(), 0))
 	load := z.requestDrain(ctx, server)
@@ -48,7 +48,7 @@
 	}
 }
 
-// requestDrain asks the sidecar to drain and returns its load; nil if that failed.
+// requestDrain orders the sidecar to drain and returns the server's load, nil if the order failed.
 func (z *Zone) requestDrain(ctx context.Context, server *statepb.Server) *peerpb.Load {
 	process := z.findSidecar(server.GetId())
 	if process == nil {
@@ -61,7 +61,7 @@
 	}.Build()
 	load, err := z.Sidecars.Drain(ctx, process, order)
 	if err != nil {
-		klog.Warningf("order: %s can't be drained: %v", server.GetId(), err)
+		klog.Warningf("order: requesting the drain of %s failed: %v", server.GetId(), err)
 		return nil
 	}
 	return load
--- a/internal/fleet/fakeplatform_test.go
+++ b/internal/fleet/fakeplatform_test.go
@@ -23,14 +23,14 @@
 	hosts    []platform.Host
 	arrived  []platform.Order
 	fence    uint64
-	// checksFence and checksTime say what the receiver of orders checks.
+	// checksFence and checksTime make the receiver of orders check fencing tokens and expiry times.
 	checksFence bool
 	checksTime  bool
 	isDown      bool
 	// calls counts the calls to the key-value service.
 	calls int
-	// lostOrderAnswers is the number of next orders whose answers are lost, lostOrders
-	// that of next orders lost in transit.
+	// lostOrderAnswers is the number of next orders whose answers are lost, lostOrders the number
+	// of next orders that are lost in transit.
 	lostOrderAnswers int
 	lostOrders       int
 	// pausedBeforeWrite is set if a process was paused between its last check and its write.
@@ -105,21 +105,21 @@
 	return f.calls
 }
 
-// arrivedOrders returns a copy of the record.
+// arrivedOrders returns a copy of the orders that arrived.
 func (f *fakePlatform) arrivedOrders() []platform.Order {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]platform.Order{}, f.arrived...)
 }
 
-// process is one process's connection to the platform. All its steps block while the
-// process is frozen, regardless of its timers and contexts.
+// process is the connection of a process to the platform. All steps of the process block while it
+// is frozen, regardless of its timers and contexts.
 type process struct {
 	*fakePlatform
 
 	mutex sync.Mutex
 	steps int
-	// freezeStep is the step at which the process freezes, freezeTime for how long.
+	// freezeStep is the step at which the process freezes, freezeTime the duration of the freeze.
 	freezeStep  int
 	freezeTime  time.Duration
 	frozenUntil time.Time
@@ -141,7 +141,7 @@
 	return step
 }
 
-// call makes a call, with a step before and one after it takes effect.
+// call makes a call, with one step before and one step after the call takes effect.
 func (p *process) call(effect func() error) error {
 	step := p.nextStep()
 	err := p.withLock(effect)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet manages the backend servers of each availability zone: it keeps
-// track of them and orders the platform to start and stop them.
+// Package fleet manages the backend servers of each availability zone: it tracks their states and
+// orders the platform to start and stop servers.
 //
 // One process per zone holds the duty "order-ZONE". It stores a pool's servers in
 // the key "fleet/POOL", whose value reaches the other processes as a fact.
@@ -18,7 +18,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// DutyPrefix and the zone form the name of a zone's duty.
+// DutyPrefix is the prefix of the name of a zone's duty; the name of the zone follows.
 const DutyPrefix = "order-"
 
 // States of a backend server in the store.
@@ -35,19 +35,19 @@
 // maxRemoved is the maximum number of removed servers kept for a pool.
 const maxRemoved = 64
 
-// ZoneView is what a zone's duty observes of its backend servers.
+// ZoneView is the state of a zone's backend servers as observed in one round of the zone's duty.
 type ZoneView struct {
 	// Listed are the servers in the platform's list.
 	Listed []platform.Server
 	// Addresses are the addresses of the known sidecars, by server.
 	Addresses map[string]string
-	// Leaving are the servers to drain, because their host leaves or they are surplus.
+	// Leaving are the servers to drain, because their host is about to leave or because they are
+	// surplus.
 	Leaving map[string]bool
 }
 
-// Update applies the platform's list of one zone's servers to a pool and reports
-// whether anything changed; a change increments the epoch.
-// A leaving server drains from then on.
+// Update applies the platform's list of one zone's servers to a pool and reports whether anything
+// changed; a change increments the epoch. A leaving server stays draining until it is removed.
 func Update(known *statepb.Fleet, pool, zone string, view ZoneView, now time.Time) (*statepb.Fleet, bool) {
 	next, ok := proto.Clone(known).(*statepb.Fleet)
 	if !ok {
@@ -122,8 +122,8 @@
 	}
 }
 
-// sortServers returns the servers sorted by ID, with only the newest maxRemoved of the
-// removed ones.
+// sortServers returns the servers sorted by ID, including only the newest maxRemoved removed
+// servers.
 func sortServers(servers map[string]*statepb.Server) []*statepb.Server {
 	var present, removed []*statepb.Server
 	for _, server := range servers {
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -31,8 +31,8 @@
 
 const (
 	orderPrefix = "order/"
-	// maxOrders is the maximum number of orders stored in a zone's key; orders without
-	// an outcome may exceed it.
+	// maxOrders is the maximum number of orders stored in a zone's key. Orders without an outcome
+	// are stored beyond the maximum.
 	maxOrders = 32
 	// readBackPause is the delay before the store is read again.
 	readBackPause = 200 * time.Millisecond
@@ -45,7 +45,7 @@
 	Newer uint64
 }
 
-// Error includes the zone and both fencing tokens.
+// Error returns a message with the zone and both fencing tokens.
 func (e *SupersededError) Error() string {
 	return fmt.Sprintf("order: zone %s: term %d is superseded by %d", e.Zone, e.Fence, e.Newer)
 }
@@ -56,7 +56,7 @@
 	Fence uint64
 }
 
-// Error includes the zone and the term.
+// Error returns a message with the zone and the term.
 func (e *TermEndedError) Error() string {
 	return "order: zone " + e.Zone + ": term " + strconv.FormatUint(e.Fence, 10) + " has ended"
 }
@@ -78,10 +78,10 @@
 // Orderer sends a zone's orders during one term.
 // Exported fields are set before Begin. It is not safe for concurrent use.
 //
-// Four guards protect an order: its intent is written by compare-and-swap, which
-// fails once a newer holder has written; the term is checked immediately before
-// the order is sent; the order carries the fencing token and an expiry time; and
-// a successor waits until no earlier order can be in flight.
+// Four guards prevent orders of a superseded term: the intent of an order is written by
+// compare-and-swap, which fails once a newer holder has written; the term is checked immediately
+// before the order is sent; the order carries the fencing token and an expiry time; and a successor
+// waits until no earlier order can be in flight.
 type Orderer struct {
 	Zone      string
 	Process   string
@@ -98,11 +98,11 @@
 	ready    time.Time
 }
 
-// Begin makes this term the newest of the zone. Unless it is the zone's first term,
-// its first order waits until no order of an earlier term can be in flight.
+// Begin makes this term the newest of the zone. Unless the zone had no earlier term, the first
+// order waits until no order of an earlier term can be in flight.
 //
-// The wait is needed for receivers that check neither fence nor expiry: an earlier
-// holder may have been paused between its last check and its write to the connection.
+// The wait is needed for receivers that check neither the fencing token nor the expiry time: an
+// earlier holder may have been paused between its last check and its write to the connection.
 func (o *Orderer) Begin(ctx context.Context) error {
 	if err := o.read(ctx); err != nil {
 		return err
@@ -142,9 +142,8 @@
 // Ready reports whether Send sends without waiting.
 func (o *Orderer) Ready() bool { return !time.Now().Before(o.ready) }
 
-// Send sends an order, or resends a pending one. The platform carries out an order
-// ID only once, so an order whose answer was lost is resent with the same ID, by
-// this term or a later one.
+// Send sends an order, or resends a pending one. The platform carries out an order ID only once, so
+// an order whose answer was lost is resent with the same ID, in this or a later term.
 func (o *Orderer) Send(ctx context.Context, order *statepb.Order) error {
 	if !pause.For(ctx, time.Until(o.ready)) {
 		return ctx.Err()
@@ -166,7 +165,8 @@
 	return errors.Join(err, o.write(ctx, func(orders *statepb.Orders) { putOrder(orders, order) }))
 }
 
-// send checks the term, before and once more immediately before the write.
+// send sends an order to the platform. It checks the term first, and again immediately before the
+// request is written.
 func (o *Orderer) send(ctx context.Context, order *statepb.Order) error {
 	until := time.Now().Add(o.Bound)
 	if end := o.Term.Until(); end.Before(until) {
@@ -253,9 +253,9 @@
 
 // write changes the zone's orders under this term's fence.
 //
-// Only holders of the zone's duty write the key. So an unexpected revision stems
-// either from this term's own last write, whose answer was lost, or from another
-// term. A newer term ends this one.
+// Only holders of the zone's duty write the key. So an unexpected revision is either this term's
+// last write, whose answer was lost, or a write of another term. A write of a newer term ends this
+// term.
 func (o *Orderer) write(ctx context.Context, change func(*statepb.Orders)) error {
 	for {
 		if o.orders.GetFence() > o.Term.Fence() {
--- a/internal/fleet/orders_test.go
+++ b/internal/fleet/orders_test.go
@@ -20,8 +20,8 @@
 	lease        = 10 * time.Second
 	margin       = 3 * time.Second
 	orderTimeout = 2 * time.Second
-	// maxUncheckedDelay is how long an order may be delayed after its last check if the
-	// receiver checks nothing; see docs/design/one-in-charge.md.
+	// maxUncheckedDelay is the maximum delay of an order after its last check if the receiver
+	// checks nothing; see docs/design/one-in-charge.md.
 	maxUncheckedDelay = lease + margin + orderTimeout
 )
 
@@ -29,8 +29,8 @@
 	return &fleet.Orderer{Zone: "a", Process: name, Platform: fake, Term: term, Lease: lease, Bound: orderTimeout}
 }
 
-// runProcess is a candidate for the zone's duty and sends an order every two seconds of
-// a term.
+// runProcess runs a candidate for the zone's duty that sends an order every two seconds during its
+// terms.
 func runProcess(ctx context.Context, fake *process, name string, rank int) {
 	elector := &duty.Elector{
 		Store: fake, Name: "order-a", Process: name, Lease: lease, Margin: margin,
@@ -54,7 +54,7 @@
 	})
 }
 
-// interleaving describes the faults of one run.
+// interleaving is the set of faults that are injected into one run.
 type interleaving struct {
 	freezeSteps [3]int
 	freezeTimes [3]time.Duration
@@ -64,8 +64,8 @@
 	checksTime  bool
 }
 
-// drawInterleaving draws a freeze of each process at any of its steps. If the receiver
-// checks nothing, no freeze exceeds the wait of the successor.
+// drawInterleaving draws faults with a freeze of each process at any of its steps. If the receiver
+// checks nothing, no freeze is longer than the wait of the successor.
 func drawInterleaving(t *rapid.T) interleaving {
 	schedule := interleaving{
 		lostAnswers: map[int]bool{rapid.IntRange(1, 40).Draw(t, "lost"): true},
@@ -115,7 +115,7 @@
 	return arrived
 }
 
-// staleOrder returns an order that arrived after one of a newer holder.
+// staleOrder returns an order that arrived after an order of a newer holder.
 func staleOrder(orders []platform.Order) *platform.Order {
 	var newest uint64
 	for i, order := range orders {
@@ -127,10 +127,10 @@
 	return nil
 }
 
-// Guards against servers that are started and stopped in turns by two processes: one is
-// paused between any two steps, its lease expires, and it then continues. No order may
-// arrive after one of a newer holder, whatever the step, the lost answer or the outage
-// of the store.
+// Guards against two processes that alternately start and stop servers: a holder is paused between
+// any two steps, its lease expires, and the holder then continues. No order may arrive after an
+// order of a newer holder, whatever step is paused, whatever answer is lost and however the store
+// fails.
 func TestNoOrderAfterNewerHolder(t *testing.T) {
 	terms := map[uint64]bool{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -145,8 +145,8 @@
 	must.Greater(t, 3, len(terms))
 }
 
-// The same with the holder paused at each of its steps in turn, and a receiver of
-// orders that checks nothing. The pause ends just before the successor's wait does.
+// Like TestNoOrderAfterNewerHolder, with the holder paused at each of its steps in turn and a
+// receiver of orders that checks nothing. The pause ends just before the successor's wait.
 func TestNoOrderAfterNewerHolderAtEachStep(t *testing.T) {
 	for step := 1; step <= 40; step++ {
 		for _, length := range []time.Duration{lease, maxUncheckedDelay - 100*time.Millisecond} {
@@ -156,9 +156,10 @@
 	}
 }
 
-// The remaining case: the holder is paused between its last check and its write for
-// longer than the successor waits, and the receiver checks nothing. At every other
-// step, or if the receiver checks fences or times, the order must not arrive late.
+// A late order is possible only if the holder is paused between its last check and its write for
+// longer than the successor waits, and the receiver checks nothing. If the holder is paused at any
+// other step, or the receiver checks fencing tokens or expiry times, the order must not arrive
+// late.
 func TestPauseLongerThanWait(t *testing.T) {
 	tests := map[string]struct {
 		fence, time bool
@@ -183,8 +184,8 @@
 	}
 }
 
-// Guards against an order carried out twice under two IDs: the platform carried it out
-// and its answer was lost. The next holder must resend it with the same ID.
+// Guards against carrying out an order twice under two IDs: the platform carried out the order, but
+// the answer was lost. The next holder must resend the order with the same ID.
 func TestPendingOrderKeepsIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakePlatform()
--- a/internal/fleet/resize.go
+++ b/internal/fleet/resize.go
@@ -10,8 +10,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// resize moves a pool towards its target size in the zone: it marks surplus servers
-// for draining or orders missing ones.
+// resize adjusts a pool to its target size in the zone: it marks surplus servers for draining or
+// orders missing servers.
 func (z *Zone) resize(ctx context.Context, name string, fleet *statepb.Fleet, view ZoneView) (*statepb.Fleet, error) {
 	pool := z.findPool(name)
 	observed := Observation{Fleet: fleet, ReachableZones: z.reachableZones(), Load: z.Members.Load}
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// isStartPending reports whether a start order of the pool has an unknown outcome.
-// Its server may still start, so no other is ordered until the outcome is known.
+// isStartPending reports whether the outcome of a start order of the pool is unknown. The server
+// may still start, so no other server is ordered until the outcome is known.
 func (z *Zone) isStartPending(pool string) bool {
 	for _, order := range z.orderer.Pending() {
 		if order.GetAction() == ActionStart && order.GetPool() == pool {
@@ -76,7 +76,7 @@
 	return zones
 }
 
-// withLeaving returns a copy with more leaving servers.
+// withLeaving returns a copy of the view with more leaving servers.
 func (v ZoneView) withLeaving(servers []string) ZoneView {
 	leaving := maps.Clone(v.Leaving)
 	if leaving == nil {
--- a/internal/fleet/scaler.go
+++ b/internal/fleet/scaler.go
@@ -15,13 +15,13 @@
 // before it counts as missing again.
 const startTimeout = time.Minute
 
-// Scaler decides the number of servers of each pool in a zone. It has no clock and
-// does no input or output. Exported fields are set before use.
+// Scaler decides the number of servers of each pool in a zone. It has no clock and does no I/O.
+// Exported fields are set before use.
 //
 // The holders of all zones' duties reach consistent decisions, each for its own zone,
 // as they see the same servers in the store and nearly the same loads.
 type Scaler struct {
-	// Target, ScaleDownDelay and Slack are those of a Sizer.
+	// Target, ScaleDownDelay and Slack are passed to each pool's Sizer.
 	Target         float64
 	ScaleDownDelay time.Duration
 	Slack          float64
@@ -43,8 +43,8 @@
 	Load func(server string) *peerpb.Load
 }
 
-// Share returns the target number of servers of a pool in the zone, and whether the
-// pool is sized in this zone at all.
+// Share returns the target number of servers of a pool in the zone, and whether the pool has
+// servers in this zone.
 func (s *Scaler) Share(now time.Time, pool *listpb.Pool, observed Observation) (int, bool) {
 	if pool.GetMax() <= 0 || !slices.Contains(pool.GetZones(), s.zone) {
 		return 0, false
@@ -73,7 +73,8 @@
 	return share
 }
 
-// RecordOrdered records that a server was ordered, as the platform's list may lag.
+// RecordOrdered records that a server was ordered, since the platform's list may not contain the
+// server yet.
 func (s *Scaler) RecordOrdered(now time.Time, pool, server string) {
 	if s.orderedAt[pool] == nil {
 		s.orderedAt[pool] = map[string]time.Time{}
@@ -81,8 +82,8 @@
 	s.orderedAt[pool][server] = now
 }
 
-// Surplus returns the servers of the zone in excess of its share: first those that
-// don't serve yet, then the least loaded.
+// Surplus returns the servers of the zone in excess of its share: servers that don't serve yet come
+// first, followed by the least loaded.
 func (s *Scaler) Surplus(share int, observed Observation) []string {
 	var active []*statepb.Server
 	for _, server := range observed.Fleet.GetServers() {
@@ -94,7 +95,7 @@
 		return nil
 	}
 	slices.SortFunc(active, func(a, b *statepb.Server) int {
-		return cmp.Or(cmp.Compare(servingOrder(observed, a), servingOrder(observed, b)), cmp.Compare(activeRequests(observed, a), activeRequests(observed, b)), strings.Compare(b.GetId(), a.GetId()))
+		return cmp.Or(cmp.Compare(servingRank(observed, a), servingRank(observed, b)), cmp.Compare(activeRequests(observed, a), activeRequests(observed, b)), strings.Compare(b.GetId(), a.GetId()))
 	})
 	var surplus []string
 	for _, server := range active[:len(active)-share] {
@@ -128,9 +129,8 @@
 	return present
 }
 
-// isLost reports whether a zone with servers has had no known process for
-// ZoneLossTimeout. A new holder knows no processes at first, so the time counts from its
-// first observation.
+// isLost reports whether a zone with servers has had no known process for ZoneLossTimeout. A new
+// holder knows no processes at first, so the time is counted from the holder's first observation.
 func (s *Scaler) isLost(now time.Time, zone string, servers int, observed Observation) bool {
 	if zone == s.zone || servers == 0 || observed.ReachableZones[zone] {
 		delete(s.unreachableSince, zone)
@@ -183,8 +183,8 @@
 	return Need{Running: total.Running * scale, Queued: total.Queued * scale, Slots: total.Slots / known}
 }
 
-// servingOrder returns 1 for a live server with a known load, else 0.
-func servingOrder(observed Observation, server *statepb.Server) int {
+// servingRank returns 1 for a live server with a known load, otherwise 0.
+func servingRank(observed Observation, server *statepb.Server) int {
 	if server.GetState() == StateLive && observed.Load(server.GetId()) != nil {
 		return 1
 	}
--- a/internal/fleet/scaler_test.go
+++ b/internal/fleet/scaler_test.go
@@ -62,8 +62,8 @@
 	must.Len(t, 2, scaler.Surplus(1, observed))
 }
 
-// A zone goes down. Its servers stay in the platform's list, but none of its processes
-// is known any more. After ZoneLossTimeout its share must move to the other zone.
+// A zone goes down. Its servers stay in the platform's list, but none of its processes is known any
+// longer. After ZoneLossTimeout its share must move to the other zone.
 func TestScaleReplacesLostZone(t *testing.T) {
 	scaler, now := newScaler(t), time.Unix(1000, 0)
 	observed := newObservation(2, 2, 7)
@@ -75,8 +75,8 @@
 	mustShare(t, scaler, now.Add(62*time.Second), observed, 2)
 }
 
-// The platform's list lags and doesn't yet contain an ordered server. If each round
-// ordered it again, a pool that lacks one server would get ten.
+// The platform's list lags and doesn't yet contain an ordered server. If each round ordered a
+// server again, a pool that lacks one server would get ten.
 func TestScaleOrdersOnce(t *testing.T) {
 	scaler, now := newScaler(t), time.Unix(1000, 0)
 	observed := newObservation(1, 1, 7)
--- a/internal/fleet/sidecars.go
+++ b/internal/fleet/sidecars.go
@@ -22,7 +22,7 @@
 
 var _ Sidecars = &SidecarClient{}
 
-// Drain makes a sidecar refuse new work and returns its load afterwards.
+// Drain makes a sidecar reject new work and returns the server's load afterwards.
 func (c *SidecarClient) Drain(ctx context.Context, process *peerpb.Process, order *peerpb.OrderRequest) (*peerpb.Load, error) {
 	connection, err := listen.Dial(process.GetAddress(), c.Credentials)
 	if err != nil {
--- a/internal/fleet/sizer.go
+++ b/internal/fleet/sizer.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// roundingTolerance is the fraction of a server that doesn't justify another one.
+// roundingTolerance is the largest excess need, as a fraction of a server, for which no additional
+// server is ordered.
 const roundingTolerance = 0.01
 
-// Need is the known need of a pool at one time.
+// Need is the need of a pool for servers at a time.
 type Need struct {
 	// Running and Queued are the numbers of requests at all servers.
 	Running float64
@@ -18,21 +19,21 @@
 	Slots float64
 }
 
-// Sizer decides how many backend servers a pool needs. It has no clock and does
-// no input or output. Exported fields are set before the first Decide.
+// Sizer decides how many backend servers a pool needs. It has no clock and does no I/O. Exported
+// fields are set before the first Decide.
 //
-// It follows a rise at once and a fall with a delay: a need that falls for less than
-// ScaleDownDelay keeps its servers, and so does a small surplus, so that servers aren't
-// repeatedly stopped and started.
+// Sizer scales up at once and scales down with a delay: it keeps servers while the need has been
+// lower for less than ScaleDownDelay or the surplus is small, so that servers aren't repeatedly
+// stopped and started.
 type Sizer struct {
 	// Min and Max are the limits of the number of servers across all zones.
 	Min int
 	Max int
 	// Target is the target share of slots in use.
 	Target float64
-	// ScaleDownDelay is how long fewer servers must have sufficed before any is stopped.
+	// ScaleDownDelay is how long fewer servers must have sufficed before servers are stopped.
 	ScaleDownDelay time.Duration
-	// Slack is the share of servers that must be surplus before any is stopped.
+	// Slack is the share of servers that must be surplus before servers are stopped.
 	Slack float64
 
 	lastDecision int
@@ -53,7 +54,7 @@
 	return s.lastDecision
 }
 
-// Begin starts from the present number of servers. Without it a new holder, which
+// Begin sets the present number of servers as the initial decision. Otherwise a new holder, which
 // knows no loads yet, would stop all servers down to the minimum.
 func (s *Sizer) Begin(now time.Time, present int) {
 	s.lastDecision = present
@@ -68,8 +69,8 @@
 	return servers
 }
 
-// maxRecent returns the maximum number of servers needed within ScaleDownDelay.
-// The list holds only counts larger than all later ones, so it stays short.
+// maxRecent returns the maximum number of servers needed within ScaleDownDelay. The recent list
+// holds only counts larger than all later counts, so it stays short.
 func (s *Sizer) maxRecent(now time.Time, servers int) int {
 	for len(s.recent) > 0 && s.recent[len(s.recent)-1].servers <= servers {
 		s.recent = s.recent[:len(s.recent)-1]
@@ -81,9 +82,9 @@
 	return s.recent[0].servers
 }
 
-// Spread distributes servers as evenly as possible over zones. Any remainder goes to
-// the zones that have the most now, one each, so that few servers move. The caller
-// leaves out a lost zone, whose share goes to the others.
+// Spread distributes servers as evenly as possible over zones. Any remainder goes to the zones that
+// have the most servers now, one server each, so that few servers move. The caller omits lost
+// zones, whose shares go to the other zones.
 func Spread(servers int, present map[string]int) map[string]int {
 	var zones []string
 	for zone := range present {
--- a/internal/fleet/sizer_test.go
+++ b/internal/fleet/sizer_test.go
@@ -14,7 +14,7 @@
 	return &fleet.Sizer{Min: 2, Max: 20, Target: 0.7, ScaleDownDelay: 10 * time.Minute, Slack: 0.3}
 }
 
-// decideFor decides every ten seconds for a time and returns the last decision.
+// decideFor calls Decide every ten seconds for a duration and returns the last decision.
 func decideFor(sizer *fleet.Sizer, now *time.Time, length time.Duration, running float64) int {
 	wanted := 0
 	for end := now.Add(length); now.Before(end); *now = now.Add(10 * time.Second) {
--- a/internal/fleet/zone.go
+++ b/internal/fleet/zone.go
@@ -60,7 +60,7 @@
 	orderer *Orderer
 	// knownPools are the pools of the lists and those that had a server in the zone.
 	knownPools map[string]bool
-	// stopping are the servers that were ordered to stop, as far as the platform accepted it.
+	// stopping are the servers whose stop orders the platform has accepted.
 	stopping map[string]bool
 }
 
@@ -88,7 +88,7 @@
 			return err
 		}
 		if err != nil && ctx.Err() == nil {
-			klog.Warningf("order: zone %s: %v", z.Name, err)
+			klog.Warningf("order: reconciling zone %s failed: %v", z.Name, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -98,7 +98,7 @@
 	}
 }
 
-// isTermOver reports whether an error means that the term is over.
+// isTermOver reports whether an error means that the term has ended.
 func isTermOver(err error) bool {
 	var superseded *SupersededError
 	var ended *TermEndedError
@@ -167,7 +167,7 @@
 	return leaving
 }
 
-// poolNames returns the names of the pools of the lists and of those that have or had a
+// poolNames returns the names of the pools of the lists and of all other pools that have or had a
 // server in the zone.
 func (z *Zone) poolNames(listed []platform.Server) []string {
 	for _, server := range listed {
@@ -186,7 +186,7 @@
 	return pools
 }
 
-// updateFleet updates the pool's key to what is observed and returns its value.
+// updateFleet writes the observed state to the pool's key, if it has changed, and returns it.
 func (z *Zone) updateFleet(ctx context.Context, pool string, view ZoneView) (*statepb.Fleet, error) {
 	key := member.FactFleet + pool
 	known, revision, err := z.readFleet(ctx, key)
@@ -210,8 +210,8 @@
 	return next, nil
 }
 
-// readFleet reads the fact, which saves a call to the store each round; if the fact is
-// stale, the swap fails.
+// readFleet reads the fact instead of the store, which saves a store call each round; if the fact
+// is stale, the later compare-and-swap fails.
 func (z *Zone) readFleet(ctx context.Context, key string) (*statepb.Fleet, uint64, error) {
 	fact := z.Members.Fact(key)
 	if fact == nil {
--- a/internal/fleet/zone_test.go
+++ b/internal/fleet/zone_test.go
@@ -21,7 +21,7 @@
 
 const drainTimeout = time.Minute
 
-// sidecars is a fake of the sidecars of all servers.
+// sidecars is a fake Sidecars that holds the load and drain state of each server.
 type sidecars struct {
 	mutex    sync.Mutex
 	running  map[string]uint32
@@ -76,7 +76,7 @@
 	}}
 }
 
-// processes adds a sidecar for each server to the known processes.
+// processes is a member.Members that lists a sidecar for each server.
 type processes struct {
 	*member.Members
 }
@@ -102,7 +102,7 @@
 	z.change(func() { z.hosts = []platform.Host{{Name: "h1", Address: "10.0.0.1:1", State: "leaving"}} })
 }
 
-// states returns the servers' states in the fact that other processes see.
+// states returns the servers' states in the fact that other processes receive.
 func (z *zoneFixture) states(t *testing.T) map[string]string {
 	t.Helper()
 	known := &statepb.Fleet{}
@@ -132,9 +132,8 @@
 	})
 }
 
-// Guards against cutting off a request because its server is stopped while the host
-// is about to leave. The server must start to drain within a few rounds and be stopped
-// only once no request runs.
+// Guards against aborting a request because its server is stopped while the host is about to leave.
+// The server must start to drain within a few rounds and be stopped only once no request runs.
 func TestLeavingHostDrainsBeforeStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		zone := newZoneFixture()
@@ -156,8 +155,8 @@
 	})
 }
 
-// Guards against a server that runs for ever because one of its requests never ends:
-// the wait for a drain is bounded.
+// Guards against a server that is never stopped because one of its requests never ends: the wait
+// for a drain is bounded.
 func TestDrainHasBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		zone := newZoneFixture()
@@ -171,7 +170,7 @@
 	})
 }
 
-// The answer to a stop order is lost twice. All attempts must have the same order ID.
+// The answer to a stop order is lost twice. All attempts must use the same order ID.
 func TestStopWithLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		zone := newZoneFixture()
@@ -187,8 +186,8 @@
 	})
 }
 
-// A stop order is lost in transit twice. It must be resent with the same ID until it
-// arrives, since an earlier attempt might still have arrived.
+// A stop order is lost in transit twice. The order must be resent with the same ID until it
+// arrives, since an earlier attempt may have arrived.
 func TestStopLostInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		zone := newZoneFixture()
