--- a/internal/limit/account.go
+++ b/internal/limit/account.go
@@ -8,7 +8,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// timedDemand is a demand and the time at which it was received or published.
+// timedDemand is a demand with the time at which it was received or published.
 type timedDemand struct {
 	demand *peerpb.Demand
 	time   time.Time
@@ -23,8 +23,8 @@
 	hasHeadroom bool
 }
 
-// initialLevel returns the level at which a bucket starts. If it started full while
-// the limit is used up, every entry would admit a burst beyond the limit.
+// initialLevel returns the level at which a bucket starts. If buckets started full while the limit
+// is used up, every entry would admit a burst beyond the limit.
 func (s shares) initialLevel(burst float64) float64 {
 	if s.hasHeadroom {
 		return burst
@@ -42,13 +42,14 @@
 	demandTokens  meter
 	demandRunning peak
 
-	// published is this entry's newest demand, history those within the settle time.
+	// published is the newest demand that this entry has published, history the published demands
+	// within the settle time.
 	published   *peerpb.Demand
 	publishedAt time.Time
 	history     []timedDemand
 	others      map[string]timedDemand
 
-	// roundingDraw decides whether a fraction of a unit is rounded up.
+	// roundingDraw is the random number that decides whether a fractional share is rounded up.
 	roundingDraw    float64
 	roundingDrawnAt time.Time
 
@@ -57,7 +58,7 @@
 	sharedAt time.Time
 }
 
-// check decides on a request by the shares of this entry.
+// check returns whether the shares of this entry allow a request.
 func (a *account) check(limits Limits, shares shares, now time.Time) Verdict {
 	if limits.Concurrency > 0 && a.running >= shares.concurrency {
 		return Verdict{Limit: Concurrency, Wait: minWait}
@@ -73,7 +74,7 @@
 		rate := shares.tokens / secondsPerMinute
 		burst := max(1, rate*tokenBurst.Seconds())
 		a.tokens.fill(now, rate, burst, shares.initialLevel(burst))
-		// Any positive level admits a request and may go negative, so that a
+		// A request is admitted at any positive level, which may then become negative, so that a
 		// request larger than the burst can run at all.
 		if a.tokens.level <= 0 {
 			return Verdict{Limit: Tokens, Wait: clampWait(a.tokens.until(1, rate))}
@@ -135,9 +136,9 @@
 	return rates, running, tokens
 }
 
-// roundShare rounds a share to whole requests, up with a probability equal to its
-// fraction. As the draw is renewed periodically, the shares of all entries add up
-// to the limit on average, even with more entries than units.
+// roundShare rounds a share to whole requests; the probability of rounding up equals the fractional
+// part. Since the draw is renewed periodically, the shares of all entries add up to the limit on
+// average, even if there are more entries than requests allowed.
 func roundShare(share, draw float64, hasHeadroom bool) int64 {
 	whole, fraction := math.Modf(share)
 	if draw < fraction {
@@ -157,13 +158,13 @@
 	return limit == 0 || total+1 <= limit
 }
 
-// settledDemand returns the part of this entry's demand that counts: derived from its
-// average over the settle time, and at most its present value. A rise counts
-// gradually, as the other entries receive it; a fall counts at once.
+// settledDemand returns the part of this entry's demand that counts for its shares: derived from
+// the demand's average over the settle time, and at most its present value. An increase counts
+// gradually, as the other entries receive it; a decrease counts at once.
 //
-// If a rise counted at once, many entries could each claim the same part of the
-// limit until they have received each other's demands. If it counted only after
-// all have received it, the limit would stay unused for that long.
+// If an increase counted at once, many entries could each claim the same part of the limit until
+// they have received each other's demands. If an increase counted only after all entries have
+// received it, the limit would be unused until then.
 func (a *account) settledDemand(settle time.Duration, now time.Time) *peerpb.Demand {
 	if a.published == nil {
 		return nil
@@ -189,8 +190,8 @@
 	}.Build()
 }
 
-// ramp returns the part of a demand that counts, given its average over the settle
-// time. It grows slowly while few entries have received the demand, then faster.
+// ramp returns the part of a demand that counts, given the demand's average over the settle time.
+// The part grows slowly while few entries have received the demand, then faster.
 func ramp(average, now float64) float64 {
 	if average >= now {
 		return now
@@ -205,7 +206,7 @@
 	return b
 }
 
-// publish renews this entry's demand if it has changed or is due to be repeated.
+// publish updates the published demand if the demand has changed or is due to be repeated.
 func (a *account) publish(self, name string, now time.Time) {
 	next := peerpb.Demand_builder{
 		Entry:   self,
@@ -229,6 +230,6 @@
 	if a.published == nil || now.Sub(a.publishedAt) >= republishInterval {
 		return true
 	}
-	return isChange(a.published.GetRate(), next.GetRate()) || isChange(a.published.GetRunning(), next.GetRunning()) ||
-		isChange(a.published.GetTokens()/secondsPerMinute, next.GetTokens()/secondsPerMinute)
+	return isSignificantChange(a.published.GetRate(), next.GetRate()) || isSignificantChange(a.published.GetRunning(), next.GetRunning()) ||
+		isSignificantChange(a.published.GetTokens()/secondsPerMinute, next.GetTokens()/secondsPerMinute)
 }
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -18,7 +18,7 @@
 	b.last = now
 }
 
-// until returns the time until the level reaches wanted.
+// until returns the time until the bucket's level reaches wanted.
 func (b *bucket) until(wanted, rate float64) time.Duration {
 	if b.level >= wanted {
 		return 0
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -2,7 +2,7 @@
 // call for each request. Every entry publishes the demand of its callers and
 // computes its own share of a limit from the demands that it has received.
 //
-// The package does no input or output; callers pass in the time.
+// The package does no I/O; callers pass in the time.
 package limit
 
 import (
@@ -13,12 +13,12 @@
 )
 
 const (
-	// settleBase and settleStep define the settle time as a function of the number
-	// of entries: demands are gossiped every second, and each round doubles the
-	// number of entries that a demand has reached.
+	// settleBase and settleStep define the settle time as a function of the number of entries:
+	// demands are gossiped every second, and each round doubles the number of entries that have
+	// received a demand.
 	settleBase = time.Second
 	settleStep = 250 * time.Millisecond
-	// demandTTL is how long a demand counts after it was last received.
+	// demandTTL is how long another entry's demand counts after it was last received.
 	demandTTL = 45 * time.Second
 	// republishInterval is how often an unchanged demand is published again.
 	republishInterval = 10 * time.Second
@@ -28,9 +28,11 @@
 	shareInterval = 200 * time.Millisecond
 	// roundingInterval is how long an entry keeps its random draw for rounding.
 	roundingInterval = 5 * time.Second
-	// rateBurst is the time whose share of a request rate may be used at once.
+	// rateBurst is the burst size of a request rate, as the time in which the rate yields that many
+	// requests.
 	rateBurst = time.Second
-	// tokenBurst is the same for tokens, of which a single request needs many.
+	// tokenBurst is the burst size of a token rate, as the time in which the rate yields that many
+	// tokens. It is longer, since a single request needs many tokens.
 	tokenBurst       = 10 * time.Second
 	maxWait          = time.Minute
 	minWait          = time.Second
@@ -67,17 +69,17 @@
 type Limiter struct {
 	// Self is the name of this entry.
 	Self string
-	// Settle is the time until a rise of the demand counts in full; 0 derives it
-	// from the number of entries.
+	// Settle is the time until an increase of the demand counts in full; 0 derives the time from
+	// the number of entries.
 	Settle time.Duration
-	// Entries is the number of entries; it may change between calls.
+	// Entries is the current number of entries; callers may change it between calls.
 	Entries int
 
 	accounts map[string]*account
 }
 
-// Admit decides on a request of an account with an estimate of its tokens.
-// Each admitted request needs a call of Finish.
+// Admit decides whether to admit a request of an account, given an estimate of the request's
+// tokens. Finish must be called for each admitted request.
 func (l *Limiter) Admit(name string, limits Limits, tokens int64, now time.Time) Verdict {
 	if limits == (Limits{}) {
 		return Verdict{}
@@ -86,7 +88,7 @@
 	a.demandRate.add(now, 1)
 	a.demandTokens.add(now, float64(tokens)*secondsPerMinute)
 	a.demandRunning.add(now, float64(a.running+1))
-	shares := a.shares(limits, l.entries(), l.settle(), now)
+	shares := a.shares(limits, l.entryCount(), l.settleTime(), now)
 	verdict := a.check(limits, shares, now)
 	if verdict.Limit == "" {
 		a.running++
@@ -96,8 +98,8 @@
 	return verdict
 }
 
-// Demands returns the demands to send to the other entries, renewed where they
-// have changed or are due to be repeated.
+// Demands returns the demands to send to the other entries, after updating those that have changed
+// or are due to be repeated.
 func (l *Limiter) Demands(now time.Time) []*peerpb.Demand {
 	var demands []*peerpb.Demand
 	for name, a := range l.accounts {
@@ -112,8 +114,8 @@
 	return demands
 }
 
-// Finish ends an admitted request; tokens is the estimate given to Admit, used the
-// actual number.
+// Finish records the end of an admitted request; tokens is the estimate given to Admit, used is the
+// actual number of tokens.
 func (l *Limiter) Finish(name string, tokens, used int64) {
 	a := l.accounts[name]
 	if a == nil {
@@ -144,11 +146,11 @@
 	return a
 }
 
-func (l *Limiter) entries() int { return max(1, l.Entries) }
+func (l *Limiter) entryCount() int { return max(1, l.Entries) }
 
-func (l *Limiter) settle() time.Duration {
+func (l *Limiter) settleTime() time.Duration {
 	if l.Settle == 0 {
-		return settleBase + time.Duration(math.Log2(float64(l.entries()))*float64(settleStep))
+		return settleBase + time.Duration(math.Log2(float64(l.entryCount()))*float64(settleStep))
 	}
 	return l.Settle
 }
@@ -157,6 +159,6 @@
 	return min(maxWait, max(minWait, wait))
 }
 
-func isChange(before, after float64) bool {
+func isSignificantChange(before, after float64) bool {
 	return math.Abs(after-before) > changeThreshold*max(before, 1)
 }
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -34,8 +34,8 @@
 	return e
 }
 
-// run advances the time; in each step every entry gets its number of arrivals, and
-// admitted requests end at once. It returns the number of admitted requests by entry.
+// run advances the time; in each step every entry receives its number of arrivals, and admitted
+// requests end at once. It returns the number of admitted requests by entry.
 func (e *entries) run(length time.Duration, limits limit.Limits, arrivals ...int) []int {
 	admitted := make([]int, len(e.all))
 	for end := e.now.Add(length); e.now.Before(end); e.now = e.now.Add(step) {
@@ -84,8 +84,8 @@
 }
 
 func TestRateIsSharedByDemand(t *testing.T) {
-	// An account may send 30 requests per second. Its batch job sends 100 through
-	// one entry, a small caller 5 through another, and the third gets none. A limit
+	// An account may send 30 requests per second. Its batch job sends 100 per second through the
+	// first entry, a small caller 5 through the second, and the third entry receives none. A limit
 	// divided evenly would give the batch job 10 and leave 15 unused.
 	e := newEntries(3)
 	limits := limit.Limits{Rate: 30}
@@ -99,8 +99,9 @@
 }
 
 func TestRateRisesOnlyOncePublished(t *testing.T) {
-	// All three entries get an account's burst at the same time and don't know
-	// each other's demand yet. Each admitting the whole limit would triple it.
+	// All three entries receive an account's burst at the same time, before they have received each
+	// other's demands. If each entry admitted the whole limit, three times the limit would be
+	// admitted.
 	e := newEntries(3)
 	admitted := e.run(4*time.Second, limit.Limits{Rate: 30}, 10, 10, 10)
 	must.LessEq(t, 4*30+30, sum(admitted))
@@ -128,8 +129,8 @@
 }
 
 func TestConcurrencyFewUnits(t *testing.T) {
-	// An account may run 8 concurrent requests and uses 400 entries. Rounding each
-	// entry's share up to one would let 400 run.
+	// An account may run 8 concurrent requests and uses 400 entries. Rounding each entry's share up
+	// to 1 would allow 400 concurrent requests.
 	e := newEntries(400)
 	limits := limit.Limits{Concurrency: 8}
 	running := 0
@@ -166,14 +167,14 @@
 			used += min(share, demands[i])
 		}
 		if total > 1.1*limitValue+1e-6 {
-			t.Fatalf("shares add up to %g of %g", total, limitValue)
+			t.Fatalf("shares add up to %g, limit is %g", total, limitValue)
 		}
 		wanted := 0.0
 		for _, demand := range demands {
 			wanted += demand
 		}
 		if used < min(wanted, limitValue)-1e-6 {
-			t.Fatalf("%g used of %g while %g are wanted", used, limitValue, wanted)
+			t.Fatalf("shares used add up to %g, limit is %g, demand is %g", used, limitValue, wanted)
 		}
 	})
 }
--- a/internal/limit/meter.go
+++ b/internal/limit/meter.go
@@ -8,7 +8,7 @@
 // meterWindow is the time over which a meter averages.
 const meterWindow = 2 * time.Second
 
-// meter estimates a rate per second from events. The zero value reads 0.
+// meter estimates a rate per second from events. The rate of the zero value is 0.
 type meter struct {
 	rate float64
 	last time.Time
@@ -23,7 +23,8 @@
 	return m.rate * math.Exp(-now.Sub(m.last).Seconds()/meterWindow.Seconds())
 }
 
-// peak follows a rising level at once and decays exponentially. The zero value reads 0.
+// peak is a level that follows increases at once and decays exponentially. The level of the zero
+// value is 0.
 type peak struct {
 	level float64
 	last  time.Time
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -7,15 +7,15 @@
 
 // Share returns this entry's share of a limit.
 //
-// The allocation is max-min fair: demands are satisfied from the smallest up, so
-// that a batch job at one entry can't starve a small caller at another. The unused
-// rest is divided evenly among all entries.
+// The allocation is max-min fair: demands are satisfied in increasing order, so that a batch job at
+// one entry can't starve a small caller at another entry. The unused remainder is divided evenly
+// among all entries.
 //
-// own is the demand that this entry has published, settled the part of it that all
-// entries have had time to receive, others the demands that this entry has received.
-// If all entries have received the same demands, their shares add up to at most the
-// limit plus its floor: an entry whose demand rises waits until the entries that lose
-// share to it know of the rise.
+// own is the demand that this entry has published, settled the part of own that all entries have
+// had time to receive, and others the demands that this entry has received. If all entries have
+// received the same demands, their shares add up to at most the limit plus the part given by
+// floorRatio: an entry whose demand increases waits until the entries whose shares decrease have
+// received the increased demand.
 func Share(limit, settled, own float64, others []float64, entries int) float64 {
 	floor := floorRatio * limit / float64(entries)
 	total := own
