--- a/internal/fair/admit.go
+++ b/internal/fair/admit.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// minRetry is the minimum retry delay given in a refusal.
+// minRetry is the minimum retry delay of a FullError.
 const minRetry = time.Second
 
-// FullError reports that the queue has no room for the account.
+// FullError reports that the queue is full and the account may not evict an item.
 type FullError struct {
-	// Retry is the time until room is expected.
+	// Retry is the expected time until the queue can accept an item of the account.
 	Retry time.Duration
 }
 
-// Error includes the retry delay.
+// Error returns a message with the retry delay.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("queue is full, room is expected in %s", e.Retry)
 }
@@ -25,7 +25,7 @@
 	Wait time.Duration
 }
 
-// Error includes the expected wait.
+// Error returns a message with the expected wait.
 func (e *LateError) Error() string {
 	return fmt.Sprintf("expected to wait %s, longer than the deadline allows", e.Wait)
 }
@@ -41,8 +41,8 @@
 	return &LateError{Wait: wait}
 }
 
-// expectedWait estimates how long an item pushed now would wait: the work with lower
-// tags divided by the recent rate of service; 0 if that rate is unknown.
+// expectedWait estimates how long an item pushed now would wait: the waiting work with lower tags
+// divided by the recent service rate; 0 if that rate is unknown.
 func (q *Queue[T]) expectedWait(request Request, now time.Time) time.Duration {
 	rate := q.rate.perSecond(now)
 	if rate <= 0 || q.length == 0 {
@@ -57,10 +57,10 @@
 		served := (start - account.startTag()) * account.weight
 		work += min(max(served, 0), account.cost)
 	}
-	return seconds(work / rate)
+	return durationOfSeconds(work / rate)
 }
 
-// retryDelay estimates the time until the queue has room for the account's next item.
+// retryDelay estimates the time until the queue can accept the account's next item.
 func (q *Queue[T]) retryDelay(request Request, now time.Time) time.Duration {
 	rate := q.rate.perSecond(now)
 	if rate <= 0 {
@@ -71,12 +71,12 @@
 		work += known.cost
 	}
 	share := request.Weight / max(q.totalWeight(request), request.Weight)
-	return max(minRetry, seconds(work/(rate*share)))
+	return max(minRetry, durationOfSeconds(work/(rate*share)))
 }
 
-// evictFor makes room for an account that has less than its share of the queue,
-// and returns the evicted item, or nil. Without eviction, an account that fills
-// the queue while others are idle would cause their refusal until it has drained.
+// evictFor evicts an item if the requesting account has less than its share of the queue, and
+// returns the evicted item, or nil. Without eviction, items of other accounts would be rejected
+// after one account has filled the queue, until its items have been served.
 func (q *Queue[T]) evictFor(request Request) *Item[T] {
 	total := q.totalWeight(request)
 	held := 0
@@ -93,7 +93,8 @@
 	return q.removeAt(victim, len(victim.items)-1)
 }
 
-// findVictim returns the other account with the most items per weight, or nil.
+// findVictim returns the account with the most items per weight, excluding the account named
+// except, or nil if no other account has waiting items.
 func (q *Queue[T]) findVictim(except string) *account[T] {
 	var found *account[T]
 	maxRatio := 0.0
@@ -106,7 +107,7 @@
 	return found
 }
 
-// totalWeight sums the weights of the waiting accounts and of the requesting one.
+// totalWeight sums the weights of the waiting accounts and of the requesting account.
 func (q *Queue[T]) totalWeight(request Request) float64 {
 	sum := request.Weight
 	for _, account := range q.waiting {
@@ -117,6 +118,6 @@
 	return sum
 }
 
-func seconds(value float64) time.Duration {
+func durationOfSeconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Second))
 }
--- a/internal/fair/queue.go
+++ b/internal/fair/queue.go
@@ -1,9 +1,9 @@
 // Package fair orders waiting work so that each client account gets its share.
 //
-// It implements start-time fair queueing: an item's start tag is the maximum of the
-// queue's virtual time and the finish tag of the account's previous item; its finish
-// tag is cost/weight later. The item with the smallest start tag is served first.
-// The package does no input or output and has no clock of its own.
+// It implements start-time fair queueing: an item's start tag is the maximum of the queue's virtual
+// time and the finish tag of the account's previous item; its finish tag is cost/weight later. The
+// item with the smallest start tag is served first. The package does no I/O; callers pass in the
+// time.
 package fair
 
 import (
@@ -14,7 +14,7 @@
 // Request describes one item to a Queue.
 type Request struct {
 	Account string
-	// Weight is the account's share relative to others; 0 and below count as 1.
+	// Weight is the account's share relative to other accounts; 0 and below count as 1.
 	Weight float64
 	// Cost is the expected work, in tokens.
 	Cost float64
@@ -58,7 +58,7 @@
 	finishTag float64
 	cost      float64
 	index     int
-	// tagShift is added to the start tags of the waiting items.
+	// tagShift is the correction to add to the start tags of the waiting items.
 	tagShift float64
 }
 
@@ -74,8 +74,8 @@
 	return items
 }
 
-// Pop removes and returns the next item to serve, and the items before it whose
-// deadline has passed. The item is nil if none is left.
+// Pop removes and returns the next item to serve, and the items before it whose deadline has
+// passed. The item is nil if the queue has no other items.
 func (q *Queue[T]) Pop(now time.Time) (item *Item[T], late []*Item[T]) {
 	for q.length > 0 {
 		if first := q.waiting[0]; isLate(first.items[0], now) {
@@ -90,9 +90,9 @@
 	return nil, late
 }
 
-// Push adds an item, or refuses it with a *FullError or a *LateError. If the queue
-// is full and the account has less than its share of it, Push evicts the newest
-// item of the account furthest above its share.
+// Push adds an item, or rejects it with a *FullError or a *LateError. If the queue is full and the
+// account has less than its share of the queue, Push evicts the newest item of the account with the
+// most items per weight.
 func (q *Queue[T]) Push(request Request, value T, now time.Time) (evicted *Item[T], err error) {
 	if request.Weight <= 0 {
 		request.Weight = 1
@@ -113,7 +113,7 @@
 	return evicted, nil
 }
 
-// Remove removes the first matching item and reports whether there was one.
+// Remove removes the first matching item and reports whether an item matched.
 func (q *Queue[T]) Remove(matches func(T) bool) bool {
 	for _, account := range q.waiting {
 		for i, item := range account.items {
@@ -126,8 +126,8 @@
 	return false
 }
 
-// Settle corrects the account's tags once the actual cost of an item is known. The
-// account's waiting items are served later or sooner by the difference.
+// Settle corrects the account's tags once the actual cost of an item is known. The start tags of
+// the account's waiting items are shifted by the weighted difference.
 func (q *Queue[T]) Settle(request Request, cost float64) {
 	account := q.accounts[request.Account]
 	if account == nil {
@@ -158,8 +158,8 @@
 	return found
 }
 
-// pruneAccounts deletes accounts without waiting items whose tags are behind the
-// virtual time and so no longer matter; else the map would grow with every account.
+// pruneAccounts deletes accounts without waiting items whose tags are behind the virtual time and
+// thus no longer have an effect; otherwise the map would grow with every account.
 func (q *Queue[T]) pruneAccounts() {
 	for name, account := range q.accounts {
 		if len(account.items) == 0 && account.finishTag <= q.virtualTime {
--- a/internal/fair/queue_test.go
+++ b/internal/fair/queue_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// served pops a number of items and returns the cost served by account.
-func served(queue *fair.Queue[string], count int) map[string]float64 {
+// costByAccount pops a number of items and returns their total cost by account.
+func costByAccount(queue *fair.Queue[string], count int) map[string]float64 {
 	work := map[string]float64{}
 	for range count {
 		if item, _ := queue.Pop(start); item != nil {
@@ -32,13 +32,13 @@
 	return work
 }
 
-// Guards against starvation: when one account has filled the queue, another's
-// request must be served after at most one of the first.
+// Guards against starvation: when one account has filled the queue, another account's request must
+// be served after at most one request of the first account.
 func TestSmallAccountIsNotStarved(t *testing.T) {
 	queue := &fair.Queue[string]{Size: 200}
 	push(t, queue, "greedy", 1, 100, 150)
 	push(t, queue, "small", 1, 100, 1)
-	must.MapContainsKey(t, served(queue, 2), "small")
+	must.MapContainsKey(t, costByAccount(queue, 2), "small")
 }
 
 func TestSharesFollowWeights(t *testing.T) {
@@ -46,13 +46,13 @@
 	push(t, queue, "one", 1, 10, 300)
 	push(t, queue, "two", 2, 20, 300)
 	push(t, queue, "three", 3, 5, 400)
-	work := served(queue, 300)
+	work := costByAccount(queue, 300)
 	must.InDelta(t, 2, work["two"]/work["one"], 0.1)
 	must.InDelta(t, 3, work["three"]/work["one"], 0.1)
 }
 
-// An account understates its cost by half. Once the actual cost is settled, it must
-// get no more than the other, though many of its requests are already queued.
+// An account understates its cost by half. Once the actual cost is settled, the account must get no
+// more than the other account, although many of its requests are already queued.
 func TestSettleChargesTrueCost(t *testing.T) {
 	queue := &fair.Queue[string]{Size: 1000}
 	work := map[string]float64{}
@@ -69,7 +69,7 @@
 	must.InDelta(t, 1, work["understating"]/work["honest"], 0.1)
 }
 
-// The queue is full of one account's requests when another account sends some. They
+// The queue is full of one account's requests when another account sends requests. The new requests
 // must be accepted, and the first account's newest requests evicted.
 func TestFullQueueEvicts(t *testing.T) {
 	queue := &fair.Queue[string]{Size: 10}
@@ -98,8 +98,8 @@
 	return queue, now
 }
 
-// A request that can't be served before its deadline must be refused at once with
-// the expected wait, not held until the deadline.
+// A request that can't be served before its deadline must be rejected at once with the expected
+// wait, not queued until the deadline.
 func TestDeadlineIsCheckedAtOnce(t *testing.T) {
 	queue, now := newBusyQueue(t)
 	_, err := queue.Push(fair.Request{Account: "a", Cost: 10, Deadline: now.Add(10 * time.Second)}, "a", now)
--- a/internal/fair/rate.go
+++ b/internal/fair/rate.go
@@ -8,9 +8,9 @@
 // rateWindow is the time over which a rate is smoothed.
 const rateWindow = 5 * time.Second
 
-// rate is the exponentially weighted rate at which work is served while some waits.
-// It restarts whenever the queue was empty, since the rate at an idle server says
-// nothing about its capacity.
+// rate is the exponentially weighted rate at which work is served while the queue isn't empty. It
+// restarts after the queue was empty, since the rate of an idle server says nothing about its
+// capacity.
 type rate struct {
 	sum   float64
 	since time.Time
