--- a/internal/cold/senders_test.go
+++ b/internal/cold/senders_test.go
@@ -14,13 +14,14 @@
 
 const (
 	step = 50 * time.Millisecond
-	// maxRelayAge is how much older a process's view may be than the process knows.
+	// maxRelayAge is how much older a process's view may be than the process assumes.
 	maxRelayAge = 1900 * time.Millisecond
 	start       = clock.Boot(time.Hour)
 )
 
-// settled returns the view of a process that has long known all senders.
-func settled(self string, names ...string) (*cold.Senders, clock.Boot) {
+// newSettledSenders returns the view of a process that has known all senders for long enough to
+// send.
+func newSettledSenders(self string, names ...string) (*cold.Senders, clock.Boot) {
 	senders := &cold.Senders{Self: self}
 	for _, name := range names {
 		senders.Add(name, start)
@@ -33,7 +34,7 @@
 
 func TestQuota(t *testing.T) {
 	t.Run("divided among users", func(t *testing.T) {
-		senders, now := settled("a", "a", "b", "c")
+		senders, now := newSettledSenders("a", "a", "b", "c")
 		must.Eq(t, 4, senders.Quota("s", 13.5, now))
 	})
 	t.Run("with more users than requests each server has its own", func(t *testing.T) {
@@ -41,14 +42,14 @@
 		for _, server := range []string{"s1", "s2", "s3"} {
 			total := 0
 			for _, name := range names {
-				senders, now := settled(name, names...)
+				senders, now := newSettledSenders(name, names...)
 				total += senders.Quota(server, 2, now)
 			}
 			must.Eq(t, 2, total)
 		}
 	})
 	t.Run("one for a rate below one", func(t *testing.T) {
-		senders, now := settled("a", "a")
+		senders, now := newSettledSenders("a", "a")
 		must.Eq(t, 1, senders.Quota("s", 0.4, now))
 	})
 	t.Run("none before all others count this process", func(t *testing.T) {
@@ -68,15 +69,15 @@
 		}
 	})
 	t.Run("none with an old view", func(t *testing.T) {
-		senders, now := settled("a", "a")
+		senders, now := newSettledSenders("a", "a")
 		must.Eq(t, 0, senders.Quota("s", 13, now.Add(2*time.Second)))
 	})
 	t.Run("none for a process that isn't a user", func(t *testing.T) {
-		senders, now := settled("a", "b")
+		senders, now := newSettledSenders("a", "b")
 		must.Eq(t, 0, senders.Quota("s", 13, now))
 	})
 	t.Run("a user that has gone counts still", func(t *testing.T) {
-		senders, now := settled("a", "a", "b")
+		senders, now := newSettledSenders("a", "a", "b")
 		senders.Remove("b", now)
 		now = now.Add(10 * time.Second)
 		senders.MarkCurrent(now)
@@ -87,8 +88,8 @@
 	})
 }
 
-// Guards against a cold server that gets more than its rate from all processes together,
-// whichever of them join, leave, restart, stall or receive changes late.
+// Guards against a cold server that receives more requests than its rate from all processes
+// together, even if processes join, leave, restart, stall or receive changes late.
 func TestRateHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.5, 30).Draw(t, "rate")
@@ -104,7 +105,7 @@
 					first++
 				}
 				if count := last - first + 1; count > limit {
-					t.Fatalf("%s got %d requests in the second to %s, rate %f", server, count, at.Sub(start), rate)
+					t.Fatalf("%s received %d requests in the second before %s, rate is %f", server, count, at.Sub(start), rate)
 				}
 			}
 		}
@@ -118,20 +119,20 @@
 	at       clock.Boot
 }
 
-// process is a process of a fleet with its own view.
+// process is a simulated process with its own view of the senders.
 type process struct {
 	*cold.Senders
 
 	seenChanges int
 	lag         time.Duration
-	// Until stalledUntil it does nothing, until disconnectedUntil it receives no changes.
+	// The process does nothing until stalledUntil and receives no changes until disconnectedUntil.
 	stalledUntil, disconnectedUntil clock.Boot
 
 	sent       map[string]*cold.RequestWindow
 	knownUntil clock.Boot
 }
 
-// fleet simulates processes that send to cold servers as often as they may.
+// fleet simulates processes that send to cold servers as often as their quotas allow.
 type fleet struct {
 	t         *rapid.T
 	now       clock.Boot
@@ -153,7 +154,7 @@
 	return f
 }
 
-// begin starts or restarts a process, without any state.
+// begin starts or restarts a process with an empty state.
 func (f *fleet) begin(name string) {
 	f.processes[name] = &process{Senders: &cold.Senders{Self: name}, sent: map[string]*cold.RequestWindow{}}
 }
@@ -197,7 +198,8 @@
 	}
 }
 
-// receive shows a process the store's changes up to its lag, never fewer than before.
+// receive applies the stored changes older than the process's lag, and never reverts an applied
+// change.
 func (f *fleet) receive(proc *process) {
 	proc.knownUntil = max(proc.knownUntil, f.now.Add(-proc.lag))
 	for ; proc.seenChanges < len(f.changes) && f.changes[proc.seenChanges].at <= proc.knownUntil; proc.seenChanges++ {
