--- a/internal/lists/diff.go
+++ b/internal/lists/diff.go
@@ -13,9 +13,9 @@
 
 // Difference is an item or a setting that differs between two lists.
 type Difference struct {
-	// Item is the item's section, such as "plan gold".
+	// Item is the name of the item's section, such as "plan gold".
 	Item string `json:"item"`
-	// Setting is empty if the whole item was added or removed.
+	// Setting is the name of the setting, empty if the whole item was added or removed.
 	Setting string `json:"setting,omitempty"`
 	Old     string `json:"old,omitempty"`
 	New     string `json:"new,omitempty"`
@@ -33,10 +33,10 @@
 	}
 }
 
-// Diff returns the differences from old to next, sorted by item. It ignores keys,
-// which are not part of the lists.
+// Diff returns the differences from old to next, sorted by item. API keys are ignored, since they
+// are not part of the lists.
 func Diff(old, next *listpb.Config) []Difference {
-	before, after := items(old), items(next)
+	before, after := itemsByName(old), itemsByName(next)
 	var names []string
 	for name := range before {
 		names = append(names, name)
@@ -67,7 +67,7 @@
 	return strings.Join(parts, "; ")
 }
 
-func items(config *listpb.Config) map[string]proto.Message {
+func itemsByName(config *listpb.Config) map[string]proto.Message {
 	found := map[string]proto.Message{}
 	for _, account := range config.GetAccounts() {
 		found["account "+account.GetName()] = account
--- a/internal/lists/distribution_test.go
+++ b/internal/lists/distribution_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform/platformtest"
 )
 
-// shortWait keeps the tests of waits short.
+// shortWait is the watch timeout and the sync interval in tests.
 const shortWait = 100 * time.Millisecond
 
 func mustBecome(t *testing.T, state func() bool) {
@@ -63,8 +63,8 @@
 	mustBecome(t, func() bool { return listsNumber(view) == 2 })
 }
 
-// The watch of the store goes silent without an error. Without a timeout of the
-// watch, an accepted edit would never take effect.
+// The watch of the store stops sending changes without an error. Without a timeout, an accepted
+// edit would never take effect.
 func TestSilentWatchIsNoticed(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
@@ -76,8 +76,8 @@
 	mustBecome(t, func() bool { return listsNumber(view) == 2 })
 }
 
-// The store fails and recovers, and the lists change before the watcher's next call.
-// A watcher that had given up would keep the old lists.
+// The store fails and recovers, and the lists change before the watcher's next call. If the watcher
+// stopped retrying, the process would keep the old lists.
 func TestWatcherSurvivesOutage(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
@@ -123,9 +123,9 @@
 	must.Eq(t, 0, store.Calls())
 }
 
-// A key is withdrawn during a store outage. No process accepts it from then on, but
-// the store doesn't hold the withdrawal. It must be written once the store recovers,
-// or the key would work again after all processes have restarted.
+// A key is withdrawn during a store outage. No process accepts it from then on, but the store
+// doesn't hold the withdrawal. The withdrawal must be written once the store recovers; otherwise
+// the key would be accepted again after all processes have restarted.
 func TestWithdrawalReachesStoreAfterOutage(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
--- a/internal/lists/editor.go
+++ b/internal/lists/editor.go
@@ -24,32 +24,33 @@
 	maxAttempts   = 16
 	maxUnanswered = 3
 	maxChanges    = 50
-	// maxConfigBytes stays below the store's limit of a megabyte a value.
+	// maxConfigBytes is the maximum size of the configuration, below the store's limit of a
+	// megabyte per value.
 	maxConfigBytes = 900 << 10
 	retryDelay     = 50 * time.Millisecond
 	hashLength     = 64
 )
 
-// StaleError reports that the lists have changed since an edit began.
+// StaleError reports that an edit was rejected because the lists have changed since it began.
 type StaleError struct {
-	// Base is the number of the lists that the edit began from.
+	// Base is the number of the lists on which the edit is based.
 	Base uint64
 	// Present is the current configuration, Revision its revision in the store.
 	Present  *listpb.Config
 	Revision uint64
 }
 
-// Error names both numbers of the lists.
+// Error returns a message with both numbers of the lists.
 func (e *StaleError) Error() string {
 	return fmt.Sprintf("the edit began from lists %d, but lists %d are accepted now", e.Base, e.Present.GetLists())
 }
 
-// InvalidError reports a change that can't be accepted as it is.
+// InvalidError reports a change that would be rejected on every attempt.
 type InvalidError struct {
 	Problem string
 }
 
-// Error names the problem.
+// Error returns the problem.
 func (e *InvalidError) Error() string { return e.Problem }
 
 // UncertainError reports that no attempt to write a change is known to have
@@ -58,7 +59,7 @@
 	Cause error
 }
 
-// Error also says what to do.
+// Error returns a message with the cause and what the operator should do.
 func (e *UncertainError) Error() string {
 	return "the store gave no answer: the change may have been accepted or not; look at it, then try again: " + e.Cause.Error()
 }
@@ -76,8 +77,8 @@
 // Exported fields are set before the first call.
 type Editor struct {
 	Store Swapper
-	// Accepted is called with each configuration that the store has accepted or
-	// returned, so that it takes effect in this process at once; nil is allowed.
+	// Accepted is called with each configuration that the store has accepted or returned, so that
+	// the configuration takes effect in this process at once; nil is allowed.
 	Accepted func(*peerpb.Fact) bool
 	// InForce returns the revision that is in force in this process; nil means none.
 	InForce func() uint64
@@ -85,23 +86,23 @@
 	Now func() time.Time
 }
 
-// BehindError reports that the store holds an older configuration than the one in
-// force, as after a restore from a backup.
+// BehindError reports that the store holds an older configuration than the configuration in force,
+// for example after a restore from a backup.
 type BehindError struct {
 	Revision uint64
 	InForce  uint64
 }
 
-// Error names both revisions.
+// Error returns a message with both revisions.
 func (e *BehindError) Error() string {
 	return fmt.Sprintf("the store shows revision %d, older than revision %d in force: a change would never be in force", e.Revision, e.InForce)
 }
 
 // Edit replaces both lists.
 type Edit struct {
-	// Base is the number of the lists that the edit began from.
+	// Base is the number of the lists on which the edit is based.
 	Base uint64
-	// Lists holds the accounts, plans and pools wanted.
+	// Lists holds the new accounts, plans and pools.
 	Lists    *listpb.Config
 	Operator string
 	// ID identifies the edit, so that a retry is applied once.
@@ -123,12 +124,11 @@
 	if err := proto.Unmarshal(value.Data, config); err != nil {
 		return nil, 0, &InvalidError{Problem: fmt.Sprintf("the store's configuration at revision %d can't be read: %v", value.Revision, err)}
 	}
-	e.accepted(value.Data, value.Revision)
+	e.notifyAccepted(value.Data, value.Revision)
 	return config, value.Revision, nil
 }
 
-// Grant grants the key with this hash to an account. A withdrawn hash is never
-// granted again.
+// Grant grants the key with this hash to an account. A withdrawn key is never granted again.
 func (e *Editor) Grant(ctx context.Context, hash, account, operator string) (uint64, error) {
 	if !isHash(hash) {
 		return 0, &InvalidError{Problem: "the hash of a key has 64 hexadecimal digits"}
@@ -208,10 +208,10 @@
 // update reads, changes and swaps the configuration until the store accepts it, at
 // most maxAttempts times.
 //
-// The store's reply can be lost after the change took effect: the swap fails, yet
-// the change is stored. A blind retry would report a conflict with another operator,
-// or apply the change twice. So each attempt begins by reading the value back, and
-// change reports false if it finds its own earlier write.
+// The store's reply can be lost after the change took effect: the swap fails, yet the change is
+// stored. A blind retry would report a conflict with another operator, or apply the change twice.
+// So each attempt first reads the value from the store, and change returns false if the value
+// already contains the change.
 func (e *Editor) update(ctx context.Context, change func(*listpb.Config) (bool, error)) (*listpb.Config, uint64, error) {
 	var lastErr error
 	unanswered := 0
@@ -248,10 +248,10 @@
 }
 
 func (e *Editor) attemptUpdate(ctx context.Context, config *listpb.Config, revision uint64, change func(*listpb.Config) (bool, error)) (uint64, error) {
-	// Processes only apply higher revisions, so a change of an older store would be
-	// accepted there and applied by no process. Another change may have been accepted
-	// between the read and this check, so the caller retries this error too.
-	if inForce := e.inForce(); revision < inForce {
+	// Processes only apply higher revisions, so a change to an older configuration would be
+	// accepted by the store and applied by no process. Another change may have been accepted
+	// between the read and this check, so the caller also retries after this error.
+	if inForce := e.revisionInForce(); revision < inForce {
 		return 0, &BehindError{Revision: revision, InForce: inForce}
 	}
 	changed, err := change(config)
@@ -273,17 +273,17 @@
 	if err != nil {
 		return 0, err
 	}
-	e.accepted(data, revision)
+	e.notifyAccepted(data, revision)
 	return revision, nil
 }
 
-func (e *Editor) accepted(data []byte, revision uint64) {
+func (e *Editor) notifyAccepted(data []byte, revision uint64) {
 	if e.Accepted != nil {
 		e.Accepted(peerpb.Fact_builder{Name: KeyConfig, Revision: revision, Value: data}.Build())
 	}
 }
 
-func (e *Editor) inForce() uint64 {
+func (e *Editor) revisionInForce() uint64 {
 	if e.InForce == nil {
 		return 0
 	}
@@ -328,7 +328,7 @@
 	return nil
 }
 
-// finalError returns the error for the operator after the last attempt.
+// finalError returns the error to report to the operator after the last attempt.
 func finalError(err error) error {
 	var behind *BehindError
 	if errors.As(err, &behind) {
--- a/internal/lists/editor_test.go
+++ b/internal/lists/editor_test.go
@@ -41,8 +41,9 @@
 	must.Len(t, keys, config.GetKeys())
 }
 
-// Two operators edit the same lists, and the first edit is accepted. The second would
-// silently overwrite it. It must be rejected as a whole, with the current lists.
+// Two operators edit the same lists, and the first edit is accepted. The second edit would silently
+// overwrite the first. It must be rejected as a whole, and the error must contain the current
+// lists.
 func TestStaleEditIsRejected(t *testing.T) {
 	editor := &lists.Editor{Store: &platformtest.Store{}}
 	mustPut(t, editor, 0, 1)
@@ -69,8 +70,8 @@
 	mustHave(t, editor, 2, 2, 0)
 }
 
-// After the store was restored from a backup it holds an older configuration. It
-// would accept an edit that takes effect in no process.
+// After a restore from a backup, the store holds an older configuration. It would accept an edit
+// that takes effect in no process.
 func TestStoreBehindIsRejected(t *testing.T) {
 	editor := &lists.Editor{Store: &platformtest.Store{}, InForce: func() uint64 { return 7 }}
 	_, _, err := editor.Put(ctx, lists.Edit{Lists: listsWith(1), Operator: "ann", ID: "x"})
@@ -78,9 +79,9 @@
 	must.True(t, errors.As(err, &behind))
 }
 
-// The store accepts an edit, but its reply is lost. Without reading back, the retry
-// conflicts with its own edit, and the operator gets a StaleError for an edit that
-// is in force.
+// The store accepts an edit, but its reply is lost. If the retry didn't read the store first, it
+// would conflict with its own edit, and the operator would get a StaleError for an edit that is in
+// force.
 func TestLostReplyIsRecognised(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
@@ -94,8 +95,8 @@
 	must.Eq(t, 2, store.Writes())
 }
 
-// One operator edits the lists while another grants a key: both change the same value
-// of the store. Neither change may be lost or rejected as a conflict.
+// An operator edits the lists while another operator grants a key: both change the same value of
+// the store. Neither change may be lost or rejected as a conflict.
 func TestGrantDoesNotConflictWithEdit(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
@@ -123,8 +124,8 @@
 	mustHave(t, editor, 1, 1, 5)
 }
 
-// The store becomes unavailable during an edit. The operator must get neither
-// "refused" nor "done", since the outcome is unknown.
+// The store becomes unavailable during an edit. The operator must be shown neither "refused" nor
+// "done", since the outcome is unknown.
 func TestOutageIsUncertain(t *testing.T) {
 	store := &platformtest.Store{}
 	editor := &lists.Editor{Store: store}
@@ -134,9 +135,9 @@
 	must.True(t, errors.As(err, &uncertain))
 }
 
-// The reply to a grant is lost and the operator retries. Meanwhile the key has leaked
-// and was withdrawn, before or after the first attempt reached the store: the late
-// grant must not restore it.
+// The reply to a grant is lost and the operator retries. Meanwhile the key has leaked and was
+// withdrawn, before or after the first attempt reached the store: the late grant must not make the
+// key valid again.
 func TestWithdrawnKeyIsNeverGranted(t *testing.T) {
 	for name, grantedBefore := range map[string]bool{"granted before": true, "never granted": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lists/file.go
+++ b/internal/lists/file.go
@@ -27,7 +27,7 @@
 type File struct {
 	config *listpb.Config
 	faults []error
-	// files maps a section to its file, for faults found after reading.
+	// files maps the name of a section to its file, for reporting faults found after reading.
 	files map[string]string
 }
 
@@ -56,12 +56,12 @@
 func (f *File) checkNames() []error {
 	var faults []error
 	seen := map[string]bool{}
-	for _, section := range f.sections() {
+	for _, section := range f.sectionNames() {
 		if strings.HasSuffix(section, " ") {
-			faults = append(faults, f.fault(section, "", "has no name"))
+			faults = append(faults, f.newFault(section, "", "has no name"))
 		}
 		if seen[section] {
-			faults = append(faults, f.fault(section, "", "given twice"))
+			faults = append(faults, f.newFault(section, "", "given twice"))
 		}
 		seen[section] = true
 	}
@@ -80,7 +80,7 @@
 	var faults []error
 	for _, account := range f.config.GetAccounts() {
 		if !plans[account.GetPlan()] && account.GetPlan() != "" {
-			faults = append(faults, f.fault("account "+account.GetName(), "plan", "plan "+account.GetPlan()+" is not in the list"))
+			faults = append(faults, f.newFault("account "+account.GetName(), "plan", "plan "+account.GetPlan()+" is not in the list"))
 		}
 	}
 	for _, plan := range f.config.GetPlans() {
@@ -90,7 +90,7 @@
 	}
 	for _, pool := range f.config.GetPools() {
 		if pool.GetMax() < pool.GetMin() {
-			faults = append(faults, f.fault("pool "+pool.GetName(), "max", "is below min"))
+			faults = append(faults, f.newFault("pool "+pool.GetName(), "max", "is below min"))
 		}
 	}
 	return faults
@@ -102,15 +102,15 @@
 		switch kinds[name] {
 		case kind:
 		case "":
-			faults = append(faults, f.fault(section, key, "pool "+name+" is not in the list"))
+			faults = append(faults, f.newFault(section, key, "pool "+name+" is not in the list"))
 		default:
-			faults = append(faults, f.fault(section, key, "pool "+name+" is of kind "+kinds[name]))
+			faults = append(faults, f.newFault(section, key, "pool "+name+" is of kind "+kinds[name]))
 		}
 	}
 	return faults
 }
 
-func (f *File) fault(section, key, problem string) error {
+func (f *File) newFault(section, key, problem string) error {
 	file := f.files[section]
 	if file == "" {
 		file = "lists"
@@ -193,7 +193,7 @@
 	}
 }
 
-func (f *File) sections() []string {
+func (f *File) sectionNames() []string {
 	var names []string
 	for _, account := range f.config.GetAccounts() {
 		names = append(names, "account "+account.GetName())
--- a/internal/lists/format.go
+++ b/internal/lists/format.go
@@ -35,7 +35,7 @@
 	return text.String()
 }
 
-// WriteFiles writes both lists into a folder.
+// WriteFiles writes accounts.ini and plans.ini into a folder.
 func WriteFiles(folder string, config *listpb.Config) error {
 	err := os.WriteFile(filepath.Join(folder, AccountsFile), []byte(FormatAccounts(config)), fileMode)
 	if err != nil {
--- a/internal/lists/view.go
+++ b/internal/lists/view.go
@@ -1,5 +1,5 @@
-// Package lists manages the operators' two lists, the plans of client accounts and
-// what each plan may use, and the accounts' API keys.
+// Package lists manages the two lists that operators edit, client accounts and plans with their
+// pools, and the accounts' API keys.
 package lists
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Grant is what a key allows: its account and plan, as of a revision.
+// Grant is the account and plan of a key, as of a revision of the configuration.
 type Grant struct {
 	account  *listpb.Account
 	plan     *listpb.Plan
@@ -29,14 +29,14 @@
 // Hash returns the hash of the key.
 func (g Grant) Hash() string { return g.hash }
 
-// Plan returns what the account may use.
+// Plan returns the plan of the account.
 func (g Grant) Plan() *listpb.Plan { return g.plan }
 
-// Revision returns the revision of the lists and keys that the grant is from.
+// Revision returns the revision of the configuration that contains the grant.
 func (g Grant) Revision() uint64 { return g.revision }
 
-// View holds the newest accepted configuration known to a process. The zero value
-// holds none. It is safe for concurrent use.
+// View holds the newest accepted configuration known to a process. The zero value holds no
+// configuration. It is safe for concurrent use.
 type View struct {
 	current atomic.Pointer[snapshot]
 
@@ -65,7 +65,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Account returns the grant of an account, for work that runs without a key.
+// Account returns the grant of an account, for requests that run without a key.
 func (v *View) Account(name string) (Grant, bool) {
 	current := v.current.Load()
 	if current == nil || current.accounts[name] == nil {
@@ -83,7 +83,7 @@
 	return current.config, current.revision
 }
 
-// Grant returns the grant of the key with this hash; a withdrawn key has none.
+// Grant returns the grant of the key with this hash, and false if the key is unknown or withdrawn.
 func (v *View) Grant(hash string) (Grant, bool) {
 	current := v.current.Load()
 	if current == nil || v.isWithdrawn(hash) {
@@ -100,14 +100,14 @@
 func (v *View) Apply(fact *peerpb.Fact) {
 	config := &listpb.Config{}
 	if err := proto.Unmarshal(fact.GetValue(), config); err != nil {
-		klog.Errorf("lists: the configuration of revision %d can't be decoded: %v", fact.GetRevision(), err)
+		klog.Errorf("lists: decoding the configuration of revision %d failed: %v", fact.GetRevision(), err)
 		return
 	}
 	v.activate(newSnapshot(config, fact.GetRevision()))
 }
 
-// OnWithdrawal calls end once the key with this hash has no grant any more, so that
-// running streams end too. The returned function unregisters end.
+// OnWithdrawal registers end to be called once the key with this hash no longer has a grant, so
+// that running streams end too. The returned function unregisters end.
 func (v *View) OnWithdrawal(hash string, end func()) (stop func()) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -141,7 +141,7 @@
 	return v.withdrawn[hash]
 }
 
-// dropStoredWithdrawals drops the withdrawals that the configuration holds.
+// dropStoredWithdrawals drops the local withdrawals that the configuration contains.
 func (v *View) dropStoredWithdrawals(next *snapshot) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/lists/watch.go
+++ b/internal/lists/watch.go
@@ -28,13 +28,13 @@
 // Exported fields are set before Run.
 type Watcher struct {
 	Store Store
-	// Prefix of the keys; a key is also the name of its fact.
+	// Prefix is the prefix of the keys to watch; the key of a value is also the name of its fact.
 	Prefix string
 	// Offer publishes a fact.
 	Offer func(*peerpb.Fact) bool
-	// IsResponsible reports whether this process has to watch now: a few entries of each
-	// zone do, so that the load on the store doesn't grow with the number of
-	// processes. nil always watches.
+	// IsResponsible reports whether this process must watch now: only a few entries of each zone
+	// watch, so that the load on the store doesn't grow with the number of processes. nil means
+	// always.
 	IsResponsible func() bool
 	// Wait bounds the duration of one watch; 0 means 5 s.
 	Wait time.Duration
@@ -42,9 +42,9 @@
 
 // Run watches until the context ends.
 //
-// A watch can go silent without an error: the lists would go stale unnoticed until
-// the next restart. So each watch has a timeout, and the values are listed before
-// the next one. During a store outage the watcher keeps retrying.
+// A watch can stop sending changes without an error: the lists would be outdated until the next
+// restart. So each watch has a timeout, and the values are listed before the next watch. During a
+// store outage the watcher keeps retrying.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if w.IsResponsible != nil && !w.IsResponsible() {
@@ -52,7 +52,7 @@
 			continue
 		}
 		if err := w.listAndWatch(ctx); err != nil {
-			klog.V(1).Infof("lists: watch %s: %v", w.Prefix, err)
+			klog.V(1).Infof("lists: watching %s failed: %v", w.Prefix, err)
 			pause.For(ctx, jitter(retryInterval))
 		}
 	}
--- a/internal/lists/withdrawalsyncer.go
+++ b/internal/lists/withdrawalsyncer.go
@@ -32,18 +32,18 @@
 
 var _ Withdrawer = &Editor{}
 
-// WithdrawalSyncer writes the processes' withdrawals to the store and drops those that the
-// configuration in force holds.
+// WithdrawalSyncer writes the processes' withdrawals to the store, and drops withdrawals that the
+// configuration in force contains.
 //
-// An operator can withdraw a key during a store outage, so withdrawals spread from
-// process to process first. A withdrawal is dropped only once a configuration that
-// holds it is in force here: if it was dropped earlier, a process that restarts with
-// older facts would accept the key again.
+// An operator can withdraw a key during a store outage, so withdrawals spread from process to
+// process first. A withdrawal is dropped only once a configuration that contains it is in force in
+// this process: if the withdrawal was dropped earlier, a process that restarts with older facts
+// would accept the key again.
 type WithdrawalSyncer struct {
 	Members Withdrawals
-	// Editor writes to the store; nil only drops withdrawals, as sidecars do.
+	// Editor writes withdrawals to the store; nil only drops withdrawals, as in sidecars.
 	Editor Withdrawer
-	// IsResponsible reports whether this process has to write to the store now.
+	// IsResponsible reports whether this process must write withdrawals to the store now.
 	IsResponsible func() bool
 	// Interval is the time between two rounds; 0 means 1 s.
 	Interval time.Duration
@@ -58,7 +58,7 @@
 		}
 		revision, err := s.Editor.Withdraw(ctx, pending[:min(maxWithdrawalsPerWrite, len(pending))])
 		if err != nil {
-			klog.Warningf("key: %d withdrawals are in force but not stored yet: %v", len(pending), err)
+			klog.Warningf("key: storing %d withdrawals that are already in force failed: %v", len(pending), err)
 			continue
 		}
 		klog.Infof("key: withdrawals are stored at revision %d", revision)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// dropStored drops the withdrawals that the configuration holds and returns the rest.
+// dropStored drops the withdrawals that the configuration contains and returns the remaining ones.
 func (s *WithdrawalSyncer) dropStored() []*peerpb.Withdrawal {
 	known := s.Members.Withdrawals()
 	if len(known) == 0 {
