--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -16,7 +16,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Prefix is the prefix of the store keys that hold the holders of duties.
+// Prefix is the prefix of the store keys that record the holders of duties.
 const Prefix = "duty/"
 
 // Reader reads one value of the platform's store.
--- a/internal/duty/elector.go
+++ b/internal/duty/elector.go
@@ -26,15 +26,15 @@
 	releaseTimeout = 2 * time.Second
 )
 
-// WorkFunc does a duty until its context ends, which is no later than the end of the term. A nil
-// error within the term means that the duty has nothing left to do.
+// WorkFunc performs a duty until its context ends, which is no later than the end of the term. A
+// nil error within the term means that the duty has nothing left to do.
 type WorkFunc func(ctx context.Context, term *Term) error
 
 // Elector takes part in one duty for a process: it acquires the duty when nobody holds it, runs the
 // work during the term, and releases the duty. Exported fields are set before Run.
 type Elector struct {
 	Store Store
-	// Name of the duty.
+	// Name is the name of the duty.
 	Name    string
 	Process string
 	Address string
@@ -42,7 +42,7 @@
 	Lease time.Duration
 	// Margin is how much earlier a term ends locally than in the store.
 	Margin time.Duration
-	// Prefix of the duty's store key; "" means the package constant Prefix.
+	// Prefix is the prefix of the duty's store key; "" means the package constant Prefix.
 	Prefix string
 	// IsFree reports whether nobody holds the duty, if that is known without asking the store;
 	// nil asks the store.
@@ -61,7 +61,7 @@
 
 	// hasHeld is true once this start of the process has held the duty.
 	hasHeld bool
-	// revision of the duty's key in the current term.
+	// revision is the revision of the duty's key in the current term.
 	revision uint64
 }
 
@@ -141,13 +141,13 @@
 // claimOfEarlierStart returns the claim that an earlier start of this process still has on the
 // duty.
 //
-// Otherwise, a process that was killed and restarted waits for its own lease to expire. After all
-// processes had ended at once, no weights were loaded for the length of the lease, and the steps
-// requested meanwhile waited for samplers. The earlier start no longer runs, since this start has
-// its address. Its term is resumed under the same fence, so that its late calls don't count as
-// calls of an earlier holder. Under a new fence, the process must first pause its calls to a
-// platform that accepts such late calls, and usage windows were reported too late. A term that this
-// start has held is only resumed by the method resume.
+// Without this claim, a process that was killed and restarted would wait for its own lease to
+// expire. After all processes had ended at once, no weights were loaded for the length of the
+// lease, and the steps requested meanwhile waited for samplers. The earlier start no longer runs,
+// since this start has its address. Its term is resumed under the same fence, so that its late
+// calls don't count as calls of an earlier holder. Under a new fence, the process must first pause
+// its calls to a platform that accepts such late calls, and usage windows were reported too late. A
+// term that this start has held is only resumed by the method resume.
 func (e *Elector) claimOfEarlierStart() PriorClaim {
 	if e.PriorClaim == nil || e.hasHeld {
 		return PriorClaim{}
@@ -171,7 +171,7 @@
 	return errors.As(err, &missing)
 }
 
-// writeHolder creates the duty's key, or replaces the one left by an earlier start, and returns its
+// writeHolder creates the duty's key, or replaces the key left by an earlier start, and returns its
 // revision, which is the fence of a new term.
 //
 // The answer may be lost after the change took effect; giving up then would leave the duty without
@@ -330,7 +330,7 @@
 	return false
 }
 
-// release deletes the duty's key if it is still this term's.
+// release deletes the duty's key if this term still owns the key.
 func (e *Elector) release(term *Term) {
 	term.End()
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
--- a/internal/duty/elector_test.go
+++ b/internal/duty/elector_test.go
@@ -19,7 +19,7 @@
 const (
 	lease  = 10 * time.Second
 	margin = 3 * time.Second
-	// tick keeps a test's own events apart from the elector's timers.
+	// tick is the offset that separates a test's events from the elector's timers.
 	tick = time.Millisecond
 )
 
--- a/internal/duty/rank.go
+++ b/internal/duty/rank.go
@@ -7,9 +7,10 @@
 	"slices"
 )
 
-// Rank returns the position of a process among the candidates for a duty, from 0. Each duty has
-// its own order (rendezvous hashing), so duties spread and a candidate that joins or leaves
-// moves few of them. A process that is not a candidate gets the number of candidates.
+// Rank returns the position of a process among the candidates for a duty, from 0. Each duty has its
+// own order (rendezvous hashing), so duties are spread over the candidates, and few duties move
+// when a candidate joins or leaves. A process that is not a candidate gets the number of
+// candidates.
 func Rank(name, process string, candidates []string) int {
 	own := rankScore(name, process)
 	rank := 0
@@ -36,10 +37,10 @@
 	return position
 }
 
-// Candidate is a process that may do a duty.
+// Candidate is a process that may perform a duty.
 type Candidate struct {
 	Name string
-	// Cores of CPU time that the process has, 0 if unknown.
+	// Cores is the number of CPU cores that the process may use, 0 if unknown.
 	Cores float64
 }
 
--- a/internal/fleet/counter.go
+++ b/internal/fleet/counter.go
@@ -20,8 +20,8 @@
 	SetServerCount(ctx context.Context, count Count, fence uint64, guard func() error) error
 }
 
-// Counter keeps pools at their size while this process holds the duty, on platforms
-// that start and stop servers by number. Exported fields are set before Run.
+// Counter keeps pools at their target size while this process holds the duty, on platforms that
+// start and stop servers by number. Exported fields are set before Run.
 type Counter struct {
 	Platform CountPlatform
 	// Pools returns the current pools.
--- a/internal/fleet/countplanner.go
+++ b/internal/fleet/countplanner.go
@@ -14,8 +14,8 @@
 	// minScaleDownDelay is the minimum delay before fewer servers are ordered: the length of two
 	// steps of a trainer, since samplers are idle for some seconds between steps.
 	minScaleDownDelay = 10 * time.Second
-	// lateOrderBound is how long after sending an unanswered order may still be carried out, and
-	// how long the registrations may lag behind an order that was carried out.
+	// lateOrderBound is the maximum time after which the platform may still carry out an unanswered
+	// order, and the maximum lag of the registrations behind an order that was carried out.
 	lateOrderBound = 5 * time.Second
 )
 
--- a/internal/fleet/scaler_test.go
+++ b/internal/fleet/scaler_test.go
@@ -50,8 +50,9 @@
 	must.Eq(t, 1, scaler.Missing(now, "p", 2, newObservation(1, 1, 15).Fleet))
 }
 
-// A new holder that knows no loads would consider the pool idle and drain half of it,
-// cutting off requests. It must keep the servers until ScaleDownDelay has passed.
+// A new holder that knows no loads would consider the pool idle and drain half of its servers. The
+// new holder must keep all servers until ScaleDownDelay has passed, since draining them would abort
+// requests.
 func TestScaleOfNewHolderKeepsServers(t *testing.T) {
 	scaler, now := newScaler(t), time.Unix(1000, 0)
 	observed := newObservation(3, 3, 0)
--- a/internal/fleet/zone.go
+++ b/internal/fleet/zone.go
@@ -58,7 +58,8 @@
 	DrainTimeout time.Duration
 
 	orderer *Orderer
-	// knownPools are the pools of the lists and those that had a server in the zone.
+	// knownPools are the pools of the lists and all other pools that have or had a server in the
+	// zone.
 	knownPools map[string]bool
 	// stopping are the servers whose stop orders the platform has accepted.
 	stopping map[string]bool
--- a/internal/limit/account.go
+++ b/internal/limit/account.go
@@ -58,7 +58,7 @@
 	sharedAt time.Time
 }
 
-// check returns whether the shares of this entry allow a request.
+// check returns the verdict on a request, given this entry's shares.
 func (a *account) check(limits Limits, shares shares, now time.Time) Verdict {
 	if limits.Concurrency > 0 && a.running >= shares.concurrency {
 		return Verdict{Limit: Concurrency, Wait: minWait}
--- a/internal/weight/choice.go
+++ b/internal/weight/choice.go
@@ -12,7 +12,8 @@
 // step.
 const nextStepOffset = 0.5
 
-// plan holds the samplers that a model has and those that may load for it in one round.
+// plan holds, for one round, how many samplers a model has and which samplers may load its newest
+// version.
 type plan struct {
 	Change
 
@@ -160,7 +161,7 @@
 	)
 }
 
-// Costs of a load at a sampler. Each exceeds the sum of all lower ones.
+// Costs of a load at a sampler. Each cost exceeds the sum of all lower costs.
 const (
 	// otherModelCost is added for each other model that can use the sampler, to spread the models
 	// over the samplers.
--- a/internal/weight/poolcoordinator.go
+++ b/internal/weight/poolcoordinator.go
@@ -43,7 +43,7 @@
 	Model   string
 	Version uint64
 	Fence   uint64
-	// Orders is the number of orders that the sampler has accepted before this one.
+	// Orders is the number of orders that the sampler has accepted before this order.
 	Orders uint64
 	// DrainFirst lets running generations end before the load; otherwise they continue under the
 	// new version.
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -155,8 +155,8 @@
 	must.Eq(t, 0, p.loads["a 3"]+p.loads["a 4"])
 }
 
-// Loads are expensive, and a loading sampler refuses new work: once the next step has the
-// samplers that it can use, nothing more is loaded for it.
+// Loads are expensive, and a loading sampler rejects new work: once the next step has the samplers
+// that it can use, nothing more is loaded for it.
 func TestNoMoreThanAStepCanUse(t *testing.T) {
 	p := newPool(12)
 	for range 30 {
