--- a/internal/duty/rank.go
+++ b/internal/duty/rank.go
@@ -7,9 +7,10 @@
 	"slices"
 )
 
-// Rank returns the position of a process among the candidates for a duty, from 0. Each duty has
-// its own order (rendezvous hashing), so duties spread and a candidate that joins or leaves
-// moves few of them. A process that is not a candidate gets the number of candidates.
+// Rank returns the position of a process among the candidates for a duty, from 0. Each duty has its
+// own order (rendezvous hashing), so duties are spread over the candidates, and few duties move
+// when a candidate joins or leaves. A process that is not a candidate gets the number of
+// candidates.
 func Rank(name, process string, candidates []string) int {
 	own := rankScore(name, process)
 	rank := 0
@@ -36,18 +37,18 @@
 	return position
 }
 
-// Candidate is a process that may do a duty.
+// Candidate is a process that may perform a duty.
 type Candidate struct {
 	Name string
-	// Cores of CPU time that the process has, 0 if unknown.
+	// Cores is the number of CPU cores that the process may use, 0 if unknown.
 	Cores float64
 }
 
-// OrderBySize returns the candidates for a duty, first those with at least half of the largest
-// one's CPU time.
+// OrderBySize returns the candidates for a duty in order; candidates with at least half of the CPU
+// time of the largest come first.
 //
-// A duty uses the CPU time of one process. On a small one its work waits while larger ones are
-// idle.
+// A duty uses the CPU time of a single process. On a small process its work waits while larger
+// processes are idle.
 func OrderBySize(name string, candidates []Candidate) []string {
 	var largest float64
 	for _, candidate := range candidates {
@@ -64,7 +65,7 @@
 	return append(Order(name, large), Order(name, small)...)
 }
 
-// cores returns the CPU time; an unknown one counts as a whole core.
+// cores returns the candidate's cores; an unknown number counts as one core.
 func (c Candidate) cores() float64 {
 	if c.Cores <= 0 {
 		return 1
@@ -72,7 +73,7 @@
 	return c.Cores
 }
 
-// Order returns the candidates for a duty by their rank.
+// Order returns the candidates for a duty sorted by rank.
 func Order(name string, candidates []string) []string {
 	scores := make(map[string]uint64, len(candidates))
 	for _, candidate := range candidates {
--- a/internal/fleet/scaler_test.go
+++ b/internal/fleet/scaler_test.go
@@ -50,8 +50,9 @@
 	must.Eq(t, 1, scaler.Missing(now, "p", 2, newObservation(1, 1, 15).Fleet))
 }
 
-// A new holder that knows no loads would consider the pool idle and drain half of it,
-// cutting off requests. It must keep the servers until ScaleDownDelay has passed.
+// A new holder that knows no loads would consider the pool idle and drain half of its servers. The
+// new holder must keep all servers until ScaleDownDelay has passed, since draining them would abort
+// requests.
 func TestScaleOfNewHolderKeepsServers(t *testing.T) {
 	scaler, now := newScaler(t), time.Unix(1000, 0)
 	observed := newObservation(3, 3, 0)
@@ -62,8 +63,8 @@
 	must.Len(t, 2, scaler.Surplus(1, observed))
 }
 
-// A zone goes down. Its servers stay in the platform's list, but none of its processes
-// is known any more. After ZoneLossTimeout its share must move to the other zone.
+// A zone goes down. Its servers stay in the platform's list, but none of its processes is known any
+// longer. After ZoneLossTimeout its share must move to the other zone.
 func TestScaleReplacesLostZone(t *testing.T) {
 	scaler, now := newScaler(t), time.Unix(1000, 0)
 	observed := newObservation(2, 2, 7)
@@ -75,8 +76,8 @@
 	mustShare(t, scaler, now.Add(62*time.Second), observed, 2)
 }
 
-// The platform's list lags and doesn't yet contain an ordered server. If each round
-// ordered it again, a pool that lacks one server would get ten.
+// The platform's list lags and doesn't yet contain an ordered server. If each round ordered a
+// server again, a pool that lacks one server would get ten.
 func TestScaleOrdersOnce(t *testing.T) {
 	scaler, now := newScaler(t), time.Unix(1000, 0)
 	observed := newObservation(1, 1, 7)
