--- a/internal/gateway/demandcollector.go
+++ b/internal/gateway/demandcollector.go
@@ -12,28 +12,28 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// DemandCollector sums the demand of all gateways for pools. Exported fields are set
+// DemandCollector sums the demand for pools over all gateways. Exported fields are set
 // before the first call; it is not safe for concurrent use.
 type DemandCollector struct {
 	Hosts *Hosts
-	// Own answers for this gateway.
+	// Own returns the demand of this gateway without a network call.
 	Own *Server
 
 	samples map[string]demandSample
 }
 
-// demandSample is the last answer of a gateway, with the need of each pool that was
-// derived from it and the answer before.
+// demandSample is a gateway's last reply, with the need of each pool derived from this
+// and the previous reply.
 type demandSample struct {
 	reply      *peerpb.DemandReply
 	receivedAt clock.Boot
 	needs      map[string]fleet.Need
 }
 
-// Collect queries all gateways and returns what each pool needs, without its slots.
+// Collect queries all gateways and returns the need of each pool, without Slots.
 //
-// A gateway that does not answer counts with its previous need until its lease ends:
-// its callers are still there, and move to the other gateways once it is gone.
+// A gateway that does not answer counts with its previous need until its lease expires:
+// its callers still send requests, and move to the other gateways when it is removed.
 func (d *DemandCollector) Collect(ctx context.Context, pools []string) map[string]fleet.Need {
 	request := peerpb.DemandRequest_builder{Pools: pools}.Build()
 	samples, totals := map[string]demandSample{}, map[string]fleet.Need{}
@@ -55,7 +55,7 @@
 	return totals
 }
 
-// queryAll returns the answers of all gateways; nil for those that did not answer.
+// queryAll returns the replies by gateway name, nil for gateways that did not answer.
 func (d *DemandCollector) queryAll(ctx context.Context, request *peerpb.DemandRequest) map[string]*peerpb.DemandReply {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -86,15 +86,15 @@
 	}
 	reply, err := client.Demand(ctx, request)
 	if err != nil {
-		klog.InfoS("order: a gateway did not report its demand; using its previous figures", "host", name, "err", err.Error())
+		klog.InfoS("order: querying the demand of a gateway failed; using its previous figures", "host", name, "err", err.Error())
 		return nil
 	}
 	return reply
 }
 
-// newDemandSample derives the need from two answers of a gateway. Of a gateway that is
-// queried for the first time, or that has restarted since, only the requests that wait
-// now are known.
+// newDemandSample derives the need from a gateway's previous and current reply. If
+// there is no previous reply, or the gateway has restarted since, the need holds only
+// the requests waiting now.
 func newDemandSample(reply *peerpb.DemandReply, now clock.Boot, previous demandSample, isKnown bool) demandSample {
 	next := demandSample{reply: reply, receivedAt: now, needs: map[string]fleet.Need{}}
 	before := map[string]*peerpb.PoolDemand{}
@@ -113,8 +113,8 @@
 	return next
 }
 
-// needSince returns the mean number of requests that ran, and of those that would have
-// run in addition with enough room.
+// needSince returns the mean number of requests that ran between two replies, and of
+// additional requests that would have run with sufficient capacity.
 func needSince(before, after *peerpb.PoolDemand, elapsed time.Duration) fleet.Need {
 	busy := time.Duration(after.GetBusy()-before.GetBusy()) * time.Microsecond
 	ended := after.GetEnded() - before.GetEnded()
--- a/internal/gateway/detour.go
+++ b/internal/gateway/detour.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	// detourMargin is how much longer a call through a peer may take than a direct one.
+	// detourMargin is added to the timeout of a call that a peer relays.
 	detourMargin = 100 * time.Millisecond
-	// maxDetourAttempts is the number of peers that one call is tried through.
+	// maxDetourAttempts is the maximum number of peers tried for one call.
 	maxDetourAttempts = 2
-	// rejectedCooldown is how long a gateway that the store rejected is tried last.
+	// rejectedCooldown is how long a gateway is tried last after the store rejected a
+	// call that it relayed.
 	rejectedCooldown = time.Second
 )
 
-// Detour sends a store request through another gateway, first through the one that last
-// succeeded.
+// Detour sends a store request through another gateway, starting with the gateway that
+// last succeeded.
 //
-// The store may reject several gateways while it serves others, so the rejection of one
-// gateway is not final: accepting it made gateways that relayed through each other lose
-// their leases.
+// The store may reject several gateways while it serves others, so Detour tries another
+// gateway after a rejection. When the first rejection was final, gateways that relayed
+// through each other lost their leases.
 func (h *Hosts) Detour(ctx context.Context, call detour.Call) (detour.Answer, detour.RelayResult) {
 	request := peerpb.DetourRequest_builder{
 		Method: call.Method, Target: call.Target, Body: call.Body, Timeout: call.Timeout.Milliseconds(),
@@ -84,8 +85,8 @@
 	}
 }
 
-// detourOrder returns the other gateways in the order in which to try them: the one
-// that last succeeded first, those that the store rejected recently last.
+// detourOrder returns the other gateways in the order in which they are tried: the
+// gateway that last succeeded first, recently rejected gateways last.
 func (h *Hosts) detourOrder() []string {
 	names := h.Names()
 	h.mutex.Lock()
--- a/internal/gateway/errors_test.go
+++ b/internal/gateway/errors_test.go
@@ -13,7 +13,8 @@
 // refusalCode matches the codes of refusals in Go source.
 var refusalCode = regexp.MustCompile(`(?:NotRun|Unknown)\([^,\n]+, "([a-z_]+)"|[cC]ode[A-Z]\w*\s+= "([a-z_]+)"`)
 
-// Guards against a code in a gateway's log that the error reference does not explain.
+// Guards against refusal codes in gateway logs that the error reference does not
+// explain.
 func TestErrorsPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/reference/errors.md")
 	must.NoError(t, err)
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	// defaultMaxBodyBytes limits a body while no configured limit is known.
+	// defaultMaxBodyBytes limits a request body if the configuration sets no limit.
 	defaultMaxBodyBytes = 32 << 20
-	// defaultTimeout applies where neither the route nor the caller sets a timeout.
+	// defaultTimeout is the timeout of routes that set none.
 	defaultTimeout = 60 * time.Second
-	// maxWait bounds how long a read of results waits for one.
+	// maxWait bounds how long a call waits for new results or store changes.
 	maxWait = time.Second
 )
 
@@ -49,7 +49,7 @@
 	CallItem
 )
 
-// Call is what a request asks of the gateway.
+// Call is the operation that a request asks for, with its parameters.
 type Call struct {
 	Kind  CallKind
 	Batch string
@@ -62,7 +62,7 @@
 
 // Wire extracts call parameters from HTTP requests.
 type Wire interface {
-	// ClassifyCall returns what the request asks for.
+	// ClassifyCall returns the operation that the request asks for.
 	ClassifyCall(request *http.Request) Call
 	// ID returns the request's identity; "" if it has none.
 	ID(request *http.Request) string
@@ -130,7 +130,7 @@
 	case call.Kind == CallEnd:
 		err = h.end(w, r, admitted, call)
 	case call.Kind == CallItem:
-		err = h.item(w, r, admitted, call)
+		err = h.serveItem(w, r, admitted, call)
 	case admitted.route.Kind == table.Batch:
 		err = h.accept(w, r, admitted)
 	default:
@@ -141,12 +141,13 @@
 	}
 }
 
-// admit resolves the route and the account of a request. The key is not passed on.
+// admit resolves the route and the account of a request. The result does not contain the key.
 func (h *Handler) admit(r *http.Request, call Call) (*admittedRequest, error) {
 	began := clock.Now()
 	current := h.View.Current()
 	if current == nil {
-		// A missing route would be a final answer, though the route may exist.
+		// Without a configuration, a 404 would be final for callers although the route
+		// may exist.
 		return nil, refusal.NotRun(http.StatusServiceUnavailable, "no_configuration", "no configuration is known yet").WithRetryAfter(h.NoConfigRetry)
 	}
 	admitted := &admittedRequest{id: h.Wire.ID(r), began: began}
@@ -291,8 +292,8 @@
 	return nil
 }
 
-// item responds with the body of an item.
-func (h *Handler) item(w http.ResponseWriter, r *http.Request, admitted *admittedRequest, call Call) error {
+// serveItem responds with the body of an item.
+func (h *Handler) serveItem(w http.ResponseWriter, r *http.Request, admitted *admittedRequest, call Call) error {
 	found, err := h.Board.Find(r.Context(), call.Batch, admitted.account.Name)
 	if err != nil {
 		return err
@@ -310,7 +311,8 @@
 	return refusal.NotRun(http.StatusNotFound, "no_item", "the batch has no such item")
 }
 
-// end ends a batch: at its owner first, so that no more of it runs, then in the store.
+// end ends a batch: first at its owner, which stops running its items, then in the
+// store.
 func (h *Handler) end(w http.ResponseWriter, r *http.Request, admitted *admittedRequest, call Call) error {
 	h.notifyOwnerOfEnd(r.Context(), admitted, call)
 	if err := h.Board.End(r.Context(), call.Batch, admitted.account.Name); err != nil {
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	// PrefixHost is the prefix of store keys of live gateways.
+	// PrefixHost is the prefix of the store keys of live gateways.
 	PrefixHost = "live/host/"
-	// PrefixKeeper is the prefix of store keys of live keepers.
+	// PrefixKeeper is the prefix of the store keys of live keepers.
 	PrefixKeeper = "live/keeper/"
-	// followWait is how long one call to a watcher waits for changes, followMargin how
-	// much longer its answer may take. A watcher that stops responding is detected
-	// within their sum, well inside the time in which a change must take effect.
+	// followWait is how long a call to a watcher waits for changes; followMargin is
+	// added for the answer. An unresponsive watcher is detected within their sum, well
+	// within the time in which a change must take effect.
 	followWait   = 500 * time.Millisecond
 	followMargin = 250 * time.Millisecond
 	// watcherCooldown is how long a watcher that did not answer is skipped.
@@ -48,18 +48,18 @@
 	connections map[string]*grpc.ClientConn
 	// detourHost is the peer that last relayed a store request for this process.
 	detourHost string
-	// watchers are all gateways, by rank as watchers of the store.
+	// watchers are the names of all gateways, ordered by rank as watchers of the store.
 	watchers []string
-	// watchFailedAt is when a watcher last failed to answer.
+	// watchFailedAt is the time of the last failed call to a watcher, by name.
 	watchFailedAt map[string]clock.Boot
-	// rejectedAt is when the store last rejected a request that a gateway relayed for
-	// this process.
+	// rejectedAt is the time of the store's last rejection of a request relayed for
+	// this process, by relaying gateway.
 	rejectedAt map[string]clock.Boot
 }
 
 var _ detour.Peers = &Hosts{}
 
-// ApplyChanges applies changes of store keys.
+// ApplyChanges updates the gateways and keepers from changed store keys.
 func (h *Hosts) ApplyChanges(changes []platform.Value) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -81,7 +81,7 @@
 	h.rankWatchers()
 }
 
-// rankWatchers ranks the gateways as watchers of the store.
+// rankWatchers recomputes watchers from the live gateways. The mutex is held.
 func (h *Hosts) rankWatchers() {
 	h.watchers = duty.OrderBySize("watch", h.candidates(func(*statepb.Host) bool { return true }))
 }
@@ -106,7 +106,7 @@
 	}
 	host := &statepb.Host{}
 	if err := proto.Unmarshal(change.Data, host); err != nil {
-		klog.ErrorS(err, "hosts: decoding an entry failed", "key", change.Key)
+		klog.ErrorS(err, "hosts: decoding a registration failed", "key", change.Key)
 		return
 	}
 	klog.InfoS("hosts: process is live", "host", name, "address", host.GetAddress(), "zone", host.GetZone())
@@ -120,10 +120,11 @@
 	return slices.Sorted(maps.Keys(h.hosts))
 }
 
-// Candidates returns the gateways that may do a piece of work, by preference.
+// Candidates returns the gateways that may take a piece of work, in order of
+// preference.
 //
-// Gateways that are stopping are left out: in a rolling stop several stop at the same
-// time, and the takeover of a batch must not wait for their turns.
+// Stopping gateways are excluded: in a rolling stop several stop at the same time, and
+// the takeover of a batch must not wait for them.
 func (h *Hosts) Candidates(work string) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -137,7 +138,8 @@
 	return h.hosts[name].GetLeaving()
 }
 
-// Processes returns the live gateways, this one included; none for other roles.
+// Processes returns the live gateways, including this one, for the entry role, and nil
+// for other roles.
 func (h *Hosts) Processes(role peerpb.Role) []*peerpb.Process {
 	if role != peerpb.Role_ROLE_ENTRY {
 		return nil
@@ -158,7 +160,7 @@
 // Fact returns nil: gateways exchange state through the store.
 func (h *Hosts) Fact(string) *peerpb.Fact { return nil }
 
-// Self returns this process.
+// Self returns the record of this process.
 func (h *Hosts) Self() *peerpb.Process {
 	for _, process := range h.Processes(peerpb.Role_ROLE_ENTRY) {
 		if process.GetName() == h.Name {
@@ -168,7 +170,8 @@
 	return peerpb.Process_builder{Name: h.Name, Role: peerpb.Role_ROLE_ENTRY}.Build()
 }
 
-// Client returns a client of another gateway, or nil if it is unknown.
+// Client returns a client of another gateway, or nil if the gateway is unknown or
+// connecting fails.
 func (h *Hosts) Client(name string) peerpb.GatewayClient {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -197,8 +200,8 @@
 	return connection
 }
 
-// keeperClients returns clients of the keepers, those of zones that isPreferred
-// accepts first, otherwise in an order that differs between processes.
+// keeperClients returns clients of the keepers. Keepers in zones that isPreferred
+// accepts come first; otherwise the order differs between processes.
 func (h *Hosts) keeperClients(isPreferred func(zone string) bool) []keeperClient {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -219,8 +222,9 @@
 	return clients
 }
 
-// Follow waits for changes that a watcher of the store has received. It reports false
-// where this gateway must watch the store itself: if it is a watcher, or none answers.
+// Follow waits for store changes that the followed watcher has received. It reports
+// false if this gateway must watch the store itself, because it is a watcher or no
+// watcher answers.
 func (h *Hosts) Follow(ctx context.Context, prefix string, after uint64) (platform.ListReply, bool) {
 	name := h.watcher()
 	client := h.Client(name)
@@ -233,7 +237,7 @@
 		Prefix: prefix, After: after, Wait: followWait.Milliseconds(),
 	}.Build())
 	if err != nil {
-		klog.V(1).InfoS("hosts: a watcher did not answer", "host", name, "prefix", prefix, "err", err)
+		klog.V(1).InfoS("hosts: following a watcher failed", "host", name, "prefix", prefix, "err", err)
 		h.mutex.Lock()
 		h.watchFailedAt[name] = clock.Now()
 		h.mutex.Unlock()
@@ -254,13 +258,14 @@
 // IsWatcher reports whether this gateway must watch the store itself.
 func (h *Hosts) IsWatcher() bool { return h.watcher() == "" }
 
-// watcher returns the gateway that this one follows; "" if it must watch the store
-// itself.
+// watcher returns the name of the gateway to follow, or "" if this gateway must watch
+// the store itself.
 //
-// All gateways use the same ranking, and the first that answers is the watcher. When it
-// dies, the next in rank gets no answer either, starts to watch, and is followed from
-// then on. Otherwise all gateways would query the store until the lease of the dead one
-// expires, with a load that grows with the number of gateways.
+// All gateways use the same ranking and follow the first gateway that answers. When the
+// watcher dies, the next gateway in rank gets no answer either, starts to watch the
+// store, and is followed by the others. Otherwise all gateways would query the store
+// until the lease of the dead watcher expires, with a load that grows with the number
+// of gateways.
 func (h *Hosts) watcher() string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/gateway/hosts_test.go
+++ b/internal/gateway/hosts_test.go
@@ -22,8 +22,8 @@
 }
 
 // Guards against a takeover that waits for stopping gateways: in a rolling stop several
-// are still live for seconds, and batches they release waited for those that come first
-// in the claim order.
+// gateways stay live for seconds while they stop, and released batches waited for those
+// that were first in the claim order.
 func TestLeavingHostsAreNoCandidates(t *testing.T) {
 	store, hosts := &platformtest.Store{}, &Hosts{Name: "g1"}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/gateway/keepers.go
+++ b/internal/gateway/keepers.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// keeperTimeout bounds a call to a keeper: many syncs of its disk.
+	// keeperTimeout bounds a call to a keeper: many times the duration of a disk sync.
 	keeperTimeout = 300 * time.Millisecond
-	// fetchTimeout bounds a fetch from the keepers: some tenths of a second until a
-	// keeper that was started with this process has read its disk, and as much until
-	// the partial texts of several batches have crossed a narrow link. Generating the
-	// longest texts again takes several times as long.
+	// fetchTimeout bounds a fetch from the keepers. A keeper started together with this
+	// process needs some tenths of a second to read its disk, and sending the partial
+	// texts of several batches over a narrow link takes as long again. Generating the
+	// longest texts again takes several times the timeout.
 	fetchTimeout = 800 * time.Millisecond
-	// keeperPollInterval is the interval between checks for a known keeper.
+	// keeperPollInterval is the interval between checks whether a keeper is known.
 	keeperPollInterval = 50 * time.Millisecond
 	// keeperCooldown is how long a keeper that did not answer is skipped: about the
 	// time until the lease of a dead keeper expires.
 	keeperCooldown = 3 * time.Second
-	// fetchLinger is how long to wait for other keepers once one has returned texts:
-	// that one has everything kept of a batch since its owner last changed its keeper.
+	// fetchLinger is how long to wait for further keepers after the first has returned
+	// texts: each keeper of a batch has all texts since the batch last changed keepers.
 	fetchLinger = 100 * time.Millisecond
 )
 
@@ -44,24 +44,25 @@
 	zone string
 }
 
-// Keepers replicates partial texts to hosts with disks. Exported fields are set before
-// the first call.
+// Keepers replicates partial texts to keepers, which run on hosts with disks. Exported
+// fields are set before the first call.
 type Keepers struct {
 	Hosts *Hosts
 	Zone  string
-	// PreferOtherZones prefers keepers in other zones than Zone, so that the loss of a
-	// zone does not take both an owner and its texts.
+	// PreferOtherZones prefers keepers in other zones than Zone, so that an owner and
+	// its texts are not lost with the same zone.
 	PreferOtherZones bool
-	// Losses is the number of hosts that may be lost at once. Texts have one replica
-	// more, so that they survive the loss of all gateways and that many disks.
+	// Losses is the number of hosts that may be lost at the same time. Texts have
+	// Losses+1 replicas, so that they survive the loss of all gateways and of Losses
+	// disks.
 	Losses int
-	// IsEmptying reports whether a keeper is being emptied: it gets no more texts.
+	// IsEmptying reports whether a keeper is being emptied and must get no more texts.
 	IsEmptying func(keeper string) bool
 
 	mutex sync.Mutex
-	// holders are the keepers that have all texts of a batch, by batch.
+	// holders are the names of the keepers that have all texts of a batch, by batch.
 	holders map[string][]string
-	// failedAt is when a keeper last failed to answer.
+	// failedAt is the time of the last failed call to a keeper, by name.
 	failedAt map[string]clock.Boot
 }
 
@@ -69,12 +70,12 @@
 
 var errNoKeeper = eris.New("gateway: no keeper is known")
 
-// Append replicates events to the keepers of a batch, each of which holds all its
-// texts. If another keeper has to be added, it returns ErrKeeperChanged and everything
-// must be appended again.
+// Append replicates events to the keepers of a batch. Each keeper must hold all texts
+// of the batch: if one is added, Append returns ErrKeeperChanged, and the caller must
+// append all events again.
 //
-// A keeper that did not answer is skipped for a while, since the others are available
-// before its lease expires.
+// Append skips a keeper for keeperCooldown after a failed call, since other keepers can
+// store the texts before the lease of the failed keeper expires.
 func (k *Keepers) Append(ctx context.Context, id string, parts []*statepb.Part) error {
 	chosen := k.choose(id)
 	if len(chosen) == 0 {
@@ -90,19 +91,19 @@
 	for i, keeper := range chosen {
 		group.Go(func() {
 			_, err := keeper.Append(appendCtx, peerpb.AppendRequest_builder{Batch: id, Parts: parts}.Build())
-			errs[i] = eris.Wrap(err, "append at "+keeper.name)
+			errs[i] = eris.Wrap(err, "append texts to keeper "+keeper.name)
 		})
 	}
 	group.Wait()
 	if ctx.Err() != nil {
-		// The batch has ended; this says nothing about its keepers.
+		// The batch has ended; the errors do not mean that its keepers have failed.
 		return ctx.Err()
 	}
 	return k.recordAppend(id, chosen, errs)
 }
 
-// recordAppend notes which keepers now have all texts of a batch. It returns an error
-// if none has.
+// recordAppend records which keepers have all texts of a batch after an append. It
+// returns an error if no keeper has them.
 func (k *Keepers) recordAppend(id string, chosen []keeperClient, errs []error) error {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -118,7 +119,7 @@
 		return errors.Join(errs...)
 	}
 	if len(succeeded) < len(chosen) {
-		klog.InfoS("batch: texts were not stored by all keepers", "batch", id, "keepers", succeeded, "err", errors.Join(errs...))
+		klog.InfoS("batch: only some keepers stored the texts", "batch", id, "keepers", succeeded, "err", errors.Join(errs...))
 	}
 	k.holders[id] = succeeded
 	return nil
@@ -129,8 +130,8 @@
 	return k.Hosts.keeperClients(func(zone string) bool { return (zone == k.Zone) != k.PreferOtherZones })
 }
 
-// recordChosen notes the keepers of a batch, and reports whether one of them lacks
-// texts that others have.
+// recordChosen records the keepers of a batch. It reports whether a new keeper is among
+// them, which lacks texts that the previous keepers have.
 func (k *Keepers) recordChosen(id string, chosen []keeperClient) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -144,11 +145,11 @@
 	return len(previous) > 0 && slices.ContainsFunc(names, func(name string) bool { return !slices.Contains(previous, name) })
 }
 
-// choose returns the keepers of a batch among those that answer. If none answers, the
-// first one is tried.
+// choose returns the keepers of a batch without those that failed recently. If all have
+// failed, it returns the most preferred keeper.
 //
-// As long as one of its keepers answers, a batch gets no other: sending all its texts
-// again for each keeper that comes and goes would saturate the owner's link.
+// While one of its keepers answers, a batch gets no new keeper: sending all its texts
+// again whenever a keeper starts or stops would saturate the owner's link.
 func (k *Keepers) choose(id string) []keeperClient {
 	clients := slices.DeleteFunc(k.clients(), func(keeper keeperClient) bool { return k.IsEmptying(keeper.name) })
 	answering := slices.DeleteFunc(slices.Clone(clients), func(keeper keeperClient) bool { return k.hasFailedRecently(keeper.name) })
@@ -164,8 +165,8 @@
 	return spreadByZone(answering, 1+k.Losses)
 }
 
-// spreadByZone returns up to count keepers, of different zones first, otherwise in
-// their order.
+// spreadByZone returns up to count keepers: first one per zone, then the others, both
+// in the given order.
 func spreadByZone(keepers []keeperClient, count int) []keeperClient {
 	seenZones := map[string]bool{}
 	var spread, remaining []keeperClient
@@ -195,11 +196,12 @@
 	}
 }
 
-// Fetch asks all keepers for the partial texts of a batch.
+// Fetch returns the partial texts of a batch from all keepers.
 //
 // After a restart of all processes, gateways are ready before keepers have read their
-// disks; after an outage of the store, they may regain their leases first. So Fetch
-// also waits for keepers that refuse connections, and while no keeper is known.
+// disks; after a store outage, gateways may regain their leases before keepers do.
+// Fetch therefore also waits for keepers that refuse connections, and while no keeper
+// is known.
 func (k *Keepers) Fetch(ctx context.Context, id string) []*statepb.Partial {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -214,7 +216,7 @@
 		group.Go(func() {
 			reply, err := client.Texts(ctx, peerpb.TextsRequest_builder{Batch: id}.Build(), grpc.WaitForReady(true))
 			if err != nil {
-				klog.InfoS("batch: a keeper did not answer", "batch", id, "keeper", client.name, "err", err.Error())
+				klog.InfoS("batch: fetching texts from a keeper failed", "batch", id, "keeper", client.name, "err", err.Error())
 				return
 			}
 			mutex.Lock()
@@ -242,7 +244,7 @@
 			continue
 		}
 		if _, err := client.Drop(ctx, peerpb.DropRequest_builder{Batches: []string{id}}.Build()); err != nil {
-			klog.V(1).InfoS("batch: a keeper did not drop its texts", "batch", id, "keeper", client.name, "err", err.Error())
+			klog.V(1).InfoS("batch: dropping texts at a keeper failed", "batch", id, "keeper", client.name, "err", err.Error())
 		}
 	}
 }
--- a/internal/gateway/keepers_test.go
+++ b/internal/gateway/keepers_test.go
@@ -25,8 +25,8 @@
 	stop func()
 }
 
-// startKeepers starts a keeper in each zone, and returns them with a Keepers that knows
-// them.
+// startKeepers starts a keeper in each zone. It returns the keepers by name and a
+// Keepers that is connected to them.
 func startKeepers(t *testing.T, zones ...string) (map[string]*keeperHost, *Keepers) {
 	t.Helper()
 	hosts := &Hosts{Name: "g1"}
@@ -63,7 +63,7 @@
 	return host, <-address
 }
 
-// has reports whether a keeper has an event of batch b1.
+// has reports whether the keeper stores an event of batch b1.
 func (k *keeperHost) has(t *testing.T, event string) bool {
 	t.Helper()
 	reply, err := k.Texts(t.Context(), peerpb.TextsRequest_builder{Batch: "b1"}.Build())
@@ -83,8 +83,8 @@
 	return []*statepb.Part{statepb.Part_builder{Item: "i0", After: after, Events: events, Versions: versions}.Build()}
 }
 
-// Guards against waiting for the lease of a keeper that stopped answering, which lasts
-// some seconds: its replica moves to another keeper, whole, after the first failure.
+// Guards against waiting some seconds until the lease of an unresponsive keeper
+// expires: after the first failed call, all texts must go to another keeper.
 func TestKeeperThatDoesNotAnswer(t *testing.T) {
 	running, keepers := startKeepers(t, "a", "b", "c")
 	must.NoError(t, keepers.Append(t.Context(), "b1", newParts(0, "x")))
@@ -95,7 +95,7 @@
 	must.True(t, running["k-b"].has(t, "y") != running["k-c"].has(t, "y"))
 }
 
-// Guards against the loss of an owner and all its texts with one zone.
+// Guards against losing an owner and all its texts with one zone.
 func TestKeeperOfAnotherZone(t *testing.T) {
 	for name, test := range map[string]struct {
 		zones            []string
@@ -114,9 +114,8 @@
 	}
 }
 
-// Guards against the crash of all processes together with the loss of one keeper's
-// disk: where each owner had the texts of a step on that keeper alone, they were
-// generated again.
+// Guards against generating texts again after a crash of all processes and the loss of
+// one keeper's disk: that keeper alone stored the texts of a step.
 func TestTextsOutliveDisks(t *testing.T) {
 	running, keepers := startKeepers(t, "a", "b", "c")
 	keepers.Losses = 1
@@ -157,7 +156,7 @@
 	must.SliceLen(t, 2, keepers.choose("b2"))
 }
 
-// countHolders returns how many keepers have an event of batch b1.
+// countHolders returns the number of keepers that store an event of batch b1.
 func countHolders(t *testing.T, running map[string]*keeperHost, event string) int {
 	t.Helper()
 	count := 0
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -17,16 +17,16 @@
 
 const (
 	// peerTimeout bounds short calls to other gateways: many times their usual
-	// duration. A gateway that is silent for longer is dead or unreachable.
+	// duration. A gateway that takes longer to answer is dead or unreachable.
 	peerTimeout = 250 * time.Millisecond
-	// readTimeout bounds a read of results from their owner, in addition to its wait:
-	// several times the transfer of up to a megabyte over a link of 60 Mbit/s. After
-	// that the read goes to the store, whose answer is a third larger; callers wait for
-	// 1.5 s in all.
+	// readTimeout is added to the requested wait when reading results from a batch's
+	// owner: several times the transfer time of a megabyte, the maximum, over a 60
+	// Mbit/s link. After the timeout the results are read from the store, whose answer
+	// is a third larger; callers wait for 1.5 s in total.
 	readTimeout = 700 * time.Millisecond
-	// acceptTimeout bounds the wait for the outcome of an Accept call: less than the
-	// timeout of the calling gateway, which thereby learns that the batch runs while
-	// the store does not answer.
+	// acceptTimeout bounds the wait for the outcome of an Accept call. It is shorter
+	// than the timeout of the calling gateway, so that this gateway can still reply
+	// that the batch is running while the store does not answer.
 	acceptTimeout = 450 * time.Millisecond
 )
 
@@ -47,12 +47,12 @@
 		if err == nil && reply.GetOwned() && reply.GetAllowed() {
 			return batch.Page{Total: reply.GetTotal(), Outcomes: reply.GetOutcomes()}, nil
 		}
-		klog.V(1).InfoS("batch: reading results from its owner failed", "batch", call.Batch, "owner", h.Board.Owner(call.Batch), "err", err)
+		klog.V(1).InfoS("batch: reading results from the owner failed; reading them from the store", "batch", call.Batch, "owner", h.Board.Owner(call.Batch), "err", err)
 	}
 	return h.Board.ReadStored(ctx, call.Batch, admitted.account.Name, call.After)
 }
 
-// notifyOwnerOfEnd notifies the owner of a batch of its end.
+// notifyOwnerOfEnd notifies the owner of a batch that a caller has ended it.
 func (h *Handler) notifyOwnerOfEnd(ctx context.Context, admitted *admittedRequest, call Call) {
 	client := h.Hosts.Client(h.Board.Owner(call.Batch))
 	if client == nil {
@@ -62,11 +62,11 @@
 	defer cancel()
 	_, err := client.End(callCtx, peerpb.EndRequest_builder{Batch: call.Batch, Account: admitted.account.Name}.Build())
 	if err != nil {
-		klog.InfoS("batch: notifying its owner of the end failed; the owner learns of it from the store", "batch", call.Batch, "err", err.Error())
+		klog.InfoS("batch: notifying the owner of the end failed; the owner will read it from the store", "batch", call.Batch, "err", err.Error())
 	}
 }
 
-// Peers hands batches to other gateways.
+// Peers sends batches to other gateways.
 type Peers struct {
 	Hosts *Hosts
 }
@@ -151,7 +151,7 @@
 	return reply.Build(), nil
 }
 
-// Detour sends a store request from this host.
+// Detour sends another gateway's store request directly from this host.
 func (s *Server) Detour(ctx context.Context, request *peerpb.DetourRequest) (*peerpb.DetourReply, error) {
 	answer, err := s.Direct.Do(ctx, detour.Call{
 		Method: request.GetMethod(), Target: request.GetTarget(), Body: request.GetBody(),
@@ -179,7 +179,8 @@
 	return peerpb.ReadReply_builder{Owned: isOwn && !page.MayBeIncomplete, Allowed: err == nil, Total: page.Total, Outcomes: page.Outcomes}.Build(), nil
 }
 
-// Watch waits for changes that this gateway has received by its own watches.
+// Watch waits for and returns store changes that this gateway receives by its own
+// watches.
 func (s *Server) Watch(ctx context.Context, request *peerpb.WatchRequest) (*peerpb.WatchReply, error) {
 	source := s.Mirrors[request.GetPrefix()]
 	if source == nil {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// streamBody forwards the rest of an answer as it arrives. If the answer breaks off,
-// the response is aborted too: ended normally, it would look complete to the caller.
+// streamBody forwards the rest of an answer as it arrives. If the answer is cut off,
+// streamBody aborts the response, which would otherwise look complete to the caller.
 func streamBody(w http.ResponseWriter, answer *forward.Answer) {
 	next := answer.Next
 	if next == nil {
--- a/internal/gateway/scorer.go
+++ b/internal/gateway/scorer.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxSlotShare is the share of a pool's slots that one batch's texts may take.
+	// maxSlotShare is the maximum share of a pool's slots for the texts of one batch.
 	maxSlotShare = 0.5
-	// minScores is the number of texts scored concurrently where few slots are known.
+	// minScores is the number of texts scored concurrently if few slots are known.
 	minScores = 4
 )
 
@@ -25,14 +25,14 @@
 type Scorer struct {
 	View      *table.View
 	Forwarder *forward.Forwarder
-	// Proof returns the proof that an answer carries.
+	// Proof returns the proof in an answer, or "" if it contains none.
 	Proof func(answer *http.Response) string
 }
 
 var _ batch.Scorer = &Scorer{}
 
-// Capacity returns how many texts the scorer's pool may score concurrently: half of its
-// slots, which leaves the others to callers of the same pool.
+// Capacity returns the maximum number of texts scored concurrently: half of the slots
+// of the scorer's pool, which leaves the other half to callers, but at least minScores.
 func (s *Scorer) Capacity(scorer *statepb.Scorer) int {
 	current := s.View.Current()
 	if current == nil {
@@ -51,7 +51,7 @@
 	return max(minScores, int(maxSlotShare*float64(slots)))
 }
 
-// Score sends a scorer's request and returns the proof of its answer. Scoring requests
+// Score sends a scorer's request and returns the proof in the answer. Scoring requests
 // need no key and may be repeated.
 func (s *Scorer) Score(ctx context.Context, scorer *statepb.Scorer) (string, error) {
 	current := s.View.Current()
@@ -64,8 +64,7 @@
 	}
 	repeatable := *route
 	repeatable.Kind = table.Idempotent
-	// Only failed runs count: a timeout shows a slow server and says nothing about the
-	// text.
+	// Only failed runs count: a timeout indicates a slow server, not a faulty text.
 	failures := 0
 	answer, err := s.Forwarder.Run(ctx, &forward.Request{
 		Request: backend.Request{
@@ -97,7 +96,7 @@
 	return "", refusal.Unknown(http.StatusBadGateway, "not_judged", "the scorer answered %d without a whole proof", answer.StatusCode)
 }
 
-// Routes returns a lookup of the routes of batches in a view.
+// Routes returns a function that looks up the route of a batch in the view.
 func Routes(view *table.View) batch.Routes {
 	return func(accepted *statepb.Batch) (batch.Route, bool) {
 		current := view.Current()
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// renewalsPerLease is how often a lease is renewed within its length.
+	// renewalsPerLease is the number of renewals per lease length.
 	renewalsPerLease = 3
-	// sessionRetryDelay is the wait after a failed call.
+	// sessionRetryDelay is the delay after a failed call.
 	sessionRetryDelay = 150 * time.Millisecond
 )
 
@@ -31,8 +31,8 @@
 	RenewLease(ctx context.Context, lease uint64, length time.Duration) error
 }
 
-// Session registers a process: it holds a lease, and under it the key with the address
-// of the process. Exported fields are set before Run.
+// Session registers a process in the store: it holds a lease and, attached to the
+// lease, a key with the address of the process. Exported fields are set before Run.
 type Session struct {
 	Store SessionStore
 	Host  *statepb.Host
@@ -45,11 +45,12 @@
 	leaving   atomic.Bool
 }
 
-// Lease returns the current lease; 0 while it may have expired.
+// Lease returns the ID of the current lease, or 0 if the lease may have expired.
 //
-// The expiry counts from before the call that granted or renewed the lease, on a clock
-// that includes suspensions: a process that was suspended for longer has no lease until
-// it has asked again, and takes no work that others may have taken over.
+// The lease length counts from before the call that granted or renewed the lease, on a
+// clock that includes suspensions. A process that was suspended for longer than its
+// lease has none until the next renewal, and takes no work that others may have taken
+// over.
 func (s *Session) Lease() uint64 {
 	if clock.Now() >= clock.Boot(s.expiresAt.Load()) {
 		return 0
@@ -57,11 +58,11 @@
 	return s.lease.Load()
 }
 
-// Run keeps the lease until the context ends.
+// Run acquires and renews the lease until the context ends.
 //
-// After a failed renewal the next one follows soon. Outages of the store last about as
-// long as a lease: a lease with some tenths of a second left at the end of an outage
-// would expire while its process waits for the next regular renewal.
+// After a failed renewal, Run retries after sessionRetryDelay. Store outages last about
+// as long as a lease: a lease with some tenths of a second left at the end of an outage
+// would expire before the next regular renewal.
 func (s *Session) Run(ctx context.Context) error {
 	isRetry := false
 	for ctx.Err() == nil {
@@ -102,14 +103,14 @@
 		return
 	}
 	err := s.publish(ctx, lease)
-	klog.InfoS("session: leaving", "host", s.Host.GetName(), "err", err)
+	klog.InfoS("session: announcing that this process is leaving", "host", s.Host.GetName(), "err", err)
 }
 
 // publish writes the registration key.
 func (s *Session) publish(ctx context.Context, lease uint64) error {
 	host, ok := proto.Clone(s.Host).(*statepb.Host)
 	if !ok {
-		return eris.New("session: copying the host failed")
+		return eris.New("session: copy host record: unexpected type")
 	}
 	host.SetLeaving(s.leaving.Load())
 	data, err := proto.Marshal(host)
@@ -137,7 +138,8 @@
 	return nil
 }
 
-// renew renews the lease. It reports whether the store has answered.
+// renew renews the lease, or clears it if it has expired. It reports whether the store
+// answered.
 func (s *Session) renew(ctx context.Context) bool {
 	lease := s.lease.Load()
 	sentAt := clock.Now()
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -13,7 +13,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// leaseStore renews a lease except during an outage.
+// leaseStore grants and renews leases, and fails renewals during an outage.
 type leaseStore struct {
 	outageStart, outageEnd time.Time
 	renewedAt              time.Time
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// Guards against the loss of a lease of 3 s in a store outage of 2 s that ends before
-// the lease does: the process must not wait for the next regular renewal.
+// Guards against losing a 3 s lease in a 2 s store outage that ends before the lease
+// expires: the process must not wait for the next regular renewal.
 func TestRenewedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const length = 3 * time.Second
