--- a/internal/member/connectionpool.go
+++ b/internal/member/connectionpool.go
@@ -10,8 +10,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/listen"
 )
 
-// maxConnections bounds the open connections: those to successors and
-// predecessors, and some to former ones.
+// maxConnections bounds the open connections: one per successor and predecessor, and
+// some to former neighbours.
 const maxConnections = 2*ringCount + 8
 
 // connectionPool keeps a few connections to other processes open.
@@ -25,8 +25,9 @@
 // call runs do with a connection to the address. If do fails on a connection that
 // was already open, call retries once on a new one.
 //
-// A middlebox that loses its state for a connection leaves it silent for good,
-// while a new connection works. Without the retry a live process would be marked as failed.
+// After a middlebox loses its state for a connection, the connection never gets an
+// answer again, while a new connection works. Without the retry a live process would be
+// marked as failed.
 func (c *connectionPool) call(ctx context.Context, address string, do func(context.Context, *grpc.ClientConn) error) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*exchangeTimeout)
 	defer cancel()
@@ -90,8 +91,8 @@
 	return connection, true, nil
 }
 
-// evict closes arbitrary connections to get below maxConnections. Any order will
-// do, since a neighbour's connection is opened again when needed.
+// evict closes arbitrary connections to get below maxConnections. The choice does not
+// matter, since a connection to a neighbour is opened again when needed.
 func (c *connectionPool) evict() {
 	for address, connection := range c.open {
 		if len(c.open) < maxConnections {
--- a/internal/member/demands.go
+++ b/internal/member/demands.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxSentDemands is the number of demands in one message, newest first.
+	// maxSentDemands is the maximum number of demands in one message, newest first.
 	maxSentDemands = 64
 	// demandTTL is how long a demand is passed on after it was received.
 	demandTTL = 45 * time.Second
--- a/internal/member/demands_test.go
+++ b/internal/member/demands_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestDemandsAreRelayed(t *testing.T) {
-	// A demand reaches an entry through another one that did not request it.
+	// A demand reaches an entry through an intermediate entry that did not request it.
 	now := time.Now()
 	var all []*member.Members
 	for i := range 3 {
@@ -33,7 +33,7 @@
 	must.SliceEmpty(t, all[2].Demands(now.Add(time.Minute)))
 }
 
-// relay passes the data of one process to another.
+// relay sends the data of one process to another.
 func relay(t *testing.T, from, to *member.Members) {
 	t.Helper()
 	gossip := &peerpb.Gossip{}
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -20,7 +20,8 @@
 	exchangeTimeout = time.Second
 	// maxConcurrentProbes bounds the probes in flight.
 	maxConcurrentProbes = 4
-	// pushDelay batches simultaneous changes into one message.
+	// pushDelay is the delay of a push, which batches simultaneous changes into one
+	// message.
 	pushDelay = 20 * time.Millisecond
 	// minPushInterval is the minimum time between two rounds of push messages.
 	minPushInterval = 200 * time.Millisecond
@@ -52,7 +53,7 @@
 
 var _ peerpb.MemberServer = &Exchanger{}
 
-// Exchange answers another process's exchange.
+// Exchange merges another process's message and returns the answer.
 func (e *Exchanger) Exchange(_ context.Context, gossip *peerpb.Gossip) (*peerpb.Gossip, error) {
 	return e.Members.Answer(time.Now(), gossip), nil
 }
@@ -63,8 +64,8 @@
 	return peerpb.ProbeReply_builder{Reached: err == nil}.Build(), nil
 }
 
-// Run probes one process each interval and pushes changes at once until the
-// context ends; then it tells the neighbours that this process has left.
+// Run probes one process each interval and pushes changes at once until the context
+// ends. Then it notifies the neighbours that this process has left.
 func (e *Exchanger) Run(ctx context.Context) error {
 	e.prober = &Prober{
 		Members:        e.Members,
@@ -97,7 +98,7 @@
 			select {
 			case e.targets <- target:
 			default:
-				klog.V(1).Info("member: probe skipped, too many probes in flight")
+				klog.V(1).Info("member: skipping a probe: too many probes in flight")
 			}
 		}
 		select {
@@ -124,7 +125,7 @@
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	klog.V(1).Infof("member: no answer from %s: %v", target.GetName(), err)
+	klog.V(1).Infof("member: probing %s failed: %v", target.GetName(), err)
 	e.mutex.Lock()
 	helpers := e.prober.Helpers(target)
 	e.mutex.Unlock()
@@ -190,7 +191,8 @@
 	return answer, err
 }
 
-// push sends changes to the neighbours at once; they pass them on in the same way.
+// push sends changes to the neighbours at once, and the neighbours forward them in the
+// same way.
 func (e *Exchanger) push(ctx context.Context) {
 	for {
 		select {
@@ -237,7 +239,8 @@
 	e.exchangeAll(ctx, e.neighbours())
 }
 
-// pool returns the connections, which Probe may need before Run is called.
+// pool returns the connection pool. It initializes the pool on first use, because Probe
+// may be called before Run.
 func (e *Exchanger) pool() *connectionPool {
 	e.poolOnce.Do(func() { e.connections.credentials = e.Credentials })
 	return &e.connections
--- a/internal/member/exchange_test.go
+++ b/internal/member/exchange_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Guards against an entry that serves nobody until a store outage ends: an entry
-// on a replaced host can't read the lists from the store and must get them from its peers.
+// Guards against an entry on a replaced host that cannot serve until a store outage
+// ends: it can't read the lists from the store and must get them from its peers.
 func TestRestartDuringOutageLearnsFromPeers(t *testing.T) {
 	nodes := startNodes(t, "a", "b")
 	nodes[0].Offer(newFact(7))
@@ -62,7 +62,7 @@
 	}
 }
 
-// A process that is killed without leaving must get no more work.
+// A process that is killed must be marked as failed, so that it gets no more work.
 func TestKilledProcessFails(t *testing.T) {
 	nodes := startNodes(t, "a", "b", "c")
 	nodes[1].kill()
@@ -70,8 +70,8 @@
 	waitForState(t, nodes[2], "b", peerpb.State_STATE_FAILED)
 }
 
-// The others learn at once of a process that stops in an orderly way, without
-// waiting for the suspicion timeout.
+// After an orderly stop, the other processes must mark the process as left at once,
+// without waiting for the suspicion timeout.
 func TestStoppedProcessHasLeft(t *testing.T) {
 	first := startNodeWith(t, "a", 1, &member.Exchanger{SuspectTimeout: time.Hour})
 	second := startNodeWith(t, "b", 1, &member.Exchanger{SuspectTimeout: time.Hour, Seeds: []string{first.address}})
@@ -83,8 +83,8 @@
 	waitForState(t, first, "b", peerpb.State_STATE_LEFT)
 }
 
-// Guards against work being assigned by an outdated host list, which lists a live
-// host as leaving and a dead one as live. Only a process's answers count.
+// Guards against assigning work by an outdated host list, which shows a live host as
+// leaving and a dead host as live. Only the answers of a process determine its state.
 func TestHostListDoesNotDetermineState(t *testing.T) {
 	first := startNode(t, "a", 1)
 	hosts := hostList(
--- a/internal/member/fixture_test.go
+++ b/internal/member/fixture_test.go
@@ -23,7 +23,7 @@
 	*member.Members
 	exchanger *member.Exchanger
 	address   string
-	// stop lets the process leave in an orderly way, kill ends it without a message.
+	// stop makes the process leave in an orderly way; kill ends it without a message.
 	stop func()
 	kill func()
 }
--- a/internal/member/isolation.go
+++ b/internal/member/isolation.go
@@ -6,13 +6,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// IsIsolated reports whether this process can't learn of changes by others: the
-// store has answered neither this process nor, as far as is known, any other, and
-// most processes of its region are unreachable too.
+// IsIsolated reports whether this process can't receive the changes of others: no
+// recent answer of the store to any process is known here, and either no peer was
+// reached recently or most processes of the region are unreachable.
 //
-// An isolated process doesn't see that a key was withdrawn or that a
-// non-idempotent request ran elsewhere. To it, its own partition looks like a
-// store outage. The other processes tell the two apart: during an outage they still answer.
+// An isolated process gets no withdrawals of keys and doesn't know which non-idempotent
+// requests ran elsewhere. Isolation differs from a store outage in that the other
+// processes don't answer either.
 func (m *Members) IsIsolated(now time.Time) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -26,8 +26,8 @@
 	return reachable < unreachable
 }
 
-// StoreAge returns the time since the store last answered any process, as far as
-// is known here, or a negative value if no answer is known.
+// StoreAge returns the time since the last known answer of the store to any process, or
+// a negative value if no answer is known.
 func (m *Members) StoreAge(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -38,9 +38,9 @@
 	return now.Sub(lastAnswer)
 }
 
-// countInRegion counts the reachable other processes of the region and those that
-// are suspected or have failed. Other regions are ignored, so that the loss of a
-// whole region isolates no other one.
+// countInRegion counts the other processes of this region that are reachable, and those
+// that are suspected or have failed. Other regions are ignored, so that the loss of one
+// region doesn't isolate the processes of another.
 func (m *Members) countInRegion() (reachable, unreachable int) {
 	for name, known := range m.table.records {
 		process := known.process
--- a/internal/member/isolation_test.go
+++ b/internal/member/isolation_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// To each process a store outage looks like its own isolation. If all processes
-// refused requests, an outage would stop the service; if none did, an isolated
-// one would go on accepting withdrawn keys.
+// Guards against confusing a store outage with isolation: if processes refused requests
+// during an outage, the service would stop; if an isolated process did not refuse them,
+// it would still accept withdrawn keys.
 func TestIsolated(t *testing.T) {
 	tests := map[string]struct {
 		own, other   int
@@ -95,7 +95,8 @@
 	must.GreaterEq(t, 40*time.Second, a.StoreAge(now))
 }
 
-// One process of three still reaches the store, which counts for all of them.
+// If one of three processes still reaches the store, the store's answers count for all
+// three.
 func TestStoreAnswerToAnotherProcess(t *testing.T) {
 	a, b, c := newMembers("a"), newMembers("b"), newMembers("c")
 	c.RecordStoreAnswer(start)
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// minJoinBackoff is the first delay of a process that knows no other.
+	// minJoinBackoff is the initial retry delay while no other process is known.
 	minJoinBackoff = 200 * time.Millisecond
-	// hostListInterval is the delay between two reads of the host list, and the
-	// maximum backoff of a process that knows no other.
+	// hostListInterval is the delay between two reads of the host list, and the maximum
+	// backoff while no other process is known.
 	hostListInterval = 10 * time.Second
 	// hostListReaders is the number of entries per zone that read the host list
-	// regularly. It is fixed so that the calls for the list don't grow with the
-	// number of processes.
+	// regularly. It is fixed so that the number of reads doesn't grow with the number
+	// of processes.
 	hostListReaders = 1
 	// maxJoinRounds bounds the exchanges in which a new process fetches its table.
 	maxJoinRounds = 64
@@ -65,7 +65,7 @@
 func (e *Exchanger) syncTable(ctx context.Context, address string) {
 	for range maxJoinRounds {
 		if err := e.exchange(ctx, address); err != nil {
-			klog.Warningf("member: no answer from %s, a seed or listed host: %v", address, err)
+			klog.Warningf("member: exchange with %s, a seed or listed host, failed: %v", address, err)
 			return
 		}
 		if !e.Members.TableDiffers() {
@@ -80,7 +80,7 @@
 	}
 	listed, err := e.Hosts(ctx)
 	if err != nil {
-		klog.V(1).Infof("member: read the host list: %v", err)
+		klog.V(1).Infof("member: reading the host list failed: %v", err)
 		return nil
 	}
 	var addresses []string
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -29,7 +29,8 @@
 // incarnation of its own name to an earlier run on a host whose clock was ahead.
 const startupPeriod = 30 * time.Second
 
-// Members holds what a process knows of the others. It is safe for concurrent use.
+// Members holds the membership list and the facts that a process knows. It is safe for
+// concurrent use.
 type Members struct {
 	// IsolationTimeout is the time without contact after which IsIsolated may return
 	// true; it is set before use. 0 disables the check.
@@ -252,8 +253,8 @@
 	m.stamps.add(m.self.GetName(), now)
 }
 
-// Urgent returns a channel that receives a value once there are changes that
-// should not wait for the next exchange.
+// Urgent returns a channel that receives a value when there are changes to push before
+// the next exchange.
 func (m *Members) Urgent() <-chan struct{} { return m.urgent }
 
 // Withdraw stores a withdrawal and reports whether it is new; withdrawals are never revoked.
@@ -306,8 +307,8 @@
 	return found
 }
 
-// mergeProcess stores a received record if it is newer. It reports whether the
-// known record is newer, so that the sender should get it.
+// mergeProcess stores a received record if it is newer than the known one. It reports
+// whether the known record is newer and should be sent back.
 func (m *Members) mergeProcess(process *peerpb.Process, now time.Time) (outdated bool) {
 	m.startHistory.observe(m.self, process)
 	if process.GetName() == m.self.GetName() {
@@ -327,9 +328,9 @@
 
 // mergeSelf refutes outdated records of this process.
 //
-// A process that is slow or briefly disconnected is suspected or marked as failed
-// by the others, and would get no more work although it runs. It learns of this
-// from their messages and raises its version, which takes precedence over their records.
+// A process that is slow or briefly disconnected is suspected or marked as failed by
+// the others, and would get no more work although it runs. When it receives such a
+// record, it raises the version of its own record, which then takes precedence.
 func (m *Members) mergeSelf(process *peerpb.Process, now time.Time) (outdated bool) {
 	own := m.self
 	if !isNewer(process, own) {
@@ -345,7 +346,7 @@
 	next := proto.CloneOf(own)
 	next.SetIncarnation(max(own.GetIncarnation(), process.GetIncarnation()))
 	next.SetVersion(process.GetVersion() + 1)
-	klog.Infof("member: others reported this process as %s, refuting with state %s", process.GetState(), own.GetState())
+	klog.Infof("member: refuting the reported state %s of this process with state %s", process.GetState(), own.GetState())
 	m.setSelf(next)
 	return true
 }
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -112,9 +112,9 @@
 	}.Build()
 }
 
-// shouldRequestFacts reports whether to request the facts with this hash, which
-// is false shortly after a request. All neighbours announce a change at the same
-// time, and each would send the same value.
+// shouldRequestFacts reports whether to request the facts with this hash. It returns
+// false shortly after a request for the same hash, because all neighbours announce a
+// change at the same time and each would send the same value.
 func (m *Members) shouldRequestFacts(now time.Time, factsHash uint64) bool {
 	if m.requestedHash == factsHash && now.Sub(m.requestedAt) < factRequestTimeout {
 		return false
@@ -175,7 +175,8 @@
 	return all[:min(maxSentWithdrawals, len(all))]
 }
 
-// merge merges a message and returns the newer records for its outdated ones.
+// merge merges a message and returns the known records that are newer than the received
+// ones.
 func (m *Members) merge(now time.Time, gossip *peerpb.Gossip) []*peerpb.Process {
 	outdated := m.mergeProcesses(now, gossip)
 	for _, fact := range gossip.GetFacts() {
@@ -209,10 +210,10 @@
 	return outdated
 }
 
-// needsSync reports whether the next exchange should compare whole tables. The
-// first one always does, which also fetches the processes that failed earlier.
-// While the tables differ, every exchange does so during joinPeriod, and later
-// one per minSyncInterval.
+// needsSync reports whether the next exchange should compare whole tables. The first
+// exchange always does, which also fetches the processes that failed earlier. While the
+// tables differ, every exchange compares them during joinPeriod, and afterwards one
+// exchange per minSyncInterval.
 func (m *Members) needsSync(now time.Time) bool {
 	if m.lastSync.IsZero() {
 		return true
--- a/internal/member/prober.go
+++ b/internal/member/prober.go
@@ -12,8 +12,8 @@
 
 const (
 	helperCount = 2
-	// retryEvery is the number of probes per probe of a failed process, so that the
-	// two sides of a healed network partition find each other.
+	// Every retryEvery-th probe goes to a failed process, so that the two sides of a
+	// healed network partition find each other.
 	retryEvery = 5
 	// pushRate (per second) and pushBurst limit the messages that push changes of other processes.
 	pushRate  = 4
@@ -42,8 +42,8 @@
 // Expire marks suspected processes as failed after SuspectTimeout and deletes
 // records past their retention.
 //
-// After a pause of this process (a frozen or stopped host) all suspicions look
-// old although no process was probed meanwhile, so their time restarts.
+// After a pause of this process (a frozen or stopped host) all suspicions look old
+// although no process was probed meanwhile, so their timeouts restart.
 func (p *Prober) Expire(now time.Time) {
 	m := p.Members
 	m.mutex.Lock()
@@ -137,8 +137,8 @@
 }
 
 // NextTarget returns the process to probe now: the successors in turn, and at every
-// retryEvery-th call a failed process if there is one. It returns nil if there is
-// none to probe.
+// retryEvery-th call a failed process, if any. It returns nil if there is no process to
+// probe.
 func (p *Prober) NextTarget(now time.Time) *peerpb.Process {
 	p.Expire(now)
 	m := p.Members
@@ -177,6 +177,6 @@
 	next := proto.CloneOf(known)
 	next.SetState(state)
 	next.SetEnded(endedAt(state, now))
-	klog.Infof("member: %s at %s doesn't respond, marking it as %s", known.GetName(), known.GetAddress(), state)
+	klog.Infof("member: no response from %s at %s; marking the process as %s", known.GetName(), known.GetAddress(), state)
 	p.Members.setProcess(next, known, now)
 }
--- a/internal/member/prober_test.go
+++ b/internal/member/prober_test.go
@@ -80,8 +80,8 @@
 	p.mustHaveState(t, peerpb.State_STATE_FAILED)
 }
 
-// Guards against a running process that gets no more work after a short delay
-// made others suspect it or mark it as failed. It learns of the report and refutes it.
+// Guards against a running process that gets no more work after a short delay made
+// others suspect it or mark it as failed. The process must refute their records.
 func TestSuspicionIsRefuted(t *testing.T) {
 	for name, duration := range map[string]time.Duration{"suspect": time.Second, "failed": 6 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -94,8 +94,8 @@
 	}
 }
 
-// Guards against a process that resumes after a pause and marks all that it
-// suspects as failed. It probed nobody during the pause, so the suspicion timeout must restart.
+// Guards against a process that resumes after a pause and marks all suspected processes
+// as failed. It sent no probes during the pause, so the suspicion timeout must restart.
 func TestPauseMarksNobodyFailed(t *testing.T) {
 	p := newPair()
 	p.advance(2 * time.Second)
@@ -118,9 +118,9 @@
 	p.mustHaveState(t, peerpb.State_STATE_DRAINING)
 }
 
-// A process is replaced on another host while the old one is only frozen. When
-// the old one resumes, it must learn that it was replaced and must not displace
-// the new one.
+// A frozen process is replaced by a process on another host. When the frozen process
+// resumes, it must detect that it was replaced, and its record must not replace the new
+// one.
 func TestLaterProcessReplaces(t *testing.T) {
 	p := newPair()
 	newer := entryRecord("b", 2)
@@ -171,9 +171,10 @@
 	must.MapLen(t, len(all), probed)
 }
 
-// Guards against a non-idempotent request that runs twice: a restarted sidecar
-// has lost its in-memory state, and its first message replaces the earlier record
-// at the others. Unless they report that record, it takes its empty memory for complete.
+// Guards against a non-idempotent request that runs twice: a restarted sidecar has lost
+// its in-memory state, and its first message replaces its earlier record at the other
+// processes. They must report the earlier record, or the sidecar treats its empty state
+// as complete.
 func TestRestartedProcessLearnsOfEarlier(t *testing.T) {
 	tests := map[string]func(p *pair) string{
 		"same name":               func(*pair) string { return "s1" },
--- a/internal/member/responsibility.go
+++ b/internal/member/responsibility.go
@@ -11,9 +11,9 @@
 	return m.tableDiffers
 }
 
-// IsResponsible reports whether this process is one of the first number live entries
-// of its zone in the rendezvous hash order of a task. Several processes can hold
-// this true at the same time, so it only saves work and gives no exclusivity.
+// IsResponsible reports whether this process is one of the first number live entries of
+// its zone in the rendezvous hash order of a task. The tables of processes may differ,
+// so the result only saves work and gives no mutual exclusion.
 func (m *Members) IsResponsible(task string, number int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/member/rings.go
+++ b/internal/member/rings.go
@@ -8,9 +8,9 @@
 // and is probed by its predecessor: four probe targets and four probers.
 const ringCount = 4
 
-// rings places the active processes on rings, each in a different order. The
-// neighbours on all rings form a random regular graph: few connections per
-// process, a few hops between any two, and several probers for each.
+// rings places the active processes on several rings, with a different order on each
+// ring. The neighbours on all rings form a random regular graph, with few connections
+// per process, few hops between any two processes, and several probers per process.
 type rings struct {
 	version      uint64
 	built        bool
--- a/internal/member/stamps.go
+++ b/internal/member/stamps.go
@@ -22,11 +22,11 @@
 	answeredAt time.Time
 }
 
-// stamps record how long ago the store answered any process, by process.
+// stamps holds the last store answer to each process, by process name.
 //
-// An age that is relayed between processes is too low by the delay of each
-// message, so it could stay low for ever. Each stamp therefore has an origin and
-// a sequence number, and only a higher number counts.
+// An age that is relayed between processes is too low by the delay of each message, so
+// it could stay low for ever. Each stamp therefore has an origin and a sequence number,
+// and only a stamp with a higher number replaces the known one.
 type stamps map[string]stamp
 
 // add records an answer of the store to this process.
--- a/internal/member/starthistory.go
+++ b/internal/member/starthistory.go
@@ -8,17 +8,17 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// startHistory tracks what other processes know of processes started before this one.
+// startHistory tracks whether processes that started before this one are known.
 type startHistory struct {
 	// hasEarlier is true once an earlier process with this name or backend server is known.
 	hasEarlier bool
-	// hasOther is true once any other process is known, hasOlder once one that
-	// started before this one is.
+	// hasOther is true once any other process is known; hasOlder is true once a process
+	// that started before this one is known.
 	hasOther bool
 	hasOlder bool
 }
 
-// observe evaluates another process's record.
+// observe updates the history from a received record.
 func (h *startHistory) observe(self, other *peerpb.Process) {
 	isOlder := other.GetIncarnation() < self.GetIncarnation()
 	isSame := other.GetName() == self.GetName() || self.GetServer() != "" && other.GetServer() == self.GetServer()
@@ -30,9 +30,9 @@
 	h.hasOlder = h.hasOlder || isOlder && other.GetName() != ""
 }
 
-// IsFirstProcess reports whether this is known to be the first process with its name and
-// backend server: other processes are known, and none has reported an earlier
-// one. A restarted process has lost its in-memory state.
+// IsFirstProcess reports whether this is known to be the first process with its name
+// and backend server: other processes are known, and none has reported an earlier
+// process. A process that isn't the first may have lost in-memory state in a restart.
 func (m *Members) IsFirstProcess() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -49,13 +49,13 @@
 	return true
 }
 
-// olderRecords returns the records from which a restarted process learns of its
-// earlier run: those of its name with a lower incarnation, and those of other
-// names with the same backend server, in any state.
+// olderRecords returns the records that show a restarted process its earlier run:
+// records with its name and a lower incarnation, and records of other names with the
+// same backend server, in any state.
 //
-// The request of a restarted process replaces the earlier record here. Without
-// this answer no process would report the earlier run, and the restarted one
-// would take its empty memory for complete.
+// The request of a restarted process replaces its earlier record in the table. If the
+// answer did not contain the earlier record, no process would report the earlier run,
+// and the restarted process would treat its empty state as complete.
 func (m *Members) olderRecords(process *peerpb.Process) []*peerpb.Process {
 	var found []*peerpb.Process
 	for _, name := range append([]string{process.GetName()}, m.table.namesByServer[process.GetServer()]...) {
--- a/internal/member/starthistory_test.go
+++ b/internal/member/starthistory_test.go
@@ -9,9 +9,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// A sidecar restarts, or another host takes over its backend server, and its
-// in-memory state is lost. It must learn from the others that there was an
-// earlier process, in any order of their messages.
+// When a sidecar restarts, or another host takes over its backend server, its in-memory
+// state is lost. The new process must detect from the messages of others, in any order,
+// that there was an earlier process.
 func TestIsFirstProcess(t *testing.T) {
 	process := func(name, server string, incarnation uint64) *peerpb.Process {
 		return peerpb.Process_builder{Name: name, Server: server, Incarnation: incarnation}.Build()
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -14,9 +14,9 @@
 const (
 	// bucketCount is the number of buckets in which two tables are compared.
 	bucketCount = 64
-	// endedRetention is how long a failed or left process is remembered. It is
-	// longer than sidecars remember requests, so that a restarted sidecar learns
-	// that it was restarted.
+	// endedRetention is how long the record of a failed or left process is kept. It is
+	// longer than sidecars remember requests, so that a restarted sidecar can detect
+	// its restart.
 	endedRetention = 20 * time.Minute
 	// maxSentEnded bounds the failed and left processes sent to a joining process.
 	maxSentEnded = 256
@@ -27,22 +27,23 @@
 	process *peerpb.Process
 	// hash is the hash of the name.
 	hash uint64
-	// since is when this process learnt of the state.
+	// since is when this process recorded the state.
 	since time.Time
 }
 
-// table holds the records of all processes, with hashes by which two tables are
-// compared without sending them. The hashes cover only active processes, so that
-// deleting ended ones doesn't change them.
+// table holds the records of all processes, with hashes for comparing two tables
+// without sending them. The hashes cover only active processes, so that deleting ended
+// ones doesn't change the hashes.
 type table struct {
 	records map[string]record
 	buckets [bucketCount]uint64
 	hash    uint64
 	// version increases with each change.
 	version uint64
-	// suspectOrEnded names the processes that are suspected, have failed or left.
+	// suspectOrEnded holds the names of processes that are suspected, have failed or
+	// left.
 	suspectOrEnded map[string]bool
-	// namesByServer names the processes by their backend server.
+	// namesByServer holds the names of processes by backend server.
 	namesByServer map[string][]string
 }
 
@@ -170,8 +171,8 @@
 	return value ^ (value >> 31)
 }
 
-// expand fills in the fields that a short record omits from the known record; it
-// returns nil if there is no match.
+// expand completes a shortened record from the known record. It returns nil if no
+// record with the same incarnation is known.
 func expand(process, known *peerpb.Process) *peerpb.Process {
 	if process.GetAddress() != "" || isFullRecord(process) {
 		return process
@@ -186,8 +187,8 @@
 	return next
 }
 
-// shorten returns a record with the state only if the process is suspected,
-// failed or left; the receiver knows the rest.
+// shorten omits all fields but identity and state if the process is suspected, failed
+// or left; the receiver knows the rest.
 func shorten(process *peerpb.Process) *peerpb.Process {
 	switch process.GetState() {
 	case peerpb.State_STATE_SUSPECT, peerpb.State_STATE_FAILED, peerpb.State_STATE_LEFT:
@@ -203,8 +204,8 @@
 	}
 }
 
-// isFullRecord distinguishes a record without an address, of a process in its own
-// table that doesn't listen yet, from a short record.
+// isFullRecord reports whether a record without an address is complete and not a
+// shortened one: a process that doesn't listen yet has such a record in its own table.
 func isFullRecord(process *peerpb.Process) bool {
 	return process.GetRole() != peerpb.Role_ROLE_UNSPECIFIED
 }
@@ -219,9 +220,9 @@
 	return statePrecedence(process.GetState()) > statePrecedence(known.GetState())
 }
 
-// statePrecedence orders reports on the same version of a record: SUSPECT
-// overrides what the process says of itself, and FAILED overrides SUSPECT. The
-// process refutes them by raising its version.
+// statePrecedence orders the states of the same version of a record: SUSPECT overrides
+// the state that the process reports, and FAILED overrides SUSPECT. The process refutes
+// either by raising its version.
 func statePrecedence(state peerpb.State) int {
 	switch state {
 	case peerpb.State_STATE_SUSPECT:
@@ -235,9 +236,9 @@
 	}
 }
 
-// hasExpired reports whether a process failed or left at least endedRetention
-// ago. The time is part of the record: counted from when each process learnt of
-// it, processes would keep passing the record to each other for ever.
+// hasExpired reports whether a process failed or left at least endedRetention ago. The
+// end time is part of the record: if each process counted from its own receipt of the
+// record, processes would send the record to each other for ever.
 func hasExpired(process *peerpb.Process, now time.Time) bool {
 	return !isActive(process.GetState()) && now.Sub(time.Unix(process.GetEnded(), 0)) >= endedRetention
 }
--- a/internal/member/updates.go
+++ b/internal/member/updates.go
@@ -15,8 +15,8 @@
 	maxUpdateBytes = 700
 )
 
-// updates holds the processes whose changes are still to be passed on, with the
-// number of times that each was sent.
+// updates holds the names of processes with changes to send, and how often each change
+// was sent.
 type updates map[string]int
 
 // add schedules a change for sending, or restarts its count.
@@ -60,9 +60,9 @@
 	}
 }
 
-// maxSends is how often a process sends a change: once per neighbour, or about
+// maxSends returns how often a process sends a change: once per neighbour, or about
 // log2 of the number of processes if that is more. Processes that miss the change
-// get it by table comparison.
+// receive it by table comparison.
 func maxSends(size int) int {
 	return max(2*ringCount, bits.Len(uint(size)))
 }
