--- a/internal/keeper/journal.go
+++ b/internal/keeper/journal.go
@@ -19,16 +19,15 @@
 const (
 	// headerBytes is the size of a record's header: its length and its checksum.
 	headerBytes = 8
-	// maxRecordBytes bounds a record; a larger length means that the file is corrupt
-	// there.
+	// maxRecordBytes bounds a record; a larger length in a header means that the file
+	// is corrupt.
 	maxRecordBytes = 16 << 20
 	journalFile    = "texts"
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// journal is an append-only file of records. Only its methods are safe for concurrent
-// use.
+// journal is an append-only file of records. Its methods are safe for concurrent use.
 type journal struct {
 	folder string
 
@@ -44,11 +43,11 @@
 // appended later can be read.
 func openJournal(folder string, apply func(*statepb.Record)) (*journal, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, eris.Wrap(err, "create "+folder)
+		return nil, eris.Wrap(err, "create journal folder "+folder)
 	}
 	file, err := os.OpenFile(filepath.Join(folder, journalFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, eris.Wrap(err, "open texts")
+		return nil, eris.Wrap(err, "open journal")
 	}
 	size, err := replay(file, apply)
 	if err != nil {
@@ -56,7 +55,7 @@
 	}
 	j := &journal{folder: folder, file: file, size: size}
 	if err := file.Truncate(size); err != nil {
-		return nil, errors.Join(eris.Wrap(err, "truncate texts"), file.Close())
+		return nil, errors.Join(eris.Wrap(err, "truncate journal"), file.Close())
 	}
 	return j, j.syncFolder()
 }
@@ -95,8 +94,8 @@
 	return record
 }
 
-// endOfJournal returns nil at the end of the file, torn or not, and an error for a
-// disk fault.
+// endOfJournal returns nil if a read reached the end of the file, also within a record,
+// and an error if the read failed.
 func endOfJournal(err error, size int64) error {
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -105,14 +104,14 @@
 		klog.InfoS("keeper: incomplete last record; truncating the journal before it", "at", size)
 		return nil
 	}
-	return eris.Wrap(err, "read texts")
+	return eris.Wrap(err, "read journal")
 }
 
 // append writes a record and returns once it is synced to disk.
 func (j *journal) append(record *statepb.Record) error {
 	body, err := proto.Marshal(record)
 	if err != nil {
-		return eris.Wrap(err, "encode record")
+		return eris.Wrap(err, "encode journal record")
 	}
 	data := make([]byte, headerBytes, headerBytes+len(body))
 	binary.BigEndian.PutUint32(data, uint32(len(body)))
@@ -121,10 +120,10 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if _, err := j.file.WriteAt(data, j.size); err != nil {
-		return eris.Wrap(err, "write texts")
+		return eris.Wrap(err, "append record to journal")
 	}
 	if err := j.file.Sync(); err != nil {
-		return eris.Wrap(err, "sync texts")
+		return eris.Wrap(err, "sync journal")
 	}
 	j.size += int64(len(data))
 	return nil
@@ -144,7 +143,7 @@
 	name := filepath.Join(j.folder, journalFile)
 	file, err := os.OpenFile(name+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		return eris.Wrap(err, "make new texts")
+		return eris.Wrap(err, "create new journal file")
 	}
 	next.file = file
 	for _, record := range records {
@@ -153,25 +152,25 @@
 		}
 	}
 	if err := os.Rename(name+".new", name); err != nil {
-		return errors.Join(eris.Wrap(err, "rename texts"), file.Close())
+		return errors.Join(eris.Wrap(err, "replace journal file"), file.Close())
 	}
 	old := j.file
 	j.file, j.size = file, next.size
-	return errors.Join(eris.Wrap(old.Close(), "close old texts"), j.syncFolder())
+	return errors.Join(eris.Wrap(old.Close(), "close old journal file"), j.syncFolder())
 }
 
-// syncFolder syncs the directory entry: without it a power loss may lose a new file,
-// or bring back the old one under its name.
+// syncFolder syncs the directory entry of the journal. Without the sync, a power loss
+// may lose a new file, or restore the old file under the same name.
 func (j *journal) syncFolder() error {
 	folder, err := os.Open(j.folder)
 	if err != nil {
-		return eris.Wrap(err, "open folder")
+		return eris.Wrap(err, "open journal folder")
 	}
-	return errors.Join(eris.Wrap(folder.Sync(), "sync folder"), folder.Close())
+	return errors.Join(eris.Wrap(folder.Sync(), "sync journal folder"), folder.Close())
 }
 
 func (j *journal) close() error {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return eris.Wrap(j.file.Close(), "close texts")
+	return eris.Wrap(j.file.Close(), "close journal")
 }
--- a/internal/keeper/server.go
+++ b/internal/keeper/server.go
@@ -1,9 +1,9 @@
 // Package keeper stores, on hosts with disks, the partial texts that gateways receive
 // until the texts are complete, so that the next owner of a batch resumes after them.
 //
-// The texts only save work: batches and their outcomes are in the platform's store, and
-// nothing is proved by the texts alone. A keeper that is lost, or restarts empty, costs
-// the seconds that it took to generate its texts.
+// The texts only save work: the platform's store holds batches and their outcomes, and
+// the texts alone prove nothing. If a keeper is lost or restarts empty, its texts are
+// generated again, which takes seconds.
 package keeper
 
 import (
@@ -21,14 +21,14 @@
 )
 
 const (
-	// minCompactBytes is the journal size at which dropped batches are removed from
-	// it: far below the smallest disk, and minutes of texts.
+	// minCompactBytes is the journal size from which dropped batches are removed: far
+	// below the size of the smallest disk, and enough for minutes of texts.
 	minCompactBytes = 64 << 20
 	// maxMemoryBytes bounds the texts in memory; the batch that has been idle longest
 	// is evicted first.
 	maxMemoryBytes = 48 << 20
-	// maxIdle is how long a batch without a new event is stored. Trainers wait for
-	// seconds only.
+	// maxIdle is how long a batch without new events is stored. Trainers wait only for
+	// seconds.
 	maxIdle = 2 * time.Minute
 )
 
@@ -98,7 +98,7 @@
 	return reply.Build(), nil
 }
 
-// Drop removes batches from memory; the journal loses them when it is compacted.
+// Drop removes batches from memory; compaction removes them from the journal.
 func (s *Server) Drop(_ context.Context, request *peerpb.DropRequest) (*peerpb.DropReply, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -135,9 +135,9 @@
 	}
 }
 
-// apply adds parts to texts. A part that begins after the text's end would leave a
-// gap and is skipped; one that begins before the end replaces the rest, since the
-// text was generated again from there.
+// apply adds parts to texts. A part that begins after the text's end would leave a gap
+// and is skipped. A part that begins before the end replaces the rest of the text,
+// which was generated again from that position.
 func (s *Server) apply(batch string, parts []*statepb.Part) {
 	texts := s.batches[batch]
 	if texts == nil {
@@ -200,7 +200,7 @@
 		records = append(records, record.Build())
 	}
 	klog.InfoS("keeper: compacting the journal", "bytes", s.journal.fileBytes(), "batches", len(records))
-	return eris.Wrap(s.journal.rewrite(records), "rewrite texts")
+	return eris.Wrap(s.journal.rewrite(records), "compact journal")
 }
 
 func clonePartial(partial *statepb.Partial) *statepb.Partial {
--- a/internal/keeper/server_test.go
+++ b/internal/keeper/server_test.go
@@ -67,9 +67,10 @@
 	})
 }
 
-// A power loss during a write leaves an incomplete record, or one whose bytes were
-// never written, at the end of the file. Read as valid, it would reach a trainer
-// as a text of a sampler. The tail must be truncated so that records appended later can be read.
+// A power loss during a write leaves an incomplete record, or a record whose bytes were
+// never written, at the end of the file. If such a record were read as valid, a trainer
+// would receive it as the text of a sampler. The tail must be truncated so that records
+// appended later can be read.
 func TestTornTail(t *testing.T) {
 	for name, tear := range map[string]func([]byte) []byte{
 		"short":        func(data []byte) []byte { return data[:len(data)-3] },
@@ -97,8 +98,8 @@
 	}
 }
 
-// After a disk comes back empty the keeper must still serve; its texts are generated
-// again.
+// A keeper whose disk was replaced by an empty one must still serve; its texts are
+// generated again.
 func TestEmptyDisk(t *testing.T) {
 	server := open(t, filepath.Join(t.TempDir(), "new"))
 	mustHave(t, server, "b1")
