--- a/internal/mirror/history.go
+++ b/internal/mirror/history.go
@@ -17,15 +17,17 @@
 type history struct {
 	mutex   sync.Mutex
 	changes []platform.Value
-	// All changes after startRevision up to endRevision are in changes.
+	// changes holds all changes after startRevision up to endRevision.
 	startRevision uint64
 	endRevision   uint64
-	// lastDirect is when this process's own watch of the store last answered.
+	// lastDirect is the time of the last answer to this process's own watch of the
+	// store.
 	lastDirect clock.Boot
 	changed    chan struct{}
 }
 
-// reset drops all changes: those up to a revision were not received one by one.
+// reset drops all changes and restarts at the revision of a list, which does not
+// contain the individual changes before that revision.
 func (h *history) reset(revision uint64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -35,8 +37,8 @@
 	h.notify()
 }
 
-// add appends changes up to a revision. isDirect says that they come from a watch
-// of the store and not from another process.
+// add appends changes up to a revision. isDirect is true if they come from this
+// process's own watch of the store and not from another process.
 func (h *history) add(values []platform.Value, revision uint64, isDirect bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -57,8 +59,8 @@
 // wait waits for changes after a revision. It reports false if the last direct
 // watch is older than maxAge or changes since the revision are missing.
 //
-// Without the check of the age, two processes that follow each other would never
-// receive a change and would both assume that there is none.
+// Without the age check, two processes that follow each other would never receive a
+// change and would both assume that there is none.
 func (h *history) wait(ctx context.Context, after uint64, wait, maxAge time.Duration) (platform.ListReply, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// watcherRetryDelay is the delay after a failed call. The store's outages last
-	// seconds; a tenth of a second finds their end without flooding the store.
+	// watcherRetryDelay is the delay after a failed call. Store outages last seconds; a
+	// retry every tenth of a second detects their end without flooding the store.
 	watcherRetryDelay = 100 * time.Millisecond
-	// followerRetryDelay is the same for a process that follows another one: well
-	// within the two seconds in which a change must take effect.
+	// followerRetryDelay is the delay after a failed call of a process that follows
+	// another process: well within the two seconds in which a change must take effect.
 	followerRetryDelay = 500 * time.Millisecond
-	// freshnessMargin is how much longer than one watch this process may be without
-	// a reply of the store before other processes must stop following it.
+	// freshnessMargin is added to the duration of a watch to get the maximum age of the
+	// last direct reply of the store. If that reply is older, other processes must stop
+	// following this one.
 	freshnessMargin = 900 * time.Millisecond
 )
 
@@ -38,20 +39,21 @@
 	Wait time.Duration
 	// OnChanges is called with the changes, in the order of the store's revisions.
 	OnChanges func(changes []platform.Value)
-	// OnListed is called after OnChanges has received a complete list; nil is allowed.
-	// If the store has dropped its history, OnChanges has received the values missing
-	// from the list as deleted before.
+	// OnListed is called after OnChanges has received a complete list, and known values
+	// that are missing from the list as deleted; nil is allowed.
 	OnListed func()
-	// Follow waits for changes that another process has received; it reports false
-	// if this process has to watch the store itself. nil means that it always has to.
+	// Follow waits for changes that another process has received. It reports false if
+	// this process has to watch the store itself. If Follow is nil, this process always
+	// watches the store itself.
 	Follow func(ctx context.Context, prefix string, after uint64) (platform.ListReply, bool)
 	// IsWatcher reports whether others follow this process's watches; nil means yes.
 	IsWatcher func() bool
-	// Pause is the delay after a watch of the store that returned changes: changes in
-	// quick succession then cost one call.
+	// Pause is the delay after a watch of the store that returned changes, so that
+	// changes in quick succession cost one call.
 	Pause time.Duration
-	// OnLost is called when the store stops answering, and OnRegained once it answers
-	// again, before OnChanges receives what has changed meanwhile; nil is allowed.
+	// OnLost is called when the store stops answering. OnRegained is called when the
+	// store answers again, before OnChanges receives the changes made meanwhile. Both
+	// may be nil.
 	OnLost     func()
 	OnRegained func()
 	// OnUpToDate is called once OnChanges has received all changes so far; nil is allowed.
@@ -65,9 +67,10 @@
 
 // Run keeps the copy up to date until the context ends.
 //
-// A watch can go silent without an error. So each watch has a timeout, and the next
-// one resumes from the last revision received. If the store has dropped its history
-// since, Run lists all values again and treats missing ones as deleted.
+// A watch can go silent without an error. Each watch therefore has a timeout, and the
+// next watch resumes from the last revision received. If the store has dropped its
+// history since that revision, Run lists all values again and treats missing values as
+// deleted.
 func (m *Mirror) Run(ctx context.Context) error {
 	isListed := false
 	for ctx.Err() == nil {
@@ -94,9 +97,10 @@
 
 // retryDelay returns the delay after a failed call.
 //
-// While the store is down for all processes, a follower learns of its recovery from
-// the watcher. It has to ask the store itself only if the store refuses the watcher,
-// and less often, since all followers do.
+// While the store is down for all processes, a follower detects the recovery through
+// the watcher. A follower has to call the store itself only if the store rejects the
+// watcher. Followers retry less often than the watcher, since all of them call at the
+// same time.
 func (m *Mirror) retryDelay() time.Duration {
 	if m.IsWatcher == nil || m.IsWatcher() {
 		return watcherRetryDelay
@@ -162,15 +166,15 @@
 	}
 }
 
-// Changes waits up to wait for changes after a revision that this process has
-// received by its own watch. It reports false if that watch is stale or changes
-// since the revision are missing: the caller then asks the store.
+// Changes waits up to wait for changes after a revision that this process has received
+// by its own watch. It reports false if that watch is stale or changes since the
+// revision are missing; the caller must then watch the store itself.
 func (m *Mirror) Changes(ctx context.Context, after uint64, wait time.Duration) (platform.ListReply, bool) {
 	return m.history.wait(ctx, after, wait, m.Wait+freshnessMargin)
 }
 
-// apply passes the values that are newer than the known ones to OnChanges. A
-// delayed reply may hold values that a later one has replaced.
+// apply passes the values that are newer than the known ones to OnChanges. A delayed
+// reply may hold values that a later reply has already replaced.
 func (m *Mirror) apply(values []platform.Value) {
 	if m.known == nil {
 		m.known = map[string]uint64{}
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -125,9 +125,9 @@
 	must.Eq(t, []string{"lost", "regained"}, events)
 }
 
-// Two gateways each assume that the other one watches the store. If each served
-// the other from what it got by following, neither would ever receive a change.
-// A process whose own watch is stale must refuse followers.
+// Two gateways each assume that the other one watches the store. If each served the
+// other with changes received by following, neither would ever receive a change. A
+// process whose own watch is stale must refuse followers.
 func TestFollowEachOther(t *testing.T) {
 	store := &platformtest.Store{}
 	put(t, store, "p/a", "1")
@@ -171,8 +171,8 @@
 }
 
 // During a store outage, gateways that follow one watcher retried as often as the
-// watcher: 18 of them made as many calls in seven seconds as in the 50 before. A
-// follower must retry less often and still notice the recovery.
+// watcher: 18 gateways made as many calls in seven seconds as in the 50 seconds before.
+// A follower must retry less often and still detect the recovery.
 func TestFollowersRetryLessOften(t *testing.T) {
 	calls := func(isWatcher bool) int {
 		store := &platformtest.Store{}
