--- a/internal/detour/detour.go
+++ b/internal/detour/detour.go
@@ -18,8 +18,8 @@
 
 const (
 	// directCheckInterval is the time between two checks whether the store serves this
-	// host again. A check every second costs one call a second during an outage and
-	// detects its end that soon.
+	// host again. One check per second costs one call per second during an outage and
+	// detects the end of the outage within a second.
 	directCheckInterval = time.Second
 )
 
@@ -63,8 +63,8 @@
 	Answered
 )
 
-// OutcomeUnknownError reports a call that was rejected at one attempt and may have been
-// made at another.
+// OutcomeUnknownError reports a call that was rejected in one attempt and may have been
+// applied in another.
 type OutcomeUnknownError struct {
 	Status int
 }
@@ -79,23 +79,23 @@
 	Direct *Direct
 	// Peers is nil where there are none.
 	Peers Peers
-	// Metrics registers the caller's metrics; nil leaves them unregistered.
+	// Metrics registers the transport's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
 
 	once  sync.Once
 	calls *prometheus.CounterVec
 	mutex sync.Mutex
 	// directFailedAt is when direct calls last failed or were last checked; zero while
-	// they work.
+	// they succeed.
 	directFailedAt clock.Boot
 }
 
 // Do makes one call.
 //
-// The store may reject some hosts while it serves the others. A gateway with direct
-// calls only would lose its leases, its batches and updates on withdrawn keys though
-// every other gateway could make the calls for it. All writes are conditional, so one
-// that was applied without an answer may safely be sent again.
+// The store may reject some hosts while it serves the others. If a rejected gateway
+// made only direct calls, it would lose its leases and batches and miss withdrawals of
+// keys, although every other gateway could relay its calls. All writes are conditional,
+// so a write that was applied without an answer may safely be sent again.
 func (t *Transport) Do(ctx context.Context, call Call) (Answer, error) {
 	t.once.Do(func() { t.calls = newCallCounter(t.Metrics) })
 	isOutcomeUnknown := false
@@ -128,8 +128,8 @@
 }
 
 // unknownIfRejected returns OutcomeUnknownError in place of a rejection if another
-// attempt may have been made: the caller would conclude that nothing was done, while the
-// store applies the call a second later.
+// attempt may still take effect. From a rejection, the caller would conclude that the
+// call has no effect, although the store may apply the other attempt a second later.
 func unknownIfRejected(answer Answer, err error, isOutcomeUnknown bool) (Answer, error) {
 	if err == nil && isOutcomeUnknown && platform.IsRejected(answer.Status) {
 		return Answer{}, &OutcomeUnknownError{Status: answer.Status}
@@ -185,8 +185,8 @@
 
 // checkDirect makes a direct call to check whether the store serves this host again.
 //
-// It runs in the background: a host that is cut off without an error spends the whole
-// timeout on each direct call, and so would callers of its batches.
+// The check runs in the background: if packets to the store are lost without an error,
+// a direct call lasts its whole timeout, and requests for batches would wait for it.
 func (t *Transport) checkDirect(ctx context.Context, call Call) {
 	answer, err := t.Direct.exchange(ctx, call)
 	if err == nil && !platform.IsRejected(answer.Status) {
--- a/internal/detour/detour_test.go
+++ b/internal/detour/detour_test.go
@@ -19,7 +19,7 @@
 type fakePeers struct {
 	calls  atomic.Int64
 	result RelayResult
-	// status is the status of its answers; 0 means 200.
+	// status is the HTTP status of the answers; 0 means 200.
 	status int
 }
 
@@ -28,8 +28,8 @@
 	return Answer{Status: max(http.StatusOK, p.status), Body: []byte("by a peer")}, p.result
 }
 
-// newStore returns a client of a store that answers with a status, and a count of the
-// calls to it.
+// newStore starts a store that answers with a status. It returns a client and the
+// number of calls to the store.
 func newStore(t *testing.T, status *atomic.Int64) (*Direct, *atomic.Int64) {
 	t.Helper()
 	calls := &atomic.Int64{}
@@ -46,9 +46,9 @@
 	return transport.Do(t.Context(), Call{Method: http.MethodGet, Target: "/x", Timeout: 300 * time.Millisecond})
 }
 
-// Guards against failed calls while the store rejects a gateway for seconds: they go
-// through another gateway at once, and a check now and then detects that the store
-// serves this one again.
+// Guards against failed calls while the store rejects a gateway for seconds: calls must
+// go through another gateway at once, and periodic checks must detect that the store
+// accepts direct calls again.
 func TestRejectedCallsAreRelayed(t *testing.T) {
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
@@ -72,8 +72,8 @@
 	must.Eq(t, 11, peer.calls.Load())
 }
 
-// Guards against repeated waits for direct calls on a gateway that is cut off from the
-// store without an error: batches were accepted 0.7 s late.
+// Guards against waiting for a direct call on each request while packets from a gateway
+// to the store are lost without an error: batches were accepted 0.7 s late.
 func TestSilentStoreIsNotWaitedFor(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -90,7 +90,7 @@
 	must.Less(t, 200*time.Millisecond, time.Since(began))
 }
 
-// A refusal of the call itself is an answer and is not retried through others.
+// An error status for the call itself is an answer, which is not retried through peers.
 func TestAnswersAreFinal(t *testing.T) {
 	status := &atomic.Int64{}
 	status.Store(http.StatusPreconditionFailed)
@@ -109,8 +109,9 @@
 }
 
 // Guards against a rejection in place of an unknown outcome: the first attempt at
-// storing a batch gets no answer, the second is rejected with 503. The trainer must not
-// be told that nothing runs, which is false as soon as the first attempt is applied.
+// storing a batch gets no answer, and the second is rejected with 503. The response to
+// the trainer must not state that nothing runs, since the store may still apply the
+// first attempt.
 func TestUnknownOutcomeIsNoRejection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -135,8 +136,8 @@
 	})
 }
 
-// Guards against overload of a store that recovers: after an outage of seconds,
-// repeated calls from all parts of all gateways would use up its rate limit.
+// Guards against overloading a recovering store: after an outage of seconds, repeated
+// calls from all components of all gateways would use up the store's rate limit.
 func TestRejectionIsRemembered(t *testing.T) {
 	status := &atomic.Int64{}
 	status.Store(http.StatusServiceUnavailable)
@@ -165,9 +166,9 @@
 	})
 }
 
-// Guards against taking a slow download for an outage: a megabyte of outcomes takes
-// longer than the timeout on a narrow link. All calls of the process went through
-// others for a second, and the megabyte crossed the same link twice.
+// Guards against treating a slow download as an outage: a megabyte of outcomes takes
+// longer than the timeout on a narrow link. All calls of the process were relayed for a
+// second, and the megabyte was sent over the same link twice.
 func TestLongAnswerIsNoOutage(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "1000")
@@ -186,8 +187,8 @@
 }
 
 // Guards against floods of calls while the store's host resets every connection: all
-// calls of all gateways were retried each tenth of a second, four and a half thousand
-// in five seconds.
+// calls of all gateways were retried every tenth of a second, which made 4500 calls in
+// five seconds.
 func TestResetsAreRemembered(t *testing.T) {
 	calls, isHealthy := &atomic.Int64{}, &atomic.Bool{}
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
--- a/internal/detour/direct.go
+++ b/internal/detour/direct.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// rejectionTTL is how long a rejection by the store, or a failed connection
-	// attempt, is assumed for later calls: as long as the parts of a process wait
-	// before they ask again, so that they share one call.
+	// rejectionTTL is how long calls are rejected locally after the store rejected a
+	// call or a connection attempt failed. It equals the retry delay of the components
+	// of a process, so that they share one call.
 	rejectionTTL = 100 * time.Millisecond
-	// maxResets is the number of consecutive calls that end without an answer before
-	// their timeout, from which on later calls are rejected too: single connections,
-	// such as that of a waiting watch, are reset while the store is healthy.
+	// maxResets is the number of consecutive calls without an answer before their
+	// timeout after which later calls are rejected locally. A smaller number is no sign
+	// of an outage: single connections, such as that of a waiting watch, are reset
+	// while the store is healthy.
 	maxResets = 2
-	// maxAnswerBytes is above the size of the largest page of the store, including
-	// base64.
+	// maxAnswerBytes exceeds the size of the store's largest page in base64.
 	maxAnswerBytes = 16 << 20
 )
 
-// LongAnswerError reports that the store answered, and the answer did not arrive
-// completely in time. The store is healthy; through another process the same bytes
-// would cross the same link.
+// LongAnswerError reports that an answer of the store did not arrive completely within
+// the timeout. The store is healthy, and a relayed call would send the same bytes over
+// the same link.
 type LongAnswerError struct {
 	// Target is the path and query of the call.
 	Target string
@@ -45,7 +45,8 @@
 	return "the answer to " + e.Target + " did not come whole within " + e.Timeout.String() + ": " + strconv.Itoa(e.Bytes) + " bytes"
 }
 
-// Direct makes calls from this host. Exported fields are set before the first call.
+// Direct sends calls from this host to the store. Exported fields are set before the
+// first call.
 type Direct struct {
 	// Address is the IP address and port of the store.
 	Address string
@@ -61,12 +62,12 @@
 	resets int
 }
 
-// Do makes one call. For rejectionTTL after a rejection, calls are not made and are
-// reported as rejected too.
+// Do makes one call. For rejectionTTL after a rejection, Do returns a rejection without
+// making the call.
 //
-// During an outage of the store all parts of all processes detect it by calls of their
-// own, and relay calls for each other. Unbounded, these calls used up the store's rate
-// limit just as it recovered.
+// During a store outage, all components of all processes retry their calls and relay
+// calls for each other. Without a limit, these calls used up the store's rate limit
+// just as it recovered.
 func (d *Direct) Do(ctx context.Context, call Call) (Answer, error) {
 	if d.isRejected() {
 		return Answer{Status: http.StatusServiceUnavailable}, nil
@@ -74,7 +75,7 @@
 	return d.exchange(ctx, call)
 }
 
-// exchange makes one call, regardless of earlier ones.
+// exchange makes one call, regardless of earlier rejections.
 func (d *Direct) exchange(ctx context.Context, call Call) (Answer, error) {
 	answer, err := d.send(ctx, call)
 	d.mutex.Lock()
@@ -99,7 +100,7 @@
 	return d.rejectedAt != 0 && clock.Now().Sub(d.rejectedAt) < rejectionTTL
 }
 
-// isTimeout reports whether a call ended by its own timeout.
+// isTimeout reports whether a call failed because its timeout expired.
 func isTimeout(err error) bool {
 	var longAnswer *LongAnswerError
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &longAnswer)
