--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,6 +1,6 @@
 // Package table holds the configuration in force: which requests go to which pool of
 // backend servers, under which limits, and which account a key belongs to. It provides
-// look-ups only and does no I/O.
+// only lookups and does no I/O.
 package table
 
 import (
@@ -67,7 +67,8 @@
 type Scale struct {
 	Min int
 	Max int
-	// StartupTime is the time from an order to the first request served.
+	// StartupTime is the time from the order of a server to the first request it
+	// serves.
 	StartupTime time.Duration
 }
 
@@ -78,19 +79,20 @@
 	Health string
 	// MaxConnections is the maximum number of connections to a server from all callers.
 	MaxConnections int
-	// Scale is nil where the number of servers is not managed.
+	// Scale is nil if the number of servers is not managed.
 	Scale *Scale
 	// Models are the models that its engines serve; none for a plain service.
 	Models []string
 	// TokenCapacity is the number of tokens that an engine holds; 0 for a plain service.
 	TokenCapacity uint64
-	// ColdRate is the number of requests per second that a cold server takes from all
+	// ColdRate is the maximum number of requests per second to a cold server from all
 	// senders together; 0 sets no limit. ColdTime is how long a server is cold after
 	// its start.
 	ColdRate float64
 	ColdTime time.Duration
 
-	// hasCallers and hasBatches report what kinds of routes lead to the pool.
+	// hasCallers and hasBatches report whether routes for callers and routes for
+	// batches use the pool.
 	hasCallers, hasBatches bool
 }
 
@@ -126,7 +128,7 @@
 	pools  map[string]*Pool
 }
 
-// Index builds the look-ups; it is called once, before the table is used.
+// Index builds the lookup maps. It is called once, before the table is used.
 func (t *Table) Index() {
 	t.byHost = map[string][]*Route{}
 	t.pools = map[string]*Pool{}
@@ -145,7 +147,7 @@
 	}
 }
 
-// noteSenders records on a route's pools which senders use them.
+// noteSenders records in the pools of a route whether callers or batches use them.
 func (t *Table) noteSenders(route *Route) {
 	for _, share := range route.Shares {
 		pool := t.pools[share.Pool]
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -29,8 +29,8 @@
 	must.Eq(t, "b", route.Pool(1))
 }
 
-// Guards against a withdrawn key that works again: a read of the store may return an
-// older version than a watch has delivered already.
+// Guards against a withdrawn key that becomes valid again: a read of the store may
+// return an older version than a watch has already delivered.
 func TestVersionsDoNotFall(t *testing.T) {
 	view := &table.View{}
 	must.Nil(t, view.Current())
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -6,8 +6,8 @@
 	"k8s.io/klog/v2"
 )
 
-// View holds the newest table that a process knows. Its zero value has none. It is safe
-// for concurrent use.
+// View holds the newest table that a process knows. The zero value holds no table. It
+// is safe for concurrent use.
 type View struct {
 	current atomic.Pointer[Table]
 }
@@ -15,11 +15,11 @@
 // Current returns the table in force, or nil.
 func (v *View) Current() *Table { return v.current.Load() }
 
-// Update puts a table in force if its version is higher than that of the current one.
-// It reports whether it did.
+// Update puts a table in force if its version is higher than that of the current table.
+// It reports whether the table was put in force.
 //
-// A read of the store may be older than what a watch has delivered already; a withdrawn
-// key would then work again for a moment.
+// A read of the store may return an older version than a watch has already delivered.
+// If it were put in force, a withdrawn key would be valid again for a moment.
 func (v *View) Update(next *Table) bool {
 	for {
 		current := v.current.Load()
