--- a/internal/refusal/http.go
+++ b/internal/refusal/http.go
@@ -11,11 +11,11 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// HeaderOutcome names the header that tells callers what is known of a request that was
-// not answered.
+// HeaderOutcome is the response header of a refusal that states whether the request was
+// not run or its outcome is unknown.
 const HeaderOutcome = "X-Bramleyhatch-Outcome"
 
-// Body is the body of a refusal, as clients of the OpenAI protocol expect it.
+// Body is the response body of a refusal, in the error format of the OpenAI API.
 type Body struct {
 	Error Detail `json:"error"`
 }
@@ -46,8 +46,8 @@
 	})
 }
 
-// WriteFractional is like Write with fractional seconds in Retry-After, for callers that
-// parse them: a request that finds room in 100 ms need not wait a second.
+// WriteFractional is like Write with fractional seconds in Retry-After, for callers
+// that parse them: a request that can run in 100 ms need not wait a second.
 func WriteFractional(w http.ResponseWriter, err error) {
 	write(w, err, func(retry time.Duration) string {
 		return strconv.FormatFloat(retry.Seconds(), 'f', 3, 64)
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -1,4 +1,4 @@
-// Package refusal defines the error type by which the system refuses a request.
+// Package refusal defines the error type for refused requests.
 package refusal
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// Error reports a request that was refused and what is known about its execution. Its
-// fields are set by the component that refuses and read by the one that answers the
-// caller.
+// Error reports a request that was refused and what is known about its execution. The
+// component that refuses the request sets the fields, and the component that answers
+// the caller reads them.
 type Error struct {
-	// Outcome is OUTCOME_NOT_RUN only where it is certain that no backend server
-	// received the request.
+	// Outcome is OUTCOME_NOT_RUN only if it is certain that no backend server received
+	// the request.
 	Outcome peerpb.Outcome
 	// Status is the HTTP status for the caller.
 	Status int
