--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -37,7 +37,7 @@
 	Cause   error
 }
 
-// Error returns a message with the address of the entry.
+// Error returns the address of the entry and the cause.
 func (e *UnreachableError) Error() string {
 	return "no answer from the entry at " + e.Address + ": " + e.Cause.Error()
 }
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -32,11 +32,11 @@
 	Name string
 }
 
-// Error returns a message with the name.
+// Error returns the unknown name in quotes.
 func (e *NotFoundError) Error() string { return "nothing is known as " + strconv.Quote(e.Name) }
 
-// config returns the configuration in the store, or the one in force here while
-// the store is unavailable.
+// config returns the configuration in the store, or the configuration in force at this
+// process while the store is unavailable.
 func (s *Server) config(ctx context.Context, _ string, _ *http.Request) (proto.Message, error) {
 	config, revision, err := s.Editor.Config(ctx)
 	if err == nil {
@@ -46,7 +46,7 @@
 	if config == nil {
 		return nil, err
 	}
-	klog.Warningf("operator: store unavailable, returning the lists in force here: %v", err)
+	klog.Warningf("operator: reading the configuration from the store failed; returning the lists in force at this process: %v", err)
 	return operatorpb.ConfigReply_builder{Config: config, Revision: revision}.Build(), nil
 }
 
@@ -99,13 +99,14 @@
 	s.Members.Withdraw(withdrawal)
 	revision, err := s.Editor.Withdraw(ctx, []*peerpb.Withdrawal{withdrawal})
 	if err != nil {
-		klog.Warningf("operator: withdrawal in force but not stored yet: %v", err)
+		klog.Warningf("operator: storing a withdrawal failed; it is in force but not stored yet: %v", err)
 		return operatorpb.ChangeReply_builder{}.Build(), nil
 	}
 	return operatorpb.ChangeReply_builder{Revision: revision, Stored: true}.Build(), nil
 }
 
-// completeHash completes a hash prefix from the keys known here.
+// completeHash returns the hash of the only known key whose hash starts with the
+// prefix.
 func (s *Server) completeHash(prefix string) (string, error) {
 	prefix = strings.ToLower(prefix)
 	if len(prefix) == hashLength && strings.Trim(prefix, "0123456789abcdef") == "" {
@@ -154,7 +155,7 @@
 	for _, fact := range s.Members.Facts(member.FactFleet) {
 		fleet := &statepb.Fleet{}
 		if err := proto.Unmarshal(fact.GetValue(), fleet); err != nil {
-			klog.Warningf("operator: decode %s: %v", fact.GetName(), err)
+			klog.Warningf("operator: decoding fleet fact %s failed: %v", fact.GetName(), err)
 			continue
 		}
 		found = append(found, fleet.GetServers()...)
@@ -171,7 +172,7 @@
 	for _, value := range listed.Values {
 		holder, err := duty.ParseHolder(value)
 		if err != nil {
-			klog.Warningf("operator: decode %s: %v", value.Key, err)
+			klog.Warningf("operator: decoding duty holder %s failed: %v", value.Key, err)
 			continue
 		}
 		found = append(found, operatorpb.Holder_builder{
--- a/internal/operator/peers.go
+++ b/internal/operator/peers.go
@@ -19,9 +19,9 @@
 	callTimeout        = 2 * time.Second
 )
 
-// Peers calls the other processes on an operator's behalf. It closes its
-// connections after each answer: with 1,330 processes, open ones would outweigh
-// all other memory of an entry.
+// Peers calls other processes on an operator's behalf. It closes its connections after
+// each answer: with 1,330 processes, open connections would use more memory than the
+// rest of an entry.
 type Peers struct {
 	Members     *member.Members
 	Credentials credentials.TransportCredentials
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -37,7 +37,7 @@
 // maxBodyBytes fits the largest lists that the store accepts, as JSON.
 const maxBodyBytes = 4 << 20
 
-// Editor changes the configuration in the store.
+// Editor reads and changes the configuration in the store.
 type Editor interface {
 	Config(ctx context.Context) (*listpb.Config, uint64, error)
 	Grant(ctx context.Context, hash, account, operator string) (uint64, error)
@@ -136,14 +136,14 @@
 func writeResponse(w http.ResponseWriter, status int, message proto.Message) {
 	text, err := protojson.Marshal(message)
 	if err != nil {
-		klog.Errorf("operator: encode response: %v", err)
+		klog.Errorf("operator: encoding a response failed: %v", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if _, err := w.Write(text); err != nil {
-		klog.V(1).Infof("operator: write response: %v", err)
+		klog.V(1).Infof("operator: writing a response failed: %v", err)
 	}
 }
 
--- a/internal/operator/tokens.go
+++ b/internal/operator/tokens.go
@@ -12,7 +12,7 @@
 
 const hashLength = 64
 
-// Tokens identifies operators by their tokens, which are kept as hashes only.
+// Tokens identifies operators by the hashes of their tokens.
 type Tokens struct {
 	names  []string
 	hashes []string
--- a/internal/operator/usage.go
+++ b/internal/operator/usage.go
@@ -27,7 +27,7 @@
 	return reply, c.call(ctx, http.MethodGet, PathUsage, query, nil, reply)
 }
 
-// usage returns closed windows from the store, whose figures are the ones that are reported.
+// usage returns closed windows from the store, with the figures that are reported.
 func (s *Server) usage(ctx context.Context, _ string, r *http.Request) (proto.Message, error) {
 	text := r.URL.Query().Get(paramWindow)
 	start, err := strconv.ParseInt(text, 10, 64)
