--- a/internal/usage/collector.go
+++ b/internal/usage/collector.go
@@ -19,8 +19,8 @@
 // Collect returns the merged counters of the windows that start in [since, until)
 // and the names of the processes that did not answer.
 //
-// It queries the sidecars first. A sidecar's own counters are at least as recent
-// as any copy, so entries return only those of incarnations that did not answer.
+// Collect queries the sidecars first. A sidecar's own counters are at least as recent
+// as any copy, so entries return only the counters of incarnations that did not answer.
 func (c *Collector) Collect(ctx context.Context, since, until int64) ([]*peerpb.Count, []string) {
 	run := &collection{peers: c.Peers, merged: &Ledger{}}
 	request := peerpb.CollectRequest_builder{Since: since, Until: until}
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -19,8 +19,8 @@
 	mutex  sync.Mutex
 }
 
-// Add counts a completely delivered response and returns the counters that it
-// increased, so that the receiver of the response's end keeps a copy.
+// Add counts a completely delivered response. It returns the increased counters, which
+// are sent with the end of the response so that its receiver keeps a copy.
 func (c *Counter) Add(account, pool string, now time.Time, prompt, output uint64) []*peerpb.Count {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/usage/fleet_test.go
+++ b/internal/usage/fleet_test.go
@@ -25,7 +25,8 @@
 	reports   []platform.Usage
 	// loseReports is the number of reports whose response is lost.
 	loseReports int
-	// counters are those of sidecars; collected is the number of counters sent to reporters.
+	// counters are the counters of sidecars; collected is the number of counters sent
+	// to reporters.
 	counters  map[string]*usage.Counter
 	collected int
 }
--- a/internal/usage/pusher.go
+++ b/internal/usage/pusher.go
@@ -53,8 +53,8 @@
 	incarnation uint64
 }
 
-// Run pushes until the context ends, then once more: all requests have ended by
-// then, and only the entries that received the last responses hold copies of
+// Run pushes counters until the context ends, and then once more: by then all requests
+// have ended, and only the entries that received the last responses hold copies of
 // their counters.
 func (p *Pusher) Run(ctx context.Context) error {
 	p.acknowledged = map[entryIncarnation]uint64{}
@@ -93,14 +93,15 @@
 	p.acknowledged = acknowledged
 }
 
-// pushTo returns the sequence number up to which the entry holds the counters.
+// pushTo sends changed counters to an entry. It returns the sequence number up to which
+// the entry holds the counters.
 func (p *Pusher) pushTo(ctx context.Context, entry *peerpb.Process, acknowledged uint64) uint64 {
 	counts, next := p.Source.Changed(acknowledged)
 	if len(counts) == 0 {
 		return next
 	}
 	if err := p.Peers.Keep(ctx, entry, counts); err != nil {
-		klog.Warningf("usage: entry %s did not store %d counters: %v", entry.GetName(), len(counts), err)
+		klog.Warningf("usage: pushing to entry %s failed for %d counters: %v", entry.GetName(), len(counts), err)
 		return acknowledged
 	}
 	return next
--- a/internal/usage/replicaentries.go
+++ b/internal/usage/replicaentries.go
@@ -13,9 +13,9 @@
 // replicaCount is the number of entries that hold copies of a process's counters.
 const replicaCount = 2
 
-// ReplicaEntries returns the entries that hold copies of a process's counters: the first
-// by rendezvous hashing, each in a different zone and none in the zone of the
-// process, as far as there are enough zones. It skips draining entries.
+// ReplicaEntries returns the entries that hold copies of a process's counters: the
+// first in rendezvous hash order, in different zones and outside the zone of the
+// process if there are enough zones. It skips draining entries.
 func ReplicaEntries(process *peerpb.Process, entries []*peerpb.Process) []*peerpb.Process {
 	var live []*peerpb.Process
 	for _, entry := range entries {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -26,8 +26,8 @@
 	DutyName = "usage"
 	// KeyPrefix is the key prefix of closed windows in the store.
 	KeyPrefix = "usage/"
-	// maxCatchUp limits the windows closed one by one after an outage. Counts of
-	// older windows become late figures of the first one.
+	// maxCatchUp limits the windows closed one by one after an outage. Counts of older
+	// windows become late figures of the first window closed.
 	maxCatchUp = 48
 	// maxDeletes limits the expired windows deleted in one round.
 	maxDeletes = 4
@@ -127,7 +127,7 @@
 			return err
 		}
 		if err != nil && ctx.Err() == nil {
-			klog.Warningf("usage: round of window reports failed: %v", err)
+			klog.Warningf("usage: closing and reporting windows failed: %v", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -167,7 +167,7 @@
 	return r.Now()
 }
 
-// load reads all windows.
+// load reads all windows from the store.
 func (r *Reporter) load(ctx context.Context) error {
 	reply, err := r.Platform.List(ctx, KeyPrefix)
 	if err != nil {
@@ -189,8 +189,8 @@
 }
 
 // checkFence returns an error if a newer reporter wrote the window. If an earlier
-// one wrote it and the platform does not reject its late reports, checkFence delays
-// the first report.
+// reporter wrote the window and the platform does not reject late reports of that
+// reporter, checkFence delays the first report.
 func (r *Reporter) checkFence(window *statepb.Window) error {
 	own, other := r.term.Fence(), window.GetFence()
 	if other > own {
@@ -223,7 +223,7 @@
 	return due
 }
 
-// closeAndReport closes a window and reports it, unless that was done before.
+// closeAndReport closes and reports a window, without the steps that were done before.
 func (r *Reporter) closeAndReport(ctx context.Context, start int64) error {
 	if r.windows[start].window == nil {
 		if err := r.closeWindow(ctx, start); err != nil {
@@ -307,7 +307,8 @@
 	err := r.Platform.Report(ctx, newPlatformUsage(window, r.Process), guard)
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
-		// The platform has seen a newer term; this one must not send again.
+		// The platform has received a report of a newer term; this term must send no
+		// more.
 		return &SupersededError{Window: window.GetStart(), Fence: r.term.Fence(), Newer: conflict.Revision}
 	}
 	return err
@@ -332,7 +333,7 @@
 func (r *Reporter) update(ctx context.Context, window *statepb.Window, change func(*statepb.Window)) error {
 	next, ok := proto.Clone(window).(*statepb.Window)
 	if !ok {
-		return eris.New("usage: the clone of a window has an unexpected type")
+		return eris.New("usage: copy window: unexpected type")
 	}
 	change(next)
 	return r.write(ctx, next)
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -32,7 +32,7 @@
 // fences are the fencing tokens of the reporters in these tests.
 var fences = map[string]uint64{"e1": 1, "e2": 2}
 
-// billed returns the reported requests and counts each window once.
+// billed returns the number of reported requests, and counts each window once.
 func billed(t *testing.T, reports []platform.Usage) uint64 {
 	t.Helper()
 	windows := map[int64]platform.Usage{}
@@ -54,7 +54,7 @@
 	return sum
 }
 
-// countResponse counts a response, and stores copies of the counters at entries or sidecars.
+// countResponse counts a response and stores copies of the counters at the replicas.
 func countResponse(fleet *fleet, counter *usage.Counter, replicas ...string) {
 	counts := counter.Add("a", "m", time.Now(), 10, 20)
 	for _, replica := range replicas {
@@ -151,9 +151,9 @@
 	})
 }
 
-// Guards against reports of two processes that both consider themselves the
-// owner: the first pauses during a report, its lease expires, the second takes
-// over, and the first resumes. No report may arrive after one of the second.
+// Guards against reports of two processes that both consider themselves the owner: the
+// first pauses during a report, its lease expires, the second takes over, and the first
+// resumes. No report of the first may arrive after a report of the second.
 func TestReporterPaused(t *testing.T) {
 	tests := map[string]pausingPlatform{
 		"before the last check": {before: 10 * lease},
@@ -197,7 +197,7 @@
 	return p.fleet.Report(ctx, usage, func() error { return nil })
 }
 
-// Guards against late figures caused by a process that is unreachable for a moment.
+// Guards against late figures caused by a briefly unreachable process.
 func TestWaitsForUnreachableProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(entry("e1", "a"), entry("e2", "b"))
@@ -247,9 +247,9 @@
 	})
 }
 
-// Guards against not billing a delivered response: the host of its sidecar, or
-// that of the entry that received it, dies before the counter is pushed. The
-// loss of any one host must lose no counts.
+// Guards against not billing a delivered response: the host of the sidecar, or the host
+// of the entry that received the response, dies before the counter is pushed. The loss
+// of a single host must lose no counts.
 func TestSingleHostFailure(t *testing.T) {
 	sidecar := peerpb.Process_builder{Name: "s1", Zone: "a", Role: peerpb.Role_ROLE_SIDECAR, State: peerpb.State_STATE_LIVE}.Build()
 	for _, dies := range []string{"s1", "e1", "e2", "e3"} {
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -16,8 +16,8 @@
 	window  int64
 }
 
-// amounts is the usage of one figure.
-type amounts struct {
+// usageTotals holds the requests and tokens of one figure.
+type usageTotals struct {
 	requests     uint64
 	promptTokens uint64
 	outputTokens uint64
@@ -26,12 +26,12 @@
 // CloseWindow returns the figures of a window from merged counters and the windows
 // that were closed before it.
 //
-// Usage of an earlier window that no closed window includes is late: this window
-// includes it, marked with the start of its own window. Totals only grow with
-// the counters, so no usage is included twice. If counters are lost after they
-// were included, a total shrinks, and then nothing is late.
+// Usage of an earlier window is late if no closed window includes it. The figures then
+// include it, marked with the start of the earlier window. Totals only grow with the
+// counters, so no usage is included twice. If counters are lost after they were
+// included, a total shrinks, and the window has no late usage.
 func CloseWindow(start int64, counts []*peerpb.Count, closed []*statepb.Window) []*statepb.Figure {
-	included := map[figureKey]amounts{}
+	included := map[figureKey]usageTotals{}
 	for _, window := range closed {
 		addFigures(included, window)
 	}
@@ -41,7 +41,7 @@
 			continue
 		}
 		remaining := total.subtract(included[key])
-		if remaining == (amounts{}) {
+		if remaining == (usageTotals{}) {
 			continue
 		}
 		figure := statepb.Figure_builder{
@@ -60,14 +60,15 @@
 	return figures
 }
 
-// addFigures adds a closed window's figures, late ones under their own window.
-func addFigures(included map[figureKey]amounts, window *statepb.Window) {
+// addFigures adds the figures of a closed window to included, with late figures under
+// the earlier window that they belong to.
+func addFigures(included map[figureKey]usageTotals, window *statepb.Window) {
 	for _, figure := range window.GetFigures() {
 		key := figureKey{account: figure.GetAccount(), pool: figure.GetPool(), window: window.GetStart()}
 		if figure.GetLate() != 0 {
 			key.window = figure.GetLate()
 		}
-		included[key] = included[key].add(amounts{
+		included[key] = included[key].add(usageTotals{
 			requests:     figure.GetRequests(),
 			promptTokens: figure.GetPromptTokens(),
 			outputTokens: figure.GetOutputTokens(),
@@ -75,11 +76,11 @@
 	}
 }
 
-func sumCounts(counts []*peerpb.Count) map[figureKey]amounts {
-	totals := map[figureKey]amounts{}
+func sumCounts(counts []*peerpb.Count) map[figureKey]usageTotals {
+	totals := map[figureKey]usageTotals{}
 	for _, count := range counts {
 		key := figureKey{account: count.GetAccount(), pool: count.GetPool(), window: count.GetWindow()}
-		totals[key] = totals[key].add(amounts{
+		totals[key] = totals[key].add(usageTotals{
 			requests:     count.GetRequests(),
 			promptTokens: count.GetPromptTokens(),
 			outputTokens: count.GetOutputTokens(),
@@ -88,13 +89,13 @@
 	return totals
 }
 
-func (a amounts) add(other amounts) amounts {
-	return amounts{requests: a.requests + other.requests, promptTokens: a.promptTokens + other.promptTokens, outputTokens: a.outputTokens + other.outputTokens}
+func (a usageTotals) add(other usageTotals) usageTotals {
+	return usageTotals{requests: a.requests + other.requests, promptTokens: a.promptTokens + other.promptTokens, outputTokens: a.outputTokens + other.outputTokens}
 }
 
-// subtract returns the difference, with each amount at least 0.
-func (a amounts) subtract(other amounts) amounts {
-	return amounts{
+// subtract returns the differences, or 0 where a difference would be negative.
+func (a usageTotals) subtract(other usageTotals) usageTotals {
+	return usageTotals{
 		requests:     a.requests - min(a.requests, other.requests),
 		promptTokens: a.promptTokens - min(a.promptTokens, other.promptTokens),
 		outputTokens: a.outputTokens - min(a.outputTokens, other.outputTokens),
