--- a/internal/detour/detour.go
+++ b/internal/detour/detour.go
@@ -28,7 +28,7 @@
 	Method string
 	// Target is the path and query.
 	Target string
-	// Body is nil where there is none.
+	// Body is nil if the call has no body.
 	Body []byte
 	// Timeout bounds the wait for the response.
 	Timeout time.Duration
@@ -77,7 +77,7 @@
 // fields are set before the first call. It is safe for concurrent use.
 type Transport struct {
 	Direct *Direct
-	// Peers is nil where there are none.
+	// Peers is nil if there are no peers.
 	Peers Peers
 	// Metrics registers the transport's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
--- a/internal/detour/direct.go
+++ b/internal/detour/direct.go
@@ -21,10 +21,10 @@
 	// call or a connection attempt failed. It equals the retry delay of the components
 	// of a process, so that they share one call.
 	rejectionTTL = 100 * time.Millisecond
-	// maxResets is the number of consecutive calls without an answer before their
-	// timeout after which later calls are rejected locally. A smaller number is no sign
-	// of an outage: single connections, such as that of a waiting watch, are reset
-	// while the store is healthy.
+	// maxResets is the number of consecutive calls that fail without an answer before
+	// their timeout, after which later calls are rejected locally. Fewer failures are
+	// no sign of an outage: single connections, such as the connection of a waiting
+	// watch, are reset while the store is healthy.
 	maxResets = 2
 	// maxAnswerBytes exceeds the size of the store's largest page in base64.
 	maxAnswerBytes = 16 << 20
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -340,6 +340,6 @@
 // disconnected.
 func logWriteError(err error) {
 	if err != nil {
-		klog.V(1).InfoS("caller: disconnected before its response was written", "err", err.Error())
+		klog.V(1).InfoS("caller: writing the response failed; the caller has disconnected", "err", err.Error())
 	}
 }
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -193,7 +193,7 @@
 	}
 	connection, err := listen.Dial(host.GetAddress(), nil)
 	if err != nil {
-		klog.ErrorS(err, "hosts: connecting failed", "host", host.GetName())
+		klog.ErrorS(err, "hosts: connecting to a process failed", "host", host.GetName())
 		return nil
 	}
 	h.connections[host.GetAddress()] = connection
--- a/internal/gateway/keepers.go
+++ b/internal/gateway/keepers.go
@@ -68,10 +68,10 @@
 
 var _ batch.Keeper = &Keepers{}
 
-var errNoKeeper = eris.New("gateway: no keeper is known")
+var errNoKeeper = eris.New("gateway: append texts: no keeper is known")
 
 // Append replicates events to the keepers of a batch. Each keeper must hold all texts
-// of the batch: if one is added, Append returns ErrKeeperChanged, and the caller must
+// of the batch: if a keeper is added, Append returns ErrKeeperChanged, and the caller must
 // append all events again.
 //
 // Append skips a keeper for keeperCooldown after a failed call, since other keepers can
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -78,7 +78,7 @@
 // hopByHopHeaders are valid for a single connection.
 var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
 
-// endToEndHeaders returns the headers without the hop-by-hop ones.
+// endToEndHeaders returns the headers without hop-by-hop headers.
 func endToEndHeaders(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, line := range header["Connection"] {
--- a/internal/keeper/journal.go
+++ b/internal/keeper/journal.go
@@ -135,7 +135,7 @@
 	return j.size
 }
 
-// rewrite replaces the file by one that holds only these records.
+// rewrite replaces the journal file with a file that holds only the records.
 func (j *journal) rewrite(records []*statepb.Record) error {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
--- a/internal/member/connectionpool.go
+++ b/internal/member/connectionpool.go
@@ -23,7 +23,7 @@
 }
 
 // call runs do with a connection to the address. If do fails on a connection that
-// was already open, call retries once on a new one.
+// was already open, call retries once on a new connection.
 //
 // After a middlebox loses its state for a connection, the connection never gets an
 // answer again, while a new connection works. Without the retry a live process would be
--- a/internal/member/facts.go
+++ b/internal/member/facts.go
@@ -58,9 +58,9 @@
 
 // offer stores a fact if its revision is higher than the known one.
 //
-// A store watch or a process that was disconnected can deliver an older revision
-// after a newer one, which would revert the lists. Revisions only increase, so a
-// lower one is rejected from any source.
+// A store watch or a process that was disconnected can deliver an older revision after
+// a newer one, which would revert the lists. Revisions only increase, so a lower
+// revision is rejected from any source.
 func (f *facts) offer(fact *peerpb.Fact) bool {
 	known := f.byName[fact.GetName()]
 	if known != nil && known.GetRevision() >= fact.GetRevision() {
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -2,7 +2,7 @@
 // store to all processes by gossip.
 //
 // Protocol logic is separate from I/O: Members and Prober take the time as an
-// argument and send nothing; Exchanger carries their messages.
+// argument and send nothing; Exchanger sends their messages.
 package member
 
 import (
@@ -18,11 +18,11 @@
 )
 
 // FactConfig is the name of the fact that holds the lists and keys. Its value is
-// a listpb.Config, its revision that of the store's key "config".
+// a listpb.Config; its revision is the revision of the store key "config".
 const FactConfig = "config"
 
 // FactFleet is the prefix of the facts that hold a pool's backend servers. The
-// value is a statepb.Fleet, the revision that of the store's key "fleet/POOL".
+// value is a statepb.Fleet; the revision is the revision of the store key "fleet/POOL".
 const FactFleet = "fleet/"
 
 // startupPeriod is how long after its start a process attributes a higher
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -17,8 +17,8 @@
 	maxSyncBuckets = 4
 	// maxCorrections bounds the newer records sent in reply to outdated ones.
 	maxCorrections = 16
-	// smallClusterSize is the number of processes up to which the loads of others
-	// are passed on.
+	// smallClusterSize is the number of processes up to which a process forwards the
+	// loads of other backend servers.
 	smallClusterSize = 64
 	maxSentLoads     = 8
 	// maxSentDemandsLarge is the number of demands per message above smallClusterSize.
--- a/internal/member/prober_test.go
+++ b/internal/member/prober_test.go
@@ -119,8 +119,8 @@
 }
 
 // A frozen process is replaced by a process on another host. When the frozen process
-// resumes, it must detect that it was replaced, and its record must not replace the new
-// one.
+// resumes, it must detect that it was replaced, and its record must not replace that of
+// the new process.
 func TestLaterProcessReplaces(t *testing.T) {
 	p := newPair()
 	newer := entryRecord("b", 2)
@@ -150,7 +150,7 @@
 	must.Eq(t, "c2", findEntry(p.a, "c").GetAddress())
 }
 
-// Every process must be probed by another one, for any set of names.
+// Every process must be probed by another process, for any set of names.
 func TestEveryoneIsProbed(t *testing.T) {
 	all := map[string]*member.Members{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g"} {
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -46,7 +46,8 @@
 	// this process has to watch the store itself. If Follow is nil, this process always
 	// watches the store itself.
 	Follow func(ctx context.Context, prefix string, after uint64) (platform.ListReply, bool)
-	// IsWatcher reports whether others follow this process's watches; nil means yes.
+	// IsWatcher reports whether other processes follow this process's watches; nil
+	// means that they do.
 	IsWatcher func() bool
 	// Pause is the delay after a watch of the store that returned changes, so that
 	// changes in quick succession cost one call.
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -125,7 +125,7 @@
 	must.Eq(t, []string{"lost", "regained"}, events)
 }
 
-// Two gateways each assume that the other one watches the store. If each served the
+// Two gateways each assume that the other gateway watches the store. If each served the
 // other with changes received by following, neither would ever receive a change. A
 // process whose own watch is stale must refuse followers.
 func TestFollowEachOther(t *testing.T) {
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -211,7 +211,8 @@
 	return operatorpb.DrainReply_builder{Process: process.GetName(), Refusal: refusal}.Build(), nil
 }
 
-// findProcess returns the process with the name, or the one whose backend server has it.
+// findProcess returns the process with the name, or the process of the backend server
+// with the name, or nil.
 func findProcess(members *member.Members, name string) *peerpb.Process {
 	for _, role := range []peerpb.Role{peerpb.Role_ROLE_ENTRY, peerpb.Role_ROLE_SIDECAR} {
 		for _, process := range members.Processes(role) {
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -24,7 +24,7 @@
 	Once
 	// Stream requests are answered by an event stream.
 	Stream
-	// Batch routes accept many generations at once, which run later.
+	// Batch routes accept batches of many generations, which run later.
 	Batch
 )
 
@@ -102,7 +102,7 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority overrides that of the route if HasPriority is set.
+	// Priority overrides the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
--- a/internal/usage/collector_test.go
+++ b/internal/usage/collector_test.go
@@ -32,7 +32,7 @@
 }
 
 // Guards against lost counters of a restarted sidecar: its new incarnation
-// answers, and the entries must not exclude the counters of the old one.
+// answers, and the entries must not exclude the counters of the old incarnation.
 func TestCollectsFormerIncarnation(t *testing.T) {
 	fleet, collector := newCollection()
 	restarted := newCounter()
--- a/internal/usage/reported.go
+++ b/internal/usage/reported.go
@@ -7,7 +7,7 @@
 )
 
 // FactReported is the name of the fact that holds the start of the newest
-// reported window. Its revision is that of the window's key.
+// reported window. Its revision is the revision of the window's key.
 const FactReported = "usage-reported"
 
 // NewReported returns a fact for a reported window.
