--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// streamBody forwards the rest of an answer as it arrives. If the answer breaks off,
-// the response is aborted too: ended normally, it would look complete to the caller.
+// streamBody forwards the rest of an answer as it arrives. If the answer is cut off,
+// streamBody aborts the response, which would otherwise look complete to the caller.
 func streamBody(w http.ResponseWriter, answer *forward.Answer) {
 	next := answer.Next
 	if next == nil {
@@ -78,7 +78,7 @@
 // hopByHopHeaders are valid for a single connection.
 var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
 
-// endToEndHeaders returns the headers without the hop-by-hop ones.
+// endToEndHeaders returns the headers without hop-by-hop headers.
 func endToEndHeaders(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, line := range header["Connection"] {
