--- a/internal/batch/accept.go
+++ b/internal/batch/accept.go
@@ -20,8 +20,8 @@
 const codeStoreUnavailable = "store_away"
 
 // Accept stores a batch through this process or a preferred owner of its model. It returns nil
-// once the store holds the batch, also from an earlier attempt; any other result is a
-// *refusal.Error that says what is known.
+// once the store holds the batch, also from an earlier attempt; any error is a *refusal.Error
+// that states whether the batch may run.
 //
 // All batches of a model have the same owner: it alone knows how many slots of the model's
 // samplers are in use, and it reuses its connections from step to step.
@@ -46,20 +46,22 @@
 	return b.acceptOwn(ctx, batch, attempt{})
 }
 
-// attempt holds what is known of an attempt to accept a batch here.
+// attempt describes one attempt of this process to accept a batch.
 type attempt struct {
-	// mayBeAccepted says that an earlier attempt may have stored the batch.
+	// mayBeAccepted reports whether an earlier attempt may have stored the batch.
 	mayBeAccepted bool
-	// isPreferred says that this process is a preferred owner, so it may start the batch early.
+	// isPreferred reports whether this process is a preferred owner, which may start the batch
+	// early.
 	isPreferred bool
 }
 
 // acceptOwn accepts a batch with this process as its owner.
 //
-// A refusal promises that nothing of the batch runs. Once any attempt may have reached the
-// store, or the batch runs early, no later attempt can promise that, whatever answer it gets.
+// A NotRun refusal guarantees that no item of the batch runs. Once an attempt may have reached
+// the store, or the batch runs early, no later attempt returns NotRun, whatever the store
+// answers.
 func (b *Board) acceptOwn(ctx context.Context, batch *statepb.Batch, attempt attempt) error {
-	if b.drains() && b.earlyRunOf(batch.GetId()) == nil && !attempt.mayBeAccepted {
+	if b.hasDrainStarted() && b.earlyRunOf(batch.GetId()) == nil && !attempt.mayBeAccepted {
 		return refusal.NotRun(http.StatusServiceUnavailable, "draining", "this process was asked to stop").WithRetryAfter(storeRetryAfter)
 	}
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
@@ -89,7 +91,7 @@
 		if !attempt.mayBeAccepted {
 			return refusal.NotRun(http.StatusServiceUnavailable, codeStoreUnavailable, "the store does not take the batch").WithRetryAfter(storeRetryAfter)
 		}
-		klog.InfoS("batch: unknown whether the store holds it", "batch", batch.GetId(), "err", err.Error())
+		klog.InfoS("batch: commit to the store has an unknown result", "batch", batch.GetId(), "err", err.Error())
 		if !pause.For(ctx, writeRetryDelay) {
 			return errCommitUnknown()
 		}
@@ -168,7 +170,7 @@
 	return nil
 }
 
-func (b *Board) drains() bool {
+func (b *Board) hasDrainStarted() bool {
 	b.lock()
 	defer b.mutex.Unlock()
 	return b.isDraining
@@ -187,8 +189,8 @@
 	return true
 }
 
-// release ends a reservation. Meanwhile the watch may have seen a write of this process that
-// got no answer, so release resumes the batch in that case.
+// release ends a reservation. It resumes the batch if the watch has meanwhile shown that a write
+// without an answer made this process the owner.
 func (b *Board) release(id string) {
 	b.lock()
 	defer b.mutex.Unlock()
--- a/internal/batch/board.go
+++ b/internal/batch/board.go
@@ -16,28 +16,30 @@
 
 const (
 	// claimStagger is the delay between the claims of two candidates: a few round trips to the
-	// store, so that the second usually sees the claim of the first.
+	// store, so that the second candidate usually sees the claim of the first.
 	claimStagger = 150 * time.Millisecond
-	// ownerHeadStart is how long other processes leave an unowned batch to its last owner.
-	// After a store outage longer than a lease, all processes have lost their leases and get
-	// new ones shortly after each other; a batch claimed by another process then loses what was
-	// generated during the outage.
+	// ownerHeadStart is how long other processes wait before they claim a batch that has lost its
+	// owner, so that the last owner can claim it first. After a store outage longer than a lease,
+	// all processes have lost their leases and get new ones shortly after each other; a batch
+	// claimed by another process then loses the texts generated during the outage.
 	ownerHeadStart = 400 * time.Millisecond
 	// leasePollInterval is the time between two checks for a lease. It is short because
 	// trainers wait for a process that has just started.
 	leasePollInterval = 10 * time.Millisecond
 	// claimPollInterval is the time between two scans for batches without an owner.
 	claimPollInterval = 100 * time.Millisecond
-	// acceptTimeout bounds the attempts to find out what became of a batch whose write got no
-	// answer.
+	// acceptTimeout bounds all attempts to accept a batch, including retries after a write
+	// without an answer.
 	acceptTimeout = 1500 * time.Millisecond
-	// storeRetryAfter is when a trainer should retry while the store is unavailable.
+	// storeRetryAfter is the delay after which a trainer should retry while the store is
+	// unavailable.
 	storeRetryAfter = 300 * time.Millisecond
-	// peerAcceptTimeout bounds the wait for another process to accept a batch: many times what
-	// that takes with a healthy store. After it, this process accepts the batch itself.
+	// peerAcceptTimeout bounds the wait for another process to accept a batch: many times the
+	// usual duration with a healthy store. After the timeout, this process accepts the batch
+	// itself.
 	peerAcceptTimeout = 600 * time.Millisecond
-	// handoverTimeout bounds what a stopping process does for a batch: finishing a write in
-	// flight, calls to two successors, to keepers, and to the store.
+	// handoverTimeout bounds the handover of a batch by a stopping process: a write in flight,
+	// and calls to two successors, to keepers and to the store.
 	handoverTimeout = 2500 * time.Millisecond
 )
 
@@ -52,14 +54,14 @@
 type Peers interface {
 	// Accept asks another process to accept a batch. An error means that the result is unknown.
 	Accept(ctx context.Context, host string, batch *statepb.Batch) (Acceptance, error)
-	// HandOver asks another process to continue a batch of this one. An error means that it is
-	// unknown whether it does.
+	// HandOver asks another process to continue a batch of this process. An error means that the
+	// result is unknown.
 	HandOver(ctx context.Context, host string, state Handover) (taken bool, err error)
 }
 
 // Route is the configuration that applies to a batch.
 type Route struct {
-	// Pool runs the batch; "" once its route has been removed.
+	// Pool is the pool that runs the batch; "" if the route has been removed.
 	Pool  string
 	Rules Rules
 }
@@ -79,8 +81,8 @@
 	// Lease returns the lease that registers this process with the store, or 0 while it has
 	// none.
 	Lease func() uint64
-	// Candidates returns the live processes that are not leaving, the best candidate for a piece
-	// of work first.
+	// Candidates returns the live processes that are not leaving, by descending preference for a
+	// piece of work.
 	Candidates func(work string) []string
 	// IsLeaving reports whether a process was asked to stop.
 	IsLeaving func(host string) bool
@@ -108,12 +110,12 @@
 	ownerRevisions map[string]uint64
 	openRevisions  map[string]uint64
 	claiming       map[string]bool
-	// stored holds since when this process knows that the store has a batch, open or ended, and
-	// accounts the account of that batch. removing holds the batches that it is deleting from
-	// the store.
+	// stored maps each batch in the store, open or ended, to the time when this process first saw
+	// it; accounts maps each of them to its account. removing holds the batches that this process
+	// is deleting from the store.
 	stored   map[string]clock.Boot
 	accounts map[string]string
-	// ended holds the stored batches whose end was seen.
+	// ended holds the stored batches whose end the watch has shown.
 	ended      map[string]bool
 	removing   map[string]bool
 	isDraining bool
@@ -178,9 +180,9 @@
 	b.tasks.Wait()
 }
 
-// startTask runs a task in the background unless the board has ended: the watch delivers
-// changes as long as the process lives, and finish would not wait for a task started later. The
-// mutex must be held.
+// startTask runs a background task unless the board has ended. The watch delivers changes until
+// the process exits, and finish would not wait for a task started after its call. The mutex must
+// be held.
 func (b *Board) startTask(task func()) {
 	if b.ctx.Err() == nil {
 		b.tasks.Go(task)
@@ -228,9 +230,9 @@
 
 // start runs a batch that this process owns. The mutex must be held.
 //
-// A process that is asked to stop while it accepts or claims a batch hands this one over as
-// well. Otherwise it would keep the batch until it exits, and everything generated since the
-// texts were last sent to a keeper would be lost.
+// A process that is asked to stop while it accepts or claims a batch hands over that batch too.
+// Otherwise it would run the batch until it exits, and all text generated since the last transfer
+// to a keeper would be lost.
 func (b *Board) start(state Handover, accepted clock.Boot) {
 	batch := state.Batch
 	route, _ := b.Routes(batch)
@@ -311,7 +313,7 @@
 // one account are ordered by step, all others by arrival.
 //
 // When all processes restart, the batches of a trainer are loaded in any order. Without this
-// rule, the younger one could take every slot while the trainer waits for the older.
+// rule, the younger batch could take every slot while the trainer waits for the older one.
 func isBefore(next, owned *statepb.Batch) bool {
 	return next.GetAccount() == owned.GetAccount() && next.GetStep() < owned.GetStep()
 }
--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -69,7 +69,7 @@
 	return r.route, r.known
 }
 
-// process is a board on a store, with the watch that feeds it.
+// process is a board with a store and a watch that delivers the store's changes.
 type process struct {
 	*Board
 
@@ -192,8 +192,8 @@
 	must.NoError(t, board.Run(ctx))
 }
 
-// The store commits a batch and its answer is lost. The trainer must not be told "not run", and
-// the batch must run once.
+// The store commits a batch and its answer is lost. The trainer must not get a NotRun refusal,
+// and the batch must run once.
 func TestAcceptWithoutAnswer(t *testing.T) {
 	store := &platformtest.Store{}
 	p := startProcess(t, store, "g1", "g1")
@@ -202,15 +202,15 @@
 	await(t, func() bool { return p.holds() })
 }
 
-// timeoutPeer does not answer whether it accepted a batch.
+// timeoutPeer is a peer whose answers to Accept never arrive.
 type timeoutPeer struct{ noopPeer }
 
 func (timeoutPeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
 	return Refused, context.DeadlineExceeded
 }
 
-// A batch was sent to its owner and no answer came, and the gateway cannot reach the store
-// either. It must not say "not run" of a batch that may run.
+// A gateway gets no answer from the owner of a batch and cannot reach the store either. It must
+// not answer NotRun for a batch that may run.
 func TestPeerTimeout(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1", "g2")
 	p.Peers = timeoutPeer{}
--- a/internal/batch/changes.go
+++ b/internal/batch/changes.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// applyStored records whether the store holds anything of a batch. Once it holds nothing, the
-// batch is dropped from memory too, since every gateway watches every batch.
+// applyStored records whether the store holds any key of a batch. Once the store holds none, the
+// batch is removed from memory too, because every gateway watches every batch.
 func (b *Board) applyStored(id string, change platform.Value) {
 	if change.Deleted {
 		delete(b.stored, id)
@@ -85,7 +85,7 @@
 	owned := b.owned[id]
 	switch {
 	case process != b.Process && owned != nil:
-		klog.InfoS("batch: another process is the owner now", "batch", id, "owner", process)
+		klog.InfoS("batch: stopped because another process owns it now", "batch", id, "owner", process)
 		owned.cancel()
 		delete(b.owned, id)
 		b.endEarly(owned)
@@ -113,12 +113,12 @@
 	return id, owner.GetProcess(), true
 }
 
-// resume runs an open batch that this process owns and does not run: a write of this process
-// was committed without an answer, or an earlier process of the same name was the owner. The
-// mutex must be held.
+// resume starts an open batch that this process owns but does not run. That happens after a write
+// of this process was committed without an answer, or if a previous process of the same name was
+// the owner. The mutex must be held.
 //
 // A restarted process sees the keys of all batches it owned before, most of which have ended;
-// loading these too would delay the ones still open.
+// loading the ended ones would delay the open ones.
 func (b *Board) resume(id string) {
 	if b.owners[id] != b.Process || b.owned[id] != nil || !b.open[id] || b.claiming[id] {
 		return
--- a/internal/batch/claim.go
+++ b/internal/batch/claim.go
@@ -44,9 +44,9 @@
 // claimDelay returns how long after a batch has lost its owner this process may claim it. The
 // mutex must be held.
 //
-// The last owner comes first: it may be alive and have lost only its lease in a store outage,
-// and it has everything generated for the batch. If it has announced that it leaves, nobody
-// waits for it.
+// The last owner claims first: it may have lost only its lease in a store outage and still hold
+// all text generated for the batch. If the last owner is leaving, other processes do not wait for
+// it.
 func (b *Board) claimDelay(id, lastOwner string) time.Duration {
 	if b.owned[id] != nil {
 		return 0
@@ -66,7 +66,7 @@
 	ownership, err := b.writeOwner(ctx, id, claimConditions(id, owned)...)
 	var conflict *platform.ConflictError
 	if owned != nil && errors.As(err, &conflict) && hasChunk(conflict, id) {
-		klog.InfoS("batch: another owner has listed more outcomes", "batch", id)
+		klog.InfoS("batch: evicted because another owner has listed more outcomes", "batch", id)
 		b.evict(id, owned)
 	}
 	if err != nil {
@@ -88,12 +88,12 @@
 	b.adopt(ctx, id, ownership)
 }
 
-// claimConditions returns what a claim expects of the store: the batch has no owner and, if
-// this process held it before, nobody has listed more outcomes since.
+// claimConditions returns the conditions under which the store commits a claim: the batch has no
+// owner and, if this process owned it before, no other process has listed outcomes since.
 //
-// Between two claims of one process, another one may have owned the batch, listed outcomes and
-// died while this one could not reach the store. With the first condition alone, this process
-// would list its own outcomes at positions where clients have read others.
+// While this process could not reach the store, another process may have owned the batch, listed
+// outcomes and died. Under the first condition alone, this process would list its own outcomes at
+// positions where clients have already read different ones.
 func claimConditions(id string, owned *ownedBatch) []platform.Expect {
 	expect := []platform.Expect{{Key: ownerKey(id)}}
 	if owned != nil {
@@ -108,7 +108,8 @@
 	})
 }
 
-// evict stops a batch here and keeps its texts for when it is loaded again.
+// evict stops a batch on this process and keeps its texts, which are reused if the batch is
+// loaded again.
 func (b *Board) evict(id string, owned *ownedBatch) {
 	owned.cancel()
 	<-owned.stopped
@@ -122,7 +123,7 @@
 	}
 }
 
-// reload continues a batch that this process owns from what the store holds of it.
+// reload evicts a batch that this process owns and resumes it from the store.
 func (b *Board) reload(id string, owned *ownedBatch) {
 	b.evict(id, owned)
 	b.lock()
@@ -150,11 +151,11 @@
 // reclaim rewrites the owner key of a batch that this process owns, then loads and runs the
 // batch.
 //
-// The former process of this name, or an earlier attempt of this one, may have a chunk in
-// flight that the store commits after the batch was loaded here: some readers would see it and
-// others not, and no chunk of this process would fit behind it. That write expects the former
-// revision of the owner key, so the new revision makes it fail. The new key also ends with the
-// lease of this process, not with that of the former one.
+// A previous process of this name, or an earlier attempt of this process, may have a chunk in
+// flight that the store commits after this process has loaded the batch. Some readers would then
+// see that chunk and others not, and no chunk of this process could follow it. The write of that
+// chunk expects the former revision of the owner key, so a new revision makes it fail. The
+// rewritten key also expires with the lease of this process instead of the previous one's.
 func (b *Board) reclaim(ctx context.Context, id string, revision uint64) {
 	for ctx.Err() == nil && b.ownsAt(id, revision) {
 		if b.Lease() == 0 {
@@ -190,7 +191,8 @@
 		return
 	}
 	if b.ownerRevisions[id] > ownership.Revision {
-		// The owner key was rewritten, so chunks that expect the former revision are refused.
+		// The owner key was rewritten, so the store rejects chunks that expect the former
+		// revision.
 		b.resume(id)
 		return
 	}
@@ -219,8 +221,8 @@
 }
 
 // load fetches a batch, its listed outcomes and the partial texts of keepers in parallel, since
-// each may be a megabyte. It does not fetch again the texts that an earlier attempt returned:
-// nobody adds to them while the batch has no other owner.
+// each may be a megabyte. It does not fetch partial texts again that an earlier attempt returned,
+// because no other process adds to them while this one owns the batch.
 func (b *Board) load(ctx context.Context, id string, partials []*statepb.Partial) (*statepb.Batch, []*statepb.Outcome, []*statepb.Partial, error) {
 	var batch *statepb.Batch
 	var listed []*statepb.Outcome
--- a/internal/batch/claim_test.go
+++ b/internal/batch/claim_test.go
@@ -30,7 +30,7 @@
 }
 
 // A restarted gateway sees the keys of all batches that it owned, most of which have ended.
-// Loading those from the store and from keepers delayed the texts of the open ones, which were
+// Loading the ended ones from the store and from keepers delayed the open ones, whose texts were
 // generated again.
 func TestEndedBatchesAreNotRead(t *testing.T) {
 	store := &countingStore{Store: &platformtest.Store{}}
@@ -84,7 +84,7 @@
 		p.mutex.Unlock()
 		owner.mutex.Lock()
 		defer owner.mutex.Unlock()
-		return owner.waiting.Load() > 0 && owner.isFirst()
+		return owner.waiting.Load() > 0 && owner.hasPrecedence()
 	}
 	await(t, func() bool { return isFirst("b0") })
 	must.False(t, isFirst("b1"))
@@ -92,7 +92,7 @@
 }
 
 // A gateway claims a batch and is asked to stop before it has loaded it. Without a handover it
-// ran the batch for two more seconds, and what it had generated was lost when it exited.
+// ran the batch for two more seconds, and the texts generated meanwhile were lost when it exited.
 func TestStoppedWhileClaiming(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
@@ -113,9 +113,9 @@
 	})
 }
 
-// A stopping gateway hands its batch over, so the next one need not wait for it. A gateway
-// whose lease expired in a store outage may be alive: if others claim its batch at once, the
-// batch loses what was generated meanwhile.
+// A stopping gateway hands its batch over, so other gateways claim the batch without waiting for
+// the stopping one. A gateway whose lease expired in a store outage may still run: if others claim
+// its batch at once, the texts generated meanwhile are lost.
 func TestClaimDelay(t *testing.T) {
 	hosts := []string{"g1", "g2", "g3"}
 	order := duty.Order("b1", hosts)
@@ -127,8 +127,8 @@
 	must.Eq(t, 0, board.claimDelay("b1", "g1"))
 }
 
-// The lease of an owner ends and another process takes the batch over. The old owner, which
-// does not know this yet, must not be able to list anything.
+// The lease of an owner expires and another process takes the batch over. The old owner, which
+// has not detected this yet, must not list any outcome.
 func TestTakeover(t *testing.T) {
 	store := &platformtest.Store{}
 	first, second := startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g1", "g2")
@@ -142,7 +142,7 @@
 	must.Eq(t, 0, len(second.outcomes(t)))
 }
 
-// The lease of a live owner lapses in a store outage. The owner claims its batch again before
+// The lease of a running owner expires in a store outage. The owner claims its batch again before
 // others do, and continues to list outcomes.
 func TestClaimedAgain(t *testing.T) {
 	store := &platformtest.Store{}
@@ -160,7 +160,8 @@
 	})
 }
 
-// A draining process gives its batches up at once, so that nobody waits for its lease to end.
+// A draining process gives up its batches at once, so that no other process waits for its lease
+// to expire.
 func TestDrain(t *testing.T) {
 	store := &platformtest.Store{}
 	first, second := startProcess(t, store, "g1", "g1", "g2"), startProcess(t, store, "g2", "g1", "g2")
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// takeoverTimeout bounds the write that takes a batch over from its owner: several writes
-	// of a slow store.
+	// takeoverTimeout bounds the write that takes a batch over from its owner: several times the
+	// duration of a write to a slow store.
 	takeoverTimeout = 400 * time.Millisecond
-	// handoverCallTimeout bounds a call that hands a batch over: the write, and the transfer of
-	// a one-megabyte batch over a narrow link to a small host. An owner that gives up sooner
-	// falls back to the store although the batch was taken, and its readers are not sent to the
-	// next owner.
+	// handoverCallTimeout bounds a call that hands a batch over: the write, and the transfer of a
+	// one-megabyte batch over a narrow link to a small host. An owner with a shorter timeout
+	// falls back to the store although the next owner has taken the batch, and does not redirect
+	// its readers there.
 	handoverCallTimeout = 600 * time.Millisecond
 	// storeProbeTimeout bounds a probe of the store: many times its usual response time.
 	storeProbeTimeout = 400 * time.Millisecond
 	// shutdownReserve is what a process needs after the handover to finish its last requests.
 	shutdownReserve = time.Second
-	// maxSuccessors is how many processes are candidates for the batches of a model, and how
-	// many are asked to continue a batch.
+	// maxSuccessors is the maximum number of preferred owners of a model's batches, and of
+	// processes that are asked to continue a batch.
 	maxSuccessors = 2
 )
 
 // Drain hands over all batches: it stops their runs and passes their state to the next owners,
-// which continue at once without losing anything.
+// which continue the batches at once without loss.
 func (b *Board) Drain(ctx context.Context) {
 	b.lock()
 	b.isDraining = true
@@ -73,8 +73,8 @@
 
 // awaitStore waits until the store answers, while the batches keep running.
 //
-// No process can take a batch over without the store. An owner that stopped its runs in an
-// outage and exited before the store was back would lose their texts.
+// No process can take a batch over without the store. An owner that stopped its runs during an
+// outage and exited before the store recovered would lose their texts.
 func (b *Board) awaitStore(ctx context.Context) {
 	began := clock.Now()
 	for ctx.Err() == nil && !b.isStoreReachable(ctx) {
@@ -94,8 +94,8 @@
 	return err == nil || errors.As(err, &missing)
 }
 
-// awaitCommitted waits until it is known whether the store holds a batch: before that no other
-// process can continue it.
+// awaitCommitted waits until it is known whether the store holds a batch. Until then, no other
+// process can continue the batch.
 func awaitCommitted(ctx context.Context, owned *ownedBatch) {
 	if owned.early != nil {
 		owned.early.await(ctx)
@@ -115,12 +115,12 @@
 	Partials []*statepb.Partial
 }
 
-// handOver stops a batch here and has another process continue it: by a call to that process if
-// it answers, else through a keeper and the store.
+// handOver stops a batch on this process and passes it to another one: by a call if a successor
+// answers, otherwise through a keeper and the store.
 //
-// Through the store, the next owner learns of the batch from a watch, waits for its claim
-// delay, claims the batch and loads it. Meanwhile nothing of the batch runs, and outcomes that
-// are not listed yet are lost.
+// The handover through the store is slower: the next owner sees the change in its watch, waits
+// for its claim delay, claims the batch and loads it. Meanwhile no item of the batch runs, and
+// outcomes that are not listed yet are lost.
 func (b *Board) handOver(ctx context.Context, id string, owned *ownedBatch) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -137,14 +137,15 @@
 		Expect: []platform.Expect{{Key: ownerKey(id), Revision: owned.ledger.currentOwnership().Revision}},
 		Remove: []string{ownerKey(id)},
 	})
-	klog.InfoS("batch: removing its owner key", "batch", id, "err", err)
+	klog.InfoS("batch: removing the owner key for a handover", "batch", id, "err", err)
 }
 
 // offerToSuccessors asks the next candidates in turn to continue a stopped batch, and reports
 // whether one does.
 //
-// In a rolling restart the first one may be stopping too, or gone. If it took the batch without
-// answering, the next one cannot take it as well, since the owner key has changed.
+// In a rolling restart the first candidate may be stopping too, or have exited. If it took the
+// batch but its answer was lost, the second candidate cannot take the batch as well, because the
+// owner key has changed.
 func (b *Board) offerToSuccessors(ctx context.Context, id string, owned *ownedBatch) bool {
 	state, isComplete := b.handoverState(id, owned)
 	if !isComplete {
@@ -170,7 +171,7 @@
 	return taken
 }
 
-// markHandedOver sends readers to the next owner of a batch at once.
+// markHandedOver records the next owner of a batch, so that readers are redirected at once.
 func (b *Board) markHandedOver(id, successor string) {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -207,11 +208,11 @@
 }
 
 // TakeHandover continues a batch that another process has stopped. An error means that it is
-// unknown whether this process owns the batch now; if it does, it runs the batch once the watch
-// reports that.
+// unknown whether this process now owns the batch; if so, the batch runs once the watch reports
+// the ownership.
 //
-// The batch must be unchanged since the other process stopped it: if its trainer has ended it,
-// or another process has claimed it, the store refuses.
+// The batch must be unchanged since the other process stopped it: if its trainer has ended it, or
+// another process has claimed it, the store rejects the takeover.
 func (b *Board) TakeHandover(ctx context.Context, state Handover) (bool, error) {
 	id := state.Batch.GetId()
 	// To the store, a revision of 0 means that the batch is not open, or has no owner.
@@ -245,7 +246,7 @@
 }
 
 // reserveForTakeover keeps the watch from adopting a batch that is being taken over from its
-// owner. It returns false if this process is draining, or has the batch already.
+// owner. It returns false if this process is draining, or already runs or reserves the batch.
 func (b *Board) reserveForTakeover(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -256,7 +257,7 @@
 	return true
 }
 
-// AddPending adds outcomes that an earlier owner had and did not list.
+// AddPending adds the outcomes that the previous owner had not listed yet.
 func (p *Plan) AddPending(outcomes []*statepb.Outcome) {
 	for _, outcome := range outcomes {
 		if item := p.byID[outcome.GetItem()]; item != nil {
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// setUpDrain returns a process that owns batch b1, and the process that comes next. One text of
-// the batch is complete and not listed, and another one has an event.
+// setUpDrain returns a process that owns batch b1, and its successor. One text of the batch is
+// complete and not listed, and another one has an event.
 func setUpDrain(t *testing.T) (store *platformtest.Store, first, second *process) {
 	t.Helper()
 	store = &platformtest.Store{}
@@ -63,8 +63,8 @@
 	})
 }
 
-// setUpDrainWithLateStore returns a process that owns batch b1 and whose store answers late,
-// and the process that comes next.
+// setUpDrainWithLateStore returns a process that owns batch b1 and whose store answers late, and
+// its successor.
 func setUpDrainWithLateStore(t *testing.T) (ownStore *lateStore, first, second *process) {
 	t.Helper()
 	store := &platformtest.Store{}
@@ -207,8 +207,8 @@
 	return u.nextOwner.HandOver(ctx, host, state)
 }
 
-// Several gateways stop at the same time, the next owner of a batch among them. If only that
-// one is asked, everything generated for the batch is lost.
+// Several gateways stop at the same time, including the next owner of a batch. If no other
+// candidate is asked, all text generated for the batch is lost.
 func TestHandoverToSecondCandidate(t *testing.T) {
 	store := &platformtest.Store{}
 	first, third := startProcess(t, store, "g1", "g1", "g2", "g3"), startProcess(t, store, "g3", "g1", "g2", "g3")
@@ -230,7 +230,7 @@
 			first.Drain(context.Background())
 			close(drained)
 		}()
-		await(t, first.drains)
+		await(t, first.hasDrainStarted)
 		time.Sleep(3 * writeRetryDelay)
 		must.False(t, isClosed(drained))
 		must.False(t, isClosed(owned.stopped))
--- a/internal/batch/earlyrun.go
+++ b/internal/batch/earlyrun.go
@@ -15,13 +15,12 @@
 
 const (
 	// earlyStartDelay is how long the store may take to accept a batch before the batch starts
-	// without it: many times its usual response time.
+	// without waiting for the store: many times its usual response time.
 	earlyStartDelay = 150 * time.Millisecond
 	// pendingPollInterval is the time between two checks whether the store holds a batch that
 	// another process runs early.
 	pendingPollInterval = 20 * time.Millisecond
-	// earlyTimeout bounds how long a batch runs that the store is not known to hold: the time
-	// in which trainers retry a step.
+	// earlyTimeout bounds how long a batch runs early. Trainers retry a step for the same time.
 	earlyTimeout = 10 * time.Second
 )
 
@@ -30,9 +29,9 @@
 
 // Acceptances.
 const (
-	// Refused means that the process knows nothing of the batch.
+	// Refused means that the process has not accepted the batch and does not run it.
 	Refused Acceptance = iota
-	// Pending means that the batch runs there and is not known to be in the store yet.
+	// Pending means that the process runs the batch early: the store is not known to hold it yet.
 	Pending
 	// Accepted means that the store holds the batch.
 	Accepted
@@ -45,16 +44,16 @@
 
 // earlyRun tracks a batch that runs before the store is known to hold it.
 //
-// Generating texts needs no store, and the longest text of a step takes nearly all of the
-// step's time. So texts are generated while the store is unavailable, and none is shown before
-// the store holds the batch. Until then, trainers are told that the batch may run.
+// Text generation needs no store, and the longest text of a step takes nearly all of the step's
+// time. So texts are generated while the store is unavailable, but are not returned to readers
+// before the store holds the batch. Until then, answers to trainers state that the batch may run.
 type earlyRun struct {
 	// done is closed once the store is known to hold the batch, or the batch is given up.
 	done   chan struct{}
 	isDone bool
 }
 
-// await waits until the batch is no longer early, or the context ends.
+// await waits until the early run or the context ends.
 func (e *earlyRun) await(ctx context.Context) {
 	select {
 	case <-e.done:
@@ -69,7 +68,7 @@
 	return order[:min(len(order), maxSuccessors)]
 }
 
-// rankedOwners returns all processes as candidates for the batches of a model.
+// rankedOwners returns the candidates for the batches of a model, by descending preference.
 func (b *Board) rankedOwners(model string) []string { return b.Candidates("model/" + model) }
 
 // startEarly starts a batch that the store is not known to hold.
@@ -104,7 +103,7 @@
 	if b.ctx.Err() != nil || b.earlyRunOf(id) != owned.early {
 		return
 	}
-	klog.InfoS("batch: given up, the store did not accept it", "batch", id)
+	klog.InfoS("batch: given up because the store did not accept it in time", "batch", id)
 	b.evict(id, owned)
 	b.Keeper.Drop(b.ctx, id)
 	b.lock()
@@ -119,15 +118,15 @@
 	}
 }
 
-// isCommitting reports whether a write of the batch is in flight: a second one would share the
-// link with it.
+// isCommitting reports whether a write of the batch is in flight. A second write would compete
+// with it for the link.
 func (b *Board) isCommitting(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
 	return b.claiming[id]
 }
 
-// endEarly records that a batch is no longer early. The mutex must be held.
+// endEarly ends the early run of a batch, if it has one. The mutex must be held.
 func (b *Board) endEarly(owned *ownedBatch) {
 	if owned == nil || owned.early == nil || owned.early.isDone {
 		return
@@ -136,7 +135,7 @@
 	close(owned.early.done)
 }
 
-// earlyRunOf returns the early run of a batch, or nil if it is not early here.
+// earlyRunOf returns the early run of a batch, or nil if this process does not run it early.
 func (b *Board) earlyRunOf(id string) *earlyRun {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -171,7 +170,8 @@
 	b.endEarly(owned)
 }
 
-// awaitEarly waits until it is known what became of an early batch.
+// awaitEarly waits until the early run of a batch or the context ends, and returns nil if the
+// store holds the batch.
 func (b *Board) awaitEarly(ctx context.Context, early *earlyRun, id string) error {
 	early.await(ctx)
 	if b.isAccepted(id) {
@@ -180,15 +180,14 @@
 	return errCommitUnknown()
 }
 
-// errCommitUnknown returns the refusal for a batch of which it is unknown whether the store
-// holds it.
+// errCommitUnknown returns the refusal for a commit whose result is unknown.
 func errCommitUnknown() error {
 	return refusal.Unknown(http.StatusGatewayTimeout, "store_silent", "it is not known whether the store holds the batch").WithRetryAfter(storeRetryAfter)
 }
 
 // AcceptForPeer accepts a batch on behalf of another process, and returns within the wait. An
-// error means that the result is unknown. The attempt continues after the wait: a large batch
-// takes the store longer than the other process waits.
+// error means that the result is unknown. The attempt continues after the wait: storing a large
+// batch takes longer than the other process waits.
 func (b *Board) AcceptForPeer(ctx context.Context, batch *statepb.Batch, wait time.Duration) (Acceptance, error) {
 	if b.isAccepted(batch.GetId()) {
 		return Accepted, nil
--- a/internal/batch/earlyrun_test.go
+++ b/internal/batch/earlyrun_test.go
@@ -26,8 +26,8 @@
 	return p.processes[host].AcceptForPeer(ctx, batch, 300*time.Millisecond)
 }
 
-// mustBeUnknown checks that a trainer was told neither that its batch is accepted nor that
-// nothing of it runs.
+// mustBeUnknown checks that an answer to a trainer states neither that the batch is accepted nor
+// that no item of it runs.
 func mustBeUnknown(t *testing.T, err error) {
 	t.Helper()
 	must.Error(t, err)
@@ -119,7 +119,7 @@
 			p.Drain(context.Background())
 			close(drained)
 		}()
-		await(t, func() bool { return p.drains() })
+		await(t, func() bool { return p.hasDrainStarted() })
 		must.False(t, isClosed(drained))
 		store.SetUnavailable(false)
 		<-drained
@@ -158,7 +158,7 @@
 	return Pending, nil
 }
 
-// Guards against a trainer's call that lasts as long as the store is unavailable.
+// Guards against a trainer's call that blocks until the store is available again.
 func TestPendingTimesOut(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g2")
 	p.Peers = pendingPeer{}
--- a/internal/batch/keep.go
+++ b/internal/batch/keep.go
@@ -15,28 +15,28 @@
 const (
 	// keepInterval is the time between two checks for events that the keeper lacks.
 	keepInterval = 500 * time.Millisecond
-	// maxKeepInterval bounds that time after failures.
+	// maxKeepInterval bounds the interval, which doubles after each failure.
 	maxKeepInterval = 4 * time.Second
 	// maxKeepAttempts is how many keepers are tried when a batch is handed over through the
 	// store.
 	maxKeepAttempts = 3
 	// minKeepAge is how long a run must last before its text is kept: half of all texts are
-	// complete before that, and take no longer to generate again.
+	// complete earlier, and generating them again takes no longer.
 	minKeepAge = time.Second
 )
 
-// ErrKeeperChanged means that the texts of a batch go to another keeper from now on, which has
-// none of them yet.
+// ErrKeeperChanged means that the texts of a batch now go to another keeper, which has none of
+// them yet.
 var ErrKeeperChanged = errors.New("batch: switched to another keeper")
 
 // Keeper stores incomplete texts on hosts with disks.
 type Keeper interface {
-	// Append stores events. After an error it is unknown what the keeper has; after
-	// ErrKeeperChanged it has nothing.
+	// Append stores events. After an error it is unknown which events the keeper has; after
+	// ErrKeeperChanged it has none.
 	Append(ctx context.Context, batch string, parts []*statepb.Part) error
-	// Fetch returns what is stored of a batch, as far as keepers answer.
+	// Fetch returns the stored texts of a batch from the keepers that answer.
 	Fetch(ctx context.Context, batch string) []*statepb.Partial
-	// Drop deletes a batch.
+	// Drop deletes the texts of a batch.
 	Drop(ctx context.Context, batch string)
 }
 
@@ -45,9 +45,9 @@
 // Without a keeper, an owner that dies loses what its samplers have generated, and the longest
 // texts of a step take nearly all of the step's time.
 //
-// After a failure everything is sent again, with growing delays: repeated at full rate to a
-// keeper behind a saturated link, the texts keep the link saturated, and the owner's writes to
-// the store get no answers.
+// After a failure all texts are sent again, with a growing delay. Resent at the full rate over a
+// saturated link, they would keep the link saturated, and the owner's writes to the store would
+// get no answers.
 func (o *owner) keep(ctx context.Context) {
 	wait := keepInterval
 	for pause.For(ctx, wait) {
@@ -66,8 +66,9 @@
 	return run == nil || clock.Now().Sub(run.startedAt) >= minKeepAge
 }
 
-// keepLast sends all texts to a keeper before the batch is given up, and retries at once, with
-// the next keeper if one does not answer. There is no later chance.
+// keepLast sends all texts to a keeper before this process gives up the batch. It retries at
+// once, with the next keeper if the previous one does not answer, because no later attempt is
+// possible.
 func (o *owner) keepLast(ctx context.Context) {
 	for range maxKeepAttempts {
 		if ctx.Err() != nil || o.keepOnce(ctx, func(int) bool { return true }) {
@@ -76,17 +77,17 @@
 	}
 }
 
-// keepOnce sends what is new since the last call to a keeper, and reports whether the keeper
-// has it.
+// keepOnce sends the events added since the last call to a keeper, and reports whether that
+// succeeded.
 func (o *owner) keepOnce(ctx context.Context, isKept func(index int) bool) bool {
-	err := o.append(ctx, isKept)
+	err := o.sendToKeeper(ctx, isKept)
 	if errors.Is(err, ErrKeeperChanged) {
-		err = o.append(ctx, isKept)
+		err = o.sendToKeeper(ctx, isKept)
 	}
 	return err == nil
 }
 
-func (o *owner) append(ctx context.Context, isKept func(index int) bool) error {
+func (o *owner) sendToKeeper(ctx context.Context, isKept func(index int) bool) error {
 	o.mutex.Lock()
 	parts := o.plan.Parts(isKept)
 	o.mutex.Unlock()
@@ -116,8 +117,8 @@
 	return partials
 }
 
-// Parts returns the events that are new since the last call, for a keeper, except those of
-// items that need not be kept.
+// Parts returns the events added since the last call, for a keeper. It skips items for which
+// isKept returns false.
 func (p *Plan) Parts(isKept func(index int) bool) []*statepb.Part {
 	var parts []*statepb.Part
 	for _, item := range p.items {
@@ -133,8 +134,8 @@
 	return parts
 }
 
-// ResendAll makes Parts return all texts from their start, because it is no longer known what
-// the keeper has.
+// ResendAll makes Parts return all texts from their start, because it is unknown which events the
+// keeper has.
 func (p *Plan) ResendAll() {
 	for _, item := range p.items {
 		item.kept = 0
--- a/internal/batch/keep_test.go
+++ b/internal/batch/keep_test.go
@@ -25,9 +25,9 @@
 	return errors.New("no answer")
 }
 
-// An owner's link is saturated, and its keeper does not answer in time. Sending all texts of
-// its steps again twice a second kept the link saturated for the rest of the day: the owner's
-// writes of outcomes got no answers, and its trainers waited for steps that were complete.
+// An owner's link is saturated, and its keeper does not answer in time. Resending all texts of
+// its steps twice a second kept the link saturated: the owner's writes of outcomes got no
+// answers, and its trainers waited for steps that were complete.
 func TestKeepingBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keeper := &lostKeeper{}
@@ -42,7 +42,7 @@
 	})
 }
 
-// movingKeeper switches to another keeper once, fails once, and stores what comes then.
+// movingKeeper switches to another keeper once, fails once, and then stores all parts.
 type movingKeeper struct {
 	noopPeer
 
@@ -63,8 +63,8 @@
 	}
 }
 
-// A gateway stops while its keeper is being replaced. With a single attempt before it gave the
-// batch up, the next owner had to generate 60 texts of a step again.
+// A gateway stops while its keeper is being replaced. When it made a single attempt before giving
+// up the batch, the next owner had to generate 60 texts of a step again.
 func TestLastTextsAreRetried(t *testing.T) {
 	keeper := &movingKeeper{}
 	plan := newPlan(100)
--- a/internal/batch/ledger.go
+++ b/internal/batch/ledger.go
@@ -20,12 +20,12 @@
 const (
 	// writeRetryDelay is the delay before a failed write is retried.
 	writeRetryDelay = 100 * time.Millisecond
-	// chunkShare is the share of the store's largest value that a chunk may fill: base64 and
-	// the names around it add a third.
+	// chunkShare is the share of the store's largest value that a chunk may fill: base64 encoding
+	// and field names add a third.
 	chunkShare = 0.6
-	// maxChunkBytes also bounds a chunk: a write whose answer was lost is retried, and the
-	// answer then contains the chunk. Over a narrow link an answer of a megabyte exceeds the
-	// call timeout, and the owner would never learn that the store holds the chunk.
+	// maxChunkBytes also bounds a chunk: a write whose answer was lost is retried, and the answer
+	// then contains the chunk. Over a narrow link an answer of a megabyte exceeds the call
+	// timeout, so the owner could never confirm that the store holds the chunk.
 	maxChunkBytes = 256 << 10
 )
 
@@ -34,8 +34,8 @@
 type ledger struct {
 	store Store
 	batch string
-	// group is how long outcomes are gathered before they are written together.
-	group      time.Duration
+	// groupDelay is how long outcomes are gathered before they are written together.
+	groupDelay time.Duration
 	valueBytes int
 	metrics    *metrics
 
@@ -47,28 +47,29 @@
 	urgent chan struct{}
 	// ownership is the state that makes this process the owner of the batch.
 	ownership Ownership
-	// isInDoubt says that a write was sent of which it is unknown whether the store has
-	// committed it, or still will.
+	// isInDoubt reports whether a write with an unknown result was sent: the store may have
+	// committed it, or may still commit it.
 	isInDoubt bool
-	// isSuperseded says that the store holds a chunk of another writer at the next position.
+	// isSuperseded reports whether the store holds a chunk of another writer at the next
+	// position.
 	isSuperseded bool
 	isStopped    bool
 }
 
 // Ownership identifies the owner key under which a process owns a batch.
 type Ownership struct {
-	// Revision is that of the owner key; 0 while it is unknown.
+	// Revision is the revision of the owner key; 0 while it is unknown.
 	Revision uint64
 	// Lease is the lease of the owner key; 0 while it is unknown.
 	Lease uint64
 }
 
 func newLedger(store Store, batch string, group time.Duration, valueBytes int, ownership Ownership, listed []*statepb.Outcome, metrics *metrics) *ledger {
-	return &ledger{store: store, batch: batch, group: group, valueBytes: valueBytes, metrics: metrics, ownership: ownership, listed: listed, changed: make(chan struct{}), urgent: make(chan struct{}, 1)}
+	return &ledger{store: store, batch: batch, groupDelay: group, valueBytes: valueBytes, metrics: metrics, ownership: ownership, listed: listed, changed: make(chan struct{}), urgent: make(chan struct{}, 1)}
 }
 
-// enqueue adds outcomes to be listed: at once if they are urgent, else together with those that
-// follow soon.
+// enqueue adds outcomes to be listed: at once if they are urgent, otherwise together with the
+// outcomes that follow within the group delay.
 func (l *ledger) enqueue(outcomes []*statepb.Outcome, isUrgent bool) {
 	if len(outcomes) == 0 {
 		return
@@ -108,16 +109,16 @@
 	return uint64(len(l.listed))
 }
 
-// ledgerView is what a ledger knows of the outcomes from a position on.
+// ledgerView is a snapshot of a ledger's outcomes from a position on.
 type ledgerView struct {
 	outcomes []*statepb.Outcome
 	// changed is closed at the next change.
 	changed <-chan struct{}
-	// isStopped says that there will be no further change.
+	// isStopped reports whether the ledger has stopped, so that no change follows.
 	isStopped bool
-	// lease is the lease of the ownership.
+	// lease is the lease of the owner key.
 	lease uint64
-	// isInDoubt says that the store may hold more than the ledger knows of.
+	// isInDoubt reports whether the store may hold outcomes that the ledger lacks.
 	isInDoubt bool
 }
 
@@ -152,7 +153,7 @@
 	}
 }
 
-// stop tells readers to continue elsewhere at once.
+// stop marks the ledger as stopped and wakes its readers, which continue at another process.
 func (l *ledger) stop() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -168,7 +169,7 @@
 
 // gather waits for more outcomes, so that one write lists many.
 func (l *ledger) gather(ctx context.Context) {
-	timer := time.NewTimer(l.group)
+	timer := time.NewTimer(l.groupDelay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -179,9 +180,10 @@
 
 // write writes the pending outcomes as one chunk, and retries until the result is known.
 //
-// A write without an answer may be committed seconds later. The retry sends the same chunk
-// under the same key: whichever arrives first is kept, and the other finds it there. Under
-// another key, or with more outcomes in the chunk, both could be kept.
+// A write without an answer may be committed seconds later. The retry sends the same chunk under
+// the same key: the store keeps whichever arrives first and rejects the other with a conflict
+// that contains the chunk. Under another key, or with more outcomes in the chunk, it could keep
+// both.
 func (l *ledger) write(ctx context.Context) {
 	began := clock.Now()
 	l.mutex.Lock()
@@ -208,8 +210,8 @@
 	return proto.Marshal(statepb.Chunk_builder{First: first, Outcomes: outcomes}.Build())
 }
 
-// snapshot returns the listed and the pending outcomes once the ledger has stopped. It returns
-// false if the store may hold more than the listed ones.
+// snapshot returns the listed and the pending outcomes once the ledger has stopped. isComplete is
+// false if the store may hold more than the listed outcomes.
 func (l *ledger) snapshot() (listed, pending []*statepb.Outcome, isComplete bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -231,9 +233,9 @@
 // commit writes a chunk if this process owns the batch, and reports whether the store holds it.
 //
 // From the call until its result is known, the ledger is in doubt: another gateway may read the
-// chunk from the store and show it before this process learns that it is there. So the call
-// runs to its end even if the batch is stopped: cutting it off would leave the owner unsure of
-// what is listed, and it could not hand the batch over to the next one.
+// chunk from the store and return it to clients before this process receives the answer. So the
+// call continues even if the batch is stopped: if it were canceled, the owner would not know
+// which outcomes are listed, and could not hand the batch over.
 func (l *ledger) commit(ctx context.Context, first uint64, data []byte) bool {
 	ownership, isFirst := l.beginWrite()
 	if ownership.Revision == 0 {
@@ -272,11 +274,12 @@
 	l.isInDoubt = false
 }
 
-// handleConflict handles the store's answer that a chunk cannot be written. It reports whether
-// that is because the store holds it already.
+// handleConflict handles a rejected write of a chunk. It reports whether the store already holds
+// the chunk.
 //
-// If the chunk is not there, the owner key has changed. No earlier attempt can be committed any
-// more, since revisions are never reused, and only another owner can tell what is listed.
+// If the store holds no chunk at this position, the owner key has changed. Earlier attempts can
+// no longer be committed, because revisions are never reused, and only another owner knows which
+// outcomes are listed.
 func (l *ledger) handleConflict(conflict *platform.ConflictError, ownership Ownership, key string, data []byte) bool {
 	present, isPresent := conflict.Find(key)
 	if isPresent && bytes.Equal(present.Data, data) {
@@ -284,7 +287,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	klog.InfoS("batch: a chunk was not written, the owner or the position has changed", "batch", l.batch, "key", key, "owner", ownership.Revision, "overtaken", isPresent)
+	klog.InfoS("batch: a chunk was not written because the owner or the position has changed", "batch", l.batch, "key", key, "owner", ownership.Revision, "overtaken", isPresent)
 	l.isInDoubt = false
 	l.isSuperseded = isPresent
 	if l.ownership == ownership {
@@ -317,7 +320,8 @@
 	// PrefixOpen is the prefix of the keys of batches that have not ended.
 	PrefixOpen  = Prefix + "open/"
 	prefixOwner = Prefix + "owner/"
-	// prefixStored is the prefix of keys that exist as long as anything of a batch is stored.
+	// prefixStored is the prefix of the keys that exist while the store holds any other key of a
+	// batch.
 	prefixStored = Prefix + "stored/"
 	prefixBulk   = "bulk/"
 	prefixOut    = "out/"
--- a/internal/batch/leftovers.go
+++ b/internal/batch/leftovers.go
@@ -18,7 +18,7 @@
 	bytes int
 }
 
-// add keeps texts, and replaces those kept of the same items.
+// add stores texts and replaces earlier texts of the same items.
 func (l *leftovers) add(texts []Leftover) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// find returns the texts kept of items.
+// find returns the stored texts of the given items.
 func (l *leftovers) find(items []string) []Leftover {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -75,8 +75,7 @@
 	return bytes
 }
 
-// Leftovers returns the texts of incomplete groups: their items may come again in a later
-// batch.
+// Leftovers returns the texts of incomplete groups, whose items a later batch may contain again.
 func (p *Plan) Leftovers() []Leftover {
 	return p.texts(func(item *itemState) bool { return p.groups[item.spec.GetGroup()] > 0 })
 }
@@ -98,12 +97,12 @@
 	return leftovers
 }
 
-// Reuse takes texts that an earlier batch has left, as far as this batch allows their versions.
-// It returns the number of items with a reused text.
+// Reuse adds the texts of an earlier batch whose weight versions this batch allows. It returns
+// the number of items with a reused text.
 //
-// A trainer ends its step with the groups that are complete, and sends the others again in a
-// later step, where it waits for them first. All but one item of such a group are mostly done;
-// generated again, they take a tenth of a step's slots.
+// A trainer ends its step once enough groups are complete, and sends the other groups again in a
+// later step, where it waits for them first. Usually all items but one of such a group are
+// complete; generating them again would take a tenth of a step's slots.
 func (p *Plan) Reuse(leftovers []Leftover) int {
 	reused := 0
 	for _, leftover := range leftovers {
--- a/internal/batch/outcome.go
+++ b/internal/batch/outcome.go
@@ -39,12 +39,13 @@
 	}
 	item.phase = settled
 	item.outcome = outcome
-	p.open--
+	p.openItems--
 	p.pending = append(p.pending, outcome)
 	p.recordInGroup(item)
 }
 
-// recordInGroup counts an outcome of an item's group, and completes the group with its last one.
+// recordInGroup records an item's outcome in its group, and completes the group once every item
+// has one.
 func (p *Plan) recordInGroup(item *itemState) {
 	p.groups[item.spec.GetGroup()]--
 	if p.groups[item.spec.GetGroup()] > 0 {
@@ -57,8 +58,8 @@
 	}
 }
 
-// dropEvents drops the events of a group whose items all have their outcomes. No later batch asks
-// for them, and a batch stays in memory as long as it can be read.
+// dropEvents drops the events of a group whose items all have their outcomes. No later batch
+// reuses them, and a batch stays in memory for its whole retention.
 func (p *Plan) dropEvents(group string) {
 	for _, item := range p.items {
 		if item.spec.GetGroup() == group {
@@ -67,9 +68,9 @@
 	}
 }
 
-// Pending returns the outcomes that were not given to the ledger yet, and clears them. They are
-// urgent if they complete what the trainer waits for: it has no use for others yet, and each
-// write costs a call of the store.
+// Pending returns and clears the outcomes that were not passed to the ledger yet. They are urgent
+// if they complete the groups that the trainer waits for. Until then the trainer cannot use any,
+// and each write costs a call of the store.
 func (p *Plan) Pending() (outcomes []*statepb.Outcome, isUrgent bool) {
 	pending := p.pending
 	p.pending = nil
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// schedulePollInterval is how long an owner waits at most before it checks again for free
-	// slots and slow servers: about the time between two events of a sampler.
+	// schedulePollInterval is the maximum time between two checks for free slots and slow
+	// servers: about the time between two events of a sampler.
 	schedulePollInterval = 50 * time.Millisecond
 	// silenceTimeout is how long a sampler may send nothing before its run continues elsewhere:
 	// many times the usual gap, and longer than a weight load.
 	silenceTimeout = 1500 * time.Millisecond
-	// minStallTimeout is the lower bound of the time without an event after which a run counts
-	// as stalled: longer than a pause caused by CPU throttling. stallEvents is that time in
-	// event intervals of the server.
+	// minStallTimeout is the lower bound of the time without an event after which a run counts as
+	// stalled: longer than a pause caused by CPU throttling. stallEvents is the same time as a
+	// multiple of the server's event interval.
 	minStallTimeout = 600 * time.Millisecond
 	stallEvents     = 8
-	// runTimeout bounds one run; a sampler stops a run by itself after that.
+	// runTimeout bounds one run; samplers stop a run after the same time.
 	runTimeout = 60 * time.Second
 )
 
@@ -37,7 +37,7 @@
 	EncodeItemHeader(headers map[string]string) http.Header
 }
 
-// Scorer has texts scored.
+// Scorer scores texts.
 type Scorer interface {
 	// Score returns the proof of the scorer's answer. A *ScoreError means that the scorer
 	// answered with failures.
@@ -48,13 +48,13 @@
 
 // ScoreError means that the scorer answered with failures.
 type ScoreError struct {
-	// Failures is the number of such answers.
+	// Failures is the number of failed answers.
 	Failures int
 	// MaxFailures is the number of failures after which the text is given up.
 	MaxFailures int
 }
 
-// Error returns a message with the number of failures.
+// Error states how many times the scorer answered with a failure.
 func (e *ScoreError) Error() string {
 	return "batch: the scorer answered with a failure " + strconv.Itoa(e.Failures) + " times"
 }
@@ -127,7 +127,8 @@
 	o.older = nil
 }
 
-// schedule starts what can start now. It reports whether nothing is left to do.
+// schedule starts the runs and the scoring that can start now. It reports whether the batch is
+// done.
 func (o *owner) schedule(ctx context.Context) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -138,10 +139,10 @@
 	}
 	pool := route.Pool
 	if pool == "" {
-		klog.InfoS("batch: route removed, giving up the remaining items", "batch", o.batch.GetId())
+		klog.InfoS("batch: giving up the remaining items because the route was removed", "batch", o.batch.GetId())
 		o.plan.GiveUp("route removed")
 	}
-	for o.isFirst() && o.startRun(ctx, pool, now) {
+	for o.hasPrecedence() && o.startRun(ctx, pool, now) {
 	}
 	o.waiting.Store(int32(o.plan.Waiting()))
 	pending, isUrgent := o.plan.Pending()
@@ -155,11 +156,11 @@
 	return false
 }
 
-// startScoring starts scoring complete texts, as many concurrently as the scorer pool has room
-// for beside callers.
+// startScoring starts scoring complete texts, at most as many concurrently as the scorer pool can
+// accept besides callers' requests.
 //
 // The texts of a step complete in bursts. Scored all at once, they would take every slot of a
-// plain service that callers use as well, and the step would not finish sooner.
+// plain service that callers also use, and the step would not finish sooner.
 func (o *owner) startScoring(ctx context.Context, now clock.Boot) {
 	capacity := o.scorer.Capacity(o.batch.GetItems()[0].GetScorer())
 	for o.scoring < capacity {
@@ -172,11 +173,11 @@
 	}
 }
 
-// isFirst reports whether no older batch of the same model waits for slots.
+// hasPrecedence reports whether no older batch of the same model waits for slots.
 //
 // A trainer may have two steps in progress, and publishes the next weights once the older one
 // is done. Sharing the slots between both would delay that, and with it every later step.
-func (o *owner) isFirst() bool {
+func (o *owner) hasPrecedence() bool {
 	for _, older := range o.older {
 		if older.waiting.Load() > 0 {
 			return false
@@ -225,9 +226,9 @@
 }
 
 // moveSlowRun ends a run on a slow sampler if another one has a free slot and no item waits for
-// it: the run continues there after its last event.
+// it: the run continues on the faster one after its last event.
 //
-// Otherwise the longest item of a step, on a sampler slowed by a fault, keeps its trainer
+// Without the move, the longest item of a step, on a sampler slowed by a fault, keeps its trainer
 // waiting while other slots are idle.
 func (o *owner) moveSlowRun(pool string) {
 	if o.plan.Waiting() > 0 {
@@ -246,7 +247,7 @@
 	return roster.Need{Pool: pool, Model: o.batch.GetModel(), MinVersion: o.batch.GetOldest()}
 }
 
-// score has a complete text scored.
+// score scores a complete text and records the result.
 func (o *owner) score(ctx context.Context, job Job) {
 	proof, err := o.scorer.Score(ctx, job.spec.GetScorer())
 	o.mutex.Lock()
--- a/internal/batch/plan.go
+++ b/internal/batch/plan.go
@@ -63,7 +63,7 @@
 	versions []uint64
 	// kept is the number of events that a keeper has.
 	kept int
-	// failures counts answers that the run failed, faults all other failures.
+	// failures counts the servers' answers that a run failed, faults all other failures of runs.
 	failures       int
 	faults         int
 	scorerFailures int
@@ -79,7 +79,7 @@
 	index  int
 	spec   *statepb.Item
 	events int
-	// isFaulty says that a run of the item has ended in a fault of its server.
+	// isFaulty reports whether a run of the item has ended in a fault of its server.
 	isFaulty bool
 }
 
@@ -89,17 +89,17 @@
 // Events returns the number of events that the item already had.
 func (j Job) Events() int { return j.events }
 
-// Plan decides what the items of one batch do next. It does no I/O, takes the time from its
-// caller and is not safe for concurrent use.
+// Plan decides which items of a batch run or are scored next. It does no I/O, takes the time from
+// its caller and is not safe for concurrent use.
 type Plan struct {
 	rules Rules
 	batch *statepb.Batch
 	items []*itemState
 	byID  map[string]*itemState
 	// order holds the waiting items in the order in which they run.
-	order   []*itemState
-	open    int
-	pending []*statepb.Outcome
+	order     []*itemState
+	openItems int
+	pending   []*statepb.Outcome
 	// groups holds the number of items without an outcome of each group, completeGroups counts
 	// the groups that have none left.
 	groups         map[string]int
@@ -110,8 +110,8 @@
 	deadline clock.Boot
 }
 
-// NewPlan returns the plan of a batch of which nothing has run. The batch was accepted at the
-// given time of this host's clock.
+// NewPlan returns the plan of a batch that has not started. The batch was accepted at the given
+// time of this host's clock.
 func NewPlan(batch *statepb.Batch, rules Rules, accepted clock.Boot) *Plan {
 	plan := &Plan{rules: rules, batch: batch, byID: map[string]*itemState{}, groups: map[string]int{}}
 	if rules.GiveUpAfter > 0 {
@@ -124,7 +124,7 @@
 		plan.groups[spec.GetGroup()]++
 		plan.order = append(plan.order, item)
 	}
-	plan.open = len(plan.items)
+	plan.openItems = len(plan.items)
 	plan.sort()
 	return plan
 }
@@ -144,13 +144,13 @@
 	})
 }
 
-// Restore adds the outcomes that an earlier owner has listed and the texts that it left.
+// Restore adds the outcomes that earlier owners have listed and their incomplete texts.
 func (p *Plan) Restore(listed []*statepb.Outcome, partials []*statepb.Partial) {
 	for _, outcome := range listed {
 		if item := p.byID[outcome.GetItem()]; item != nil && item.phase != settled {
 			item.phase = settled
 			item.outcome = outcome
-			p.open--
+			p.openItems--
 			p.recordInGroup(item)
 		}
 	}
@@ -176,7 +176,7 @@
 	return !p.rules.SingleVersion || len(distinct(versions)) <= 1
 }
 
-// End records that the trainer has ended the batch: nothing starts any more.
+// End records that the trainer has ended the batch: no further item starts.
 func (p *Plan) End() {
 	p.ended = true
 	p.order = nil
@@ -186,7 +186,7 @@
 func (p *Plan) IsEnded() bool { return p.ended }
 
 // IsComplete reports whether every item has its outcome.
-func (p *Plan) IsComplete() bool { return p.open == 0 }
+func (p *Plan) IsComplete() bool { return p.openItems == 0 }
 
 // Waiting returns the number of items that wait for a server.
 func (p *Plan) Waiting() int { return len(p.order) }
@@ -296,9 +296,9 @@
 
 // ScorerFailed records that the scorer answered with failures.
 //
-// Some texts make their scorer fail every time. Retried without a limit, they would keep a
-// plain service busy with useless work, so an item is given up after as many failures as the
-// scorer's route allows attempts.
+// Some texts make their scorer fail every time. Retried without a limit, they would keep a plain
+// service busy with useless work, so an item is given up after the scorer route's maximum number
+// of attempts.
 func (p *Plan) ScorerFailed(job Job, failed *ScoreError, now clock.Boot) {
 	item := p.items[job.index]
 	item.scorerFailures += failed.Failures
@@ -331,8 +331,8 @@
 	p.Interrupted(job, min(faultPause<<min(item.faults-1, 5), maxFaultPause), now)
 }
 
-// Failed records that a server answered that a run failed. An item that fails as often as the
-// rules allow attempts, or that can never be run, is given up.
+// Failed records that a server answered that a run failed. An item is given up after MaxFailures
+// failures, or if it can never be run.
 func (p *Plan) Failed(job Job, isPermanent bool, now clock.Boot) {
 	item := p.items[job.index]
 	item.failures++
--- a/internal/batch/plan_test.go
+++ b/internal/batch/plan_test.go
@@ -13,8 +13,8 @@
 
 const start = clock.Boot(time.Hour)
 
-// newBatch returns a batch of items "i0", "i1" and so on with the given expected lengths, two
-// to a group.
+// newBatch returns a batch of items "i0", "i1" and so on with the given expected lengths, in
+// groups of two.
 func newBatch(expected ...uint64) *statepb.Batch {
 	builder := statepb.Batch_builder{Id: "b1", Model: "m", Oldest: 3, Wanted: 1}
 	for i, length := range expected {
@@ -84,8 +84,8 @@
 	must.SliceEmpty(t, pendingOf(plan))
 }
 
-// A sample costs seconds of a sampler. When a sampler is lost in the middle of one, its events
-// stay, and the run continues after them on another sampler.
+// Generating a text takes seconds. If its sampler is lost meanwhile, the events received so far
+// are kept, and the run continues after them on another sampler.
 func TestInterruptedRunContinues(t *testing.T) {
 	plan := newPlan(100, 50)
 	job := mustStart(t, plan, start, "i0")
@@ -105,8 +105,8 @@
 	must.Eq(t, []uint64{3, 4}, pending[0].GetVersions())
 }
 
-// After new weights were published, a sampler that has not loaded them yet answers under an
-// older version than the trainer allows. None of that may be listed.
+// After new weights were published, a sampler that has not loaded them yet answers under an older
+// version than the trainer allows. None of its events may be listed.
 func TestOldVersionIsStopped(t *testing.T) {
 	plan := newPlan(100)
 	job := mustStart(t, plan, start, "i0")
@@ -116,7 +116,7 @@
 }
 
 // On a route that requires a single version, a sampler changes its weights in the middle of a
-// text. The text starts again, and the parts are never joined.
+// text. The text is generated again from its start, and the parts are never joined.
 func TestSingleVersionRestarts(t *testing.T) {
 	plan := NewPlan(newBatch(100), Rules{MaxFailures: 3, SingleVersion: true}, start)
 	job := mustStart(t, plan, start, "i0")
@@ -129,9 +129,9 @@
 	must.Eq(t, []uint64{4}, pendingOf(plan)[0].GetVersions())
 }
 
-// A few texts make their scorer fail every time. Scored again ten times a second for as long as
-// the batch is open, they keep a plain service busy while members wait for their balances. The
-// limit on failed answers ends that.
+// A few texts make their scorer fail every time. Retried ten times a second while the batch is
+// open, they keep a plain service busy while members wait for their balances. The limit on failed
+// answers prevents this.
 func TestScorerThatAlwaysFails(t *testing.T) {
 	plan := newPlan(100)
 	scoring := mustGenerate(t, plan, mustStart(t, plan, start, "i0"), 3, "a")
@@ -175,8 +175,8 @@
 	})
 }
 
-// After a trainer has ended its step, its runs are stopped, nothing more starts, and runs that
-// end meanwhile change nothing that was listed.
+// After a trainer has ended its step, its runs are stopped, no further run starts, and runs that
+// end meanwhile do not change the listed outcomes.
 func TestEnd(t *testing.T) {
 	plan := newPlan(100, 50)
 	job := mustStart(t, plan, start, "i0")
@@ -203,8 +203,8 @@
 	must.False(t, ok)
 }
 
-// A trainer waits for one complete group of two. The first outcome alone is of no use to it and
-// may wait for others; the second is written at once.
+// A trainer waits for one complete group of two. The first outcome of a group may be written
+// later, together with others; the second completes the group and is written at once.
 func TestUrgent(t *testing.T) {
 	plan := newPlan(400, 300, 200, 100)
 	plan.Scored(mustGenerate(t, plan, mustStart(t, plan, start, "i0"), 3, "a"), "p")
@@ -215,8 +215,7 @@
 	must.True(t, isUrgent)
 }
 
-// A keeper gets each event once, in order, and everything again if it may have lost what it
-// had.
+// A keeper receives each event once and in order, and all events again if it may have lost some.
 func TestParts(t *testing.T) {
 	plan := newPlan(100)
 	job := mustStart(t, plan, start, "i0")
@@ -239,9 +238,9 @@
 	})
 }
 
-// A step ends with a group of two of which one item is done. Both come again in the next step:
-// the complete text is only scored again, the other continues after its last event. Texts of
-// versions that the step does not allow are generated again.
+// A step ends with a group in which one of two items is complete. The next step contains both
+// again: the complete text is only scored again, the other continues after its last event. Texts
+// of versions that the step does not allow are generated again.
 func TestReuse(t *testing.T) {
 	first := newPlan(400, 300, 200, 100)
 	first.Scored(mustGenerate(t, first, mustStart(t, first, start, "i0"), 3, "a", "b"), "p")
@@ -275,9 +274,9 @@
 	})
 }
 
-// A trainer that scores its texts itself sends items without a scorer. A group of its last step
-// comes again with complete texts. Left waiting for a score until the step was over, they were
-// never listed, and the trainer waited for a group that was complete.
+// A trainer that scores its texts itself sends items without a scorer. A group of its previous
+// step comes again with complete texts. These texts waited for a score until the step ended and
+// were never listed, so the trainer waited for a complete group.
 func TestReuseWithoutScorer(t *testing.T) {
 	withoutScorer := func() *statepb.Batch {
 		batch := newBatch(400, 300)
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -20,18 +20,18 @@
 type Page struct {
 	Total    uint64
 	Outcomes []*statepb.Outcome
-	// MayBeIncomplete says of a page without outcomes that the store may hold some.
+	// MayBeIncomplete reports, for a page without outcomes, whether the store may hold some.
 	MayBeIncomplete bool
 }
 
-// ReadOwned returns the outcomes from a position on of a batch that this process owns; it waits
-// for one if there is none. It returns false if this process does not hold the batch.
+// ReadOwned returns the outcomes of a batch that this process owns, from a position on, and waits
+// for the first of them. It returns false if this process does not own the batch.
 //
-// A reader may have seen a position that this process does not know of: in a chunk whose answer
-// is late, or in one that another process has listed since this one lost the batch. An answer
-// that there is nothing would make the position disappear for the trainer. So that answer is
-// given only under a valid lease and with no write in doubt; otherwise the page may be
-// incomplete and the store must be asked.
+// A reader may have seen a position that is missing in this process: the answer to the write of
+// its chunk is late, or another process has listed the chunk since this one lost the batch. After
+// an empty page, the trainer would lose that position. So an empty page is definite only under a
+// valid lease and with no write in doubt; otherwise it may be incomplete and the store must be
+// asked.
 func (b *Board) ReadOwned(ctx context.Context, id, account string, after uint64, wait time.Duration) (Page, bool, error) {
 	b.lock()
 	owned := b.owned[id]
@@ -81,8 +81,8 @@
 	return page, nil
 }
 
-// Find returns a batch of an account. A *refusal.Error with status 404 means that there is
-// none, one with 503 that this is unknown.
+// Find returns a batch of an account. The *refusal.Error has status 404 if the batch does not
+// exist, and 503 if that is unknown.
 func (b *Board) Find(ctx context.Context, id, account string) (*statepb.Batch, error) {
 	b.lock()
 	owned := b.owned[id]
@@ -103,8 +103,9 @@
 	return batch, nil
 }
 
-// checkAccount returns nil if a batch belongs to an account. For a stored batch the account is
-// known here; only for a batch not seen yet the store is asked, which returns the whole batch.
+// checkAccount returns nil if a batch belongs to an account. The accounts of stored batches are
+// in memory; only for a batch that the watch has not shown yet, checkAccount reads the whole
+// batch from the store.
 func (b *Board) checkAccount(ctx context.Context, id, account string) error {
 	b.lock()
 	batchAccount, isKnown := b.accounts[id]
@@ -152,8 +153,8 @@
 	}
 }
 
-// isEnded reports whether the store is known to have ended a batch. Trainers that got no
-// answer, and others of their account, end a batch again.
+// isEnded reports whether the watch has shown the end of a batch. A trainer that got no answer
+// ends its batch again, and so do other trainers of its account.
 func (b *Board) isEnded(id string) bool {
 	b.lock()
 	defer b.mutex.Unlock()
--- a/internal/batch/remove.go
+++ b/internal/batch/remove.go
@@ -16,11 +16,11 @@
 const maxCommitKeys = 30
 
 // expired returns the batches that are past their retention and that this process must remove
-// from the store: its own, and those without an owner of which it is the first candidate. A
+// from the store: its own, and those without an owner for which it is the first candidate. A
 // batch that its trainer never ended counts too: its items were given up long before.
 //
-// An owner removes what it owned, unless it exits first. Without the second rule the store
-// would grow by what each process owned in the last minutes before its exit.
+// A process that exits no longer removes the batches that it owned. If no other process removed
+// them, the store would grow by the batches of each process's last minutes.
 func (b *Board) expired(now clock.Boot) []string {
 	b.lock()
 	defer b.mutex.Unlock()
@@ -42,8 +42,8 @@
 	return ids
 }
 
-// remove deletes a batch from the store, its outcomes first: as long as the key of the batch
-// exists, a reader finds it and a second attempt completes the removal.
+// remove deletes a batch from the store, its outcomes first: while the key of the batch exists,
+// readers find the batch and a second attempt completes the removal.
 func (b *Board) remove(ctx context.Context, id string) {
 	err := b.removeKeys(ctx, id)
 	b.lock()
--- a/internal/batch/run.go
+++ b/internal/batch/run.go
@@ -64,13 +64,13 @@
 	}
 }
 
-// isItemFailure reports whether a status concerns the item and not only its server: its run
-// failed, or it can never be run.
+// isItemFailure reports whether a status concerns the item and not only its server: the run
+// failed, or the item can never be run.
 func isItemFailure(status int) bool {
 	return status == http.StatusInternalServerError || status == http.StatusUnprocessableEntity
 }
 
-// errVersionMismatch ends a run whose text must not be used.
+// errVersionMismatch ends a run whose weight version the batch does not allow.
 var errVersionMismatch = refusal.Unknown(http.StatusConflict, "unfit", "the sampler's weight version doesn't fit the batch")
 
 // stream sends an item and reads the events of the answer.
@@ -132,11 +132,11 @@
 	}
 }
 
-// stallTimeout returns how long a server may send nothing within a text, given its usual time
-// between events; 0 means that this is unknown.
+// stallTimeout returns the maximum time between two events of a text, given the usual event
+// interval of the server; an interval of 0 means that it is unknown.
 //
-// A run waits on a full server only for its first event. After that its events come evenly,
-// also during weight loads, and the longest texts have no second to lose.
+// A full server delays only the first event of a run. Later events arrive at even intervals, also
+// during weight loads, and each second lost on the longest text delays its step.
 func stallTimeout(eventInterval time.Duration) time.Duration {
 	if eventInterval == 0 {
 		return silenceTimeout
--- a/internal/batch/shown_test.go
+++ b/internal/batch/shown_test.go
@@ -112,8 +112,8 @@
 	return []*statepb.Outcome{statepb.Outcome_builder{Item: item, Text: "text of " + item}.Build()}
 }
 
-// readAt reads like a gateway: from itself, else from the owner, else from the store. An owner
-// that is not among the others does not answer.
+// readAt reads like a gateway: from itself, otherwise from the owner, otherwise from the store.
+// An owner that is missing from others does not answer.
 func readAt(ctx context.Context, p *process, others map[string]*process, after uint64) ([]*statepb.Outcome, error) {
 	page, isOwn, err := p.ReadOwned(ctx, "b1", "", after, 0)
 	if isOwn && !page.MayBeIncomplete || err != nil {
@@ -137,9 +137,9 @@
 	must.Eq(t, item, found[0].GetItem())
 }
 
-// An owner did not answer for a while, so a gateway read the store and showed a trainer a
-// result whose write the owner had no answer to yet. Half a second later the owner told the
-// trainer that there is nothing at that position.
+// An owner did not answer for a while, so a gateway read the store and returned an outcome to a
+// trainer before the owner had received the answer to its write. Half a second later, the owner
+// answered the trainer that the position was empty.
 func TestLateAnswerHidesNothing(t *testing.T) {
 	store := &platformtest.Store{}
 	first, ownStore := startLateProcess(t, store, "g1", "g1")
@@ -167,9 +167,9 @@
 	})
 }
 
-// A gateway is cut off from the store until its lease lapses. Another one claims its batch,
-// lists a text and dies. When the first one claims the batch again without knowing of that
-// text, none of its own chunks can be written.
+// A gateway is cut off from the store until its lease expires. Another gateway claims its batch,
+// lists an outcome and dies. If the first gateway claims the batch again without loading that
+// outcome, none of its own chunks can be written.
 func TestListedByOtherOwner(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
@@ -209,9 +209,9 @@
 	return data
 }
 
-// A gateway dies with a chunk in flight, and the store commits it after the next process of
-// that name has loaded the batch. Without a new owner key, the new owner does not know of the
-// chunk that others read, and finds the position of each of its own chunks taken.
+// A gateway dies with a chunk in flight, and the store commits it after the next process of that
+// name has loaded the batch. Without a rewritten owner key, the new owner lacks the chunk that
+// others read, and the store rejects each of its own chunks.
 func TestWriteOfFormerProcess(t *testing.T) {
 	store := &platformtest.Store{}
 	first, ownStore := startLateProcess(t, store, "g1", "g1")
@@ -235,8 +235,8 @@
 	must.Eq(t, "i1", stored[0].GetItem())
 }
 
-// A trainer waits for results at a gateway that hands its batch over. Without an answer at
-// once, it waits there for up to a second while the next owner has results.
+// A trainer waits for results at a gateway that hands its batch over. If the gateway does not
+// answer at once, the trainer waits for up to a second although the next owner has outcomes.
 func TestReaderFollowsHandover(t *testing.T) {
 	_, first, second := setUpDrain(t)
 	read := make(chan Page, 1)
@@ -273,8 +273,8 @@
 	must.SliceLen(t, 3, list.Values)
 }
 
-// Whichever answers are late or lost, whoever owns a batch and wherever a trainer reads: a
-// position that was read once stays, with the same result.
+// A position that was read once keeps its outcome, whichever answers are late or lost, whichever
+// process owns the batch and whichever process the trainer asks.
 func TestShownPositionsStay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &platformtest.Store{}
@@ -340,7 +340,7 @@
 	return true
 }
 
-// replaceLease ends the lease of the process and grants another one.
+// replaceLease revokes the lease of the process and grants a new one.
 func (p *process) replaceLease(t *testing.T, store *platformtest.Store) {
 	t.Helper()
 	must.NoError(t, store.RevokeLease(t.Context(), p.lease.Swap(0)))
