--- a/internal/rollout/attempt.go
+++ b/internal/rollout/attempt.go
@@ -32,7 +32,8 @@
 // Prompt returns the text to complete.
 func (a Attempt) Prompt() string { return a.prompt }
 
-// IsSecondRun reports whether another attempt at the slot was running at the start.
+// IsSecondRun reports whether another attempt at the slot was running when this one
+// started.
 func (a Attempt) IsSecondRun() bool { return a.isSecondRun }
 
 // Slot returns the index of the slot within the step.
--- a/internal/rollout/deliver.go
+++ b/internal/rollout/deliver.go
@@ -67,7 +67,7 @@
 }
 
 // Announce sets a newer version of the trainer. It takes effect at once and is
-// acknowledged once the store holds it, so that a successor knows it too.
+// acknowledged once the store holds it, so that a successor loads it too.
 func (h *Holder) Announce(ctx context.Context, request *peerpb.AnnounceRequest) error {
 	if err := h.announce(request.GetAccount(), request.GetVersion()); err != nil {
 		return err
--- a/internal/rollout/execution.go
+++ b/internal/rollout/execution.go
@@ -90,14 +90,16 @@
 }
 
 // seed returns the same value for all attempts at a slot, so that a second run
-// generates the same answer and the faster of two attempts is not the shorter one.
+// generates the same answer. Otherwise the faster of two attempts would often be
+// the one with the shorter answer.
 func seed(open *peerpb.OpenRequest, attempt Attempt) int64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(attemptID(open.GetTrainer(), open.GetStep(), attempt.Slot(), 0, 0)))
 	return int64(hash.Sum64() >> 1)
 }
 
-// addFrame adds a frame to the answer and ends the attempt once its sample is of no use.
+// addFrame adds a frame to the answer and ends the attempt once its sample is no
+// longer needed.
 func (e *execution) addFrame(frame *peerpb.Frame) error {
 	if frame.WhichPart() != peerpb.Frame_Chunk_case {
 		return nil
--- a/internal/rollout/fake_test.go
+++ b/internal/rollout/fake_test.go
@@ -142,7 +142,7 @@
 	return peerpb.Frame_builder{Chunk: chunk}.Build()
 }
 
-// fakeReplicator is the memory of other processes, by name.
+// fakeReplicator simulates the replica stores of other processes, by process name.
 type fakeReplicator struct {
 	mutex    sync.Mutex
 	replicas map[string]*Replicas
--- a/internal/rollout/holder.go
+++ b/internal/rollout/holder.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// dispatchInterval bounds the delay until the end of a slot's backoff or a due
-	// second run is noticed.
+	// dispatchInterval bounds the delay of an attempt after the end of its slot's
+	// backoff, and of a due second run.
 	dispatchInterval = 100 * time.Millisecond
 	// capacityTTL is how long a result of Capacity is cached; Capacity inspects every sampler.
 	capacityTTL     = time.Second
@@ -40,16 +40,18 @@
 
 // Replicator stores copies of finished samples in other processes.
 type Replicator interface {
-	// Replicate returns the names of the processes that now hold the sample, possibly none.
+	// Replicate copies a sample, drops the copies of the slots in forget, and
+	// returns the names of the processes that now hold the sample, possibly none.
 	Replicate(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string
 	// Fetch returns the samples of the given slots that a process holds.
 	Fetch(ctx context.Context, process, trainer string, step uint64, slots []uint32) ([]*peerpb.Sample, error)
 }
 
-// Holder runs the steps of one trainer. It may outlive its term: while the platform's
-// store is unavailable no other process can take over the duty, and generation and the
-// delivery of committed samples continue. It commits samples through compare-and-swap,
-// so a successor's first write ends it.
+// Holder runs the steps of one trainer. It may outlive its term: while the
+// platform's store is unavailable no other process can take over the duty, and
+// generation and the delivery of committed samples continue. It commits samples
+// through compare-and-swap, so its next write fails after a successor's first
+// write, and it drops the step.
 //
 // Exported fields must be set before Run.
 type Holder struct {
@@ -63,8 +65,8 @@
 	// MaxAttempts is the maximum number of concurrent attempts.
 	MaxAttempts int
 	// Capacity returns how many requests a model's samplers run concurrently, 0 if
-	// unknown; if nil, it is never known. An attempt beyond it would wait in a queue,
-	// bound to its sampler too early, and begin under older weights.
+	// unknown; if nil, it is never known. An attempt beyond that number would wait
+	// in a queue, bound to its sampler too early, and begin under older weights.
 	Capacity func(model string) int
 	// Timeout bounds one attempt.
 	Timeout time.Duration
@@ -148,7 +150,7 @@
 	return h.step.Number(), true
 }
 
-// setStep makes step the open one and cancels the attempts of the previous one.
+// setStep makes step the open step and cancels the attempts of the previous step.
 func (h *Holder) setStep(step *Step) {
 	for _, cancel := range h.running {
 		cancel()
@@ -244,7 +246,7 @@
 	delete(h.running, attempt.ID())
 }
 
-// cancelAttempts cancels the given attempts as far as they still run.
+// cancelAttempts cancels those of the given attempts that still run.
 func (h *Holder) cancelAttempts(attempts []Attempt, reason string) {
 	for _, attempt := range attempts {
 		cancel := h.running[attempt.ID()]
@@ -320,7 +322,7 @@
 		return
 	}
 	if err != nil && h.writeErr == nil {
-		klog.Warningf("step: %s: writing the state failed, new samples wait for the store: %v", h.Trainer, err)
+		klog.Warningf("step: %s: writing the state failed; new samples wait for the store: %v", h.Trainer, err)
 	}
 	h.writeErr = err
 	if err == nil {
--- a/internal/rollout/holder_test.go
+++ b/internal/rollout/holder_test.go
@@ -15,8 +15,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// runHolder runs a holder until the returned function is called, which other processes
-// see as the end of its process.
+// runHolder runs a holder until the returned function is called. To other processes,
+// that call looks like the death of the holder's process.
 func runHolder(t *testing.T, holder *Holder, fence uint64) (kill func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -170,8 +170,8 @@
 }
 
 // The store becomes unavailable in the middle of a step. The trainer still receives
-// what was committed, generation continues, nothing new is delivered, and once the
-// store is back the step is delivered whole, each slot once.
+// committed samples, generation continues, no new sample is delivered, and once the
+// store is available again the whole step is delivered, each slot once.
 func TestStoreUnavailable(t *testing.T) {
 	store := newFakeStore()
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
@@ -306,7 +306,8 @@
 }
 
 // Two accounts share a plan that lists the trainer, and one makes calls while the
-// other's step is open. It must not receive, acknowledge or age the other's samples.
+// other's step is open. That account must not receive or acknowledge the other's
+// samples, or make them stale.
 func TestOtherAccount(t *testing.T) {
 	holder := newTestHolder("a", newFakeStore(), &fakeRunner{version: 1}, newFakeReplicator("b"))
 	runHolder(t, holder, 1)
--- a/internal/rollout/interleaving_test.go
+++ b/internal/rollout/interleaving_test.go
@@ -21,8 +21,8 @@
 	step    *Step
 	record  *record.Record
 	running []Attempt
-	// proposed is being written to the store; if written, the store holds it but it is
-	// not committed.
+	// proposed is being written to the store; if written, the store holds it but
+	// the actor has not committed it.
 	proposed []byte
 	written  bool
 }
@@ -35,7 +35,8 @@
 	fence      uint64
 	newest     uint64
 	now        time.Time
-	// next is the trainer's place; places are all samples that were ever delivered.
+	// next is the place that the trainer pulls from next; places holds all samples
+	// ever delivered.
 	next   uint64
 	places map[uint64]*peerpb.Sample
 	slots  map[uint32]uint64
@@ -150,7 +151,7 @@
 	}
 }
 
-// remove ends an actor that has learned of a successor; at least one always stays.
+// remove removes an actor that has detected a successor, but never the last actor.
 func (i *interleaving) remove(gone *actor) {
 	for index, candidate := range i.actors {
 		if candidate == gone && len(i.actors) > 1 {
@@ -188,7 +189,8 @@
 	i.actors = append(i.actors, next)
 }
 
-// announce raises the trainer's version at one actor; the others learn it from pulls.
+// announce raises the trainer's version at one actor; the others receive it with
+// pulls.
 func (i *interleaving) announce(t *rapid.T) {
 	i.newest++
 	i.pick(t).step.Announce(i.newest)
--- a/internal/rollout/open.go
+++ b/internal/rollout/open.go
@@ -20,8 +20,8 @@
 	retryAfter = time.Second
 )
 
-// Open opens a step, or repeats its reply if the step is already open. It acknowledges
-// the whole step before it.
+// Open opens a step, or repeats its reply if the step is already open. Opening a
+// step acknowledges the whole previous step.
 func (h *Holder) Open(ctx context.Context, request *peerpb.OpenRequest) (*peerpb.OpenReply, error) {
 	h.storeMutex.Lock()
 	defer h.storeMutex.Unlock()
@@ -46,7 +46,8 @@
 	return peerpb.OpenReply_builder{Slots: uint32(step.Slots()), Place: step.FirstPlace()}.Build()
 }
 
-// checkOpen returns the current step if the request may follow it or opens the same step.
+// checkOpen returns the current step if the request opens that step again or may
+// open the next one.
 func (h *Holder) checkOpen(request *peerpb.OpenRequest) (*Step, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// openError returns the error of a failed open. Whether the step is open is unknown;
-// opening it again is idempotent. Refusals are returned as they are.
+// openError returns the error of a failed open. Whether the step is open is
+// unknown; opening it again is idempotent. Refusals are returned unchanged.
 func (h *Holder) openError(err error) error {
 	var refused *refusal.Error
 	if errors.As(err, &refused) {
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -43,9 +43,9 @@
 
 var _ Replicator = &Peers{}
 
-// Replicate copies a sample to an entry process in another zone, or in this zone if no
-// other zone has one. Without any, the sample has one holder: losing it costs another
-// run of its slot.
+// Replicate copies a sample to an entry process in another zone, or in this zone if
+// no other zone has one. If no other entry process stores a copy, only this process
+// holds the sample; if it is lost, its slot runs again.
 func (p *Peers) Replicate(ctx context.Context, sample *peerpb.Sample, forget []uint32) []string {
 	p.Replicas.Put(sample, forget)
 	request := peerpb.KeepSampleRequest_builder{Samples: []*peerpb.Sample{sample}, Forget: forget}.Build()
@@ -123,8 +123,8 @@
 	return peerpb.NewStepClient(connection), nil
 }
 
-// candidates returns the entry processes to ask, those in other zones first; the first
-// one rotates by slot.
+// candidates returns the entry processes to copy a slot's sample to, those in other
+// zones first. The order within and outside this zone rotates by slot.
 func (p *Peers) candidates(slot uint32) []*peerpb.Process {
 	self := p.Directory.Self()
 	var otherZone, sameZone []*peerpb.Process
--- a/internal/rollout/proposal.go
+++ b/internal/rollout/proposal.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// Missing returns, by process, the slots whose committed sample that process may hold
-// and this one lacks.
+// Missing returns the slots whose committed sample this process lacks, by process
+// that may hold the sample.
 func (s *Step) Missing() map[string][]uint32 {
 	missing := map[string][]uint32{}
 	for _, slot := range s.slots {
@@ -202,8 +202,8 @@
 	return missing
 }
 
-// RestoreSample accepts a sample that another process holds, if it is byte for byte the one
-// that the store binds to its slot.
+// RestoreSample accepts a sample from another process if it has the digest that the
+// store binds to its slot.
 func (s *Step) RestoreSample(sample *peerpb.Sample) bool {
 	if int(sample.GetSlot()) >= len(s.slots) {
 		return false
@@ -215,7 +215,7 @@
 	slot.sample = withPlace(sample, slot.place-1)
 	slot.replicated = true
 	slot.committed = true
-	// The previous holder may have delivered it.
+	// The previous holder may have delivered the sample.
 	slot.delivered = true
 	return true
 }
--- a/internal/rollout/pull.go
+++ b/internal/rollout/pull.go
@@ -30,11 +30,12 @@
 
 // Pull acknowledges all places before place and returns at most maxSamples samples
 // from there on, up to the first place that is not committed. Version is the newest
-// one that the trainer itself knows.
+// weight version that the trainer knows.
 //
-// A delivered sample may never have arrived, so a repeated pull from its place returns
-// it again. It is dropped only if it has become stale since: then the same slot fills
-// the place again, and the trainer, which counts by place, still gets each slot once.
+// A delivered sample may never have arrived, so a repeated pull from its place
+// returns the sample again. The sample is dropped only if it has become stale since
+// its delivery: then the same slot fills the place again, and the trainer, which
+// counts by place, still gets each slot once.
 func (s *Step) Pull(place uint64, maxSamples int, version uint64) (PullResult, error) {
 	if err := s.checkPlace(place); err != nil {
 		return PullResult{}, err
--- a/internal/rollout/samplebuilder.go
+++ b/internal/rollout/samplebuilder.go
@@ -25,8 +25,9 @@
 	ranges   []*peerpb.Range
 }
 
-// Add appends a chunk. Its version is the one that the engine reported for these
-// tokens, never the ordered one. Add rejects tokens without a version.
+// Add appends a chunk. The chunk's version is the one that the engine reported for
+// its tokens, never the version that the engine was ordered to load. Add rejects
+// tokens without a version.
 func (b *SampleBuilder) Add(request string, chunk *peerpb.Chunk) error {
 	tokens := uint32(len(chunk.GetTokens()))
 	if tokens > 0 && chunk.GetVersion() == 0 {
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -13,7 +13,8 @@
 
 const holderCheckInterval = 500 * time.Millisecond
 
-// Weights accepts announced versions of the models that this process is responsible for.
+// Weights accepts announced versions of the models whose weight duty this process
+// holds.
 type Weights interface {
 	Announce(ctx context.Context, model string, version uint64) error
 }
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -19,8 +19,8 @@
 // from its caller and is not safe for concurrent use.
 type Step struct {
 	open *peerpb.OpenRequest
-	// term is the fencing token under which attempts start, fence that of the newest term of
-	// the same holder.
+	// term is the fencing token under which attempts start; fence is the fencing
+	// token of the holder's newest term.
 	term          uint64
 	fence         uint64
 	firstPlace    uint64
@@ -75,7 +75,8 @@
 // Started returns the number of attempts.
 func (c Counts) Started() uint64 { return c.started }
 
-// Wasted returns the number of complete samples that arrived after another one of their slot.
+// Wasted returns the number of complete samples that arrived after their slot had
+// been filled.
 func (c Counts) Wasted() uint64 { return c.wasted }
 
 // NewStep returns an open step without samples. Place is its first place in the
@@ -139,7 +140,8 @@
 // Slots returns the number of slots.
 func (s *Step) Slots() int { return len(s.slots) }
 
-// comparableRequest omits what may differ between two calls that open the same step.
+// comparableRequest returns a copy without the fields that may differ between two
+// requests for the same step.
 func comparableRequest(open *peerpb.OpenRequest) *peerpb.OpenRequest {
 	cleared, ok := proto.Clone(open).(*peerpb.OpenRequest)
 	if !ok {
@@ -209,9 +211,9 @@
 // minVersion returns the lowest version that an attempt at a slot may use.
 //
 // An announcement stops stale attempts at a time when most samplers still serve the
-// previous version. An attempt restarted on one of those has one version less until it
-// is stale: a long answer is stopped repeatedly, and the step never completes. So it
-// waits for a sampler with the newest version.
+// previous version. An attempt restarted on such a sampler becomes stale one
+// version earlier: a long answer is stopped repeatedly, and the step never
+// completes. So the attempt waits for a sampler with the newest version.
 func (s *Step) minVersion(slot *slot) uint64 {
 	if slot.wasStale {
 		return s.newestVersion
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -48,8 +48,8 @@
 }
 
 // A weight swap during generation puts two versions into one sample. The trainer
-// weights tokens by the version that produced them, so each range must be named, and
-// an answer with a different token count is no sample.
+// weights tokens by the version that produced them, so each range must be named,
+// and an answer with a different token count must be rejected.
 func TestVersionsByRange(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/internal/rollout/straggler.go
+++ b/internal/rollout/straggler.go
@@ -14,8 +14,8 @@
 	// lateQuantile of the waits for a first token.
 	maxFirstTokenWaits = 3
 	lateQuantile       = 0.9
-	// A larger share than maxQueuedShare of running attempts without a token means that
-	// the samplers are full.
+	// The samplers count as full if the share of running attempts without a token
+	// exceeds maxQueuedShare.
 	maxQueuedShare = 0.125
 )
 
--- a/internal/rollout/takeover.go
+++ b/internal/rollout/takeover.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// tryResume continues with the current step and reports true if the store's state is
-// still that of this process.
+// tryResume continues the current step if the store still holds the state that this
+// process wrote last. It reports whether it did.
 func (h *Holder) tryResume(ctx context.Context, fence uint64) bool {
 	h.mutex.Lock()
 	step := h.step
