--- a/internal/claim/claim_property_test.go
+++ b/internal/claim/claim_property_test.go
@@ -16,10 +16,10 @@
 
 // node models a sidecar.
 type node struct {
-	journal *claim.Journal
-	started time.Time
-	isFirst bool
-	isDown  bool
+	journal           *claim.Journal
+	started           time.Time
+	isJournalComplete bool
+	isDown            bool
 }
 
 // world models a pool: sidecars with their journals, fleets that processes see
@@ -27,14 +27,14 @@
 type world struct {
 	*rapid.T
 
-	now    time.Time
-	fleets []fleetVersion
-	nodes  map[string]*node
-	next   int
-	claim  string
-	since  time.Time
-	runs   int
-	sent   int
+	now        time.Time
+	fleets     []fleetVersion
+	nodes      map[string]*node
+	nextID     int
+	claim      string
+	claimStart time.Time
+	runs       int
+	sent       int
 }
 
 // fleetVersion is a fleet and when it took effect.
@@ -55,9 +55,9 @@
 }
 
 func (w *world) renewClaim() {
-	w.claim = fmt.Sprintf("claim-%d", w.next)
-	w.next++
-	w.since = w.now
+	w.claim = fmt.Sprintf("claim-%d", w.nextID)
+	w.nextID++
+	w.claimStart = w.now
 	w.runs = 0
 }
 
@@ -85,8 +85,8 @@
 
 // Add adds a server.
 func (w *world) Add(t *rapid.T) {
-	id := fmt.Sprintf("s%d", w.next)
-	w.next++
+	id := fmt.Sprintf("s%d", w.nextID)
+	w.nextID++
 	zone := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 	w.change(func(fleet *statepb.Fleet) {
 		w.nodes[id] = newNode(w.now, true)
@@ -98,7 +98,7 @@
 // Advance moves the clock forward.
 func (w *world) Advance(t *rapid.T) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 200).Draw(t, "seconds")) * time.Second)
-	if w.now.Sub(w.since) > retryPeriod {
+	if w.now.Sub(w.claimStart) > retryPeriod {
 		w.renewClaim()
 	}
 }
@@ -131,12 +131,12 @@
 	}
 	partners, isComplete := claim.Partners(id, w.view("view"), w.now, retryPeriod)
 	for _, partner := range partners {
-		isComplete = isComplete && w.learnFrom(w.nodes[id], w.nodes[partner])
+		isComplete = isComplete && w.copyClaimsFrom(w.nodes[id], w.nodes[partner])
 	}
-	w.nodes[id].isFirst = w.nodes[id].isFirst || isComplete
+	w.nodes[id].isJournalComplete = w.nodes[id].isJournalComplete || isComplete
 }
 
-func (w *world) learnFrom(node, partner *node) bool {
+func (w *world) copyClaimsFrom(node, partner *node) bool {
 	if partner.isDown || !partner.hasFullJournal(w.now) {
 		return false
 	}
@@ -193,17 +193,17 @@
 	return rapid.SampledFrom(present).Draw(t, "server")
 }
 
-func newNode(now time.Time, isFirst bool) *node {
-	return &node{journal: &claim.Journal{Retention: claim.Window(retryPeriod)}, started: now, isFirst: isFirst}
+func newNode(now time.Time, isJournalComplete bool) *node {
+	return &node{journal: &claim.Journal{Retention: claim.Window(retryPeriod)}, started: now, isJournalComplete: isJournalComplete}
 }
 
 func (n *node) hasFullJournal(now time.Time) bool {
-	return n.isFirst || now.Sub(n.started) >= claim.Window(retryPeriod)
+	return n.isJournalComplete || now.Sub(n.started) >= claim.Window(retryPeriod)
 }
 
 // isReady reports whether the sidecar runs claims.
 func (n *node) isReady(now time.Time) bool {
-	return !n.isDown && (n.isFirst || now.Sub(n.started) > claim.MaxFleetLag)
+	return !n.isDown && (n.isJournalComplete || now.Sub(n.started) > claim.MaxFleetLag)
 }
 
 // attempt is one send of the request to its home as an entry sees it.
--- a/internal/claim/history.go
+++ b/internal/claim/history.go
@@ -19,7 +19,8 @@
 type candidate struct {
 	server    string
 	isRemoved bool
-	// witnesses are the servers of which one stored the claim besides this home.
+	// witnesses are the servers one of which stored the claim in addition to
+	// this home.
 	witnesses []candidate
 	// mayLackWitness reports whether the home may have run the claim without a
 	// witness.
@@ -36,8 +37,8 @@
 }
 
 // newHistory finds the past homes within the window before now. It visits each
-// moment at which the fleet may have changed; every server that may have been the
-// home then is a past home.
+// moment at which the fleet may have changed; every server that may have been
+// the home at such a moment is a past home.
 func newHistory(claim string, fleet *statepb.Fleet, now time.Time, window time.Duration) *history {
 	begin := now.Add(-window).Unix()
 	h := &history{claim: claim, fleet: fleet}
@@ -94,7 +95,7 @@
 	})
 }
 
-// merge adds a past home, or adds its witnesses to the entry that it has.
+// merge adds a past home, or adds its witnesses to its existing entry.
 func (h *history) merge(added candidate) {
 	for i := range h.homes {
 		if h.homes[i].server == added.server {
--- a/internal/claim/journal.go
+++ b/internal/claim/journal.go
@@ -36,7 +36,7 @@
 // ID returns the ID of the request that owns the claim.
 func (r Record) ID() string { return r.id }
 
-// IsVoid reports whether the claim was owned by the request with this ID, which
+// IsVoid reports whether the request with this ID owned the claim earlier and
 // was proved not to have run.
 func (r Record) IsVoid(id string) bool { return slices.Contains(r.voidIDs, id) }
 
@@ -55,8 +55,8 @@
 	expiries []expiry
 }
 
-// expiry is an entry of the queue of expiry times. A claim that was extended has
-// several; the last one counts.
+// expiry is an entry of the queue of expiry times. An extended claim has
+// several entries, of which the last one counts.
 type expiry struct {
 	claim string
 	time  time.Time
--- a/internal/claim/partners.go
+++ b/internal/claim/partners.go
@@ -11,8 +11,9 @@
 // reports false if one of them was removed and its claims are lost, or if the
 // server was the only one for a time, since a claim then had no witness.
 //
-// Without this a rolling restart of a pool's sidecars would lose all claims, and
-// every claim would be refused until the lost ones have expired.
+// Without copies from partners, a rolling restart of a pool's sidecars would
+// lose all claims, and sidecars would refuse every claim until the lost ones
+// have expired.
 func Partners(server string, fleet *statepb.Fleet, now time.Time, retryPeriod time.Duration) ([]string, bool) {
 	begin := now.Add(-Window(retryPeriod)).Unix()
 	if mayHaveBeenOnlyServer(server, fleet, begin, now.Unix()) {
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -28,7 +28,7 @@
 
 // Answers of a sidecar.
 const (
-	// Kept: the sidecar has stored the claim, which it did not know. Its journal
+	// Kept: the sidecar did not know the claim and has stored it. Its journal
 	// is complete.
 	Kept Answer = iota
 	// KeptAfterRestart: as Kept, but the sidecar restarted within the window and has
@@ -70,9 +70,10 @@
 // Check asks the sidecars, each at most once, and returns the verdict.
 //
 // A claim may run if each server that may have been its home within the window
-// confirms that it has not passed a request on or, where a home can't confirm it,
-// each of its possible witnesses does. If a home and a witness are both lost, no
-// process knows, and the claim is not passed on.
+// confirms that it has not passed a request on or, where a home can't confirm
+// it, each of its possible witnesses does. If a home and a witness are both
+// lost, no process knows whether the request was passed on, and the home does
+// not pass it on.
 func (p *Plan) Check(ask Asker) Verdict {
 	c := checker{ask: ask, answers: map[string]Answer{}}
 	for _, home := range p.pastHomes {
