--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -16,8 +16,8 @@
 	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error)
 }
 
-// OverwrittenError reports that another process has changed the value: this process is
-// no longer its writer, whatever its lease says.
+// OverwrittenError reports that another process has changed the value: this
+// process is no longer its writer, even if its lease is still valid.
 type OverwrittenError struct {
 	Key string
 }
@@ -59,8 +59,9 @@
 // an OverwrittenError. After any other error the caller writes the same data again.
 //
 // The reply to a write can be lost after the write took effect. The next write
-// would then conflict with this process's own. So after a lost reply Write first
-// reads the value back and takes an equal one for its own.
+// would then conflict with the previous one of the same process. So after a lost
+// reply, Write first reads the value back and accepts an equal value as its own
+// write.
 func (r *Record) Write(ctx context.Context, data []byte) error {
 	unacknowledged := r.unacknowledged
 	if err := r.resolveUnacknowledged(ctx); err != nil {
@@ -93,7 +94,8 @@
 	return value, err
 }
 
-// resolveUnacknowledged finds out whether a write whose reply was lost took effect.
+// resolveUnacknowledged determines whether a write whose reply was lost took
+// effect.
 func (r *Record) resolveUnacknowledged(ctx context.Context) error {
 	if r.unacknowledged == nil {
 		return nil
@@ -101,9 +103,10 @@
 	return r.recognizeOwnWrite(ctx, true)
 }
 
-// recognizeOwnWrite accepts the stored value if it is this process's unacknowledged
-// write and returns an OverwrittenError if it is another's. mayBeUnapplied says that
-// an unchanged revision means that the write has not taken effect.
+// recognizeOwnWrite accepts the stored value if it is this process's
+// unacknowledged write and returns an OverwrittenError if another process wrote
+// it. If mayBeUnapplied, an unchanged revision means that the write has not taken
+// effect.
 func (r *Record) recognizeOwnWrite(ctx context.Context, mayBeUnapplied bool) error {
 	value, err := r.get(ctx)
 	switch {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -15,8 +15,8 @@
 // fakeStore holds one value. Writes can fail, or take effect without a reply.
 type fakeStore struct {
 	value platform.Value
-	// nextOutcome is that of the next write: "lost" takes effect but its reply is
-	// lost, "unavailable" fails without effect; "" succeeds.
+	// nextOutcome is the outcome of the next write: "lost" takes effect but its
+	// reply is lost, "unavailable" fails without effect; "" succeeds.
 	nextOutcome string
 }
 
