--- a/internal/trainer/handler.go
+++ b/internal/trainer/handler.go
@@ -17,7 +17,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// Grants looks up what a key allows.
+// Grants looks up the grants of keys.
 type Grants interface {
 	Grant(hash string) (lists.Grant, bool)
 	OnWithdrawal(hash string, end func()) (stop func())
--- a/internal/trainer/open.go
+++ b/internal/trainer/open.go
@@ -32,7 +32,7 @@
 	Samples uint32 `json:"samples"`
 }
 
-// openAnswer is the response: the slots of the step and their first place.
+// openAnswer is the response: the number of the step's slots and their first place.
 type openAnswer struct {
 	Step  uint64 `json:"step"`
 	Slots uint32 `json:"slots"`
--- a/internal/trainer/pull.go
+++ b/internal/trainer/pull.go
@@ -22,7 +22,7 @@
 	Next uint64 `json:"next"`
 	// Done is true once the trainer has the whole step.
 	Done bool `json:"done"`
-	// Waiting is the reason why there is no sample: running or store.
+	// Waiting is the reason why no sample is ready: running or store.
 	Waiting string `json:"waiting,omitempty"`
 }
 
@@ -42,7 +42,8 @@
 	Request  string         `json:"request"`
 }
 
-// versionRange is the weight version of the tokens from From to before Until.
+// versionRange is the weight version of the tokens from From up to, but not
+// including, Until.
 type versionRange struct {
 	From    uint32 `json:"from"`
 	Until   uint32 `json:"until"`
