--- a/internal/steplog/print.go
+++ b/internal/steplog/print.go
@@ -14,9 +14,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Print writes a table of the steps, followed by the mean of each part of the time,
-// for the late steps and for all. A step is late if it took at least due; 0 prints all
-// steps.
+// Print writes a table of the late steps, followed by the mean of each part of the
+// step time, for the late steps and for all steps. A step is late if it took at
+// least due; with 0, all steps are.
 func Print(w io.Writer, steps []Step, due time.Duration) error {
 	writer := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(writer, "at\tmodel\tstep\titems\thalf placed\twaited\tcut\tran\tlisted\tclosed\ttotal\tagain\ttakeovers\tunwritten\t")
--- a/internal/steplog/steplog.go
+++ b/internal/steplog/steplog.go
@@ -1,5 +1,5 @@
-// Package steplog reads the structured logs of gateways and reports where the time of
-// each of a trainer's steps went.
+// Package steplog reads the structured logs of gateways and reports how the time of
+// each step of a trainer was spent.
 package steplog
 
 import (
@@ -19,15 +19,15 @@
 // maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// batchLine matches the lines that klog writes about batches, with any prefix:
-// collectors of logs from many hosts prepend names and times of their own.
+// batchLine matches the lines that klog writes about batches, with any prefix: log
+// collectors prepend host names and their own times.
 var batchLine = regexp.MustCompile(`[IWE](\d{4} \d{2}:\d{2}:\d{2}\.\d{6})\s+\d+ \S+\] "batch: ([^"]*)"(.*)$`)
 
 // lineTimeLayout is the layout of a line's time; klog omits the year.
 const lineTimeLayout = "0102 15:04:05.000000"
 
-// Step is a trainer's step and where its time went. The parts are those of its last
-// text, the one generated last before the trainer ended the step.
+// Step is a trainer's step and how its time was spent. The parts describe the
+// step's last text: the one generated last before the trainer ended the step.
 type Step struct {
 	Batch  string
 	Model  string
@@ -39,15 +39,16 @@
 	HalfPlaced time.Duration
 	// Waited is how long the last text waited for its first sampler.
 	Waited time.Duration
-	// Interrupted is the time from its first placement to its last one: interrupted or moved
-	// runs, and the waits after them.
+	// Interrupted is the time from the last text's first placement to its last
+	// placement: interrupted or moved runs, and the waits after them.
 	Interrupted time.Duration
-	// Ran is the time of its last run.
+	// Ran is the duration of the last text's last run.
 	Ran time.Duration
-	// Listed is the time from the end of that run until the step's last outcome before
-	// the step's end was in the store: scoring, gathering, and an unavailable store.
+	// Listed is the time from the end of that run until the store held the last
+	// outcome listed before the step's end: scoring, gathering, and an unavailable
+	// store.
 	Listed time.Duration
-	// Closed is the time from then on until the trainer ended the step.
+	// Closed is the time from that write until the trainer ended the step.
 	Closed time.Duration
 	// RepeatedPlacements counts placements after the first one of an item, Takeovers owners after
 	// the first one, and Unwritten failed writes to the store.
@@ -73,7 +74,7 @@
 	generatedAt time.Time
 }
 
-// Read reads logs and returns the steps that were ended, in the order of their
+// Read reads logs and returns the steps that have ended, in the order of their
 // acceptance. It skips lines that are not about batches.
 func Read(logs io.Reader) ([]Step, error) {
 	traces := map[string]*stepTrace{}
@@ -86,12 +87,12 @@
 		}
 		at, err := time.Parse(lineTimeLayout, match[1])
 		if err != nil {
-			return nil, eris.Wrap(err, "read steps")
+			return nil, eris.Wrap(err, "parse the time of a log line")
 		}
-		addLine(traces, at, match[2], fields(match[3]))
+		addLine(traces, at, match[2], parseFields(match[3]))
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, eris.Wrap(err, "read steps")
+		return nil, eris.Wrap(err, "read logs")
 	}
 	var steps []Step
 	for _, trace := range traces {
@@ -105,8 +106,8 @@
 	return steps, nil
 }
 
-// fields returns the values of a line by key.
-func fields(text string) map[string]string {
+// parseFields returns the values of a line by key.
+func parseFields(text string) map[string]string {
 	values := map[string]string{}
 	decoder := logfmt.NewDecoder(strings.NewReader(text))
 	for decoder.ScanRecord() {
@@ -163,19 +164,19 @@
 	return t.items[id]
 }
 
-// summarize computes where the time went. It reports false for a step that was not
-// accepted and ended within the logs, or that has no generated text.
+// summarize computes how the step's time was spent. It reports false for a step
+// that was not accepted and ended within the logs, or that has no generated text.
 func (t *stepTrace) summarize() (Step, bool) {
 	if t.Accepted.IsZero() || t.endedAt.IsZero() {
 		return Step{}, false
 	}
 	var last *itemTrace
-	var first []time.Duration
+	var firstWaits []time.Duration
 	for _, candidate := range t.items {
 		if len(candidate.placedAt) == 0 {
 			continue
 		}
-		first = append(first, candidate.placedAt[0].Sub(t.Accepted))
+		firstWaits = append(firstWaits, candidate.placedAt[0].Sub(t.Accepted))
 		t.RepeatedPlacements += len(candidate.placedAt) - 1
 		if !candidate.generatedAt.IsZero() && !candidate.generatedAt.After(t.endedAt) && (last == nil || candidate.generatedAt.After(last.generatedAt)) {
 			last = candidate
@@ -184,12 +185,12 @@
 	if last == nil {
 		return Step{}, false
 	}
-	slices.Sort(first)
-	latest := last.placedAt[len(last.placedAt)-1]
-	t.HalfPlaced = first[len(first)/2]
+	slices.Sort(firstWaits)
+	lastPlacedAt := last.placedAt[len(last.placedAt)-1]
+	t.HalfPlaced = firstWaits[len(firstWaits)/2]
 	t.Waited = last.placedAt[0].Sub(t.Accepted)
-	t.Interrupted = latest.Sub(last.placedAt[0])
-	t.Ran = last.generatedAt.Sub(latest)
+	t.Interrupted = lastPlacedAt.Sub(last.placedAt[0])
+	t.Ran = last.generatedAt.Sub(lastPlacedAt)
 	listed := t.lastListed(last.generatedAt)
 	t.Listed = listed.Sub(last.generatedAt)
 	t.Closed = t.endedAt.Sub(listed)
