--- a/internal/batch/board.go
+++ b/internal/batch/board.go
@@ -105,8 +105,8 @@
 	owners map[string]string
 	// unowned holds the open batches without an owner.
 	unowned map[string]unownedBatch
-	// ownerRevisions holds the revisions of the owner keys, openRevisions those of the keys of
-	// open batches.
+	// ownerRevisions holds the revisions of the owner keys, openRevisions the revisions of the
+	// keys of open batches.
 	ownerRevisions map[string]uint64
 	openRevisions  map[string]uint64
 	claiming       map[string]bool
--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -139,7 +139,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(5*time.Second), wait.Gap(2*time.Millisecond)))
 }
 
-func (p *process) holds() bool {
+func (p *process) ownsBatch() bool {
 	const id = "b1"
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -159,7 +159,7 @@
 	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
-	must.True(t, p.holds())
+	must.True(t, p.ownsBatch())
 	t.Run("the store is unavailable", func(t *testing.T) {
 		store.SetUnavailable(true)
 		defer store.SetUnavailable(false)
@@ -199,7 +199,7 @@
 	p := startProcess(t, store, "g1", "g1")
 	store.LoseAnswers(1)
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
-	await(t, func() bool { return p.holds() })
+	await(t, func() bool { return p.ownsBatch() })
 }
 
 // timeoutPeer is a peer whose answers to Accept never arrive.
@@ -238,9 +238,9 @@
 	first.stop()
 	second := startProcessWithRoutes(t, &routes{}, store, "g1", "g1")
 	time.Sleep(3 * claimPollInterval)
-	must.False(t, second.holds())
+	must.False(t, second.ownsBatch())
 	second.routes.set(knownRoute, true)
-	await(t, func() bool { return second.holds() })
+	await(t, func() bool { return second.ownsBatch() })
 	time.Sleep(2 * schedulePollInterval)
 	must.SliceEmpty(t, second.outcomes(t))
 }
--- a/internal/batch/changes.go
+++ b/internal/batch/changes.go
@@ -107,7 +107,7 @@
 	}
 	owner := &statepb.Owner{}
 	if err := proto.Unmarshal(change.Data, owner); err != nil {
-		klog.ErrorS(err, "batch: cannot decode an owner", "key", change.Key)
+		klog.ErrorS(err, "batch: decoding an owner key failed", "key", change.Key)
 		return id, "", false
 	}
 	return id, owner.GetProcess(), true
--- a/internal/batch/claim.go
+++ b/internal/batch/claim.go
@@ -177,7 +177,7 @@
 func (b *Board) adopt(ctx context.Context, id string, ownership Ownership) {
 	batch, listed, partials, err := b.load(ctx, id, nil)
 	for err != nil && ctx.Err() == nil && b.ownsAt(id, ownership.Revision) {
-		klog.InfoS("batch: load failed", "batch", id, "err", err.Error())
+		klog.InfoS("batch: loading from the store failed, retrying", "batch", id, "err", err.Error())
 		pause.For(ctx, claimStagger)
 		batch, listed, partials, err = b.load(ctx, id, partials)
 	}
--- a/internal/batch/claim_test.go
+++ b/internal/batch/claim_test.go
@@ -36,7 +36,7 @@
 	store := &countingStore{Store: &platformtest.Store{}}
 	first := startProcess(t, store.Store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10)))
-	await(t, first.holds)
+	await(t, first.ownsBatch)
 	list, err := store.List(t.Context(), Prefix)
 	must.NoError(t, err)
 	restarted := func() *Board {
@@ -97,7 +97,7 @@
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10)))
-	await(t, first.holds)
+	await(t, first.ownsBatch)
 	list, err := store.List(t.Context(), Prefix)
 	must.NoError(t, err)
 	first.stop()
@@ -137,7 +137,7 @@
 	old := first.owned["b1"].ledger
 	first.stop()
 	must.NoError(t, store.RevokeLease(t.Context(), first.Lease()))
-	await(t, func() bool { return second.holds() })
+	await(t, func() bool { return second.ownsBatch() })
 	must.False(t, old.commit(t.Context(), 0, []byte("late")))
 	must.Eq(t, 0, len(second.outcomes(t)))
 }
@@ -168,6 +168,6 @@
 	must.NoError(t, first.AcceptOwn(t.Context(), newBatch(10)))
 	await(t, func() bool { return second.Owner("b1") == "g1" })
 	first.Drain(t.Context())
-	await(t, func() bool { return second.holds() })
+	await(t, func() bool { return second.ownsBatch() })
 	must.Error(t, first.AcceptOwn(t.Context(), newBatch(10, 20)))
 }
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -42,7 +42,7 @@
 	first.GroupDelay = time.Hour
 	first.Peers = nextOwner{board: func() *Board { return second.Board }}
 	must.NoError(t, first.AcceptOwn(t.Context(), newBatch(10, 20, 30)))
-	await(t, func() bool { return first.holds() && second.Owner("b1") == "g1" })
+	await(t, func() bool { return first.ownsBatch() && second.Owner("b1") == "g1" })
 	awaitOpen(t, first)
 	owner := first.owned["b1"].owner
 	owner.mutex.Lock()
@@ -112,8 +112,8 @@
 		var missing *platform.NotFoundError
 		must.True(t, errors.As(err, &missing))
 	})
-	// The store commits the last chunk and its answer is lost. It is then unknown what is
-	// listed, and only the store can tell the next owner.
+	// The store commits the last chunk and its answer is lost. It is then unknown which outcomes
+	// are listed, and only the store can tell the next owner.
 	t.Run("not while it isn't known what is listed", func(t *testing.T) {
 		_, first, second := setUpDrain(t)
 		ledger := first.owned["b1"].ledger
@@ -121,7 +121,7 @@
 		ledger.isInDoubt = true
 		ledger.mutex.Unlock()
 		first.Drain(t.Context())
-		await(t, second.holds)
+		await(t, second.ownsBatch)
 		must.SliceEmpty(t, second.outcomes(t))
 	})
 }
@@ -138,7 +138,7 @@
 		return err == nil && len(page.Outcomes) == 1
 	})
 	first.Drain(t.Context())
-	await(t, second.holds)
+	await(t, second.ownsBatch)
 	await(t, func() bool { return len(second.outcomes(t)) == 1 })
 }
 
@@ -183,7 +183,7 @@
 }
 
 // A gateway stops while a chunk is on its way to a slow store. If the write is cancelled, the
-// gateway does not know what is listed and cannot hand the batch over.
+// gateway does not know which outcomes are listed and cannot hand the batch over.
 func TestHandoverWaitsForAWrite(t *testing.T) {
 	ownStore, first, second := setUpDrainWithLateStore(t)
 	ownStore.set(late)
@@ -236,7 +236,7 @@
 		must.False(t, isClosed(owned.stopped))
 		store.SetUnavailable(false)
 		<-drained
-		await(t, second.holds)
+		await(t, second.ownsBatch)
 		second.mutex.Lock()
 		next := second.owned["b1"]
 		second.mutex.Unlock()
--- a/internal/batch/earlyrun.go
+++ b/internal/batch/earlyrun.go
@@ -114,7 +114,7 @@
 // tryCommitEarly tries once to commit an early batch to the store.
 func (b *Board) tryCommitEarly(ctx context.Context, batch *statepb.Batch) {
 	if err := b.commitBatch(ctx, batch); err != nil {
-		klog.V(1).InfoS("batch: early batch is not in the store yet", "batch", batch.GetId(), "err", err.Error())
+		klog.V(1).InfoS("batch: committing an early batch failed, retrying", "batch", batch.GetId(), "err", err.Error())
 	}
 }
 
@@ -235,6 +235,6 @@
 	ctx, cancel := context.WithTimeout(ctx, peerAcceptTimeout)
 	defer cancel()
 	acceptance, err := b.Peers.Accept(ctx, host, batch)
-	klog.InfoS("batch: asked its owner to accept it", "batch", batch.GetId(), "model", batch.GetModel(), "owner", host, "acceptance", acceptance, "err", err)
+	klog.InfoS("batch: asked its preferred owner to accept it", "batch", batch.GetId(), "model", batch.GetModel(), "owner", host, "acceptance", acceptance, "err", err)
 	return acceptance, err
 }
--- a/internal/batch/earlyrun_test.go
+++ b/internal/batch/earlyrun_test.go
@@ -58,7 +58,7 @@
 		runs := p.owned["b1"]
 		store.SetUnavailable(false)
 		must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
-		await(t, func() bool { return p.holds() && p.earlyRunOf("b1") == nil })
+		await(t, func() bool { return p.ownsBatch() && p.earlyRunOf("b1") == nil })
 		must.True(t, p.owned["b1"] == runs)
 		runs.ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
 		await(t, func() bool { return len(p.outcomes(t)) == 1 })
@@ -78,7 +78,7 @@
 		mustBeUnknown(t, p.Accept(shortContext(t), newBatch(10)))
 		must.NotNil(t, p.earlyRunOf("b1"))
 		p.lease.Store(lease)
-		await(t, func() bool { return p.holds() && p.earlyRunOf("b1") == nil })
+		await(t, func() bool { return p.ownsBatch() && p.earlyRunOf("b1") == nil })
 	})
 	t.Run("is left to another process that has taken it", func(t *testing.T) {
 		store := &platformtest.Store{}
@@ -86,14 +86,14 @@
 		first.lease.Store(0)
 		mustBeUnknown(t, first.Accept(shortContext(t), newBatch(10)))
 		must.NoError(t, second.AcceptOwn(t.Context(), newBatch(10)))
-		await(t, func() bool { return first.earlyRunOf("b1") == nil && !first.holds() })
-		must.True(t, second.holds())
+		await(t, func() bool { return first.earlyRunOf("b1") == nil && !first.ownsBatch() })
+		must.True(t, second.ownsBatch())
 	})
 	t.Run("is claimed where its owner's key has ended", func(t *testing.T) {
 		store, p := startUnavailable(t)
 		runs := p.owned["b1"]
 		store.SetUnavailable(false)
-		await(t, func() bool { return p.holds() && p.earlyRunOf("b1") == nil })
+		await(t, func() bool { return p.ownsBatch() && p.earlyRunOf("b1") == nil })
 		again := &earlyRun{done: make(chan struct{})}
 		p.mutex.Lock()
 		runs.early = again
@@ -101,7 +101,7 @@
 		_, err := store.Commit(t.Context(), platform.Commit{Remove: []string{ownerKey("b1")}})
 		must.NoError(t, err)
 		await(t, func() bool { return isClosed(again.done) })
-		must.True(t, p.holds())
+		must.True(t, p.ownsBatch())
 	})
 	t.Run("ends when its trainer ends it", func(t *testing.T) {
 		store, p := startUnavailable(t)
@@ -148,7 +148,7 @@
 	must.Nil(t, processes[other].earlyRunOf("b1"))
 	store.SetUnavailable(false)
 	must.NoError(t, processes[other].Accept(t.Context(), newBatch(10)))
-	await(t, func() bool { return processes[home].holds() })
+	await(t, func() bool { return processes[home].ownsBatch() })
 }
 
 // pendingPeer answers that every batch is pending.
--- a/internal/batch/keep.go
+++ b/internal/batch/keep.go
@@ -42,8 +42,8 @@
 
 // keep sends incomplete texts to a keeper until the context ends.
 //
-// Without a keeper, an owner that dies loses what its samplers have generated, and the longest
-// texts of a step take nearly all of the step's time.
+// Without a keeper, an owner that dies loses the texts that its samplers have generated, and the
+// longest texts of a step take nearly all of the step's time.
 //
 // After a failure all texts are sent again, with a growing delay. Resent at the full rate over a
 // saturated link, they would keep the link saturated, and the owner's writes to the store would
--- a/internal/batch/ledger.go
+++ b/internal/batch/ledger.go
@@ -181,7 +181,7 @@
 // write writes the pending outcomes as one chunk, and retries until the result is known.
 //
 // A write without an answer may be committed seconds later. The retry sends the same chunk under
-// the same key: the store keeps whichever arrives first and rejects the other with a conflict
+// the same key: the store keeps whichever arrives first and rejects the later one with a conflict
 // that contains the chunk. Under another key, or with more outcomes in the chunk, it could keep
 // both.
 func (l *ledger) write(ctx context.Context) {
--- a/internal/batch/leftovers.go
+++ b/internal/batch/leftovers.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// maxLeftoverBytes bounds the texts kept for later batches: those of a few steps.
+// maxLeftoverBytes bounds the texts kept for later batches: it holds the texts of a few steps.
 const maxLeftoverBytes = 8 << 20
 
 // leftovers holds the texts of groups that were incomplete when their batch ended. Its zero
--- a/internal/batch/shown_test.go
+++ b/internal/batch/shown_test.go
@@ -40,8 +40,8 @@
 	next  writeBehavior
 	// release is closed to deliver late answers.
 	release chan struct{}
-	// waiting holds the deferred writes.
-	waiting []platform.Commit
+	// deferredCommits holds the deferred writes until finish.
+	deferredCommits []platform.Commit
 }
 
 func newLateStore(store *platformtest.Store) *lateStore {
@@ -62,7 +62,7 @@
 	next, release := l.next, l.release
 	l.next = answered
 	if next == deferred {
-		l.waiting = append(l.waiting, commit)
+		l.deferredCommits = append(l.deferredCommits, commit)
 	}
 	l.mutex.Unlock()
 	if next == deferred {
@@ -90,10 +90,10 @@
 	defer l.mutex.Unlock()
 	close(l.release)
 	l.release = make(chan struct{})
-	for _, commit := range l.waiting {
-		_, _ = l.Store.Commit(context.Background(), commit) // Its expectations may no longer hold.
+	for _, commit := range l.deferredCommits {
+		_, _ = l.Store.Commit(context.Background(), commit) // The expectations of the commit may no longer hold.
 	}
-	l.waiting = nil
+	l.deferredCommits = nil
 }
 
 // startLateProcess starts a process whose own store answers late.
@@ -174,7 +174,7 @@
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
-	await(t, first.holds)
+	await(t, first.ownsBatch)
 	owner := first.owned["b1"].owner
 	owner.mutex.Lock()
 	owner.plan.Start(Job{index: 1, spec: owner.plan.items[1].spec})
@@ -222,11 +222,11 @@
 	await(t, func() bool {
 		ownStore.mutex.Lock()
 		defer ownStore.mutex.Unlock()
-		return len(ownStore.waiting) == 1
+		return len(ownStore.deferredCommits) == 1
 	})
 	first.stop()
 	second := startProcess(t, store, "g1", "g1")
-	await(t, second.holds)
+	await(t, second.ownsBatch)
 	ownStore.finish()
 	second.owned["b1"].ledger.enqueue(outcome("i1"), true)
 	await(t, func() bool { return len(second.outcomes(t)) == 1 })
@@ -312,12 +312,12 @@
 					continue
 				}
 				if after < len(shown) && len(found) == 0 {
-					rt.Fatalf("%s shows nothing at %d, %d were read", name, after, len(shown))
+					rt.Fatalf("%s returns no outcome at position %d although %d positions were read", name, after, len(shown))
 				}
 				for i, outcome := range found {
 					switch at := after + i; {
 					case at < len(shown) && shown[at] != outcome.GetItem():
-						rt.Fatalf("%s shows %s at %d, %s was read", name, outcome.GetItem(), at, shown[at])
+						rt.Fatalf("%s returns %s at position %d, where %s was read before", name, outcome.GetItem(), at, shown[at])
 					case at == len(shown):
 						shown = append(shown, outcome.GetItem())
 					}
