--- a/internal/rollout/fake_test.go
+++ b/internal/rollout/fake_test.go
@@ -12,15 +12,15 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/sidecar"
 )
 
-var errUnavailable = &platform.UnavailableError{Operation: "test", Cause: errors.New("away")}
+var errUnavailable = &platform.UnavailableError{Operation: "test", Cause: errors.New("unavailable")}
 
 // fakeStore is the part of the platform's key-value service that steps use.
 type fakeStore struct {
-	mutex    sync.Mutex
-	values   map[string]platform.Value
-	revision uint64
-	writes   int
-	largest  int
+	mutex        sync.Mutex
+	values       map[string]platform.Value
+	revision     uint64
+	writes       int
+	largestBytes int
 	// isUnavailable fails every call; loseNextAnswer lets one write take effect without
 	// a reply.
 	isUnavailable  bool
@@ -91,7 +91,7 @@
 	}
 	s.revision++
 	s.writes++
-	s.largest = max(s.largest, len(data))
+	s.largestBytes = max(s.largestBytes, len(data))
 	s.values[key] = platform.Value{Key: key, Data: data, Revision: s.revision}
 	if s.loseNextAnswer {
 		s.loseNextAnswer = false
@@ -107,7 +107,7 @@
 	runs    int
 	// gate blocks each run until a receive from it succeeds; nil blocks none.
 	gate chan struct{}
-	// shortAnswers is how many of the first answers lack tokens.
+	// shortAnswers is the number of answers, from the first on, that lack tokens.
 	shortAnswers int
 }
 
@@ -175,7 +175,7 @@
 	defer f.mutex.Unlock()
 	replicas := f.replicas[process]
 	if replicas == nil {
-		return nil, errors.New("gone")
+		return nil, errors.New("unknown process")
 	}
 	return replicas.Fetch(trainer, step, slots), nil
 }
--- a/internal/rollout/holder_test.go
+++ b/internal/rollout/holder_test.go
@@ -80,7 +80,7 @@
 	seen := map[uint32]bool{}
 	for i, sample := range samples {
 		must.Eq(t, place+uint64(i), sample.GetPlace())
-		must.False(t, seen[sample.GetSlot()], must.Sprintf("slot %d came twice", sample.GetSlot()))
+		must.False(t, seen[sample.GetSlot()], must.Sprintf("slot %d was delivered twice", sample.GetSlot()))
 		seen[sample.GetSlot()] = true
 	}
 }
@@ -154,9 +154,9 @@
 	mustRefuse(t, err, "acknowledged")
 }
 
-// The store applies the write that binds places, but its reply is lost. The next write
-// conflicts with the holder's own; a holder that took the conflict for a successor
-// would run the whole step again.
+// The store applies the write that binds places, but its reply is lost. The next
+// write conflicts with the holder's previous one. A holder that mistook this
+// conflict for a successor's write would run the whole step again.
 func TestStoreReplyLost(t *testing.T) {
 	store := newFakeStore()
 	runner := &fakeRunner{version: 1, gate: make(chan struct{})}
@@ -195,9 +195,9 @@
 	mustDeliverOnce(t, append(committed.GetSamples(), pullAll(t, holder, 4)...), 8, 0)
 }
 
-// The holder dies after it has delivered half of the step, and the trainer pulls the
-// unacknowledged half again from the successor. It must receive the same bytes, and
-// the rest of the step must continue.
+// The holder dies after it has delivered half of the step, and the trainer pulls
+// the unacknowledged half again from the successor. The trainer must receive the
+// same bytes, and the rest of the step must continue.
 func TestHolderDies(t *testing.T) {
 	store := newFakeStore()
 	replicator := newFakeReplicator("b")
--- a/internal/rollout/interleaving_test.go
+++ b/internal/rollout/interleaving_test.go
@@ -29,34 +29,34 @@
 
 // interleaving models actors that share one store and one trainer.
 type interleaving struct {
-	store      *fakeStore
-	replicator *fakeReplicator
-	actors     []*actor
-	fence      uint64
-	newest     uint64
-	now        time.Time
-	// next is the place that the trainer pulls from next; places holds all samples
-	// ever delivered.
-	next   uint64
-	places map[uint64]*peerpb.Sample
-	slots  map[uint32]uint64
+	store         *fakeStore
+	replicator    *fakeReplicator
+	actors        []*actor
+	fence         uint64
+	newestVersion uint64
+	now           time.Time
+	// nextPlace is the place that the trainer pulls from next; sampleByPlace holds
+	// all samples ever delivered.
+	nextPlace     uint64
+	sampleByPlace map[uint64]*peerpb.Sample
+	placeBySlot   map[uint32]uint64
 }
 
 const interleavingSlots = 6
 
 func newInterleaving(t *rapid.T) *interleaving {
 	i := &interleaving{
-		store:      newFakeStore(),
-		replicator: newFakeReplicator("x"),
-		newest:     1,
-		now:        time.Unix(0, 0),
-		places:     map[uint64]*peerpb.Sample{},
-		slots:      map[uint32]uint64{},
+		store:         newFakeStore(),
+		replicator:    newFakeReplicator("x"),
+		newestVersion: 1,
+		now:           time.Unix(0, 0),
+		sampleByPlace: map[uint64]*peerpb.Sample{},
+		placeBySlot:   map[uint32]uint64{},
 	}
 	open := openRequest(1, 2, interleavingSlots/2, 1)
 	first := &actor{record: &record.Record{Store: i.store, Key: "step"}}
 	i.fence++
-	first.step = NewStep(open, 0, i.fence, i.newest)
+	first.step = NewStep(open, 0, i.fence, i.newestVersion)
 	must.NoError(t, first.record.Write(context.Background(), encode(first.step.Propose())))
 	first.step.Commit()
 	i.actors = []*actor{first}
@@ -89,7 +89,7 @@
 	index := rapid.IntRange(0, len(holder.running)-1).Draw(t, "running")
 	attempt := holder.running[index]
 	holder.running = append(holder.running[:index:index], holder.running[index+1:]...)
-	version := i.newest - min(i.newest-1, uint64(rapid.IntRange(0, 2).Draw(t, "lag")))
+	version := i.newestVersion - min(i.newestVersion-1, uint64(rapid.IntRange(0, 2).Draw(t, "lag")))
 	var builder SampleBuilder
 	must.NoError(t, builder.Add(attempt.ID(), peerpb.Chunk_builder{Tokens: []int32{1}, Version: version}.Build()))
 	sample, err := builder.Sample(attempt, holder.step.open, peerpb.End_builder{OutputTokens: 1}.Build())
@@ -192,13 +192,13 @@
 // announce raises the trainer's version at one actor; the others receive it with
 // pulls.
 func (i *interleaving) announce(t *rapid.T) {
-	i.newest++
-	i.pick(t).step.Announce(i.newest)
+	i.newestVersion++
+	i.pick(t).step.Announce(i.newestVersion)
 }
 
 // pull is a pull by the trainer; its reply may be lost, and it may be repeated later.
 func (i *interleaving) pull(t *rapid.T) {
-	pulled, err := i.pick(t).step.Pull(i.next, rapid.IntRange(1, 4).Draw(t, "max"), i.newest)
+	pulled, err := i.pick(t).step.Pull(i.nextPlace, rapid.IntRange(1, 4).Draw(t, "max"), i.newestVersion)
 	if err != nil {
 		return
 	}
@@ -206,25 +206,25 @@
 		i.check(t, sample)
 	}
 	if rapid.Bool().Draw(t, "answer arrives") {
-		i.next = pulled.Next()
+		i.nextPlace = pulled.Next()
 	}
 }
 
 // check asserts the invariants of a delivered sample.
 func (i *interleaving) check(t *rapid.T, sample *peerpb.Sample) {
-	must.False(t, isStale(i.newest, OldestVersion(sample), 1), must.Sprint("a stale sample was delivered"))
-	place, known := i.slots[sample.GetSlot()]
+	must.False(t, isStale(i.newestVersion, OldestVersion(sample), 1), must.Sprint("a stale sample was delivered"))
+	place, known := i.placeBySlot[sample.GetSlot()]
 	must.True(t, !known || place == sample.GetPlace(), must.Sprintf("slot %d has two places", sample.GetSlot()))
-	before := i.places[sample.GetPlace()]
+	before := i.sampleByPlace[sample.GetPlace()]
 	must.True(t, before == nil || before.GetSlot() == sample.GetSlot(), must.Sprintf("place %d has two slots", sample.GetPlace()))
-	i.slots[sample.GetSlot()] = sample.GetPlace()
-	i.places[sample.GetPlace()] = proto.CloneOf(sample)
+	i.placeBySlot[sample.GetSlot()] = sample.GetPlace()
+	i.sampleByPlace[sample.GetPlace()] = proto.CloneOf(sample)
 }
 
-// Holders are paused, resumed and replaced between any two operations, the store loses
-// replies, versions change in the middle, and pulls are lost and repeated at any
-// process that believes that it is the holder. If a place could ever change its slot,
-// the trainer would receive one sample twice and another one never.
+// Holders are paused, resumed and replaced between any two operations, the store
+// loses replies, versions change during generation, and pulls are lost and repeated
+// at any process that believes that it is the holder. If a place could ever change
+// its slot, the trainer would receive one sample twice and another one never.
 func TestPlaceKeepsSlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		i := newInterleaving(t)
--- a/internal/rollout/replicas.go
+++ b/internal/rollout/replicas.go
@@ -11,8 +11,9 @@
 // maxReplicaBytes bounds the samples that a process holds for one trainer.
 const maxReplicaBytes = 128 << 20
 
-// Replicas stores finished samples for holders in other processes: for each trainer
-// those of its newest step. Its zero value is empty. It is safe for concurrent use.
+// Replicas stores finished samples for holders in other processes: for each
+// trainer, the samples of its newest step. Its zero value is empty. It is safe for
+// concurrent use.
 type Replicas struct {
 	mutex    sync.Mutex
 	trainers map[string]*replicaSet
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -111,7 +111,7 @@
 		mustDeliver(t, step, 1)
 		step.Announce(3)
 		_, wanted := step.Next(start)
-		must.False(t, wanted, must.Sprint("the trainer may have it"))
+		must.False(t, wanted, must.Sprint("the trainer may have the delivered sample"))
 		mustDeliver(t, step, 0)
 		must.Eq(t, 0, mustNext(t, step, start).Slot())
 	})
@@ -132,7 +132,7 @@
 		must.False(t, step.Progress(attempt, 1, 2, start))
 		step.Fail(attempt, 0, start)
 		again := mustNext(t, step, start)
-		must.Eq(t, 2, again.Number(), must.Sprint("without a pause"))
+		must.Eq(t, 2, again.Number(), must.Sprint("must restart without a pause"))
 		must.Eq(t, 2, again.MinVersion())
 	})
 	t.Run("one that was stale before begins under the newest version", func(t *testing.T) {
@@ -143,7 +143,7 @@
 			step.Fail(attempt, 0, start)
 		}
 		must.Eq(t, 3, mustNext(t, step, start).MinVersion(), must.Sprint("dropped as stale before"))
-		must.Eq(t, 2, mustNext(t, step, start).MinVersion(), must.Sprint("the bound alone"))
+		must.Eq(t, 2, mustNext(t, step, start).MinVersion(), must.Sprint("limited only by the staleness bound"))
 	})
 	t.Run("a complete stale sample is rejected", func(t *testing.T) {
 		step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 3)
@@ -300,7 +300,8 @@
 	return step
 }
 
-// BenchmarkPropose measures one write of the state; there are at most ten per second.
+// BenchmarkPropose measures the encoding of a state, which is written at most ten
+// times per second.
 func BenchmarkPropose(b *testing.B) {
 	step := benchmarkStep(b)
 	b.ReportAllocs()
@@ -320,7 +321,8 @@
 	}
 }
 
-// BenchmarkProgress measures what each chunk of an answer costs under the holder's lock.
+// BenchmarkProgress measures the cost of each chunk of an answer under the holder's
+// lock.
 func BenchmarkProgress(b *testing.B) {
 	step := NewStep(openRequest(1, 1, 1, 1), 0, 1, 1)
 	attempt, _ := step.Next(start)
