--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -10,7 +10,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-var errUnavailable = &platform.UnavailableError{Operation: "test", Cause: errors.New("away")}
+var errUnavailable = &platform.UnavailableError{Operation: "test", Cause: errors.New("unavailable")}
 
 // fakeStore holds one value. Writes can fail, or take effect without a reply.
 type fakeStore struct {
