--- a/internal/trainer/handler_test.go
+++ b/internal/trainer/handler_test.go
@@ -25,9 +25,9 @@
 	opened    *peerpb.OpenRequest
 	pulled    *peerpb.PullRequest
 	announced *peerpb.AnnounceRequest
-	// hold blocks a pull until the call's context ends.
-	hold    bool
-	waiting chan struct{}
+	// blocksPull makes Pull block until the call's context ends.
+	blocksPull bool
+	waiting    chan struct{}
 }
 
 var _ Steps = &fakeSteps{}
@@ -44,7 +44,7 @@
 
 func (f *fakeSteps) Pull(ctx context.Context, request *peerpb.PullRequest) (*peerpb.PullReply, error) {
 	f.pulled = request
-	if f.hold {
+	if f.blocksPull {
 		close(f.waiting)
 		<-ctx.Done()
 	}
@@ -159,7 +159,7 @@
 	})
 	t.Run("a withdrawn key ends a waiting pull", func(t *testing.T) {
 		waiting := make(chan struct{})
-		handler.Steps = &fakeSteps{hold: true, waiting: waiting}
+		handler.Steps = &fakeSteps{blocksPull: true, waiting: waiting}
 		answered := make(chan *httptest.ResponseRecorder, 1)
 		go func() {
 			answered <- callHandler(handler, http.MethodGet, "drafts", "/samples?place=0", testKey, "")
