--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -69,7 +69,7 @@
 	return r.route, r.known
 }
 
-// process is a board on a store, with the watch that feeds it.
+// process is a board with a store and a watch that delivers the store's changes.
 type process struct {
 	*Board
 
@@ -139,7 +139,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(5*time.Second), wait.Gap(2*time.Millisecond)))
 }
 
-func (p *process) holds() bool {
+func (p *process) ownsBatch() bool {
 	const id = "b1"
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -159,7 +159,7 @@
 	p := startProcess(t, store, "g1", "g1")
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
 	must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
-	must.True(t, p.holds())
+	must.True(t, p.ownsBatch())
 	t.Run("the store is unavailable", func(t *testing.T) {
 		store.SetUnavailable(true)
 		defer store.SetUnavailable(false)
@@ -192,25 +192,25 @@
 	must.NoError(t, board.Run(ctx))
 }
 
-// The store commits a batch and its answer is lost. The trainer must not be told "not run", and
-// the batch must run once.
+// The store commits a batch and its answer is lost. The trainer must not get a NotRun refusal,
+// and the batch must run once.
 func TestAcceptWithoutAnswer(t *testing.T) {
 	store := &platformtest.Store{}
 	p := startProcess(t, store, "g1", "g1")
 	store.LoseAnswers(1)
 	must.NoError(t, p.Accept(t.Context(), newBatch(10)))
-	await(t, func() bool { return p.holds() })
+	await(t, func() bool { return p.ownsBatch() })
 }
 
-// timeoutPeer does not answer whether it accepted a batch.
+// timeoutPeer is a peer whose answers to Accept never arrive.
 type timeoutPeer struct{ noopPeer }
 
 func (timeoutPeer) Accept(context.Context, string, *statepb.Batch) (Acceptance, error) {
 	return Refused, context.DeadlineExceeded
 }
 
-// A batch was sent to its owner and no answer came, and the gateway cannot reach the store
-// either. It must not say "not run" of a batch that may run.
+// A gateway gets no answer from the owner of a batch and cannot reach the store either. It must
+// not answer NotRun for a batch that may run.
 func TestPeerTimeout(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1", "g2")
 	p.Peers = timeoutPeer{}
@@ -238,9 +238,9 @@
 	first.stop()
 	second := startProcessWithRoutes(t, &routes{}, store, "g1", "g1")
 	time.Sleep(3 * claimPollInterval)
-	must.False(t, second.holds())
+	must.False(t, second.ownsBatch())
 	second.routes.set(knownRoute, true)
-	await(t, func() bool { return second.holds() })
+	await(t, func() bool { return second.ownsBatch() })
 	time.Sleep(2 * schedulePollInterval)
 	must.SliceEmpty(t, second.outcomes(t))
 }
--- a/internal/batch/earlyrun_test.go
+++ b/internal/batch/earlyrun_test.go
@@ -26,8 +26,8 @@
 	return p.processes[host].AcceptForPeer(ctx, batch, 300*time.Millisecond)
 }
 
-// mustBeUnknown checks that a trainer was told neither that its batch is accepted nor that
-// nothing of it runs.
+// mustBeUnknown checks that an answer to a trainer states neither that the batch is accepted nor
+// that no item of it runs.
 func mustBeUnknown(t *testing.T, err error) {
 	t.Helper()
 	must.Error(t, err)
@@ -58,7 +58,7 @@
 		runs := p.owned["b1"]
 		store.SetUnavailable(false)
 		must.NoError(t, p.Accept(t.Context(), newBatch(10, 20)))
-		await(t, func() bool { return p.holds() && p.earlyRunOf("b1") == nil })
+		await(t, func() bool { return p.ownsBatch() && p.earlyRunOf("b1") == nil })
 		must.True(t, p.owned["b1"] == runs)
 		runs.ledger.enqueue([]*statepb.Outcome{statepb.Outcome_builder{Item: "i0"}.Build()}, true)
 		await(t, func() bool { return len(p.outcomes(t)) == 1 })
@@ -78,7 +78,7 @@
 		mustBeUnknown(t, p.Accept(shortContext(t), newBatch(10)))
 		must.NotNil(t, p.earlyRunOf("b1"))
 		p.lease.Store(lease)
-		await(t, func() bool { return p.holds() && p.earlyRunOf("b1") == nil })
+		await(t, func() bool { return p.ownsBatch() && p.earlyRunOf("b1") == nil })
 	})
 	t.Run("is left to another process that has taken it", func(t *testing.T) {
 		store := &platformtest.Store{}
@@ -86,14 +86,14 @@
 		first.lease.Store(0)
 		mustBeUnknown(t, first.Accept(shortContext(t), newBatch(10)))
 		must.NoError(t, second.AcceptOwn(t.Context(), newBatch(10)))
-		await(t, func() bool { return first.earlyRunOf("b1") == nil && !first.holds() })
-		must.True(t, second.holds())
+		await(t, func() bool { return first.earlyRunOf("b1") == nil && !first.ownsBatch() })
+		must.True(t, second.ownsBatch())
 	})
 	t.Run("is claimed where its owner's key has ended", func(t *testing.T) {
 		store, p := startUnavailable(t)
 		runs := p.owned["b1"]
 		store.SetUnavailable(false)
-		await(t, func() bool { return p.holds() && p.earlyRunOf("b1") == nil })
+		await(t, func() bool { return p.ownsBatch() && p.earlyRunOf("b1") == nil })
 		again := &earlyRun{done: make(chan struct{})}
 		p.mutex.Lock()
 		runs.early = again
@@ -101,7 +101,7 @@
 		_, err := store.Commit(t.Context(), platform.Commit{Remove: []string{ownerKey("b1")}})
 		must.NoError(t, err)
 		await(t, func() bool { return isClosed(again.done) })
-		must.True(t, p.holds())
+		must.True(t, p.ownsBatch())
 	})
 	t.Run("ends when its trainer ends it", func(t *testing.T) {
 		store, p := startUnavailable(t)
@@ -119,7 +119,7 @@
 			p.Drain(context.Background())
 			close(drained)
 		}()
-		await(t, func() bool { return p.drains() })
+		await(t, func() bool { return p.hasDrainStarted() })
 		must.False(t, isClosed(drained))
 		store.SetUnavailable(false)
 		<-drained
@@ -148,7 +148,7 @@
 	must.Nil(t, processes[other].earlyRunOf("b1"))
 	store.SetUnavailable(false)
 	must.NoError(t, processes[other].Accept(t.Context(), newBatch(10)))
-	await(t, func() bool { return processes[home].holds() })
+	await(t, func() bool { return processes[home].ownsBatch() })
 }
 
 // pendingPeer answers that every batch is pending.
@@ -158,7 +158,7 @@
 	return Pending, nil
 }
 
-// Guards against a trainer's call that lasts as long as the store is unavailable.
+// Guards against a trainer's call that blocks until the store is available again.
 func TestPendingTimesOut(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g2")
 	p.Peers = pendingPeer{}
--- a/internal/batch/shown_test.go
+++ b/internal/batch/shown_test.go
@@ -40,8 +40,8 @@
 	next  writeBehavior
 	// release is closed to deliver late answers.
 	release chan struct{}
-	// waiting holds the deferred writes.
-	waiting []platform.Commit
+	// deferredCommits holds the deferred writes until finish.
+	deferredCommits []platform.Commit
 }
 
 func newLateStore(store *platformtest.Store) *lateStore {
@@ -62,7 +62,7 @@
 	next, release := l.next, l.release
 	l.next = answered
 	if next == deferred {
-		l.waiting = append(l.waiting, commit)
+		l.deferredCommits = append(l.deferredCommits, commit)
 	}
 	l.mutex.Unlock()
 	if next == deferred {
@@ -90,10 +90,10 @@
 	defer l.mutex.Unlock()
 	close(l.release)
 	l.release = make(chan struct{})
-	for _, commit := range l.waiting {
-		_, _ = l.Store.Commit(context.Background(), commit) // Its expectations may no longer hold.
+	for _, commit := range l.deferredCommits {
+		_, _ = l.Store.Commit(context.Background(), commit) // The expectations of the commit may no longer hold.
 	}
-	l.waiting = nil
+	l.deferredCommits = nil
 }
 
 // startLateProcess starts a process whose own store answers late.
@@ -112,8 +112,8 @@
 	return []*statepb.Outcome{statepb.Outcome_builder{Item: item, Text: "text of " + item}.Build()}
 }
 
-// readAt reads like a gateway: from itself, else from the owner, else from the store. An owner
-// that is not among the others does not answer.
+// readAt reads like a gateway: from itself, otherwise from the owner, otherwise from the store.
+// An owner that is missing from others does not answer.
 func readAt(ctx context.Context, p *process, others map[string]*process, after uint64) ([]*statepb.Outcome, error) {
 	page, isOwn, err := p.ReadOwned(ctx, "b1", "", after, 0)
 	if isOwn && !page.MayBeIncomplete || err != nil {
@@ -137,9 +137,9 @@
 	must.Eq(t, item, found[0].GetItem())
 }
 
-// An owner did not answer for a while, so a gateway read the store and showed a trainer a
-// result whose write the owner had no answer to yet. Half a second later the owner told the
-// trainer that there is nothing at that position.
+// An owner did not answer for a while, so a gateway read the store and returned an outcome to a
+// trainer before the owner had received the answer to its write. Half a second later, the owner
+// answered the trainer that the position was empty.
 func TestLateAnswerHidesNothing(t *testing.T) {
 	store := &platformtest.Store{}
 	first, ownStore := startLateProcess(t, store, "g1", "g1")
@@ -167,14 +167,14 @@
 	})
 }
 
-// A gateway is cut off from the store until its lease lapses. Another one claims its batch,
-// lists a text and dies. When the first one claims the batch again without knowing of that
-// text, none of its own chunks can be written.
+// A gateway is cut off from the store until its lease expires. Another gateway claims its batch,
+// lists an outcome and dies. If the first gateway claims the batch again without loading that
+// outcome, none of its own chunks can be written.
 func TestListedByOtherOwner(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
-	await(t, first.holds)
+	await(t, first.ownsBatch)
 	owner := first.owned["b1"].owner
 	owner.mutex.Lock()
 	owner.plan.Start(Job{index: 1, spec: owner.plan.items[1].spec})
@@ -209,9 +209,9 @@
 	return data
 }
 
-// A gateway dies with a chunk in flight, and the store commits it after the next process of
-// that name has loaded the batch. Without a new owner key, the new owner does not know of the
-// chunk that others read, and finds the position of each of its own chunks taken.
+// A gateway dies with a chunk in flight, and the store commits it after the next process of that
+// name has loaded the batch. Without a rewritten owner key, the new owner lacks the chunk that
+// others read, and the store rejects each of its own chunks.
 func TestWriteOfFormerProcess(t *testing.T) {
 	store := &platformtest.Store{}
 	first, ownStore := startLateProcess(t, store, "g1", "g1")
@@ -222,11 +222,11 @@
 	await(t, func() bool {
 		ownStore.mutex.Lock()
 		defer ownStore.mutex.Unlock()
-		return len(ownStore.waiting) == 1
+		return len(ownStore.deferredCommits) == 1
 	})
 	first.stop()
 	second := startProcess(t, store, "g1", "g1")
-	await(t, second.holds)
+	await(t, second.ownsBatch)
 	ownStore.finish()
 	second.owned["b1"].ledger.enqueue(outcome("i1"), true)
 	await(t, func() bool { return len(second.outcomes(t)) == 1 })
@@ -235,8 +235,8 @@
 	must.Eq(t, "i1", stored[0].GetItem())
 }
 
-// A trainer waits for results at a gateway that hands its batch over. Without an answer at
-// once, it waits there for up to a second while the next owner has results.
+// A trainer waits for results at a gateway that hands its batch over. If the gateway does not
+// answer at once, the trainer waits for up to a second although the next owner has outcomes.
 func TestReaderFollowsHandover(t *testing.T) {
 	_, first, second := setUpDrain(t)
 	read := make(chan Page, 1)
@@ -273,8 +273,8 @@
 	must.SliceLen(t, 3, list.Values)
 }
 
-// Whichever answers are late or lost, whoever owns a batch and wherever a trainer reads: a
-// position that was read once stays, with the same result.
+// A position that was read once keeps its outcome, whichever answers are late or lost, whichever
+// process owns the batch and whichever process the trainer asks.
 func TestShownPositionsStay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &platformtest.Store{}
@@ -312,12 +312,12 @@
 					continue
 				}
 				if after < len(shown) && len(found) == 0 {
-					rt.Fatalf("%s shows nothing at %d, %d were read", name, after, len(shown))
+					rt.Fatalf("%s returns no outcome at position %d although %d positions were read", name, after, len(shown))
 				}
 				for i, outcome := range found {
 					switch at := after + i; {
 					case at < len(shown) && shown[at] != outcome.GetItem():
-						rt.Fatalf("%s shows %s at %d, %s was read", name, outcome.GetItem(), at, shown[at])
+						rt.Fatalf("%s returns %s at position %d, where %s was read before", name, outcome.GetItem(), at, shown[at])
 					case at == len(shown):
 						shown = append(shown, outcome.GetItem())
 					}
@@ -340,7 +340,7 @@
 	return true
 }
 
-// replaceLease ends the lease of the process and grants another one.
+// replaceLease revokes the lease of the process and grants a new one.
 func (p *process) replaceLease(t *testing.T, store *platformtest.Store) {
 	t.Helper()
 	must.NoError(t, store.RevokeLease(t.Context(), p.lease.Swap(0)))
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -10,13 +10,13 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-var errUnavailable = &platform.UnavailableError{Operation: "test", Cause: errors.New("away")}
+var errUnavailable = &platform.UnavailableError{Operation: "test", Cause: errors.New("unavailable")}
 
 // fakeStore holds one value. Writes can fail, or take effect without a reply.
 type fakeStore struct {
 	value platform.Value
-	// nextOutcome is that of the next write: "lost" takes effect but its reply is
-	// lost, "unavailable" fails without effect; "" succeeds.
+	// nextOutcome is the outcome of the next write: "lost" takes effect but its
+	// reply is lost, "unavailable" fails without effect; "" succeeds.
 	nextOutcome string
 }
 
