--- a/internal/entry/claimquery.go
+++ b/internal/entry/claimquery.go
@@ -8,8 +8,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// holder is a request at another sidecar that holds a claim.
-type holder struct {
+// claimHolder is a request at another sidecar that holds a claim.
+type claimHolder struct {
 	server string
 	id     string
 	digest string
@@ -21,7 +21,7 @@
 	request *peerpb.RunRequest
 	epoch   uint64
 	// holder is set if a sidecar reports that another request holds the claim.
-	holder *holder
+	holder *claimHolder
 }
 
 // ask asks a server's sidecar, which may be this one, to record the claim.
@@ -42,7 +42,7 @@
 	case err != nil || reply.HasRefusal():
 		return claim.NoAnswer
 	case !reply.GetRecorded() && !c.isOwnVoid(q.request.GetClaim(), reply):
-		q.holder = &holder{server: reply.GetServer(), id: reply.GetId(), digest: reply.GetDigest()}
+		q.holder = &claimHolder{server: reply.GetServer(), id: reply.GetId(), digest: reply.GetDigest()}
 		return claim.AlreadyKnown
 	default:
 		return keptAnswer(c.isCompleteSince(reply.GetSince()))
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -63,7 +63,7 @@
 // acquire records a request's claim or returns the local run that holds it. It
 // returns nil and no refusal if the request itself or another sidecar holds it.
 func (c *Claims) acquire(request *peerpb.RunRequest, findRun func(id string) *run) (*run, *refusal.Error) {
-	if refused := c.checkNew(request); refused != nil {
+	if refused := c.checkNewClaim(request); refused != nil {
 		return nil, refused
 	}
 	record, isNew, err := c.recordClaim(request.GetClaim(), claim.NewRecord(request.GetId(), c.Server, digest(request)))
@@ -88,8 +88,8 @@
 	}
 }
 
-// checkNew refuses a new claim whose home is another server, before the request is queued.
-func (c *Claims) checkNew(request *peerpb.RunRequest) *refusal.Error {
+// checkNewClaim refuses a new claim whose home is another server, before the request is queued.
+func (c *Claims) checkNewClaim(request *peerpb.RunRequest) *refusal.Error {
 	fleet := c.Members.Fleet(c.Pool)
 	if _, known := c.journal.Find(request.GetClaim()); known || fleet == nil {
 		return nil
@@ -100,7 +100,7 @@
 // confirm asks the sidecars that may know the claim, and its witness, to record
 // it. It is called just before the request is forwarded. It returns the holder
 // if the claim is known elsewhere; the request must then not run here.
-func (c *Claims) confirm(ctx context.Context, request *peerpb.RunRequest) (*holder, *refusal.Error) {
+func (c *Claims) confirm(ctx context.Context, request *peerpb.RunRequest) (*claimHolder, *refusal.Error) {
 	if remote := c.remoteHolder(request.GetClaim()); remote != nil {
 		return remote, nil
 	}
@@ -116,15 +116,16 @@
 	}
 }
 
-// remoteHolder returns the other server that holds a claim by the local journal, or nil.
-func (c *Claims) remoteHolder(key string) *holder {
+// remoteHolder returns the other server that holds a claim according to the local
+// journal, or nil.
+func (c *Claims) remoteHolder(key string) *claimHolder {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	record, known := c.journal.Find(key)
 	if !known || record.Server() == c.Server {
 		return nil
 	}
-	return &holder{server: record.Server(), id: record.ID()}
+	return &claimHolder{server: record.Server(), id: record.ID()}
 }
 
 func (c *Claims) queryPeers(ctx context.Context, query *claimQuery) *refusal.Error {
@@ -147,9 +148,9 @@
 	return c.toRefusal(plan.Check(func(server string) claim.Answer { return query.ask(ctx, server) }))
 }
 
-// checkHome refuses a claim whose home is another server by this process's fleet.
-// The entry's epoch may differ: the local fleet decides which sidecars to ask,
-// so an entry with an older fleet is safe if it found the right home.
+// checkHome refuses a claim whose home in this process's fleet is another server. The
+// entry's epoch may differ: the local fleet decides which sidecars to ask, so an entry
+// with an older fleet is safe if it found the right home.
 func (c *Claims) checkHome(request *peerpb.RunRequest, fleet *statepb.Fleet) *refusal.Error {
 	if home := claim.Home(request.GetClaim(), fleet); home != c.Server {
 		return refusal.NotRun(http.StatusServiceUnavailable, "wrong_home", "requests with this idempotency key go to %q by epoch %d, sent by epoch %d", home, fleet.GetEpoch(), request.GetEpoch()).WithRetryAfter(retryDelay)
@@ -157,7 +158,8 @@
 	return nil
 }
 
-// confirmWithoutFleet decides while the pool's servers are unknown.
+// confirmWithoutFleet decides whether a request may run while the pool's servers are
+// unknown.
 func (c *Claims) confirmWithoutFleet(now time.Time) *refusal.Error {
 	switch {
 	case c.Members.CountOthers(c.Pool) > 0:
@@ -182,8 +184,8 @@
 	}
 }
 
-// isOwnVoid reports whether a witness recorded the claim for a request of this
-// process that is proved not to have run.
+// isOwnVoid reports whether a witness names a request of this process as the claim's
+// holder, and that request is known not to have run.
 func (c *Claims) isOwnVoid(key string, reply *peerpb.ClaimReply) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -191,9 +193,9 @@
 	return known && reply.GetServer() == c.Server && record.IsVoid(reply.GetId())
 }
 
-// witness records a claim for another server's request. It takes over a claim
+// witnessClaim records a claim for another server's request. It takes over a claim
 // whose local request ended without having run.
-func (c *Claims) witness(request *peerpb.ClaimRequest, findRun func(id string) *run) *peerpb.ClaimReply {
+func (c *Claims) witnessClaim(request *peerpb.ClaimRequest, findRun func(id string) *run) *peerpb.ClaimReply {
 	if request.GetPool() != c.Pool {
 		return refuseClaim("wrong_pool", "%s serves %s", c.Server, c.Pool)
 	}
@@ -221,9 +223,9 @@
 	return c.journal.Add(key, record, time.Now())
 }
 
-// isComplete reports whether this process knows every claim that its backend
-// server may have run within the window. A restarted process lacks those of its
-// predecessor until it has restored them from other sidecars or they expired.
+// isComplete reports whether this process knows every claim that its backend server may
+// have run within the window. A restarted process lacks its predecessor's claims until it
+// has restored them from other sidecars or they have expired.
 func (c *Claims) isComplete(now time.Time) bool {
 	return c.restored.Load() || now.Sub(c.Started) >= claim.Window(c.Retention) || c.Members.IsFirstProcess()
 }
@@ -256,7 +258,8 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// isDifferentRequest reports whether a digest is known and that of another request.
+// isDifferentRequest reports whether knownDigest is set and differs from the request's
+// digest.
 func isDifferentRequest(knownDigest string, request *peerpb.RunRequest) bool {
 	return knownDigest != "" && knownDigest != digest(request)
 }
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -71,9 +71,8 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// Home and witness restart without their claims within the window. It is unknown
-// whether the key was used, so a retry must not run, and its outcome must not be
-// "not run".
+// Home and witness restart without their claims within the window. Whether the key was
+// used is unknown, so a retry must not run, and its outcome must not be "not run".
 func TestRetryAfterBothRestarted(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
@@ -101,7 +100,7 @@
 	must.Eq(t, 2, p.runs.Load())
 }
 
-// keyOfHome returns another key with the same home.
+// keyOfHome returns a key that differs from the constant key and has the given home.
 func keyOfHome(p *pool, home string) string {
 	for i := 0; ; i++ {
 		if other := fmt.Sprintf("other-%d", i); claim.Home(other, p.fleet.Load()) == home {
@@ -123,9 +122,9 @@
 	mustBeComplete(t, postingAnswer, p.send(home, "r2"))
 }
 
-// The witness records the claim but its reply is lost, and the request doesn't
-// run. A retry finds the claim at the witness and must still run, since its home
-// knows that the first send ended as not run.
+// The witness records the claim but its reply is lost, and the request doesn't run. A
+// retry finds the claim at the witness and must still run, since the home knows that the
+// first send ended as not run.
 func TestWitnessAnswerLost(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
@@ -136,8 +135,8 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// An entry with an outdated fleet sends a request to a server that isn't its
-// home. The refusal must leave no claim that keeps the home from running it.
+// An entry with an outdated fleet sends a request to a server that isn't its home. The
+// refusal must leave no claim that keeps the home from running the request.
 func TestWrongHome(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
@@ -158,8 +157,8 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// A home asks with an older epoch than its witness has. By the newer fleet the
-// claim may have another home, so the witness must refuse.
+// A home asks with an older epoch than its witness has. In the newer fleet the claim may
+// have another home, so the witness must refuse.
 func TestOldEpochOfHome(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	_, witness := p.home()
@@ -169,8 +168,9 @@
 	must.Eq(t, "wrong_epoch", reply.GetRefusal().GetCode())
 }
 
-// The backend server goes silent after it was sent a request, so the outcome is
-// unknown. A retry with the same key must report that too and not run again.
+// The backend server stops answering after it received a request, so the outcome is
+// unknown. A retry with the same key must also report an unknown outcome and must not
+// run.
 func TestSilentAfterSend(t *testing.T) {
 	p := newPool(t, newService(t, true, answerPosting), 200*time.Millisecond)
 	home, _ := p.home()
@@ -251,8 +251,8 @@
 	p.setFleet(states[server]...)
 }
 
-// mustBecomeKnown waits until the sidecar knows a run. To start none itself, it
-// asks for a frame that does not exist yet.
+// mustBecomeKnown waits until the sidecar knows a run. It asks for a frame that does not
+// exist yet, so that the probe starts no run.
 func mustBecomeKnown(t *testing.T, client peerpb.SidecarClient, id string) {
 	t.Helper()
 	probe := posting(id)
--- a/internal/entry/cost.go
+++ b/internal/entry/cost.go
@@ -44,7 +44,8 @@
 	return maxTokens + float64(len(request.GetBody())/bytesPerToken)
 }
 
-// actualCost returns an answer's cost, or the expected cost if it reports no output tokens.
+// actualCost returns an answer's cost, or the expected cost if the answer reports no
+// output tokens.
 func actualCost(request fair.Request, end *peerpb.End) float64 {
 	if end.GetOutputTokens() == 0 {
 		return request.Cost
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -14,7 +14,8 @@
 	deliveryPollInterval = 20 * time.Millisecond
 )
 
-// Init starts to admit requests. It must be called once before serving.
+// Init registers the metrics and starts to admit requests. It must be called once before
+// serving.
 func (s *Server) Init() {
 	s.metrics = newMetrics(s)
 	s.limiter.open(s.MaxRunning, s.MaxQueued)
--- a/internal/entry/execute.go
+++ b/internal/entry/execute.go
@@ -18,7 +18,7 @@
 		run.end(end)
 		s.Decisions.Record(run.id, "backend", "ended, %s, %d tokens", end.GetFinish(), end.GetOutputTokens())
 	} else {
-		refused := run.classify(err)
+		refused := run.toRefusal(err)
 		s.metrics.observeRefusal(refused)
 		run.refuse(refused)
 		s.Decisions.Record(run.id, "backend", "refused, %v", refused)
@@ -41,8 +41,9 @@
 	return end, err
 }
 
-// confirmAndForward forwards the request once its witness has recorded its
-// claim, if it has one, or relays the answer of the sidecar that holds the claim.
+// confirmAndForward forwards the request to the backend server. The witness must first
+// record the request's claim, if it has one; if another sidecar holds the claim, that
+// sidecar's answer is relayed instead.
 func (s *Server) confirmAndForward(ctx context.Context, run *run) (*peerpb.End, error) {
 	if !isClaimed(run.request) {
 		return s.forward(ctx, run)
@@ -69,28 +70,28 @@
 	end, err := s.Backend.Run(ctx, run.request, run.add)
 	switch {
 	case err == nil:
-		end.SetCounts(s.count(run.request, end.GetPromptTokens(), end.GetOutputTokens()))
+		end.SetCounts(s.addUsage(run.request, end.GetPromptTokens(), end.GetOutputTokens()))
 		return end, nil
 	case ctx.Err() != nil && run.tokens() > 0:
 		// Tokens sent before the caller cancelled count as usage.
-		s.count(run.request, 0, run.tokens())
+		s.addUsage(run.request, 0, run.tokens())
 	}
 	return nil, err
 }
 
-// count adds a request's usage and returns the counters that changed.
-func (s *Server) count(request *peerpb.RunRequest, prompt, output uint64) []*peerpb.Count {
+// addUsage adds a request's usage and returns the counters that changed.
+func (s *Server) addUsage(request *peerpb.RunRequest, prompt, output uint64) []*peerpb.Count {
 	if s.Counter == nil {
 		return nil
 	}
 	return s.Counter.Add(request.GetAccount(), request.GetPool(), time.Now(), prompt, output)
 }
 
-// classify turns an error into a refusal whose outcome is proved. A run is never
-// "not run" if its answer has begun or an earlier send may have reached the
-// previous process. That process may have forwarded it, and a caller that reads
-// "not run" would send it again as a new request.
-func (r *run) classify(err error) *refusal.Error {
+// toRefusal converts an error into a refusal. The outcome is never "not run" once the
+// answer has begun or if an earlier send may have reached the previous process: that
+// process may have forwarded the request, and a caller that reads "not run" would send it
+// again as a new request.
+func (r *run) toRefusal(err error) *refusal.Error {
 	var refused *refusal.Error
 	if !errors.As(err, &refused) {
 		refused = refusal.Unknown(http.StatusBadGateway, "failed", "%v", err)
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -88,7 +88,7 @@
 	return serveAs(t, server, server)
 }
 
-// serveAs runs a sidecar behind service, which wraps it.
+// serveAs serves service, a wrapper of the sidecar, on loopback and returns a client.
 func serveAs(t *testing.T, server *entry.Server, service peerpb.SidecarServer) peerpb.SidecarClient {
 	t.Helper()
 	server.Init()
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -7,8 +7,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/peerpb"
 )
 
-// loadSequence numbers the load reports of one server. Numbers start at the
-// current time, so that those of a restarted sidecar exceed its predecessor's.
+// loadSequence numbers the load reports of one server. Numbers start at the current time,
+// so that a restarted sidecar's numbers exceed its predecessor's.
 type loadSequence struct {
 	last atomic.Uint64
 }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -16,13 +16,13 @@
 
 // WeightLoader is implemented by backends that can load weight versions.
 type WeightLoader interface {
-	// Load returns the version that the backend server serves afterwards. The
-	// error is a *refusal.Error.
+	// Load loads the ordered version and returns the version that the backend server
+	// serves afterwards. The error is a *refusal.Error.
 	Load(ctx context.Context, order *peerpb.OrderRequest, timeout time.Duration) (uint64, error)
 }
 
-// orderState holds the highest fencing token seen of each duty. Its zero value
-// is ready for use.
+// orderState holds the highest fencing token received for each duty. Its zero value is
+// ready for use.
 type orderState struct {
 	mutex  sync.Mutex
 	fences map[string]uint64
@@ -63,9 +63,9 @@
 	}
 }
 
-// loadVersion forwards a load order. Load orders run one at a time, and one that
-// a newer fencing token has superseded while it waited is refused: an engine
-// that ignores fencing tokens would load the older order's version last.
+// loadVersion forwards a load order. Load orders run one at a time, and an order that a
+// newer fencing token superseded while it waited is refused: an engine that ignores
+// fencing tokens would load the superseded version last.
 func (s *Server) loadVersion(ctx context.Context, order *peerpb.OrderRequest) (uint64, error) {
 	loader, ok := s.Backend.(WeightLoader)
 	if !ok {
@@ -103,9 +103,9 @@
 	s.Loads.OfferLoad(s.load())
 }
 
-// checkFence refuses an order whose fencing token is lower than one seen of its
-// duty. It comes from a former holder that was paused and still believes that
-// it holds the duty.
+// checkFence refuses an order whose fencing token is lower than the highest received for
+// its duty. Such an order comes from a former holder that was paused and still believes
+// that it holds the duty.
 func (o *orderState) checkFence(order *peerpb.OrderRequest) *refusal.Error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -53,7 +53,7 @@
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	reply, err := peerpb.NewSidecarClient(connection).Claim(ctx, request)
-	return reply, eris.Wrapf(err, "Claim call to the sidecar of %s", server)
+	return reply, eris.Wrapf(err, "call Claim at the sidecar of %s", server)
 }
 
 // Recall returns the claims recorded at a server's sidecar.
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	reply, err := peerpb.NewSidecarClient(connection).Recall(ctx, request)
-	return reply, eris.Wrapf(err, "Recall call to the sidecar of %s", server)
+	return reply, eris.Wrapf(err, "call Recall at the sidecar of %s", server)
 }
 
 // Join streams a run that exists at a server's sidecar; it never starts one.
@@ -75,13 +75,13 @@
 		return nil, err
 	}
 	stream, err := peerpb.NewSidecarClient(connection).Run(ctx, request)
-	return stream, eris.Wrapf(err, "Run call to the sidecar of %s", server)
+	return stream, eris.Wrapf(err, "call Run at the sidecar of %s", server)
 }
 
 func (s *Sidecars) connect(server string) (*grpc.ClientConn, error) {
 	address := s.address(server)
 	if address == "" {
-		return nil, eris.Errorf("no known address of the sidecar of %s", server)
+		return nil, eris.Errorf("connect to the sidecar of %s: its address is unknown", server)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/entry/pool_test.go
+++ b/internal/entry/pool_test.go
@@ -47,7 +47,8 @@
 	return p
 }
 
-// setFleet sets the servers' states, all but removals since long ago, and raises the epoch.
+// setFleet sets the servers' states and raises the epoch. Removals date from now, other
+// states from long ago.
 func (p *pool) setFleet(states ...string) {
 	fleet := &statepb.Fleet{}
 	for i, state := range states {
@@ -62,7 +63,8 @@
 	p.fleet.Store(fleet)
 }
 
-// start starts a sidecar; one that isn't the first has lost its claims.
+// start starts a sidecar. If isFirst is false, the sidecar is a restarted one without
+// claims.
 func (p *pool) start(id string, isFirst bool) {
 	plain := &backend.Plain{}
 	plain.Address, plain.Name, plain.ReadTimeout = p.URL, id, p.readTimeout
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -57,7 +57,7 @@
 	return r.send(peerpb.Frame_builder{Seq: r.position, Refusal: refused.ToMessage()}.Build())
 }
 
-// sendHeartbeat sends a frame that only shows that the stream is alive.
+// sendHeartbeat sends a frame without content, which shows that the stream is alive.
 func (r *reader) sendHeartbeat() error {
 	return r.send(peerpb.Frame_builder{Seq: r.position, Beat: &peerpb.Beat{}}.Build())
 }
--- a/internal/entry/registry.go
+++ b/internal/entry/registry.go
@@ -77,10 +77,9 @@
 	return true
 }
 
-// join returns the run with the request's ID. It creates one if there is none, or
-// if that one is proved not to have run and the request is not a resend. The
-// parameter knowsAllRequests is true if this process knows every request that its
-// backend server may have received.
+// join returns the run with the request's ID. It creates a run if none exists, or if the
+// existing run is known not to have run and the request is not a resend. knowsAllRequests
+// is true if this process knows every request that its backend server may have received.
 func (r *registry) join(request *peerpb.RunRequest, knowsAllRequests bool) (existing *run, isNew bool, refused *refusal.Error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -119,9 +118,9 @@
 	}
 }
 
-// mayHaveRun reports whether an earlier send of an unknown request may have run:
-// at the previous process, or in a run that was dropped, which happens to
-// idempotent runs first.
+// mayHaveRun reports whether an earlier send of a request that this process does not know
+// may have run: at the previous process, or in a run that was dropped. Idempotent runs
+// are dropped first.
 func mayHaveRun(request *peerpb.RunRequest, knowsAllRequests bool) bool {
 	return request.GetResend() && (request.GetIdempotent() || !knowsAllRequests)
 }
@@ -188,8 +187,8 @@
 	}
 }
 
-// trim keeps ended runs within their bounds. Of a non-idempotent run only the
-// answer is dropped: its ID must stay known, so that a resend doesn't run again.
+// trim keeps ended runs within their bounds. For a non-idempotent run, only the answer is
+// dropped: the ID must stay known, so that a resend doesn't run again.
 func (r *registry) trim() {
 	for len(r.idempotent.runs) > maxIdempotentRuns || r.idempotent.bytes > maxAnswerBytes {
 		r.dropOldest(&r.idempotent)
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -14,10 +14,10 @@
 // relayTimeout is the longest time without a frame or heartbeat from another sidecar.
 const relayTimeout = 5 * time.Second
 
-// relay streams the answer of the run that holds the claim at another sidecar.
-// It gives the answer to a retry whose home has changed since the first send;
-// nothing is forwarded to the local backend server.
-func (s *Server) relay(ctx context.Context, run *run, holder *holder) (*peerpb.End, error) {
+// relay streams the answer of the run that holds the claim at another sidecar. It serves
+// a retry whose home has changed since the first send; nothing is forwarded to the local
+// backend server.
+func (s *Server) relay(ctx context.Context, run *run, holder *claimHolder) (*peerpb.End, error) {
 	if holder.server == s.Name {
 		return nil, s.refuseLost(holder)
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// relayFrame relays one frame. It returns the answer's end with the last one.
-func (s *Server) relayFrame(stream grpc.ServerStreamingClient[peerpb.Frame], run *run, holder *holder) (*peerpb.End, error) {
+// relayFrame relays one frame. For the last frame it returns the answer's end.
+func (s *Server) relayFrame(stream grpc.ServerStreamingClient[peerpb.Frame], run *run, holder *claimHolder) (*peerpb.End, error) {
 	frame, err := stream.Recv()
 	if err != nil {
 		return nil, s.refuseLost(holder)
@@ -63,6 +63,6 @@
 }
 
 // refuseLost refuses a request whose answer can't be read from the claim's holder.
-func (s *Server) refuseLost(holder *holder) *refusal.Error {
+func (s *Server) refuseLost(holder *claimHolder) *refusal.Error {
 	return refusal.Unknown(http.StatusConflict, "claimed_elsewhere", "the idempotency key was used for a request to %s", holder.server)
 }
--- a/internal/entry/resend_test.go
+++ b/internal/entry/resend_test.go
@@ -13,8 +13,8 @@
 	return request
 }
 
-// The connection is lost before a request has reached the sidecar, and the entry
-// resends it. The sidecar knows that it never received it, so it must run.
+// The connection is lost before a request has reached the sidecar, and the entry resends
+// it. The sidecar knows that it never received the request, so the request must run.
 func TestResendOfLostSend(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
@@ -40,9 +40,9 @@
 	mustBeRefused(t, notRun, "draining", send(p.clients[home], posting("r3")))
 }
 
-// The home is killed and restarted, and the entry resends a request with a key.
-// If it was not forwarded before, the witness has no claim and it must run; if
-// it was, it must not run again.
+// The home is killed and restarted, and the entry resends a request with a key. A request
+// that was not forwarded before has no claim at the witness and must run; a forwarded one
+// must not run again.
 func TestResendWithKeyToRestartedHome(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
--- a/internal/entry/restore.go
+++ b/internal/entry/restore.go
@@ -14,8 +14,8 @@
 // restoreInterval is the time between attempts to restore claims.
 const restoreInterval = time.Second
 
-// Restore restores the claims of the previous process from the sidecars that also
-// recorded them. It returns when ctx is done.
+// Restore fetches the claims of the previous process from the sidecars that also recorded
+// them. It returns when ctx is done.
 func (c *Claims) Restore(ctx context.Context) error {
 	ticker := time.NewTicker(restoreInterval)
 	defer ticker.Stop()
@@ -33,8 +33,9 @@
 	return nil
 }
 
-// restore asks each partner once. It fails until claim.MaxFleetLag after the start, when
-// the local fleet is as new as the one that the previous process used for its claims.
+// restore asks each partner, a sidecar that may have recorded the same claims, once. It
+// fails until claim.MaxFleetLag after the start: only then is the local fleet at least as
+// new as the fleet that the previous process used for its claims.
 func (c *Claims) restore(ctx context.Context, now time.Time) error {
 	if now.Sub(c.Started) < claim.MaxFleetLag {
 		return eris.New("the local fleet may still be out of date")
@@ -59,7 +60,7 @@
 		return err
 	}
 	if reply.HasRefusal() || !reply.GetWhole() {
-		return eris.Errorf("sidecar of %s doesn't have all of its own claims", partner)
+		return eris.Errorf("recall claims from the sidecar of %s: its own claims are incomplete", partner)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxHeldBytes bounds the size of the frames that a run buffers. Beyond it the
-	// oldest frames that a reader was sent are dropped.
+	// maxHeldBytes bounds the size of the frames that a run buffers. Beyond this size,
+	// the oldest frames that were already sent to a reader are dropped.
 	maxHeldBytes = 512 << 10
 	// frameOverheadBytes is the memory of a frame besides its content.
 	frameOverheadBytes = 256
@@ -26,26 +26,26 @@
 type run struct {
 	id      string
 	request *peerpb.RunRequest
-	// idempotent is a copy, since the request is dropped at the end.
+	// idempotent is copied from the request, which is dropped when the run ends.
 	idempotent bool
-	// mayHaveRun is true if an earlier send may have run unknown to this process.
+	// mayHaveRun is true if an earlier send that this process does not know may have run.
 	mayHaveRun bool
 
-	mutex     sync.Mutex
-	stop      context.CancelFunc
-	stopped   bool
-	frames    []*peerpb.Frame
-	bytes     int
-	firstSeq  uint64
-	sentSeq   uint64
-	produced  uint64
-	forwarded bool
-	shared    bool
-	closed    bool
-	refusal   *refusal.Error
-	readers   int
-	lastRead  time.Time
-	changed   chan struct{}
+	mutex      sync.Mutex
+	stop       context.CancelFunc
+	stopped    bool
+	frames     []*peerpb.Frame
+	bytes      int
+	firstSeq   uint64
+	sentSeq    uint64
+	tokenCount uint64
+	forwarded  bool
+	shared     bool
+	closed     bool
+	refusal    *refusal.Error
+	readers    int
+	lastRead   time.Time
+	changed    chan struct{}
 }
 
 func newRun(request *peerpb.RunRequest) *run {
@@ -75,12 +75,12 @@
 	}
 }
 
-// cancel stops the run, closes its connection to the backend server, and reports
-// whether it did.
+// cancel stops the run and closes its connection to the backend server. It returns false
+// if the run continues.
 //
-// A forwarded non-idempotent request continues: if it were stopped, its outcome
-// would be unknown, while its answer can serve a retry with the same key. A run
-// that another caller has joined continues too.
+// A forwarded non-idempotent request continues: if it were stopped, its outcome would be
+// unknown, while its answer can serve a retry with the same key. A run that another
+// caller has joined continues too.
 func (r *run) cancel() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -119,9 +119,9 @@
 	r.close()
 }
 
-// framesFrom returns the frames from a position on, whether they end the run, and
-// a channel that is closed on the next change. It refuses a position whose
-// frames were dropped or that is past the next frame.
+// framesFrom returns the frames from a position on, whether they include the last frame,
+// and a channel that is closed on the next change. It refuses a position whose frames
+// were dropped or that is past the next frame.
 func (r *run) framesFrom(position uint64) ([]*peerpb.Frame, bool, <-chan struct{}, *refusal.Error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -170,7 +170,7 @@
 	return r.idempotent && r.readers == 0 && now.Sub(r.lastRead) > abandonTimeout
 }
 
-// isNotRun reports whether the run has ended and is proved not to have run.
+// isNotRun reports whether the run has ended with the outcome "not run".
 func (r *run) isNotRun() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -217,7 +217,7 @@
 func (r *run) tokens() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.produced
+	return r.tokenCount
 }
 
 func (r *run) tryAdd(frame *peerpb.Frame) (<-chan struct{}, bool) {
@@ -239,7 +239,7 @@
 func (r *run) appendFrame(frame *peerpb.Frame) {
 	frame.SetId(r.id)
 	frame.SetSeq(r.nextSeq())
-	r.produced += uint64(len(frame.GetChunk().GetTokens()))
+	r.tokenCount += uint64(len(frame.GetChunk().GetTokens()))
 	r.frames = append(r.frames, frame)
 	r.bytes += frameSize(frame)
 	r.notify()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -87,7 +87,8 @@
 
 var _ peerpb.SidecarServer = &Server{}
 
-// Cancel stops a request, also at the backend server, unless it has to continue.
+// Cancel stops a request, also at the backend server. Forwarded non-idempotent requests
+// and runs that another caller has joined continue.
 func (s *Server) Cancel(_ context.Context, request *peerpb.CancelRequest) (*peerpb.CancelReply, error) {
 	run := s.registry.find(request.GetId())
 	if run == nil {
@@ -103,7 +104,7 @@
 	if s.Claims == nil {
 		return refuseClaim("no_claims", "%s keeps no claims", s.Name), nil
 	}
-	reply := s.Claims.witness(request, s.registry.find)
+	reply := s.Claims.witnessClaim(request, s.registry.find)
 	s.Decisions.Record(request.GetId(), "backend", "claim for %s witnessed here: new %t, held by %s", request.GetServer(), reply.GetRecorded(), reply.GetId())
 	return reply, nil
 }
@@ -214,8 +215,8 @@
 }
 
 // knowsAllRequests reports whether this process knows every request that its backend
-// server may have received and that may still be resent: it is the first
-// process, or older than any request.
+// server may have received and that may still be resent: it is the first process, or has
+// run for longer than any request.
 func (s *Server) knowsAllRequests(now time.Time) bool {
 	return s.Claims != nil && (s.Claims.Members.IsFirstProcess() || now.Sub(s.Claims.Started) >= maxRunTime)
 }
