--- a/internal/sidecar/budget.go
+++ b/internal/sidecar/budget.go
@@ -19,7 +19,7 @@
 	b.budget.CountRequest(now)
 }
 
-func (b *lockedBudget) takeRetry(now time.Time) bool {
+func (b *lockedBudget) allowRetry(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.budget.AllowRetry(now)
--- a/internal/sidecar/cancel.go
+++ b/internal/sidecar/cancel.go
@@ -30,22 +30,22 @@
 	case p.cancels <- cancellation{address: address, id: id, reason: reason}:
 	default:
 		p.metrics.dropped.WithLabelValues("cancel").Inc()
-		klog.Warningf("route: %s: cancellation dropped, the queue is full", id)
+		klog.Warningf("route: %s: cancellation dropped: the queue is full", id)
 	}
 }
 
-func (p *Pool) sendCancels(ctx context.Context) {
+func (p *Pool) runCancelWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case next := <-p.cancels:
-			p.sendCancel(ctx, next)
+			p.sendCancellation(ctx, next)
 		}
 	}
 }
 
-func (p *Pool) sendCancel(ctx context.Context, next cancellation) {
+func (p *Pool) sendCancellation(ctx context.Context, next cancellation) {
 	conn, err := p.connections.get(next.address)
 	if err != nil {
 		return
--- a/internal/sidecar/connections.go
+++ b/internal/sidecar/connections.go
@@ -23,13 +23,13 @@
 	opened map[string]*connection
 }
 
-// discard closes a connection that timed out or broke, so that the next request dials a
-// new one. It returns false if another stream had already discarded the connection.
+// discard closes a connection that timed out or broke, so that the next request dials a new
+// connection. It returns false if another stream had already discarded the connection.
 //
-// A device on the network path can lose track of a connection: it stays open and carries
-// no data, while new ones work. gRPC's keepalive pings would take longer than a caller
-// waits. Other streams on the connection break too; each resumes from its position on the
-// new one.
+// A device on the network path can lose track of a connection: the connection stays open
+// and carries no data, while new connections work. gRPC's keepalive pings would take longer
+// than a caller waits. Other streams on the connection break too; each resumes from its
+// position on the new connection.
 func (c *connections) discard(address string, old *connection) bool {
 	c.mutex.Lock()
 	current := c.opened[address] == old
@@ -41,7 +41,7 @@
 	return current
 }
 
-// get returns the connection to an address and opens it if there is none. The caller must
+// get returns the connection to an address and opens it if none exists. The caller must
 // release it.
 func (c *connections) get(address string) (*connection, error) {
 	c.mutex.Lock()
@@ -67,8 +67,9 @@
 	conn.users--
 }
 
-// closeUnused closes the unused connections to addresses that no process has any more.
-// Connections in use stay open: a process wrongly suspected to have failed still answers.
+// closeUnused closes the unused connections to addresses that no longer belong to a
+// process. Connections in use stay open: a process wrongly suspected to have failed still
+// answers.
 func (c *connections) closeUnused(addresses map[string]bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/sidecar/directory.go
+++ b/internal/sidecar/directory.go
@@ -12,8 +12,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/route"
 )
 
-// maxDirectoryAge is the maximum age of the list of servers; a draining server gets no new
-// work this long after the entry learns of the drain.
+// maxDirectoryAge is the maximum age of the list of servers. Once the entry has received a
+// drain, the draining server gets no new work after at most this time.
 const maxDirectoryAge = 100 * time.Millisecond
 
 // server is a backend server as seen by this entry, with the address of its sidecar.
@@ -95,8 +95,9 @@
 	d.closeUnused(addresses)
 }
 
-// add adds a process to the list. If two processes serve the same backend server, as after
-// a replacement, the one that started last wins; add returns nil for the other.
+// add adds a process to the list. Two processes can serve the same backend server, for
+// example after a replacement: the list keeps the process that started last, and add
+// returns nil for the earlier process.
 func (d *directory) add(previous map[string]*server, process *peerpb.Process) *server {
 	name := process.GetServer()
 	if other := d.servers[name]; other != nil {
@@ -118,7 +119,7 @@
 }
 
 // updateServer sets whether a server gets new work, based on its process record, its load
-// report and the fleet; any of them may be the first to show that the server drains.
+// report and the fleet. A drain may appear first in any of the three.
 func (d *directory) updateServer(s *server, process *peerpb.Process, draining map[string]bool, now time.Time) {
 	load := d.members.Load(s.Name())
 	s.SetEligibility(eligibilityOf(process.GetState()))
--- a/internal/sidecar/fakesidecar_test.go
+++ b/internal/sidecar/fakesidecar_test.go
@@ -117,18 +117,18 @@
 	must.NoError(t, err)
 }
 
-func numbered(request *peerpb.RunRequest, seq uint64, text string) *peerpb.Frame {
+func chunkFrame(request *peerpb.RunRequest, seq uint64, text string) *peerpb.Frame {
 	chunk := peerpb.Chunk_builder{Data: []byte(text)}.Build()
 	return peerpb.Frame_builder{Id: request.GetId(), Seq: seq, Chunk: chunk}.Build()
 }
 
-func end(request *peerpb.RunRequest, frames uint64) *peerpb.Frame {
+func endFrame(request *peerpb.RunRequest, frames uint64) *peerpb.Frame {
 	end := peerpb.End_builder{Finish: "stop", Frames: frames}.Build()
 	return peerpb.Frame_builder{Id: request.GetId(), Seq: frames, End: end}.Build()
 }
 
-// sendAll sends frames until sending fails.
-func sendAll(stream frameStream, all ...*peerpb.Frame) error {
+// sendFrames sends frames until sending fails.
+func sendFrames(stream frameStream, all ...*peerpb.Frame) error {
 	for _, frame := range all {
 		if err := stream.Send(frame); err != nil {
 			return err
@@ -142,11 +142,11 @@
 func answerWords(all ...string) func(*peerpb.RunRequest, frameStream) error {
 	return func(request *peerpb.RunRequest, stream frameStream) error {
 		for seq := request.GetFrom(); seq < uint64(len(all)); seq++ {
-			if err := stream.Send(numbered(request, seq, all[seq])); err != nil {
+			if err := stream.Send(chunkFrame(request, seq, all[seq])); err != nil {
 				return err
 			}
 		}
-		return stream.Send(end(request, uint64(len(all))))
+		return stream.Send(endFrame(request, uint64(len(all))))
 	}
 }
 
--- a/internal/sidecar/homes.go
+++ b/internal/sidecar/homes.go
@@ -15,7 +15,7 @@
 // fields are set before the first call.
 type FleetHomes struct {
 	Members *member.Members
-	// Choose returns the home of a claim in a fleet; empty if there is none.
+	// Choose returns the home of a claim in a fleet, or "" if the claim has none.
 	Choose func(claim string, fleet *statepb.Fleet) string
 
 	mutex  sync.Mutex
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -20,8 +20,8 @@
 // Sink receives the frames of one answer in order, each once, without heartbeats.
 type Sink func(*peerpb.Frame) error
 
-// Restart discards what a sink received, so that the request can run again on another
-// server. It returns false if that is not possible.
+// Restart discards the frames that a sink received, so that the request can run again on
+// another server. It returns false if that is not possible.
 type Restart func() bool
 
 // Pool holds the connections to sidecars and sends requests to them. Exported fields are
@@ -30,11 +30,11 @@
 	Members     *member.Members
 	Decisions   *decision.Log
 	Credentials credentials.TransportCredentials
-	// ReadTimeout is how long a sidecar may send nothing.
+	// ReadTimeout is the longest time without a frame from a sidecar.
 	ReadTimeout time.Duration
 	// Homes finds the servers for requests with a claim; if nil, these are refused.
 	Homes Homes
-	// OnCounts, if not nil, receives the counters at the end of an answer.
+	// OnCounts, if not nil, receives the usage counters at the end of an answer.
 	OnCounts func([]*peerpb.Count)
 	// Metrics registers the pool's metrics; nil leaves them unregistered.
 	Metrics prometheus.Registerer
@@ -49,8 +49,8 @@
 
 // Homes finds the only backend server that may run a claim.
 type Homes interface {
-	// Home returns the server of a pool for a claim, and the epoch of the fleet that
-	// determined it; server is empty if none is known.
+	// Home returns a claim's server in a pool, and the epoch of the fleet that determined
+	// it; server is empty if none is known.
 	Home(pool, claim string) (server string, epoch uint64)
 }
 
@@ -61,8 +61,9 @@
 	return p.RunRestartable(ctx, request, sink, nil)
 }
 
-// RunRestartable is Run for a sink that can discard what it received: an idempotent
-// request can then run again on another server after a part of its answer was received.
+// RunRestartable is Run for a sink that can discard the frames that it received: an
+// idempotent request can then run again on another server after a part of its answer was
+// received.
 func (p *Pool) RunRestartable(ctx context.Context, request *peerpb.RunRequest, sink Sink, restart Restart) (*peerpb.End, error) {
 	p.setupOnce.Do(p.setup)
 	p.budget.addRequest(time.Now())
@@ -75,7 +76,7 @@
 	p.setupOnce.Do(p.setup)
 	var group sync.WaitGroup
 	for range cancelWorkers {
-		group.Go(func() { p.sendCancels(ctx) })
+		group.Go(func() { p.runCancelWorker(ctx) })
 	}
 	group.Wait()
 	return nil
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -62,22 +62,22 @@
 }
 
 func TestRunCrossedFrames(t *testing.T) {
-	// Guards against answers with frames of another request, or with frames twice. After a
-	// resend crosses with a late answer, a stream carries frames of another request and
-	// duplicates. Only the request's own frames count, once each.
+	// Guards against answers that contain frames of another request, or a frame twice.
+	// After a resend, a stream can carry the frames of a late answer to another request,
+	// and duplicates. Only the request's own frames count, once each.
 	server := startFakeSidecar(t, func(request *peerpb.RunRequest, stream frameStream) error {
 		other := peerpb.RunRequest_builder{Id: "other"}.Build()
-		return sendAll(stream,
-			numbered(other, 0, "X"), numbered(request, 0, "a"), numbered(request, 0, "a"),
-			end(other, 1), numbered(request, 1, "b"), numbered(request, 0, "a"), end(request, 2))
+		return sendFrames(stream,
+			chunkFrame(other, 0, "X"), chunkFrame(request, 0, "a"), chunkFrame(request, 0, "a"),
+			endFrame(other, 1), chunkFrame(request, 1, "b"), chunkFrame(request, 0, "a"), endFrame(request, 2))
 	})
 	mustAnswer(t, newPool(t, processInfo{"s1", server.address, "assist", 0}), idempotent(), "ab")
 }
 
 func TestRunResumes(t *testing.T) {
 	// Guards against answers with a missing part or end, after a frame is lost or the
-	// stream breaks. The entry requests the rest from the same sidecar, from the position
-	// that it has.
+	// stream breaks. The entry requests the rest from the same sidecar, starting at the
+	// first frame that it lacks.
 	interrupted := func(handler func(*peerpb.RunRequest, frameStream) error) func(*peerpb.RunRequest, frameStream) error {
 		return func(request *peerpb.RunRequest, stream frameStream) error {
 			if request.GetFrom() == 0 {
@@ -88,22 +88,22 @@
 	}
 	tests := map[string]func(*peerpb.RunRequest, frameStream) error{
 		"gap": func(request *peerpb.RunRequest, stream frameStream) error {
-			return sendAll(stream, numbered(request, 0, "a"), numbered(request, 2, "c"), end(request, 3))
+			return sendFrames(stream, chunkFrame(request, 0, "a"), chunkFrame(request, 2, "c"), endFrame(request, 3))
 		},
 		"cut": func(request *peerpb.RunRequest, stream frameStream) error {
-			return sendAll(stream, numbered(request, 0, "a"))
+			return sendFrames(stream, chunkFrame(request, 0, "a"))
 		},
 		"end too early": func(request *peerpb.RunRequest, stream frameStream) error {
 			early := peerpb.Frame_builder{Id: request.GetId(), Seq: 1, End: peerpb.End_builder{Frames: 3}.Build()}.Build()
-			return sendAll(stream, numbered(request, 0, "a"), early)
+			return sendFrames(stream, chunkFrame(request, 0, "a"), early)
 		},
 		"silent": func(request *peerpb.RunRequest, stream frameStream) error {
-			return errors.Join(sendAll(stream, numbered(request, 0, "a")), hang(stream))
+			return errors.Join(sendFrames(stream, chunkFrame(request, 0, "a")), hang(stream))
 		},
 		"only frames of others": func(request *peerpb.RunRequest, stream frameStream) error {
-			_ = stream.Send(numbered(request, 0, "a"))
+			_ = stream.Send(chunkFrame(request, 0, "a"))
 			for stream.Context().Err() == nil {
-				_ = stream.Send(numbered(peerpb.RunRequest_builder{Id: "other"}.Build(), 1, "X"))
+				_ = stream.Send(chunkFrame(peerpb.RunRequest_builder{Id: "other"}.Build(), 1, "X"))
 			}
 			return nil
 		},
@@ -145,8 +145,8 @@
 }
 
 func TestRunBeats(t *testing.T) {
-	// An engine with a long queue sends nothing for a while. Beats show that the connection
-	// is alive, so the request must not be sent again.
+	// An engine with a long queue sends nothing for a while. Heartbeats show that the
+	// connection is alive, so the request must not be sent again.
 	server := startFakeSidecar(t, func(request *peerpb.RunRequest, stream frameStream) error {
 		ticker := time.NewTicker(readTimeout / 10)
 		defer ticker.Stop()
@@ -161,14 +161,14 @@
 }
 
 func TestRunServerLost(t *testing.T) {
-	// A sidecar's host crashes while it runs a request. An idempotent request of which the
-	// caller received nothing runs on another server; a posting must not, since it may have
-	// been posted: its caller gets that outcome at once.
+	// A sidecar's host crashes while the sidecar runs a request. An idempotent request of
+	// which the caller received nothing runs on another server. A posting must not, since
+	// it may have been posted: its caller gets the outcome unknown at once.
 	startDying := func(t *testing.T, before ...string) *fakeSidecar {
 		server := startFakeSidecar(t, nil)
 		server.handler = func(request *peerpb.RunRequest, stream frameStream) error {
 			for seq, word := range before {
-				_ = stream.Send(numbered(request, uint64(seq), word))
+				_ = stream.Send(chunkFrame(request, uint64(seq), word))
 			}
 			if len(before) == 0 {
 				go server.stop()
@@ -190,7 +190,7 @@
 		mustAnswer(t, pool, idempotent(), "a")
 	})
 	t.Run("backend server silent", func(t *testing.T) {
-		// The sidecar works, but its engine hangs and the sidecar gives up on it.
+		// The sidecar works, but its engine hangs until the read timeout.
 		first, second := startFakeSidecar(t, silentBackend), startFakeSidecar(t, answerWords("a"))
 		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
 		mustAnswer(t, pool, idempotent(), "a")
@@ -204,8 +204,8 @@
 		must.SliceEmpty(t, second.requests())
 	})
 	t.Run("idempotent, and no other can be reached", func(t *testing.T) {
-		// The second server is certain that it ran nothing. The first may have run the
-		// request, so the caller must not receive "not run".
+		// The second server certainly ran nothing. The first may have run the request, so
+		// the caller must not receive "not run".
 		first, second := startDying(t), startFakeSidecar(t, nil)
 		second.stop()
 		pool := newPool(t, processInfo{"s1", first.address, "assist", 0}, processInfo{"s2", second.address, "assist", peerpb.State_STATE_SUSPECT})
@@ -229,8 +229,8 @@
 }
 
 func TestRunRefusedNotRun(t *testing.T) {
-	// A refusal with the outcome "not run" allows a branch to post again. It must be true:
-	// either the request never left this process, or its sidecar says so.
+	// A refusal with the outcome "not run" allows a branch to post again. The outcome must
+	// be true: either the request never left this process, or the sidecar reported it.
 	stopped := startFakeSidecar(t, nil)
 	stopped.stop()
 	t.Run("no server", func(t *testing.T) {
@@ -263,8 +263,8 @@
 }
 
 func TestRunClosedServers(t *testing.T) {
-	// A backend server is draining. New requests must not go to it, even if no other server
-	// is left.
+	// A backend server is draining. New requests must not go to it, even if the pool has no
+	// other server.
 	server := startFakeSidecar(t, answerWords("a"))
 	pool := newPool(t, processInfo{"s1", server.address, "assist", peerpb.State_STATE_DRAINING})
 	mustRefuse(t, pool, idempotent(), peerpb.Outcome_OUTCOME_NOT_RUN, "no_server")
@@ -273,10 +273,10 @@
 
 func TestRunCancels(t *testing.T) {
 	// A caller disconnects in the middle of a long answer. Without a cancellation the
-	// engine would go on for minutes and delay others.
+	// engine would continue for minutes and delay other requests.
 	ctx, cancel := context.WithCancel(t.Context())
 	server := startFakeSidecar(t, func(request *peerpb.RunRequest, stream frameStream) error {
-		_ = stream.Send(numbered(request, 0, "a"))
+		_ = stream.Send(chunkFrame(request, 0, "a"))
 		return hang(stream)
 	})
 	pool := newPool(t, processInfo{"s1", server.address, "assist", 0})
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxFailures is the number of consecutive streams that may break quickly and without a
-	// frame before a request that can move to another server does so.
+	// maxFailures is the number of consecutive streams that may break early and without a
+	// frame before the request moves to another server, if it may move.
 	maxFailures = 4
 	// maxServers is the maximum number of servers tried for one request.
 	maxServers = 3
@@ -47,13 +47,13 @@
 	// lastFrameTime is when the current server last sent a frame of the request.
 	lastFrameTime time.Time
 	start         time.Time
-	// previous holds the servers from which the request moved on.
+	// previous holds the servers that the request has moved away from.
 	previous []*server
 	// tried holds the servers to which the request was assigned.
 	tried map[string]bool
 }
 
-// execute sends the request to servers until one has answered it completely.
+// execute sends the request to servers until a server has answered it completely.
 func (r *run) execute() (*peerpb.End, error) {
 	var last error
 	for {
@@ -61,7 +61,7 @@
 		if err != nil {
 			return nil, err
 		}
-		end, err := r.runAt(server)
+		end, err := r.runOn(server)
 		if err == nil {
 			r.pool.reportCounts(end)
 			r.cancelOthers(server)
@@ -79,7 +79,8 @@
 	}
 }
 
-// chooseServer chooses a server. If none is left, it returns the refusal of the last one.
+// chooseServer chooses the next server. If no server is left, it returns the refusal of the
+// previous server.
 func (r *run) chooseServer(last error) (*server, error) {
 	chosen, reason := r.pool.choose(r.request, r.prefix, r.tried)
 	if chosen != nil {
@@ -97,9 +98,9 @@
 
 // refuse ends the request with the refusal of the last server.
 //
-// The last server may be certain that it ran nothing, while an earlier one may have run
-// the request and then been lost. Once any server may have run it, the outcome is unknown,
-// and the caller must not receive "not run".
+// The last server may certainly have run nothing, while an earlier server may have run the
+// request before it was lost. Once any server may have run the request, the outcome is
+// unknown, and the caller must not receive "not run".
 func (r *run) refuse(err error) *refusal.Error {
 	refused := *refusal.Of(err)
 	if r.mayHaveRun {
@@ -109,8 +110,8 @@
 }
 
 // resetTried makes all servers eligible again after a delay if none could be reached and
-// the read timeout has not passed. Without it, a brief network failure in front of all
-// sidecars would fail every request that starts meanwhile.
+// the read timeout has not passed. Without the reset, a brief network failure between the
+// entry and all sidecars would fail every request that starts during the failure.
 func (r *run) resetTried(last error) bool {
 	code := refusal.Of(last).Code
 	if code != codeUnreachable && code != codeLost {
@@ -123,8 +124,8 @@
 	return true
 }
 
-// runAt receives the answer of one server over as many connections as necessary.
-func (r *run) runAt(server *server) (*peerpb.End, error) {
+// runOn receives the answer of one server over as many connections as necessary.
+func (r *run) runOn(server *server) (*peerpb.End, error) {
 	r.tried[server.Name()] = true
 	r.sent = false
 	r.lastFrameTime = time.Now()
@@ -150,8 +151,8 @@
 }
 
 // countFailure counts the consecutive streams that broke without progress. A resumed stream
-// that times out from its start reaches the limit at once: the sidecar does not answer on
-// a new connection either.
+// that times out without any frame reaches the limit at once: the sidecar does not answer
+// on a new connection either.
 func (r *run) countFailure(failures int, isResume bool, start time.Time, next uint64) int {
 	isAlive := r.lastFrameTime.After(start)
 	timedOut := time.Since(start) >= r.pool.ReadTimeout
@@ -165,10 +166,11 @@
 	}
 }
 
-// shouldGiveUp reports whether to stop retrying a sidecar that breaks off each stream:
+// shouldGiveUp reports whether to stop retrying a sidecar whose streams keep breaking:
 // immediately if the request can go to another server, otherwise once the sidecar has sent
-// nothing for the read timeout, since the run may still continue there. Without that, a
-// brief network failure would cost every caller behind it the answer.
+// nothing for the read timeout. Until then the run may still continue at the sidecar;
+// giving up earlier would lose the answer of every request to that sidecar in a brief
+// network failure.
 func (r *run) shouldGiveUp() bool {
 	return r.request.GetIdempotent() && r.restartAnswer() || time.Since(r.lastFrameTime) >= r.pool.ReadTimeout
 }
@@ -191,7 +193,7 @@
 		return end, err
 	}
 	if !r.pool.connections.discard(server.address, conn) {
-		// Another stream closed this connection; that says nothing about the server.
+		// Another stream closed this connection, which is no sign of a fault at the server.
 		return nil, &lostError{cause: err}
 	}
 	return nil, err
@@ -206,7 +208,8 @@
 	}
 }
 
-// toRefusal converts a stream error into a refusal with the outcome as far as it is known.
+// toRefusal converts a stream error into a refusal. The outcome is "not run" only if the
+// request was never sent to this server.
 func (r *run) toRefusal(server *server, err error) error {
 	var notSent *notSentError
 	switch {
@@ -219,8 +222,8 @@
 	}
 }
 
-// cancelOthers cancels the request at the servers that were tried before. It is not
-// cancelled there earlier, since it may return to them.
+// cancelOthers cancels the request at the servers that were tried before. They receive no
+// earlier cancellation, since the request may return to them.
 func (r *run) cancelOthers(server *server) {
 	for _, other := range r.previous {
 		if other.address != server.address {
@@ -249,10 +252,11 @@
 
 // mayMove reports whether the request may move to another server.
 //
-// A request that certainly did not run may always move. One that may have run moves only
-// if it is idempotent and the caller has received nothing of it; a claim moves only to its
-// home in a newer fleet. Both consume the retry budget: without it an overloaded fleet
-// would get each request several times and become slower still.
+// A request that certainly did not run may always move. A request that may have run moves
+// only if it is idempotent and the caller has received no part of its answer; a claim moves
+// only to its home in a newer fleet. Each move consumes the retry budget: without the
+// budget, an overloaded fleet would receive each request several times and become slower
+// still.
 func (r *run) mayMove(err error) bool {
 	refused := refusal.Of(err)
 	if len(r.tried) >= maxServers || !isServerFault(refused) {
@@ -264,7 +268,7 @@
 	if !r.restartAnswer() {
 		return false
 	}
-	if !r.pool.budget.takeRetry(time.Now()) {
+	if !r.pool.budget.allowRetry(time.Now()) {
 		r.pool.Decisions.Record(r.request.GetId(), "route", "not tried elsewhere, the retry budget is spent")
 		return false
 	}
@@ -273,7 +277,8 @@
 	return true
 }
 
-// restartAnswer discards what the sink received; it returns false if that is not possible.
+// restartAnswer discards the frames that the sink received; it returns false if that is not
+// possible.
 func (r *run) restartAnswer() bool {
 	if r.next == 0 {
 		return true
@@ -286,7 +291,8 @@
 }
 
 // isBroken reports whether the stream ended without an answer. A stream that could not be
-// opened counts only once the request was sent: until then another server can run it.
+// opened counts as broken only if the request was sent earlier; otherwise another server
+// can run it.
 func (r *run) isBroken(err error) bool {
 	var notSent *notSentError
 	return isLost(err) || r.sent && errors.As(err, &notSent)
@@ -297,9 +303,9 @@
 	return errors.As(err, &broken)
 }
 
-// isServerFault reports whether a refusal is the fault of one server and not of the
-// request. A timeout is the server's fault only if its backend server sent nothing:
-// otherwise the request's own deadline passed.
+// isServerFault reports whether a refusal is caused by the server and not by the request. A
+// timeout counts as the server's fault only if its backend server sent nothing: otherwise
+// the request's own deadline passed.
 func isServerFault(refused *refusal.Error) bool {
 	switch refused.Status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusInternalServerError:
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -12,12 +12,12 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// notSentError means that a request cannot have reached a sidecar.
+// notSentError means that no part of a request reached a sidecar.
 type notSentError struct {
 	cause error
 }
 
-// Error returns the message with the cause.
+// Error returns "not sent: " and the cause.
 func (e *notSentError) Error() string { return "not sent: " + e.cause.Error() }
 
 // Unwrap returns the cause.
@@ -28,7 +28,7 @@
 	cause error
 }
 
-// Error returns the message with the cause.
+// Error returns "stream lost: " and the cause.
 func (e *lostError) Error() string { return "stream lost: " + e.cause.Error() }
 
 // Unwrap returns the cause.
@@ -39,7 +39,7 @@
 	cause error
 }
 
-// Error returns the message with the cause.
+// Error returns "sink: " and the cause.
 func (e *sinkError) Error() string { return "sink: " + e.cause.Error() }
 
 // Unwrap returns the cause.
@@ -81,10 +81,10 @@
 	}
 }
 
-// open sends the request.
+// open opens the stream and sends the request.
 //
-// The generated client creates the stream and sends the request in one call, so that its
-// error does not tell whether the request was sent. Here the two are separate: without a
+// The generated client creates the stream and sends the request in one call, so its error
+// does not show whether the request was sent. Here the two steps are separate: without a
 // stream no byte of the request was written, and the outcome "not run" is certain.
 func (s *stream) open(ctx context.Context, connection *grpc.ClientConn) error {
 	description := &peerpb.Sidecar_ServiceDesc.Streams[0]
@@ -116,9 +116,9 @@
 
 // handle checks a frame and passes it to the sink.
 //
-// Frames of other requests and duplicate frames are dropped, so that a crossed or late
-// answer never mixes with this one. A gap ends the stream, and the answer is requested
-// again from the position before it.
+// It drops frames of other requests and duplicate frames, so that another or a late answer
+// never mixes with this one. A gap ends the stream, and the answer is requested again from
+// the position before the gap.
 func (s *stream) handle(frame *peerpb.Frame) (*peerpb.End, error) {
 	if load := frame.GetLoad(); load != nil {
 		s.run.pool.Members.OfferLoad(load)
@@ -135,11 +135,11 @@
 	case peerpb.Frame_Refusal_case:
 		return nil, refusal.FromMessage(frame.GetRefusal())
 	default:
-		return s.handleNumbered(frame)
+		return s.handleAnswerFrame(frame)
 	}
 }
 
-func (s *stream) handleNumbered(frame *peerpb.Frame) (*peerpb.End, error) {
+func (s *stream) handleAnswerFrame(frame *peerpb.Frame) (*peerpb.End, error) {
 	if frame.GetSeq() < s.run.next {
 		s.run.pool.metrics.dropped.WithLabelValues("duplicate").Inc()
 		return nil, nil
