--- a/internal/entry/limiter.go
+++ b/internal/entry/limiter.go
@@ -14,8 +14,8 @@
 // statusCancelled is the conventional (nginx) status of a request that its caller cancelled.
 const statusCancelled = 499
 
-// limiter bounds the number of concurrent requests; the others wait in a fair
-// queue. Its zero value admits none until it is opened.
+// limiter bounds the number of concurrent requests and queues the others fairly. Its zero
+// value admits no requests until it is opened.
 type limiter struct {
 	mutex   sync.Mutex
 	slots   int
@@ -34,7 +34,7 @@
 	return &waiter{granted: make(chan struct{}), refused: make(chan *refusal.Error, 1)}
 }
 
-// close refuses queued requests, and new ones until open is called.
+// close refuses queued requests, and new requests until open is called.
 func (l *limiter) close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/entry/registry.go
+++ b/internal/entry/registry.go
@@ -125,7 +125,7 @@
 	return request.GetResend() && (request.GetIdempotent() || !knowsAllRequests)
 }
 
-// sweep drops runs that ended longer ago than retention, and cancels abandoned ones.
+// sweep drops runs that ended longer ago than retention, and cancels abandoned runs.
 func (r *registry) sweep(now time.Time, retention time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
