--- a/internal/sidecar/place.go
+++ b/internal/sidecar/place.go
@@ -32,8 +32,8 @@
 	return p.directory.find(name), "home of the claim"
 }
 
-// prompt holds the fields of an engine request that form its prefix.
-type prompt struct {
+// prefixFields holds the fields of an engine request that form its prefix.
+type prefixFields struct {
 	Prompt   string `json:"prompt"`
 	Messages []struct {
 		Content string `json:"content"`
@@ -45,7 +45,7 @@
 	if request.GetKind() != peerpb.Kind_KIND_COMPLETION && request.GetKind() != peerpb.Kind_KIND_CHAT {
 		return 0
 	}
-	var body prompt
+	var body prefixFields
 	if err := json.Unmarshal(request.GetBody(), &body); err != nil {
 		return 0
 	}
