--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -42,7 +42,7 @@
 	Timeout time.Duration
 }
 
-// Error returns the message with the read timeout.
+// Error names the read timeout.
 func (e *ReadTimeoutError) Error() string {
 	return fmt.Sprintf("nothing was sent for %s", e.Timeout)
 }
@@ -54,7 +54,7 @@
 	Address string
 	// Name identifies the backend server.
 	Name string
-	// ReadTimeout is how long the backend server may send nothing.
+	// ReadTimeout is the longest time without data from the backend server.
 	ReadTimeout time.Duration
 	// IdleTimeout is how long an unused connection is kept; 0 means the client's default.
 	IdleTimeout time.Duration
@@ -80,7 +80,7 @@
 	host string
 	// noRepeat prevents net/http from repeating requests that have no body.
 	noRepeat bool
-	// readTimeout is how long the backend server may send nothing.
+	// readTimeout is the longest time without data from the backend server.
 	readTimeout time.Duration
 }
 
@@ -120,9 +120,9 @@
 }
 
 // setBody sets a body that can be read only once. net/http repeats a request on a new
-// connection if it can obtain the body again (GetBody), or if there is no body and an
-// Idempotency-Key header is set; a posting could then run twice while the caller sees one
-// answer. Without these it never does.
+// connection if it can obtain the body again (GetBody), or if the request has no body and
+// an Idempotency-Key header; a posting could then run twice while the caller sees one
+// answer. net/http never repeats other requests.
 func setBody(request *http.Request, body []byte) {
 	if len(body) == 0 {
 		return
@@ -132,9 +132,9 @@
 	request.GetBody = nil
 }
 
-// emptyBody is an empty body that net/http does not recognize as empty. net/http repeats a
-// GET without a body when a kept-alive connection breaks, whatever the request may do; it
-// never repeats a request whose body it cannot read again.
+// emptyBody is an empty body that net/http does not recognize as empty. When a kept-alive
+// connection breaks, net/http repeats a GET without a body, even if the GET is not
+// idempotent; it never repeats a request whose body it cannot read again.
 type emptyBody struct{}
 
 // Read returns io.EOF.
@@ -173,9 +173,9 @@
 
 // refuse converts the error of an exchange into a refusal.
 //
-// After a read timeout it drops the client with its idle connections. If a device on the
-// network path lost track of the connection, it may have lost the idle ones as well, and
-// they report no error: a resumed generation would use one of them and time out again.
+// After a read timeout it drops the client with its idle connections. A device on the
+// network path that lost track of the connection may also have lost the idle connections,
+// which report no error: a resumed generation would use one of these and time out again.
 func (s *Server) refuse(err error, connected bool) *refusal.Error {
 	if !connected {
 		return refusal.NotRun(http.StatusServiceUnavailable, "backend_unreachable", "%s can't be reached", s.Name).WithRetryAfter(retryAfter)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -38,15 +38,15 @@
 
 	// replies are sent one per request; after the last one the connection is closed.
 	replies []reply
-	// choose, if set, replaces replies; it gets the number of the request on its connection
-	// and in total.
+	// choose, if set, replaces replies. Its arguments are the number of the request on its
+	// connection and in total.
 	choose func(onConnection, total int) reply
 	mutex  sync.Mutex
 	raw    []string
 	closed chan struct{}
 }
 
-// reply is sent in response to a request; with hold the connection then stays open without
+// reply is sent in response to a request. With hold, the connection then stays open without
 // data.
 type reply struct {
 	text string
@@ -124,7 +124,7 @@
 
 func (s *fakeServer) url() string { return "http://" + s.Addr().String() }
 
-// runner is a client of either kind.
+// runner is a Plain or an Engine.
 type runner interface {
 	Run(ctx context.Context, request *peerpb.RunRequest, sink backend.Sink) (*peerpb.End, error)
 }
@@ -177,7 +177,7 @@
 	return text
 }
 
-// Guards against a refusal that says "not run" although the backend server may have
+// Guards against a refusal that reports "not run" although the backend server may have
 // received the request: the caller would retry and post twice.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
@@ -233,8 +233,8 @@
 	mustBeRefused(t, notRun, "old_version", end, err)
 }
 
-// A generation gets an idle connection that broke long ago. It is retried once on a new
-// connection; if that times out too, the outcome is unknown.
+// A generation gets an idle connection that broke long ago. The generation is retried once
+// on a new connection; if the retry times out too, the outcome is unknown.
 func TestTimeoutBeforeFirstToken(t *testing.T) {
 	complete := reply{text: chunked(oneToken, finish, done) + lastChunk}
 	server := newFakeServer(t, reply{hold: true}, complete)
@@ -248,9 +248,9 @@
 }
 
 // Guards against a posting that runs twice. The ledger reads a posting on a reused
-// connection and closes it without an answer, as it does when it is stopped. net/http
-// repeats requests whose body it can read again, so the ledger would post twice while the
-// caller sees one answer.
+// connection and closes the connection without an answer, as it does when it is stopped.
+// net/http repeats requests whose body it can read again, so the ledger would post twice
+// while the caller sees one answer.
 func TestPostingIsSentOnce(t *testing.T) {
 	first := reply{text: jsonHead + "Content-Length: 2\r\n\r\n{}", keepAlive: true}
 	server := newFakeServer(t, first, reply{}, first)
@@ -276,8 +276,8 @@
 	must.StrContains(t, server.requests()[1], `"resume_tokens":[7]`)
 }
 
-// All connections to an engine, including idle ones, silently stop carrying data, while
-// new ones work. A resumed generation must not use an idle one.
+// All connections to an engine, including idle ones, silently stop carrying data, while new
+// connections work. A resumed generation must use a new connection.
 func TestResumeTakesNewConnection(t *testing.T) {
 	complete := reply{text: chunked(oneToken, finish, done) + lastChunk, keepAlive: true}
 	both := &sync.WaitGroup{}
--- a/internal/backend/direct.go
+++ b/internal/backend/direct.go
@@ -39,7 +39,7 @@
 	Body []byte
 	// Account is the client account; "" for requests without one.
 	Account string
-	// ReadTimeout is how long the server may send nothing.
+	// ReadTimeout is the longest time without data from the server.
 	ReadTimeout time.Duration
 	// TimeLeft is how much longer the caller waits; 0 if unknown.
 	TimeLeft time.Duration
@@ -56,9 +56,10 @@
 	Prepare(header http.Header, request Request)
 	// IsAnswerTo reports whether an answer belongs to the request with this ID.
 	IsAnswerTo(answer *http.Response, id string) bool
-	// IsNotRun reports whether the server states that it ran nothing.
+	// IsNotRun reports whether the answer states that the server ran nothing.
 	IsNotRun(answer *http.Response) bool
-	// IsWrongServer reports whether a server other than the intended one answered.
+	// IsWrongServer reports whether the answer comes from a server other than the intended
+	// one.
 	IsWrongServer(answer *http.Response) bool
 	// FormatVersionLine returns the event line that announces a weight version.
 	FormatVersionLine(version uint64) string
--- a/internal/backend/directstream.go
+++ b/internal/backend/directstream.go
@@ -10,7 +10,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-const eventPrefix = "id:"
+const idPrefix = "id:"
 
 // Event is a server-sent event.
 type Event struct {
@@ -35,7 +35,7 @@
 	return &Events{answer: a, reader: bufio.NewReaderSize(a.Body, 4096), version: a.direct.Wire.Version(a.Response)}
 }
 
-// Version returns the weight version of the next event, as far as it is known.
+// Version returns the weight version of the next event; 0 if unknown.
 func (e *Events) Version() uint64 { return e.version }
 
 // Next returns the next event, or io.EOF after the last event of a complete answer. If the
@@ -79,7 +79,7 @@
 		e.version = version
 		return false
 	}
-	if text, ok := strings.CutPrefix(line, eventPrefix); ok {
+	if text, ok := strings.CutPrefix(line, idPrefix); ok {
 		number, err := strconv.ParseUint(strings.TrimSpace(text), 10, 64)
 		if err == nil {
 			event.Number = number
--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -49,7 +49,7 @@
 	}
 	end, err := e.generate(ctx, request, prompt, sink)
 	for resumes := 0; resumes < maxResumes && request.GetIdempotent() && prompt.mayResume(err); resumes++ {
-		e.Decisions.Record(request.GetId(), "backend", "%v, resumed after %d tokens", err, len(prompt.tokens))
+		e.Decisions.Record(request.GetId(), "backend", "%v, resumed after %d tokens", err, len(prompt.receivedTokens))
 		end, err = e.generate(ctx, request, prompt, sink)
 		err = asUnknown(err)
 	}
@@ -83,7 +83,7 @@
 }
 
 // asUnknown changes the outcome of a refusal from "not run" to unknown, because an earlier
-// attempt already sent the request to the engine.
+// attempt has already sent the request to the engine.
 func asUnknown(err error) error {
 	var refused *refusal.Error
 	if errors.As(err, &refused) && refused.Outcome == peerpb.Outcome_OUTCOME_NOT_RUN {
@@ -124,8 +124,8 @@
 	if end.GetFinish() == "" {
 		return nil, refusal.Unknown(http.StatusBadGateway, "unfinished", "%s ended its answer without saying why", e.Name)
 	}
-	if end.GetOutputTokens() < uint64(len(prompt.tokens)) {
-		end.SetOutputTokens(uint64(len(prompt.tokens)))
+	if end.GetOutputTokens() < uint64(len(prompt.receivedTokens)) {
+		end.SetOutputTokens(uint64(len(prompt.receivedTokens)))
 	}
 	return end, nil
 }
--- a/internal/backend/engineevent.go
+++ b/internal/backend/engineevent.go
@@ -47,7 +47,7 @@
 	Output uint64 `json:"completion_tokens"`
 }
 
-// toChunk returns the chunk of the answer that the event carries, or nil if there is none.
+// toChunk returns the event's chunk of the answer, or nil if the event has no chunk.
 func (e *engineEvent) toChunk() *peerpb.Chunk {
 	if len(e.Choices) == 0 {
 		return nil
@@ -111,7 +111,7 @@
 func parseEvent(data string) (*engineEvent, error) {
 	parsed := &engineEvent{}
 	if err := json.Unmarshal([]byte(data), parsed); err != nil {
-		return nil, eris.Wrap(err, "parse event")
+		return nil, eris.Wrap(err, "parse engine event")
 	}
 	if hasError(parsed.Error) {
 		return nil, eris.Errorf("engine reported an error in the middle of its answer: %s", errorText(parsed.Error))
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -51,7 +51,7 @@
 	})
 }
 
-// A caller's body may have any fields. The engine gets only allowed ones.
+// A caller's body may have any fields. The engine must receive only allowed fields.
 func FuzzPrompt(f *testing.F) {
 	for _, seed := range []string{`{"model":"m","user":"u"}`, `{"MODEL":1,"Prompt":"x"}`, `[]`, `{"resume_tokens":[1]}`, `{"a":{"model":1}}`} {
 		f.Add([]byte(seed))
--- a/internal/backend/keys_test.go
+++ b/internal/backend/keys_test.go
@@ -70,12 +70,12 @@
 			test.change(request)
 			_, _, _, err := run(plain, request)
 			must.Len(t, test.sent, server.requests(), must.Sprint(err))
-			mustHoldNone(t, server.requests(), secret, secretBase64, "of another system", "Bearer")
+			mustContainNone(t, server.requests(), secret, secretBase64, "of another system", "Bearer")
 		})
 	}
 }
 
-// As TestNoKeyReachesBackend without the check by hashes: the list of allowed headers
+// Like TestNoKeyReachesBackend, but without the check by hash: the list of allowed headers
 // alone must keep out every other header.
 func TestHeadersAreBuiltFromAllowed(t *testing.T) {
 	for _, name := range []string{"Authorization", "Cookie", "X-Api-Key", "Proxy-Authorization", "Trailer", "Referer", "Idempotency-Key", "X-Forwarded-For", "Te", "Connection", "Host"} {
@@ -85,7 +85,7 @@
 			withHeader(name, secret)(request)
 			_, _, _, err := run(newPlain(server.url()), request)
 			must.NoError(t, err)
-			mustHoldNone(t, server.requests(), secret)
+			mustContainNone(t, server.requests(), secret)
 		})
 	}
 }
@@ -99,10 +99,10 @@
 	_, _, _, err := run(newEngine(server.url()), request)
 	must.NoError(t, err)
 	must.Len(t, 1, server.requests())
-	mustHoldNone(t, server.requests(), secret)
+	mustContainNone(t, server.requests(), secret)
 }
 
-func mustHoldNone(t *testing.T, requests []string, words ...string) {
+func mustContainNone(t *testing.T, requests []string, words ...string) {
 	t.Helper()
 	for _, raw := range requests {
 		for _, word := range words {
--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -17,8 +17,8 @@
 	pathLoad   = "/v1/load"
 	// pollInterval is the time between two requests for the engine's load report.
 	pollInterval = time.Second
-	// maxLoadLag is how far an engine's load report may lag. Versions shown in answers
-	// within that time take precedence.
+	// maxLoadLag is the maximum lag of an engine's load report. A version that an answer
+	// showed within that time takes precedence over the load report.
 	maxLoadLag = 5 * time.Second
 )
 
@@ -36,8 +36,8 @@
 	Version uint64 `json:"version"`
 }
 
-// Load orders the engine to load a weight version and returns the version that the engine
-// reports afterwards, which differs if it did not obey.
+// Load orders the engine to load a weight version. It returns the version that the engine
+// reports afterwards, which differs from the ordered version if the engine did not load it.
 func (e *Engine) Load(ctx context.Context, order *peerpb.OrderRequest, timeout time.Duration) (uint64, error) {
 	body, err := json.Marshal(versionOrder{Action: "version", Model: order.GetModel(), Version: order.GetVersion(), Fence: order.GetFence()})
 	if err != nil {
--- a/internal/backend/plain.go
+++ b/internal/backend/plain.go
@@ -33,7 +33,7 @@
 type Plain struct {
 	Server
 
-	// Keys detects API keys, and requests that contain one are refused; nil disables the
+	// Keys detects API keys; requests that contain a key are refused. nil disables the
 	// check.
 	Keys Keys
 }
@@ -129,9 +129,9 @@
 	return peerpb.Frame_builder{Head: peerpb.Head_builder{Status: int32(response.StatusCode), Headers: headers}.Build()}.Build()
 }
 
-// isDelimited reports whether an interrupted answer can be told from a complete one. An
-// answer without Content-Length or chunked encoding ends with the connection, so a service
-// that crashes midway would look like one that finished.
+// isDelimited reports whether an interrupted answer can be distinguished from a complete
+// one. An answer without Content-Length or chunked encoding ends with the connection, so a
+// crash of the service midway would look like a complete answer.
 func isDelimited(method string, response *http.Response) bool {
 	if method == http.MethodHead || response.StatusCode == http.StatusNoContent || response.StatusCode == http.StatusNotModified {
 		return true
--- a/internal/backend/prompt.go
+++ b/internal/backend/prompt.go
@@ -20,10 +20,10 @@
 // prompt is the body of a request to an engine, with the tokens generated so far.
 type prompt struct {
 	fields map[string]json.RawMessage
-	// callerTokens are the resume tokens in the caller's request; tokens are those received
-	// since.
-	callerTokens []int32
-	tokens       []int32
+	// callerTokens are the resume tokens in the caller's request; tokens are the tokens
+	// that the engine has sent.
+	callerTokens   []int32
+	receivedTokens []int32
 	// sentTokens is the number of tokens received before the prompt was last sent.
 	sentTokens int
 	// sendCount is how often the prompt was sent.
@@ -55,9 +55,9 @@
 
 // encode returns the body to send, with all tokens known so far.
 func (p *prompt) encode() ([]byte, error) {
-	p.sentTokens = len(p.tokens)
+	p.sentTokens = len(p.receivedTokens)
 	p.sendCount++
-	if resume := append(append([]int32(nil), p.callerTokens...), p.tokens...); len(resume) > 0 {
+	if resume := append(append([]int32(nil), p.callerTokens...), p.receivedTokens...); len(resume) > 0 {
 		if err := p.setField("resume_tokens", resume); err != nil {
 			return nil, err
 		}
@@ -67,15 +67,15 @@
 }
 
 // mayResume reports whether the generation can resume after err: the connection was lost,
-// tokens arrived since the prompt was last sent, and all of them are known. After a
-// timeout without any token the prompt is sent once more: the connection may have been an
-// idle one that broke long ago, while new ones work.
+// tokens arrived since the prompt was last sent, and all tokens are known. After a timeout
+// without any token the prompt is sent once more: the timeout may have hit an idle
+// connection that broke long ago, while new connections work.
 func (p *prompt) mayResume(err error) bool {
 	var refused *refusal.Error
 	if !errors.As(err, &refused) || p.tokensMissing {
 		return false
 	}
-	if len(p.tokens) == p.sentTokens {
+	if len(p.receivedTokens) == p.sentTokens {
 		return p.sendCount == 1 && refused.Code == codeReadTimeout
 	}
 	return refused.Code == codeInterrupted || refused.Code == codeReadTimeout
@@ -90,5 +90,5 @@
 // addTokens appends the tokens of a chunk.
 func (p *prompt) addTokens(chunk *peerpb.Chunk) {
 	p.tokensMissing = p.tokensMissing || len(chunk.GetTokens()) == 0
-	p.tokens = append(p.tokens, chunk.GetTokens()...)
+	p.receivedTokens = append(p.receivedTokens, chunk.GetTokens()...)
 }
--- a/internal/backend/watchdog.go
+++ b/internal/backend/watchdog.go
@@ -9,7 +9,7 @@
 )
 
 // watchdog cancels an exchange when nothing is received for the timeout. A connection that
-// silently stops carrying data reports no error: the read would block forever.
+// silently stops carrying data reports no error, so the read would block forever.
 type watchdog struct {
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
