--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -20,18 +20,19 @@
 
 const (
 	// maxBufferedBytes limits how much of an answer is buffered until it is complete, so
-	// that an interrupted one can be requested from another server. 1 KB is typical.
+	// that an interrupted answer can be requested from another server. Typical answers have
+	// 1 KB.
 	maxBufferedBytes = 256 << 10
 	// fullRetryAfter is the Retry-After of requests that found no free capacity: about the
 	// time in which some slots of a pool become free.
 	fullRetryAfter = 100 * time.Millisecond
 	// noServerRetryAfter is the Retry-After if the pool has no known server: about the time
-	// in which one registers.
+	// in which a server registers.
 	noServerRetryAfter = time.Second
 	// streamReadTimeout is the read timeout of a stream that can resume on another server:
 	// callers disconnect after two seconds at the earliest.
 	streamReadTimeout = 1500 * time.Millisecond
-	// retryDelay is the delay before all servers that had no free capacity are asked again.
+	// retryDelay is the delay before servers without free capacity are asked again.
 	retryDelay = 15 * time.Millisecond
 )
 
@@ -116,7 +117,7 @@
 	return true, nil
 }
 
-// tryServer sends the request to one server. An error status of a server counts as a
+// tryServer sends the request to one server. An answer with an error status counts as a
 // failure of the request and is passed on to the caller.
 func (r *run) tryServer(ctx context.Context, server *roster.Server) (*Answer, error) {
 	left := r.request.left()
@@ -132,7 +133,7 @@
 
 func (r *run) send(ctx context.Context, server *roster.Server) (*backend.Answer, error) {
 	left, start := r.request.left(), clock.Now()
-	answer, err := server.Direct().Do(ctx, r.request.sendTo(server.Name(), left, r.readTimeout(left)))
+	answer, err := server.Direct().Do(ctx, r.request.forServer(server.Name(), left, r.readTimeout(left)))
 	if err == nil || !refusal.IsNotRun(err) {
 		r.markReceived()
 	}
@@ -145,8 +146,8 @@
 	return answer, err
 }
 
-// readTimeout returns how long a server may send nothing; for a stream that can resume on
-// another server it is at most the time that callers wait between two events.
+// readTimeout returns the longest time without data from a server. For a stream that can
+// resume on another server it is at most the time that callers wait between two events.
 func (r *run) readTimeout(left time.Duration) time.Duration {
 	if r.request.Route.Kind == table.Stream && r.policy.repeatable {
 		return min(left, streamReadTimeout)
@@ -197,8 +198,8 @@
 	NoteFailure(ctx, r.forwarder.Roster, server, err)
 }
 
-// NoteFailure reports a failed attempt to the roster. An attempt that ended because the
-// request timed out or its caller disconnected says nothing about the server.
+// NoteFailure reports a failed attempt to the roster. An attempt that ended because its
+// caller disconnected does not count against the server.
 func NoteFailure(ctx context.Context, servers *roster.Roster, server *roster.Server, err error) {
 	refused := refusal.Of(err)
 	switch {
@@ -213,8 +214,8 @@
 	}
 }
 
-// refuse returns the refusal that ends the request. Once any server may have run it, the
-// outcome is unknown, whatever the last one reported.
+// refuse returns the refusal that ends the request. Once any server may have run the
+// request, the outcome is unknown, whatever the last server reported.
 func (r *run) refuse(ctx context.Context, err error) error {
 	refused := *refusal.Of(err)
 	if r.policy.mayHaveRun {
--- a/internal/forward/policy.go
+++ b/internal/forward/policy.go
@@ -6,9 +6,9 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// minTargetMultiple times the target latency is the least time before an attempt is
-// abandoned for another: requests rarely take twice the target, and a server that sends
-// nothing for so long is mostly down.
+// minTargetMultiple is the minimum timeout of an attempt that another attempt may follow,
+// as a multiple of the target latency: requests rarely take twice the target, and a server
+// that sends nothing for so long is mostly down.
 const minTargetMultiple = 2
 
 // policy decides on the attempts of one request. It does no I/O.
@@ -19,14 +19,14 @@
 	repeatable    bool
 	latencyTarget time.Duration
 
-	// executions counts the servers that may have run it.
+	// executions counts the servers that may have run the request.
 	executions int
-	// mayHaveRun is true once a server may have run it.
+	// mayHaveRun is true once a server may have run the request.
 	mayHaveRun bool
 }
 
-// readTimeout returns how long the next attempt may go without an answer. The last attempt
-// gets all the remaining time; an earlier one leaves a share for the others.
+// readTimeout returns how long the next attempt may take without an answer. The last
+// attempt gets all the remaining time; earlier attempts leave a share for the later ones.
 func (p *policy) readTimeout(left time.Duration) time.Duration {
 	attemptsLeft := p.maxAttempts - p.executions
 	if attemptsLeft <= 1 || !p.repeatable {
@@ -35,12 +35,12 @@
 	return min(left, max(minTargetMultiple*p.latencyTarget, left/time.Duration(attemptsLeft)))
 }
 
-// recordFailure records an attempt without an answer, and reports whether another one is
-// allowed.
+// recordFailure records an attempt without an answer, and reports whether another attempt
+// is allowed.
 //
-// An attempt that certainly did not run is not counted, and the request may always go to
-// another server. If it may have run, it goes only if it is repeatable: otherwise a
-// posting could be made twice.
+// An attempt that certainly did not run is not counted, and the request may go to another
+// server. A request that may have run goes to another server only if it is repeatable:
+// otherwise a posting could be made twice.
 func (p *policy) recordFailure(err error, left time.Duration) bool {
 	if !refusal.IsNotRun(err) {
 		p.executions++
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -1,5 +1,5 @@
 // Package forward sends callers' requests to backend servers, and retries them on another
-// server where that is safe and useful.
+// server if a retry is safe and useful.
 package forward
 
 import (
@@ -34,8 +34,8 @@
 // left returns the time until the deadline.
 func (r *Request) left() time.Duration { return r.Deadline.Sub(clock.Now()) }
 
-// sendTo returns the request to one server.
-func (r *Request) sendTo(server string, left, readTimeout time.Duration) backend.Request {
+// forServer returns a copy of the request for one server.
+func (r *Request) forServer(server string, left, readTimeout time.Duration) backend.Request {
 	request := r.Request
 	request.Server, request.TimeLeft, request.ReadTimeout = server, left, readTimeout
 	return request
@@ -45,11 +45,11 @@
 type Answer struct {
 	*backend.Answer
 
-	// Body is the part read so far; Complete is true if that is all.
+	// Body is the part read so far; Complete is true if Body is the whole body.
 	Body     []byte
 	Complete bool
-	// Next returns the next part of an event stream, and io.EOF after the last one; if nil,
-	// the rest is read from the answer's body.
+	// Next returns the next part of an event stream, and io.EOF after the last part; if
+	// nil, the rest is read from the answer's body.
 	Next func() ([]byte, error)
 	// Finish is called once the answer was read or abandoned.
 	Finish func()
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -11,8 +11,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/roster"
 )
 
-// stream is an event stream that resumes on another server when it is interrupted. It is
-// used by one goroutine.
+// stream is an event stream that resumes on another server after an interruption. It is
+// used by a single goroutine.
 type stream struct {
 	run *run
 	ctx context.Context
@@ -30,7 +30,8 @@
 	return &stream{run: run, ctx: ctx, server: server, answer: answer, events: events, lastEvent: run.request.LastEvent, version: events.Version()}
 }
 
-// Next returns the next event as it is sent to the caller, or io.EOF after the last one.
+// Next returns the next event in the form that is sent to the caller, or io.EOF after the
+// last event.
 //
 // A server that crashes interrupts its stream. Instead of making the caller retry and wait
 // for a new start, Next gets the rest from another server, which receives the number of the
@@ -68,8 +69,8 @@
 	return append([]byte(line), event.Raw...)
 }
 
-// resume continues the stream on another server. It returns false if there is none, or the
-// request has no attempt or time left.
+// resume continues the stream on another server. It returns false if no server is
+// available, or if the request has no attempt or time left.
 func (s *stream) resume(cause error) bool {
 	s.close()
 	s.run.noteFailure(s.ctx, s.server, cause)
