--- a/internal/caller/admission.go
+++ b/internal/caller/admission.go
@@ -34,8 +34,9 @@
 	limiter limit.Limiter
 }
 
-// Admit decides on a request with an estimated number of tokens. done must be
-// called once with the tokens that the request used.
+// Admit checks an account's request with an estimated number of tokens against
+// the limits of its plan. The caller must call done once with the tokens that the
+// request used.
 func (a *Admission) Admit(account string, plan *listpb.Plan, tokens int64) (done func(used int64), err error) {
 	limits := limit.Limits{Rate: plan.GetRate(), Concurrency: plan.GetConcurrency(), Tokens: plan.GetTokens()}
 	a.mutex.Lock()
--- a/internal/caller/admission_test.go
+++ b/internal/caller/admission_test.go
@@ -24,9 +24,9 @@
 }
 
 func TestWithdrawnKey(t *testing.T) {
-	// Guards against calls that outlive their key: the key is withdrawn while one
-	// caller streams a long response and another has stopped reading. Both calls
-	// must end at once, and new requests be refused.
+	// Guards against calls that continue after their key is withdrawn: the key is
+	// withdrawn while one caller streams a long response and another has stopped
+	// reading. Both calls must end at once, and new requests must be refused.
 	started := make(chan struct{}, 2)
 	ended := make(chan error, 2)
 	var frames atomic.Int64
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -86,7 +86,7 @@
 }
 
 // Common client libraries send a message's content as a list of parts, and the
-// token limit under its newer name.
+// token limit as max_completion_tokens.
 func TestParseChatForms(t *testing.T) {
 	tests := map[string]struct {
 		body      string
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	// defaultRetryAfter is the delay where no better one is known.
+	// defaultRetryAfter is the delay of refusals that have no delay of their own.
 	defaultRetryAfter = time.Second
 	// isolatedRetryAfter gives the platform's load balancer time to choose another entry.
 	isolatedRetryAfter = 5 * time.Second
 )
 
-// statusClientClosedRequest is what proxies log if the client disconnects; no client sees it.
+// statusClientClosedRequest is the non-standard status 499, which proxies log if
+// the client disconnects; no client receives it.
 const statusClientClosedRequest = 499
 
 const keyCharacters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~+/="
@@ -61,10 +62,11 @@
 	return &call{handler: handler, writer: w, request: r, id: newID(), start: time.Now(), status: http.StatusOK}
 }
 
-// serveAuthorized looks the key up and serves the call until the key is withdrawn.
+// serveAuthorized looks the key up and serves the call until the key is
+// withdrawn.
 //
-// It watches for the withdrawal before it looks the key up, so that a withdrawal
-// between the two ends the call as well.
+// The watch for a withdrawal starts before the lookup, so that a withdrawal
+// between the two steps also ends the call.
 func (c *call) serveAuthorized(ctx context.Context, serve func(*call) error) error {
 	key, ok := bearerKey(c.request.Header.Get("Authorization"))
 	if !ok {
@@ -128,7 +130,8 @@
 	return c.handler.Admission.Admit(c.grant.Account(), c.grant.Plan(), tokens)
 }
 
-// setCommonFields sets the fields that all kinds of requests share. None holds the key.
+// setCommonFields sets the fields that all kinds of requests share. No field contains the
+// key.
 func (c *call) setCommonFields(request *peerpb.RunRequest) {
 	request.SetId(c.id)
 	request.SetAccount(c.grant.Account())
@@ -155,7 +158,8 @@
 	}
 }
 
-// refuse responds with a refusal, in a started response as far as its format allows.
+// refuse sends a refusal: as the end of a started response if its format allows
+// that, otherwise as a response of its own.
 func (c *call) refuse(err error) {
 	refused := withRetryAfter(refusal.Of(err))
 	c.status, c.code = refused.Status, refused.Code
@@ -166,7 +170,7 @@
 	refusal.Write(c.writer, refused)
 }
 
-// withRetryAfter sets the default delay of a refusal that has none, if a retry may help.
+// withRetryAfter sets the default delay of a refusal without a delay if a retry may help.
 func withRetryAfter(refused *refusal.Error) *refusal.Error {
 	switch refused.Status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
--- a/internal/caller/claim.go
+++ b/internal/caller/claim.go
@@ -6,11 +6,11 @@
 	"io"
 )
 
-// HeaderIdempotency carries the caller's idempotency key: requests of an account
-// to a service with the same key run at most once.
+// HeaderIdempotency is the request header with the caller's idempotency key:
+// requests of an account to a service with the same key run at most once.
 const HeaderIdempotency = "Idempotency-Key"
 
-const maxIdempotencyBytes = 255
+const maxIdempotencyKeyBytes = 255
 
 // claim returns the claim of a request that must not run twice, or "" if the
 // request has no idempotency key or its method is idempotent. It is a digest of
@@ -20,8 +20,8 @@
 	if key == "" || isIdempotent(c.request.Method) {
 		return "", nil
 	}
-	if len(key) > maxIdempotencyBytes {
-		return "", invalidRequest("%s is longer than %d bytes", HeaderIdempotency, maxIdempotencyBytes)
+	if len(key) > maxIdempotencyKeyBytes {
+		return "", invalidRequest("%s is longer than %d bytes", HeaderIdempotency, maxIdempotencyKeyBytes)
 	}
 	return claimDigest(c.grant.Account(), key, service), nil
 }
--- a/internal/caller/eventresponse.go
+++ b/internal/caller/eventresponse.go
@@ -15,7 +15,7 @@
 type eventResponse struct {
 	call   *call
 	format responseFormat
-	// includeUsage adds a last event with the token counts.
+	// includeUsage adds a final event with the token counts.
 	includeUsage bool
 	started      bool
 }
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -21,10 +21,10 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/sidecar"
 )
 
-// HeaderRequest returns the ID of a request to the caller.
+// HeaderRequest is the response header with the ID of the request.
 const HeaderRequest = "X-Request-Id"
 
-// Grants looks up what keys allow.
+// Grants looks up the account and plan that a key gives access to.
 type Grants interface {
 	Grant(hash string) (lists.Grant, bool)
 	OnWithdrawal(hash string, end func()) (stop func())
@@ -45,14 +45,15 @@
 	Runner Runner
 	// Admission enforces the limits of plans; nil means no limits.
 	Admission *Admission
-	// IsIsolated reports whether this process can't learn of changes elsewhere, such
-	// as withdrawn keys, and so accepts no new work; nil means never.
+	// IsIsolated reports whether this process receives no changes from the store
+	// and its peers, such as withdrawn keys, and therefore must accept no new
+	// work; nil means never.
 	IsIsolated func(now time.Time) bool
 	Decisions  *decision.Log
 	Metrics    prometheus.Registerer
 	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
-	// Timeout limits the time of a request.
+	// Timeout limits the duration of a request.
 	Timeout time.Duration
 
 	metrics *metrics
@@ -87,7 +88,8 @@
 	}
 }
 
-// handle adds the ID, the authorization, the timeout, refusals and metrics to a kind of request.
+// handle wraps the handler of one kind of request with the request ID,
+// authorization, the timeout, refusals and metrics.
 func (h *Handler) handle(serve func(*call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := newCall(h, w, r)
--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -234,7 +234,7 @@
 
 func TestStreamCut(t *testing.T) {
 	// Guards against a truncated stream that looks complete: the backend server
-	// dies after the first words of a streamed completion.
+	// crashes after the first words of a streamed completion.
 	server := serve(t, func(_ context.Context, _ *peerpb.RunRequest, sink sidecar.Sink) (*peerpb.End, error) {
 		_ = sink(chunk("Hel"))
 		return nil, refusal.Unknown(http.StatusBadGateway, "cut", "cut")
@@ -281,8 +281,8 @@
 
 func TestPlainCut(t *testing.T) {
 	// Guards against a truncated body that ends like a complete one: the backend
-	// server dies halfway through a long list of records, and the caller would
-	// reconcile against half of them.
+	// server crashes halfway through a long list of records, and the caller would
+	// reconcile against half of the list.
 	t.Run("before the answer began", func(t *testing.T) {
 		server := serve(t, respondPlain(http.StatusOK, 10, true))
 		mustRefuse(t, server.send(t, "GET", "/services/ledger/records", goodKey, ""), 502, "cut", "unknown")
--- a/internal/caller/plainresponse.go
+++ b/internal/caller/plainresponse.go
@@ -9,8 +9,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/refusal"
 )
 
-// maxBufferedBytes of a response are buffered, so that most responses are written
-// only when they are complete.
+// maxBufferedBytes is how much of a response is buffered, so that most responses
+// are written only when they are complete.
 const maxBufferedBytes = 1 << 20
 
 const maxStatus = 599
@@ -18,8 +18,8 @@
 // plainResponse writes the response of a plain service.
 //
 // A response of up to maxBufferedBytes is written when it is complete, with its
-// length. A longer one is streamed; if it is truncated, the connection is closed,
-// so that the caller's library reports an incomplete body.
+// length. A longer response is streamed; if it is truncated, the connection is
+// closed, so that the caller's library reports an incomplete body.
 type plainResponse struct {
 	call    *call
 	head    *peerpb.Head
--- a/internal/caller/responseformat.go
+++ b/internal/caller/responseformat.go
@@ -34,7 +34,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// responseBody is a response or an event of a streamed one.
+// responseBody is a response or an event of a streamed response.
 type responseBody struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
--- a/internal/caller/send.go
+++ b/internal/caller/send.go
@@ -20,12 +20,12 @@
 //
 // Each write has its own deadline, since a caller that stops reading would block
 // the write, and the request at the backend server, forever: the HTTP server has
-// no write timeout, as responses may take long.
+// no write timeout, since responses may take a long time.
 func (c *call) send(data []byte) error {
 	c.setWriteDeadline()
 	//nolint:gosec // The response is for the caller's own request and has a matching content type.
 	if _, err := c.writer.Write(data); err != nil {
-		return eris.Wrap(err, "write to the caller")
+		return eris.Wrap(err, "write response to the caller")
 	}
 	if flusher, ok := c.writer.(http.Flusher); ok {
 		flusher.Flush()
@@ -46,7 +46,7 @@
 	_ = controller.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// withdraw ends the call, even if it waits for its caller to read.
+// withdraw ends the call, even while a write is blocked because its caller does not read.
 func (c *call) withdraw() {
 	c.cancel(errWithdrawn)
 	c.setWriteDeadline()
