--- a/internal/listen/client.go
+++ b/internal/listen/client.go
@@ -24,14 +24,14 @@
 	return ClientWithOptions(name, ClientOptions{})
 }
 
-// ClientTLS returns a Client with its own TLS settings; nil means the system's.
+// ClientTLS returns a Client with the given TLS settings; nil means the system's.
 func ClientTLS(name string, config *tls.Config) httpc.Service {
 	return ClientWithOptions(name, ClientOptions{TLS: config})
 }
 
 // ClientOptions holds the settings that differ between services.
 type ClientOptions struct {
-	// TLS is nil for the system's settings.
+	// TLS holds the TLS settings; nil means the system's.
 	TLS *tls.Config
 	// IdleTimeout is how long an unused connection is kept; 0 means 30 s.
 	IdleTimeout time.Duration
--- a/internal/listen/controller.go
+++ b/internal/listen/controller.go
@@ -7,9 +7,9 @@
 
 type controllerKey struct{}
 
-// Controller returns the response controller of a request, which a handler uses to set
-// write deadlines. go-zero passes some handlers a writer that hides it. It is nil outside
-// an HTTP server of this package.
+// Controller returns the response controller of a request, or nil outside an HTTP server of
+// this package. Handlers use it to set write deadlines: go-zero passes some handlers a
+// writer that hides the methods for deadlines.
 func Controller(ctx context.Context) *http.ResponseController {
 	controller, _ := ctx.Value(controllerKey{}).(*http.ResponseController)
 	return controller
--- a/internal/listen/exchange.go
+++ b/internal/listen/exchange.go
@@ -9,8 +9,8 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// NewJSONRequest returns a request with a JSON body, or with none if body is nil. net/http
-// never repeats it.
+// NewJSONRequest returns a request with a JSON body, or without a body if body is nil.
+// net/http never repeats the request.
 func NewJSONRequest(ctx context.Context, method, address string, body []byte) (*http.Request, error) {
 	var reader io.Reader = http.NoBody
 	if body != nil {
@@ -27,9 +27,9 @@
 	return request, nil
 }
 
-// Exchange sends a request and reads up to limit bytes of the answer. The status is 0 if
-// there was no answer. An error with a status means that the answer is incomplete; the
-// part received is returned too.
+// Exchange sends a request and reads up to limit bytes of the answer. The status is 0 if no
+// answer arrived. An error with a status means that the answer is incomplete; the part
+// received is returned too.
 func Exchange(client httpc.Service, request *http.Request, limit int64) (status int, answer []byte, err error) {
 	response, err := client.DoRequest(request)
 	if err != nil {
--- a/internal/listen/grpc.go
+++ b/internal/listen/grpc.go
@@ -23,16 +23,16 @@
 	// resources for control traffic.
 	grpcIdleTimeout = 30 * time.Second
 	// minRedialDelay and maxRedialDelay bound the backoff before a refused connection is
-	// retried. Restarted processes are back within some tenths of a second; with gRPC's
-	// default backoff of a second and more, those that started slightly earlier were
-	// without the others for that long.
+	// retried. Restarted processes listen again within some tenths of a second; gRPC's
+	// default backoff of a second and more would disconnect processes that started slightly
+	// earlier for that long.
 	minRedialDelay = 50 * time.Millisecond
 	maxRedialDelay = time.Second
 	// peerDialTimeout bounds one attempt to connect to another process: fifty times the
 	// latency between two zones, and less than the second after which a lost SYN is
-	// retransmitted. When whole hosts restart, a process that starts slightly before its
-	// keeper loses its SYN, does not get its texts in time, and generates all of them
-	// again.
+	// retransmitted. When whole hosts restart, the SYN of a process that starts slightly
+	// before its keeper is lost; without this timeout the process would not get its texts
+	// in time and would generate all of them again.
 	peerDialTimeout = 400 * time.Millisecond
 )
 
--- a/internal/listen/http.go
+++ b/internal/listen/http.go
@@ -25,9 +25,10 @@
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxProcessTime is longer than any process runs. By default go-zero shuts its servers
-	// down one second after SIGTERM and kills the process after 5.5 s, which interrupts
-	// long streams; with this value only the process's own drain ends it.
+	// maxProcessTime is longer than the lifetime of any process. By default go-zero shuts
+	// its servers down one second after SIGTERM and kills the process after 5.5 s, which
+	// interrupts long streams; with this value only the drain of the process itself ends
+	// it.
 	maxProcessTime = 1000 * time.Hour
 )
 
@@ -39,7 +40,7 @@
 	Problem string
 }
 
-// Error returns the message with the address.
+// Error names the address and the problem.
 func (e *Error) Error() string {
 	return "listen on " + e.Address + ": " + e.Problem
 }
@@ -114,7 +115,8 @@
 	return server, nil
 }
 
-// serve runs the server; go-zero panics if it cannot listen.
+// serve runs the server. go-zero panics if it cannot listen; serve sends the panic as an
+// error.
 func (h *HTTP) serve(server *rest.Server, failed chan<- error) {
 	defer func() {
 		if fault := recover(); fault != nil {
--- a/internal/listen/listentest/address.go
+++ b/internal/listen/listentest/address.go
@@ -27,18 +27,18 @@
 	// locks are listeners on the first port of each reserved block. They stay open, so that
 	// other test programs cannot reserve the block.
 	locks []net.Listener
-	// next is the next port to try, and end the first one after the block.
+	// next is the next port to try, and end the first port after the block.
 	next, end int
 	// block is the first port of the next block to try.
 	block int
 }
 
-// FreeAddress returns an IP address and port on which nothing listens.
+// FreeAddress returns an IP address and port on which no process listens.
 //
-// If the system chose a port and it were closed until the process under test listens on
-// it, an outgoing connection could take it meanwhile: the process would fail to start or
-// restart. Ports of a reserved block, below those for outgoing connections, are used by
-// nobody else.
+// If the system chose the port and the port were closed until the process under test
+// listens on it, an outgoing connection could take the port meanwhile: the process would
+// fail to start or restart. The ports of a reserved block lie below the ports for outgoing
+// connections, and no other test program uses them.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	allocator.mutex.Lock()
@@ -69,7 +69,7 @@
 	return listener.Close() == nil
 }
 
-// reserveBlock reserves another block; it returns false if none is left.
+// reserveBlock reserves another block; it returns false if no block is left.
 func (a *portAllocator) reserveBlock() bool {
 	if a.block == 0 {
 		a.block = firstPort
--- a/internal/listen/post.go
+++ b/internal/listen/post.go
@@ -7,7 +7,8 @@
 	"net/http"
 )
 
-// Post sends a value as JSON with the named client, and expects status 200.
+// Post sends a value as JSON with the named client. It returns an error unless the status
+// is 200.
 func Post(ctx context.Context, clientName, address string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
