--- a/internal/bramleyhatch/coldlimiter.go
+++ b/internal/bramleyhatch/coldlimiter.go
@@ -34,8 +34,8 @@
 	return &coldLimiter{view: view, now: clock.Now, hosts: cold.Senders{Self: self}, owners: cold.Senders{Self: self}, batchOwners: map[string]string{}}
 }
 
-// Quota returns how many requests this gateway may send to a cold server within a time
-// window; isUnbounded is true where the pool sets no limit.
+// Quota returns how many requests this gateway may send to a cold server within a
+// time window; isUnbounded is true if the pool sets no limit.
 func (c *coldLimiter) Quota(poolName, server string, sender roster.Sender) (limit int, isUnbounded bool) {
 	pool := c.pool(poolName)
 	if pool == nil || pool.ColdRate == 0 {
@@ -70,7 +70,8 @@
 	return current.Pool(name)
 }
 
-// apply applies changes of the live keys, which gateways share through the store.
+// apply updates the senders from changes of the keys that gateways share through
+// the store.
 func (c *coldLimiter) apply(changes []store.Value) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/bramleyhatch/coldlimiter_test.go
+++ b/internal/bramleyhatch/coldlimiter_test.go
@@ -40,7 +40,8 @@
 	return view
 }
 
-// Guards against a quota computed from gateways that don't send, or without some that do.
+// Guards against a quota that counts gateways that don't send, or omits gateways
+// that do.
 func TestColdLimiter(t *testing.T) {
 	limiter := newColdLimiter("g1", coldView())
 	now := clock.Now()
--- a/internal/bramleyhatch/dutyholder.go
+++ b/internal/bramleyhatch/dutyholder.go
@@ -22,13 +22,14 @@
 	mutex    sync.Mutex
 	isFree   bool
 	isSynced bool
-	// last is the value of the duty's key, revision the key's revision; nil and 0 while
-	// there is none.
+	// last is the value of the duty's key, revision the key's revision; nil and 0
+	// while the key does not exist.
 	last     *statepb.Holder
 	revision uint64
 }
 
-// apply applies changes of the store's keys. The first call has the complete list.
+// apply updates the holder from changes of the store's keys. The first call must
+// have the complete list.
 func (h *dutyHolder) apply(changes []store.Value) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -64,10 +65,10 @@
 	h.last, h.revision = last, change.Revision
 }
 
-// heldBy returns the duty held under this name and address, which a previous process
-// of the same host left behind. A host that reuses another host's name has a
+// priorClaim returns the claim of the duty that a previous process of this host left
+// under the same name and address. A host that reuses another host's name has a
 // different address, and the other host may still be alive.
-func (h *dutyHolder) heldBy(process, address string) duty.PriorClaim {
+func (h *dutyHolder) priorClaim(process, address string) duty.PriorClaim {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.last == nil || h.last.GetProcess() != process || h.last.GetAddress() != address {
--- a/internal/bramleyhatch/entry.go
+++ b/internal/bramleyhatch/entry.go
@@ -27,7 +27,7 @@
 // Run serves until the context ends and all running requests have ended.
 func (e *Entry) Run(ctx context.Context) error {
 	e.Process = newProcess(e.Settings.GetProcess(), e.Settings.GetSecure())
-	if err := e.identify(); err != nil {
+	if err := e.loadIdentity(); err != nil {
 		return err
 	}
 	e.platform = newPlatform(e.Settings.GetPlatform())
--- a/internal/bramleyhatch/entryduties.go
+++ b/internal/bramleyhatch/entryduties.go
@@ -24,8 +24,8 @@
 }
 
 // addLedger adds the copies of usage counters that this entry holds for other
-// processes. It pushes them to its peers when it stops, since the processes that
-// they came from may have exited.
+// processes. When the entry stops, it pushes the copies to its peers, since the
+// processes that sent them may have exited.
 func (e *Entry) addLedger() {
 	settings := e.Settings.GetUsage()
 	e.ledger = &usage.Ledger{}
@@ -63,7 +63,7 @@
 }
 
 // newReporter returns a reporter with the values of the settings. The caller sets
-// its clients of the platform and of other processes.
+// the clients of the platform and of other processes.
 func (p *Process) newReporter(settings *settingspb.Usage, duties *settingspb.Duty) *usage.Reporter {
 	return &usage.Reporter{
 		Process:         p.Settings.GetName(),
@@ -78,7 +78,8 @@
 	}
 }
 
-// addZones adds one duty per zone; its holder orders the zone's backend servers.
+// addZones adds one duty per zone; the holder of a zone's duty sends orders to
+// the zone's backend servers.
 func (e *Entry) addZones() {
 	group := &duty.Group{
 		Names:    e.zoneDuties,
@@ -163,7 +164,7 @@
 }
 
 // checkDuty rejects a margin that leaves no time between two renewals: every term
-// would end before its first renewal, and no duty would be held for long.
+// would end before its first renewal, and no process would hold a duty for long.
 func checkDuty(settings *settingspb.Duty) error {
 	lease, margin := settings.GetLease().AsDuration(), settings.GetMargin().AsDuration()
 	if margin > lease/2 {
--- a/internal/bramleyhatch/entryoperators.go
+++ b/internal/bramleyhatch/entryoperators.go
@@ -39,7 +39,8 @@
 	return revision
 }
 
-// addWatchers adds the tasks that carry changes between the store and the other processes.
+// addWatchers adds the tasks that pass changes between the store and the other
+// processes.
 func (e *Entry) addWatchers(editor *lists.Editor) {
 	watches := func() bool { return e.members.IsResponsible("watch", watcherCount) }
 	for _, prefix := range []string{member.FactConfig, member.FactFleet} {
--- a/internal/bramleyhatch/entrytrainers.go
+++ b/internal/bramleyhatch/entrytrainers.go
@@ -34,8 +34,9 @@
 	coordinators *weight.Coordinators
 	sidecars     *weight.Sidecars
 	metrics      *rollout.Metrics
-	// draining ends when the entry is asked to stop: it releases its duties while it
-	// still serves, so that other entries take them over before it exits.
+	// draining is cancelled when the entry is asked to stop: the entry then
+	// releases its duties while it still serves, so that other entries take them
+	// over before it exits.
 	draining context.Context
 	drain    func(context.Context)
 }
--- a/internal/bramleyhatch/gateway.go
+++ b/internal/bramleyhatch/gateway.go
@@ -40,14 +40,14 @@
 	// the 10 s after which servers close theirs, since a request sent on a connection
 	// that is being closed gets no response.
 	idleConnTimeout = 8 * time.Second
-	// registrationWatchDelay is the wait between two watches of registrations, so that one
-	// watch carries many changes: weight loads change many registrations within a
-	// second. A delay of some tenths of a second is still well within the time in
-	// which a draining server must receive no more requests.
+	// registrationWatchDelay is the delay between two watches of registrations, so
+	// that one watch returns many changes: weight loads change many registrations
+	// within a second. A delay of some tenths of a second is still well within the
+	// time in which a draining server must stop receiving requests.
 	registrationWatchDelay = 400 * time.Millisecond
-	// liveWatchDelay is the same wait for the live keys, which gateways share through the
-	// store. A batch begins and ends with a handful of changes.
-	liveWatchDelay = 100 * time.Millisecond
+	// sharedKeysWatchDelay is the delay between two watches of the keys that gateways
+	// share through the store. A batch begins and ends with a handful of changes.
+	sharedKeysWatchDelay = 100 * time.Millisecond
 )
 
 // Gateway is the process on an entry host that reaches backend servers without sidecars.
@@ -70,7 +70,7 @@
 	counter    *usage.Counter
 	steps      weight.Steps
 	dutyHolder dutyHolder
-	// hostsToEmpty are the hosts with disks that operators ask to empty.
+	// hostsToEmpty holds the hosts with disks that operators ask to empty.
 	hostsToEmpty hostsToEmpty
 	// peerServer serves the calls of other gateways.
 	peerServer *gateway.Server
@@ -156,16 +156,16 @@
 		Store: g.store, Prefix: platform.PrefixServer, Wait: wait, OnChanges: g.applyServers, Pause: registrationWatchDelay,
 		OnListed: g.roster.MarkListed, OnLost: g.roster.RecordStoreLost, OnRegained: g.roster.RecordStoreRegained,
 	}
-	live := &mirror.Mirror{Store: g.store, Prefix: batch.Prefix, Wait: wait, OnChanges: g.applyLive, Pause: liveWatchDelay, OnUpToDate: g.cold.markCurrent}
-	for name, m := range map[string]*mirror.Mirror{"operator": operator, "servers": servers, "live": live} {
+	shared := &mirror.Mirror{Store: g.store, Prefix: batch.Prefix, Wait: wait, OnChanges: g.applySharedKeys, Pause: sharedKeysWatchDelay, OnUpToDate: g.cold.markCurrent}
+	for name, m := range map[string]*mirror.Mirror{"operator": operator, "servers": servers, "live": shared} {
 		m.Follow, m.IsWatcher = g.hosts.Follow, g.hosts.IsWatcher
 		g.peerServer.Mirrors[m.Prefix] = m
 		g.AddTask(name, m.Run)
 	}
 }
 
-// applyLive applies changes of the live keys, which gateways share through the store.
-func (g *Gateway) applyLive(changes []store.Value) {
+// applySharedKeys processes changes of the keys that gateways share through the store.
+func (g *Gateway) applySharedKeys(changes []store.Value) {
 	g.hosts.ApplyChanges(changes)
 	g.dutyHolder.apply(changes)
 	g.board.ApplyChanges(changes)
@@ -173,7 +173,7 @@
 	applySteps(&g.steps, changes)
 }
 
-// applySteps applies changes of the keys of open batches.
+// applySteps updates the steps from changes of the open batches' keys.
 func applySteps(steps *weight.Steps, changes []store.Value) {
 	for _, change := range changes {
 		id, isOpen := strings.CutPrefix(change.Key, batch.PrefixOpen)
@@ -186,7 +186,7 @@
 		}
 		open := &statepb.Open{}
 		if err := proto.Unmarshal(change.Data, open); err != nil {
-			klog.ErrorS(err, "weight: cannot parse an open batch", "key", change.Key)
+			klog.ErrorS(err, "weight: cannot parse the record of an open batch", "key", change.Key)
 			continue
 		}
 		steps.Open(id, weight.Step{Model: open.GetModel(), MinVersion: open.GetOldest(), Runs: int(open.GetItems())})
@@ -221,14 +221,15 @@
 		}
 		next, err := platform.ReadTable(change.Data)
 		if err != nil {
-			klog.ErrorS(err, "table: cannot parse a version of the configuration; the one in force stays", "revision", change.Revision)
+			klog.ErrorS(err, "table: cannot parse a version of the configuration; the version in force stays", "revision", change.Revision)
 			continue
 		}
 		g.view.Update(next)
 	}
 }
 
-// applyDrain applies an operator's order to drain a zone's servers, or its end.
+// applyDrain drains a zone's servers on an operator's order, or restores them when
+// the order ends.
 func (g *Gateway) applyDrain(zone string, isOver bool) {
 	if isOver {
 		g.roster.RestoreZone(zone)
@@ -362,7 +363,7 @@
 }
 
 // drain reports this process as not ready, hands its batches over, and keeps
-// serving until the load balancer has noticed.
+// serving until the load balancer has had time to notice.
 func (g *Gateway) drain(ctx context.Context) {
 	g.isDraining.Store(true)
 	started := time.Now()
--- a/internal/bramleyhatch/gatewayduties.go
+++ b/internal/bramleyhatch/gatewayduties.go
@@ -21,8 +21,8 @@
 	// and orders weight loads and the number of servers. A second lease would double the
 	// calls to the store without a benefit.
 	dutyName = "control"
-	// dutyCheckInterval is the interval of checks whether the duty is free; they need no call
-	// to the store.
+	// dutyCheckInterval is the interval between checks whether the duty is free.
+	// The checks need no call to the store.
 	dutyCheckInterval = 200 * time.Millisecond
 	// maxLoadingShare bounds the share of a pool's samplers that load weights concurrently,
 	// so that one half keeps serving whatever version is announced. Within the bound, the
@@ -64,7 +64,7 @@
 		Prefix:  holderPrefix,
 		IsFree:  g.dutyHolder.free,
 		PriorClaim: func() duty.PriorClaim {
-			return g.dutyHolder.heldBy(g.Process.Settings.GetName(), g.Process.Settings.GetPeer())
+			return g.dutyHolder.priorClaim(g.Process.Settings.GetName(), g.Process.Settings.GetPeer())
 		},
 		PollInterval: dutyCheckInterval,
 		Lease:        settings.GetLease().AsDuration(),
@@ -160,9 +160,9 @@
 	return pools
 }
 
-// needsSingleVersion reports whether a route to a pool requires each text to come from a
-// single version: its samplers finish all runs before they load. Routes to other
-// pools don't count.
+// needsSingleVersion reports whether a route to a pool requires each text to come
+// from a single version. The samplers of such a pool finish all runs before they
+// load weights. Routes to other pools have no effect.
 func needsSingleVersion(current *table.Table, pool string) bool {
 	return slices.ContainsFunc(current.Routes, func(route table.Route) bool {
 		isTo := func(share table.Share) bool { return share.Pool == pool }
--- a/internal/bramleyhatch/hoststoempty.go
+++ b/internal/bramleyhatch/hoststoempty.go
@@ -13,18 +13,18 @@
 	"github.com/bramleyhatch/bramleyhatch/platform"
 )
 
-// emptyHostInterval is the interval of checks for hosts that are to be reported as empty.
+// emptyHostInterval is the interval between checks for hosts to report as empty.
 const emptyHostInterval = 200 * time.Millisecond
 
 // hostsToEmpty holds the hosts with disks that operators ask to empty. Its zero value
 // holds none. It is safe for concurrent use.
 type hostsToEmpty struct {
 	mutex sync.Mutex
-	// pending holds true for a host until it is reported as empty, false from then on.
+	// pending maps each host to whether it still has to be reported as empty.
 	pending map[string]bool
 }
 
-// apply applies a change of the store's keys.
+// apply updates the hosts from a change of the store's keys.
 func (h *hostsToEmpty) apply(change store.Value) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// has reports whether a host is to be emptied, or already reported as empty.
+// has reports whether a host has to be emptied or has been reported as empty.
 func (h *hostsToEmpty) has(host string) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -73,9 +73,9 @@
 
 // reportEmptyHosts reports hosts as empty until the term ends.
 //
-// A keeper holds nothing durable: batches and outcomes are in the store, and a lost
-// text is generated again. So nothing has to be moved first; once a host is to be
-// emptied, no gateway stores texts on it.
+// A keeper holds nothing durable: batches and outcomes are in the store, and a
+// lost text is generated again. Therefore nothing has to be moved first, and no
+// gateway stores texts on a host that has to be emptied.
 func (g *Gateway) reportEmptyHosts(ctx context.Context, term *duty.Term) error {
 	for pause.For(ctx, emptyHostInterval) {
 		for _, host := range g.hostsToEmpty.pendingHosts() {
@@ -87,7 +87,7 @@
 				return err
 			}
 			if _, err := g.store.Commit(ctx, commit); err != nil {
-				klog.InfoS("keeper: cannot report a host as empty, retrying", "host", host, "err", err.Error())
+				klog.InfoS("keeper: cannot report a host as empty; retrying", "host", host, "err", err.Error())
 				continue
 			}
 			g.Decisions.Record(host, "keeper", "reported as empty, term %d", term.Fence())
--- a/internal/bramleyhatch/identity.go
+++ b/internal/bramleyhatch/identity.go
@@ -7,8 +7,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/secure"
 )
 
-// identify reads the certificates that the settings name.
-func (p *Process) identify() error {
+// loadIdentity reads the certificates that the settings name.
+func (p *Process) loadIdentity() error {
 	identity, err := secure.NewIdentity(p.Secure, p.Settings.GetName())
 	if err != nil {
 		return err
--- a/internal/bramleyhatch/members.go
+++ b/internal/bramleyhatch/members.go
@@ -94,11 +94,12 @@
 	return p.Addresses().Peer
 }
 
-// announceDraining reports this process as draining to the load balancer and the other
-// processes, and keeps serving for a while.
+// announceDraining reports this process as draining to the load balancer and the
+// other processes, and keeps serving for a while.
 //
-// They notice the new state with a delay. If the process closed its listeners at
-// once, requests sent in the meantime would be cut off.
+// The load balancer and the other processes notice the new state with a delay. If the
+// process closed its listeners at once, requests sent in the meantime would be
+// interrupted.
 func (p *Process) announceDraining(ctx context.Context, length time.Duration) {
 	p.members.SetState(peerpb.State_STATE_DRAINING)
 	pause.For(ctx, length)
--- a/internal/bramleyhatch/process.go
+++ b/internal/bramleyhatch/process.go
@@ -57,9 +57,9 @@
 
 	addresses Addresses
 
-	// identity is nil where processes connect without TLS.
+	// identity is nil if processes connect without TLS.
 	identity *secure.Identity
-	// callerTLS is nil where callers are served plain HTTP.
+	// callerTLS is nil if callers are served plain HTTP.
 	callerTLS *tls.Config
 }
 
@@ -86,8 +86,9 @@
 	return p.addresses
 }
 
-// AddDrain adds a function that is called once the process is asked to stop, before
-// its servers shut down. The function returns when its work is drained.
+// AddDrain adds a function that is called once the process is asked to stop,
+// before its servers shut down. The function returns when its part of the process
+// is drained.
 func (p *Process) AddDrain(drain func(ctx context.Context)) {
 	p.drains = append(p.drains, drain)
 }
@@ -107,7 +108,7 @@
 	p.services = append(p.services, register)
 }
 
-// Grace returns how long a stopping process waits for running requests at most.
+// Grace returns how long a stopping process waits at most for running requests.
 func (p *Process) Grace() time.Duration {
 	return p.Settings.GetGrace().AsDuration()
 }
@@ -118,7 +119,7 @@
 	}
 }
 
-// runTasks runs all tasks until the context ends or one fails.
+// runTasks runs all tasks until the context ends or a task fails.
 func (p *Process) runTasks(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -146,7 +147,7 @@
 		return nil
 	}
 	klog.Errorf("process: task %s failed: %v", task.Name, err)
-	return eris.Wrap(err, task.Name)
+	return eris.Wrapf(err, "run task %s", task.Name)
 }
 
 // runDrains calls all drains concurrently and waits for them up to the grace period.
@@ -198,14 +199,14 @@
 	go func() { finished <- p.runTasks(taskCtx) }()
 	select {
 	case <-ctx.Done():
-		klog.Info("process: asked to stop, draining")
+		klog.Info("process: stop signal received; draining")
 		p.runDrains()
 	case err = <-stopped:
 		servers--
 	case err = <-finished:
-		// A process that went on serving without its tasks would renew no lease and
-		// receive no changes; one that exits is restarted.
-		klog.InfoS("process: a task failed, draining", "err", err)
+		// A process that kept serving without its tasks would renew no lease and
+		// receive no changes; a process that exits is restarted.
+		klog.InfoS("process: draining because a task failed", "err", err)
 		finished <- nil
 		p.runDrains()
 	}
@@ -268,10 +269,10 @@
 func writeReady(file string, addresses Addresses) error {
 	text, err := json.Marshal(addresses)
 	if err != nil {
-		return eris.Wrap(err, "encode addresses")
+		return eris.Wrap(err, "encode ready file")
 	}
 	if err := os.WriteFile(file+".new", text, 0o600); err != nil {
-		return eris.Wrap(err, "write addresses")
+		return eris.Wrap(err, "write ready file")
 	}
-	return eris.Wrap(os.Rename(file+".new", file), "rename addresses")
+	return eris.Wrap(os.Rename(file+".new", file), "rename ready file")
 }
--- a/internal/bramleyhatch/process_test.go
+++ b/internal/bramleyhatch/process_test.go
@@ -14,7 +14,8 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/settingspb"
 )
 
-// mustEndWithin runs a process, checks that it ends by itself within the limit and returns its error.
+// mustEndWithin runs a process, checks that it ends within the limit without being
+// stopped, and returns its error.
 func mustEndWithin(t *testing.T, process *Process, limit time.Duration) error {
 	t.Helper()
 	ended := make(chan error, 1)
--- a/internal/bramleyhatch/scaling.go
+++ b/internal/bramleyhatch/scaling.go
@@ -10,8 +10,8 @@
 	"github.com/bramleyhatch/bramleyhatch/platform"
 )
 
-// scalePools orders the number of servers of each pool until the term ends, where
-// the configuration leaves that number to the system.
+// scalePools sets the number of servers of each pool that the configuration lets
+// the system scale, until the term ends.
 func (g *Gateway) scalePools(ctx context.Context, term *duty.Term, client *platform.DutyClient) error {
 	settings := g.Settings.GetDuty()
 	demands := &gateway.DemandCollector{Hosts: g.hosts, Own: g.peerServer}
@@ -29,8 +29,8 @@
 	return counter.Run(ctx, term)
 }
 
-// scaledPools returns the pools whose number of servers is ordered. It queries the
-// other processes only if there are any.
+// scaledPools returns the pools that the system scales. It queries the other
+// processes only if such pools exist.
 func (g *Gateway) scaledPools(ctx context.Context, demands *gateway.DemandCollector) []fleet.CountedPool {
 	current := g.view.Current()
 	if current == nil {
--- a/internal/bramleyhatch/session.go
+++ b/internal/bramleyhatch/session.go
@@ -8,12 +8,12 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// closeTimeout bounds the release of the lease when a process stops; a lease that isn't
-// released expires by itself.
+// closeTimeout bounds the release of the lease when a process stops. A lease that
+// isn't released expires after its duration.
 const closeTimeout = time.Second
 
-// addSession adds the task that registers this process for the others, under a lease
-// and a prefix of the store's keys.
+// addSession adds the task that registers this process in the store, with a lease
+// and under a prefix of the keys.
 func (p *Process) addSession(store gateway.SessionStore, prefix string, length time.Duration) *gateway.Session {
 	session := &gateway.Session{
 		Store:       store,
--- a/internal/bramleyhatch/sidecar.go
+++ b/internal/bramleyhatch/sidecar.go
@@ -27,7 +27,7 @@
 // Run serves until the context ends and all running requests have ended.
 func (s *Sidecar) Run(ctx context.Context) error {
 	s.Process = newProcess(s.Settings.GetProcess(), s.Settings.GetSecure())
-	if err := s.identify(); err != nil {
+	if err := s.loadIdentity(); err != nil {
 		return err
 	}
 	s.platform = newPlatform(s.Settings.GetPlatform())
--- a/internal/bramleyhatch/sidecarbackend.go
+++ b/internal/bramleyhatch/sidecarbackend.go
@@ -14,7 +14,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/pb/statepb"
 )
 
-// Values of settings.
+// Values of the settings kind and alone of a backend server.
 const (
 	kindEngine = "engine"
 	aloneRun   = "run"
@@ -62,7 +62,7 @@
 	return plain
 }
 
-// setDraining tells the other processes whether this one accepts new work.
+// setDraining announces to the other processes whether this process accepts new work.
 func (s *Sidecar) setDraining(draining bool) {
 	if draining {
 		s.members.SetState(peerpb.State_STATE_DRAINING)
@@ -71,7 +71,7 @@
 	s.members.SetState(peerpb.State_STATE_LIVE)
 }
 
-// newClaims returns the claims of idempotency keys.
+// newClaims returns the record of claims of idempotency keys.
 func (s *Sidecar) newClaims() *entry.Claims {
 	settings := s.Settings.GetBackend()
 	return &entry.Claims{
@@ -100,7 +100,7 @@
 	}
 	fleet := &statepb.Fleet{}
 	if err := proto.Unmarshal(fact.GetValue(), fleet); err != nil {
-		klog.Errorf("backend: cannot parse fact %s: %v", fact.GetName(), err)
+		klog.Errorf("backend: cannot parse the fleet in fact %s: %v", fact.GetName(), err)
 		return nil
 	}
 	return fleet
--- a/internal/bramleyhatch/sidecarkeys.go
+++ b/internal/bramleyhatch/sidecarkeys.go
@@ -24,11 +24,11 @@
 	return hashes != nil && (*hashes)[hash]
 }
 
-// apply applies the keys of a newer configuration.
+// apply stores the hashes of the keys in a newer configuration.
 func (k *callerKeys) apply(fact *peerpb.Fact) {
 	config := &listpb.Config{}
 	if err := proto.Unmarshal(fact.GetValue(), config); err != nil {
-		klog.Errorf("key: cannot parse fact %s: %v", fact.GetName(), err)
+		klog.Errorf("key: cannot parse the configuration in fact %s: %v", fact.GetName(), err)
 		return
 	}
 	hashes := map[string]bool{}
