--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,9 +1,9 @@
-// Package decision keeps the newest decisions of a process, so that operators
-// can look up why something was done.
+// Package decision keeps the newest decisions of a process, so that operators can
+// look up the reason of an action.
 //
-// Every routing or placement decision is logged on one line and kept in a
-// ring buffer under the identity that it concerns: a request, a sample, an
-// order or a usage window.
+// Every routing or placement decision is logged on one line and kept in a ring
+// buffer under the identity that it concerns: a request, a sample, an order or a
+// usage window.
 package decision
 
 import (
@@ -34,7 +34,7 @@
 // Text returns the decision and its reason.
 func (e Entry) Text() string { return e.text }
 
-// Time returns when it was decided.
+// Time returns the time of the decision.
 func (e Entry) Time() time.Time { return e.time }
 
 // Log keeps the newest decisions. Its zero value keeps DefaultSize of them.
@@ -62,8 +62,8 @@
 	return found
 }
 
-// Record logs a decision and keeps it. A nil Log only logs.
-// The text must hold no caller's key.
+// Record logs a decision and keeps it. A nil Log only logs. The text must not
+// contain a caller's key.
 func (l *Log) Record(id, part, format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
 	klog.InfoDepth(1, part+": "+id+": "+text)
