--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -47,7 +47,7 @@
 // Error describes the wrong argument.
 func (e *UsageError) Error() string { return e.Problem }
 
-// exitRequest is the panic value that carries the exit code requested by kong.
+// exitRequest is the panic value with the exit code that kong requested.
 type exitRequest int
 
 // Main runs the program with its arguments and returns the exit code.
--- a/internal/cmd/configcmd.go
+++ b/internal/cmd/configcmd.go
@@ -61,8 +61,8 @@
 	return "Example:\n  bramleyhatch config diff --entry 10.0.0.1:8080"
 }
 
-// difference is the JSON output of config diff.
-type difference struct {
+// diffOutput is the JSON output of config diff.
+type diffOutput struct {
 	Base        uint64             `json:"base"`
 	Differences []lists.Difference `json:"differences"`
 }
@@ -84,7 +84,7 @@
 	changes := lists.Diff(current.GetConfig(), wanted)
 	base := current.GetConfig().GetLists()
 	if c.isJSON() {
-		return printJSON(out.stdout, difference{Base: base, Differences: changes})
+		return printJSON(out.stdout, diffOutput{Base: base, Differences: changes})
 	}
 	for _, change := range changes {
 		fmt.Fprintln(out.stdout, change)
--- a/internal/cmd/keycmd.go
+++ b/internal/cmd/keycmd.go
@@ -45,7 +45,7 @@
 	Hash    string `json:"hash"`
 }
 
-// Run generates a random key and has its hash granted. It retries if the outcome is
+// Run generates a random key and grants its hash. It retries if the outcome is
 // unknown: granting the same hash again is idempotent.
 func (k *keyGrantCmd) Run(out *streams) error {
 	key := keyPrefix + rand.Text()
--- a/internal/cmd/reload.go
+++ b/internal/cmd/reload.go
@@ -39,8 +39,8 @@
 	case err != nil:
 		klog.ErrorS(err, "settings: cannot load the changed file; the settings in force stay", "file", file)
 	case proto.Equal(next, inForce):
-		klog.InfoS("settings: checked, nothing has changed", "file", file)
+		klog.InfoS("settings: file checked; nothing has changed", "file", file)
 	default:
-		klog.InfoS("settings: checked, the changes apply from the next start", "file", file)
+		klog.InfoS("settings: file checked; the changes apply from the next start", "file", file)
 	}
 }
--- a/internal/cmd/usagecmd.go
+++ b/internal/cmd/usagecmd.go
@@ -21,7 +21,7 @@
 	return "Example:\n  bramleyhatch usage --entry 10.0.0.1:8080 --window 2026-01-31T12:00:00Z --output json"
 }
 
-// Run prints the figures in the store, which are the reported ones.
+// Run prints the figures in the store, which equal the reported figures.
 func (u *usageCmd) Run(out *streams) error {
 	start, err := parseWindow(u.Window)
 	if err != nil {
