--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,7 +1,8 @@
 // Package client is the Go client of bramleyhatch for callers and trainers.
 //
-// It never retries a request: a *RefusedError says whether the request ran, and the
-// caller decides. A POST with an idempotency key may be sent again with the same key.
+// It never retries a request: a *RefusedError reports whether the request ran, and
+// the caller decides. A POST with an idempotency key may be sent again with the
+// same key.
 package client
 
 import (
@@ -20,10 +21,10 @@
 // maxAnswerBytes bounds a response, which is read into memory as a whole.
 const maxAnswerBytes = 64 << 20
 
-// Outcome says whether a refused request ran.
+// Outcome reports whether a refused request ran.
 type Outcome string
 
-// Outcomes that a refusal names.
+// Outcomes of refused requests.
 const (
 	// NotRun means that the request certainly didn't run and may be sent again.
 	NotRun Outcome = "not-run"
@@ -65,8 +66,8 @@
 	Content string `json:"content"`
 }
 
-// Chat asks a model to continue a chat and returns its complete answer. Tokens
-// bounds the answer; 0 leaves the bound to the model engine.
+// Chat asks a model to continue a chat and returns its complete answer. The answer
+// has at most the given number of tokens; 0 leaves the limit to the model engine.
 func (c *Client) Chat(ctx context.Context, model string, messages []Message, tokens int) (string, error) {
 	request := map[string]any{"model": model, "messages": messages}
 	if tokens > 0 {
@@ -135,7 +136,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.Address+path, reader)
 	if err != nil {
-		return nil, eris.Wrapf(err, "%s %s", method, path)
+		return nil, eris.Wrapf(err, "create request %s %s", method, path)
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Key)
 	if body != nil {
--- a/pkg/client/trainer.go
+++ b/pkg/client/trainer.go
@@ -56,7 +56,7 @@
 	Score    float64 `json:"score"`
 }
 
-// Range names the weight version that produced the tokens from From up to Until.
+// Range is the weight version that produced the tokens from From up to Until.
 type Range struct {
 	From    uint32 `json:"from"`
 	Until   uint32 `json:"until"`
@@ -73,7 +73,8 @@
 }
 
 // Announce reports that a weight version is in the weight store. Later pulls send the
-// version, so that a process which doesn't know it yet delivers no stale sample.
+// version, so that a process that doesn't know the version yet delivers no stale
+// sample.
 func (t *Trainer) Announce(ctx context.Context, model string, version uint64) error {
 	t.raiseNewest(version)
 	body := map[string]any{"model": model, "version": version}
@@ -89,8 +90,8 @@
 	return reply.Place, err
 }
 
-// Pull returns up to limit samples from a place on, waiting up to wait for the
-// first. It acknowledges all samples before the place.
+// Pull returns up to limit samples from a place on. It waits up to wait for the first
+// sample and acknowledges all samples before the place.
 func (t *Trainer) Pull(ctx context.Context, place uint64, limit int, wait time.Duration) (Pulled, error) {
 	query := url.Values{
 		"place": {strconv.FormatUint(place, 10)},
--- a/pkg/client/trainer_test.go
+++ b/pkg/client/trainer_test.go
@@ -11,7 +11,8 @@
 )
 
 // Guards against stale samples: a trainer announces new weights and pulls at once,
-// through a process that doesn't know them yet. The pull must send the version.
+// through a process that doesn't know the weights yet. The pull must send the
+// version.
 func TestPullNamesVersion(t *testing.T) {
 	var versions []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
