--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -48,11 +48,12 @@
 
 	Members Membership
 	Peers   Peers
-	// Retention is how long after a request its retries may arrive.
+	// Retention is how long after a request retries of it may arrive.
 	Retention time.Duration
 	// Started is when this process began to record claims.
 	Started time.Time
-	// RunAlone allows a claim to run while the pool has no other server to witness it.
+	// RunAlone allows a request with a claim to run while the pool has no other server
+	// that could witness the claim.
 	RunAlone bool
 
 	mutex    sync.Mutex
@@ -60,8 +61,8 @@
 	restored atomic.Bool
 }
 
-// acquire records a request's claim or returns the local run that holds it. It
-// returns nil and no refusal if the request itself or another sidecar holds it.
+// acquire records a request's claim or returns the local run that holds it. It returns
+// nil and no refusal if the request itself or another sidecar holds the claim.
 func (c *Claims) acquire(request *peerpb.RunRequest, findRun func(id string) *run) (*run, *refusal.Error) {
 	if refused := c.checkNewClaim(request); refused != nil {
 		return nil, refused
@@ -97,9 +98,9 @@
 	return c.checkHome(request, fleet)
 }
 
-// confirm asks the sidecars that may know the claim, and its witness, to record
-// it. It is called just before the request is forwarded. It returns the holder
-// if the claim is known elsewhere; the request must then not run here.
+// confirm asks the sidecars that may know the claim, and its witness, to record it. It is
+// called just before the request is forwarded. It returns the holder if another sidecar
+// knows the claim; the request must then not run here.
 func (c *Claims) confirm(ctx context.Context, request *peerpb.RunRequest) (*claimHolder, *refusal.Error) {
 	if remote := c.remoteHolder(request.GetClaim()); remote != nil {
 		return remote, nil
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -14,9 +14,9 @@
 
 const postingAnswer = `{"posting":1}`
 
-// Two requests with the same idempotency key arrive through two entries while
-// the backend server works on the first. It must run once, and both callers must
-// get its answer.
+// Two requests with the same idempotency key arrive through two entries while the backend
+// server works on the first. The request must run once, and both callers must get its
+// answer.
 func TestSameKeyAtOnce(t *testing.T) {
 	p := newPool(t, newService(t, true, answerPosting), testTimeout)
 	home, _ := p.home()
@@ -109,8 +109,9 @@
 	}
 }
 
-// The witness doesn't answer. A request that ran now would be unknown after the
-// loss of its home, so it is refused. The same key runs once the witness is back.
+// The witness doesn't answer. If a request ran now, the loss of its home would make its
+// outcome unknown, so it is refused. A retry with the same key runs once the witness is
+// available again.
 func TestNoWitness(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, witness := p.home()
@@ -213,7 +214,7 @@
 	mustBeComplete(t, postingAnswer, p.send(home, "r1"))
 }
 
-// Two callers share a queued run and the first cancels. The other must still get
+// Two callers share a queued run and the first caller cancels. The second must still get
 // the answer.
 func TestCancelOfSharedRun(t *testing.T) {
 	p := newPool(t, newService(t, true, answerPosting), testTimeout)
@@ -265,7 +266,8 @@
 	t.Fatalf("%s is not known", id)
 }
 
-// mustBeJoined sends a third request with the key and waits until it has joined.
+// mustBeJoined sends a third request with the key and waits until the request has joined
+// the run.
 func mustBeJoined(t *testing.T, p *pool, home string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -42,8 +42,8 @@
 		close(s.release)
 	}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Sidecars of another test process on this machine may still poll the load
-		// of an engine that had this port before; that must not count as a run.
+		// Sidecars of another test process on this machine may still poll the load of an
+		// engine that used this port before. Such a poll must not count as a run.
 		if r.URL.Path == "/v1/load" {
 			http.NotFound(w, r)
 			return
--- a/internal/entry/registry.go
+++ b/internal/entry/registry.go
@@ -100,11 +100,10 @@
 	return created, true, nil
 }
 
-// admit refuses to start a request that the previous process may have run. A
-// sidecar that is killed after it forwarded a request restarts without state;
-// the entry's resend would run the request twice, or continue one answer with
-// frames of another. Requests with a claim are checked by the sidecars that
-// recorded it.
+// admit refuses to start a request that the previous process may have run. A sidecar that
+// is killed after it forwarded a request restarts without state; the entry's resend would
+// run the request twice, or continue one answer with frames of another. Requests with a
+// claim pass: the sidecars that recorded the claim check them.
 func (r *registry) admit(request *peerpb.RunRequest, knowsAllRequests bool) *refusal.Error {
 	switch {
 	case mayHaveRun(request, knowsAllRequests) && !request.GetIdempotent() && !isClaimed(request):
--- a/internal/entry/resend_test.go
+++ b/internal/entry/resend_test.go
@@ -23,9 +23,9 @@
 	must.Eq(t, 1, p.runs.Load())
 }
 
-// A sidecar is killed after it forwarded an idempotent request, and the new
-// process refuses the resend because it drains or for another reason. The
-// request may have run, so no refusal may be "not run".
+// A sidecar is killed after it forwarded an idempotent request, and the new process
+// refuses the resend, for example because the sidecar drains. The request may have run,
+// so no refusal may be "not run".
 func TestResendIsNeverNotRun(t *testing.T) {
 	p := newPool(t, newService(t, false, answerPosting), testTimeout)
 	home, _ := p.home()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,9 +1,9 @@
 // Package entry implements the service of a sidecar for entries: it queues their
-// requests, forwards each to the backend server once and streams the answer.
+// requests, forwards each request to the backend server once and streams the answer.
 //
-// A request is known by its ID from its first send until some time after its
-// end. An entry that lost a connection resends it with the same ID and joins
-// the existing run; a known request is never forwarded twice.
+// A request is known by its ID from its first send until some time after its end. An
+// entry that lost a connection resends the request with the same ID and joins the
+// existing run; a known request is never forwarded twice.
 package entry
 
 import (
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -24,9 +24,10 @@
 	must.Eq(t, "s1", a.frames[0].GetLoad().GetServer())
 }
 
-// The connection between entry and sidecar goes silent during a request. The
-// entry resends it on a new connection while it runs, and once more after its
-// end. It must run once, and each stream must carry the complete answer.
+// The connection between entry and sidecar stops carrying data during a request. The
+// entry resends the request on a new connection while the request runs, and once more
+// after its end. The request must run once, and each stream must carry the complete
+// answer.
 func TestResendJoins(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	client := serve(t, newServer(service.URL))
@@ -42,8 +43,8 @@
 	must.Eq(t, 1, service.runs.Load())
 }
 
-// An entry loses its connection after the first frames of an answer. It asks for
-// the rest by position on a new connection and must get only the rest.
+// An entry loses its connection after the first frames of an answer. It requests the
+// remaining frames by position on a new connection and must receive no other frames.
 func TestResumeByPosition(t *testing.T) {
 	service := newService(t, false, answerPosting)
 	client := serve(t, newServer(service.URL))
@@ -86,7 +87,7 @@
 	mustBeComplete(t, `{"posting":1}`, read(stream))
 }
 
-// A caller cancels a queued request. It was never forwarded, so it must end as
+// A caller cancels a queued request. The request was never forwarded, so it must end as
 // not run.
 func TestCancelWaiting(t *testing.T) {
 	service := newService(t, true, answerPosting)
@@ -103,7 +104,7 @@
 	must.Eq(t, 1, service.runs.Load())
 }
 
-// A caller cancels a running non-idempotent request. Stopping it would leave the
+// A caller cancels a running non-idempotent request. Stopping the request would leave its
 // outcome unknown, so it must complete, and the resend must get its answer.
 func TestCancelOfNonIdempotentRequest(t *testing.T) {
 	service := newService(t, true, answerPosting)
@@ -117,8 +118,8 @@
 	must.Eq(t, 1, service.runs.Load())
 }
 
-// A caller cancels a running idempotent request. It must be stopped at the backend
-// server at once, and its outcome must be unknown, since it may have run.
+// A caller cancels a running idempotent request. The request must be stopped at the
+// backend server at once, and its outcome must be unknown, since it may have run.
 func TestCancelOfIdempotentRequest(t *testing.T) {
 	service := newService(t, true, answerPosting)
 	client := serve(t, newServer(service.URL))
