--- a/internal/sidecar/fakesidecar_test.go
+++ b/internal/sidecar/fakesidecar_test.go
@@ -212,7 +212,7 @@
 	go copyUntil(near, far, silent)
 }
 
-// silence stops data on the open connections; new ones work.
+// silence stops data on the open connections; new connections work.
 func (p *proxy) silence() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -233,7 +233,7 @@
 }
 
 // abort ends a request whose caller disconnected or whose sink failed, and cancels it at
-// the sidecar. It returns nil if neither is the case.
+// the sidecar. In other cases it returns nil.
 func (r *run) abort(server *server, err error) error {
 	var failed *sinkError
 	switch {
