--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -309,8 +309,8 @@
 	must.Eq(t, "aa", text)
 }
 
-// Each resumed generation is interrupted again. The engine client must give up, and must
-// not report "not run" when the engine refuses to resume.
+// Each resumed generation is interrupted again. The engine client must stop resuming, and
+// must not report "not run" when the engine refuses to resume.
 func TestResumesAreBounded(t *testing.T) {
 	server := newFakeServer(t, reply{text: chunked(oneToken)}, reply{text: chunked(oneToken)}, reply{text: chunked(oneToken)})
 	_, _, end, err := run(newEngine(server.url()), generation())
--- a/internal/backend/direct.go
+++ b/internal/backend/direct.go
@@ -65,7 +65,7 @@
 	FormatVersionLine(version uint64) string
 	// ParseVersionLine returns the weight version that an event line announces.
 	ParseVersionLine(line string) (uint64, bool)
-	// Proof returns the server's proof of its answer.
+	// Proof returns the server's signature of its answer.
 	Proof(answer *http.Response) string
 	// Version returns the weight version of an answer's first event; 0 if unspecified.
 	Version(answer *http.Response) uint64
@@ -88,9 +88,9 @@
 	watchdog *watchdog
 }
 
-// Do sends a request once. The error is a *refusal.Error whose outcome is "not run" only
-// if that is certain. Do also returns answers with an error status, unless the server
-// states that it ran nothing.
+// Do sends a request once. The error is a *refusal.Error whose outcome is "not run" only if
+// the request certainly did not run. Do also returns answers with an error status, unless
+// the server states that it ran nothing.
 func (d *Direct) Do(ctx context.Context, request Request) (*Answer, error) {
 	header := request.Header.Clone()
 	if header == nil {
--- a/internal/backend/direct_test.go
+++ b/internal/backend/direct_test.go
@@ -12,8 +12,8 @@
 	"github.com/bramleyhatch/bramleyhatch/platform"
 )
 
-// Guards against a stalled stream that is held to the read timeout of its first event, and
-// reported as an interrupted connection.
+// Guards against a stalled stream that keeps the read timeout of its first event, and that
+// is reported as an interrupted connection.
 func TestReadTimeoutWithinAnswer(t *testing.T) {
 	const event = "id: 1\ndata: x\n\n"
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nAttempt-Id: i0\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -131,7 +131,8 @@
 }
 
 // statusRefusal returns the refusal for a status other than 200. Only 503 states that the
-// engine did not accept the request; it may send any other status after it has started.
+// engine did not accept the request; the engine may send any other status after it has
+// started to generate.
 func (e *Engine) statusRefusal(answer *watchedResponse) *refusal.Error {
 	var body struct {
 		Error json.RawMessage `json:"error"`
--- a/internal/backend/keys_test.go
+++ b/internal/backend/keys_test.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// A caller puts its key into fields of a prompt's body that no engine needs.
+// A caller puts its key into fields of a prompt's body that are not allowed. The engine
+// must not receive the key.
 func TestPromptIsBuiltFromAllowed(t *testing.T) {
 	server := newFakeServer(t, reply{text: chunked(oneToken, finish, done) + lastChunk})
 	request := generation()
