--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -43,7 +43,7 @@
 }
 
 // Run sends a request until a backend server has answered it. The error is a
-// *refusal.Error; its outcome is "not run" only if that is certain.
+// *refusal.Error; its outcome is "not run" only if the request certainly did not run.
 func (f *Forwarder) Run(ctx context.Context, request *Request) (*Answer, error) {
 	run := &run{
 		forwarder: f,
@@ -100,7 +100,7 @@
 }
 
 // resetTried makes all servers eligible again after a delay. It returns false and the
-// refusal if the pool has no server, the request may have run or its time is nearly over.
+// refusal if the pool has no server, the request may have run, or its deadline is near.
 func (r *run) resetTried(ctx context.Context, last error) (bool, error) {
 	if last == nil {
 		klog.InfoS("route: no server available", "id", r.request.ID, "pool", r.pool)
