--- a/internal/caller/engine.go
+++ b/internal/caller/engine.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// bytesPerToken estimates the tokens of a prompt until the end of the response reports them.
+	// bytesPerToken is the estimated size of a token, used until the end of the response
+	// reports the number of tokens of the prompt.
 	bytesPerToken = 4
-	// assumedOutputTokens estimates the output of a request without max_tokens.
+	// assumedOutputTokens is the estimated output of a request without max_tokens.
 	assumedOutputTokens = 256
 )
 
--- a/internal/caller/plainresponse.go
+++ b/internal/caller/plainresponse.go
@@ -85,8 +85,8 @@
 	return r.call.send(data)
 }
 
-// setHead rejects a status that is not final: net/http panics on some of them and
-// treats others as informational or as a protocol switch.
+// setHead rejects a status that is not final: net/http panics on some of these
+// statuses and treats others as informational or as a protocol switch.
 func (r *plainResponse) setHead(head *peerpb.Head) error {
 	if head.GetStatus() < http.StatusOK || head.GetStatus() > maxStatus {
 		return refusal.Unknown(http.StatusBadGateway, "bad_status", "the service answered with status %d", head.GetStatus())
--- a/internal/caller/send.go
+++ b/internal/caller/send.go
@@ -42,7 +42,7 @@
 	if c.ctx.Err() != nil {
 		timeout = endedWriteTimeout
 	}
-	// Only connections in tests lack deadlines.
+	// SetWriteDeadline fails only on connections of tests, which have no deadlines.
 	_ = controller.SetWriteDeadline(time.Now().Add(timeout))
 }
 
