--- a/internal/listen/http.go
+++ b/internal/listen/http.go
@@ -45,7 +45,7 @@
 	return "listen on " + e.Address + ": " + e.Problem
 }
 
-// HTTP is a server for callers, trainers and operators. Exported fields are set before
+// HTTP is the server for callers, trainers and operators. Exported fields are set before
 // Run.
 type HTTP struct {
 	// Address is an IP address and port; with port 0 the system chooses the port.
