--- a/internal/bramleyhatch/dutyholder_test.go
+++ b/internal/bramleyhatch/dutyholder_test.go
@@ -11,8 +11,9 @@
 	store "github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Guards against a host that resumes the duty of another host: one host replaces
-// another under the same name, while the first may still be alive behind a partition.
+// Guards against a host that resumes the duty of another host. A new host replaces
+// the other host under the same name, while the other host may still be alive
+// behind a partition.
 func TestDutyHolderHeldBy(t *testing.T) {
 	var tracked dutyHolder
 	data, err := proto.Marshal(statepb.Holder_builder{Process: "g1", Address: "10.0.0.1:7"}.Build())
--- a/internal/bramleyhatch/entryduties.go
+++ b/internal/bramleyhatch/entryduties.go
@@ -152,7 +152,8 @@
 	}
 }
 
-// rank returns this entry's position among the live entries that may take a duty.
+// rank returns this entry's position among the live entries that may acquire a
+// duty.
 func (e *Entry) rank(name string) int {
 	var candidates []string
 	for _, process := range e.members.Processes(peerpb.Role_ROLE_ENTRY) {
--- a/internal/bramleyhatch/process.go
+++ b/internal/bramleyhatch/process.go
@@ -265,7 +265,7 @@
 	return writeReady(p.Settings.GetReady(), p.addresses)
 }
 
-// writeReady writes the file atomically: a reader never sees a part of it.
+// writeReady writes the file atomically, so that readers never see a partial file.
 func writeReady(file string, addresses Addresses) error {
 	text, err := json.Marshal(addresses)
 	if err != nil {
