--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -36,7 +36,7 @@
 type RefusedError struct {
 	// Status is the HTTP status.
 	Status int
-	// Code is a short name of the reason, such as "rate_limited".
+	// Code is a short name of the reason, such as "draining".
 	Code    string
 	Message string
 	Outcome Outcome
