--- a/internal/backend/direct.go
+++ b/internal/backend/direct.go
@@ -39,7 +39,7 @@
 	Body []byte
 	// Account is the client account; "" for requests without one.
 	Account string
-	// ReadTimeout is how long the server may send nothing.
+	// ReadTimeout is the longest time without data from the server.
 	ReadTimeout time.Duration
 	// TimeLeft is how much longer the caller waits; 0 if unknown.
 	TimeLeft time.Duration
@@ -56,15 +56,16 @@
 	Prepare(header http.Header, request Request)
 	// IsAnswerTo reports whether an answer belongs to the request with this ID.
 	IsAnswerTo(answer *http.Response, id string) bool
-	// IsNotRun reports whether the server states that it ran nothing.
+	// IsNotRun reports whether the answer states that the server ran nothing.
 	IsNotRun(answer *http.Response) bool
-	// IsWrongServer reports whether a server other than the intended one answered.
+	// IsWrongServer reports whether the answer comes from a server other than the intended
+	// one.
 	IsWrongServer(answer *http.Response) bool
 	// FormatVersionLine returns the event line that announces a weight version.
 	FormatVersionLine(version uint64) string
 	// ParseVersionLine returns the weight version that an event line announces.
 	ParseVersionLine(line string) (uint64, bool)
-	// Proof returns the server's proof of its answer.
+	// Proof returns the server's signature of its answer.
 	Proof(answer *http.Response) string
 	// Version returns the weight version of an answer's first event; 0 if unspecified.
 	Version(answer *http.Response) uint64
@@ -87,9 +88,9 @@
 	watchdog *watchdog
 }
 
-// Do sends a request once. The error is a *refusal.Error whose outcome is "not run" only
-// if that is certain. Do also returns answers with an error status, unless the server
-// states that it ran nothing.
+// Do sends a request once. The error is a *refusal.Error whose outcome is "not run" only if
+// the request certainly did not run. Do also returns answers with an error status, unless
+// the server states that it ran nothing.
 func (d *Direct) Do(ctx context.Context, request Request) (*Answer, error) {
 	header := request.Header.Clone()
 	if header == nil {
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -42,8 +42,8 @@
 		close(s.release)
 	}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Sidecars of another test process on this machine may still poll the load
-		// of an engine that had this port before; that must not count as a run.
+		// Sidecars of another test process on this machine may still poll the load of an
+		// engine that used this port before. Such a poll must not count as a run.
 		if r.URL.Path == "/v1/load" {
 			http.NotFound(w, r)
 			return
@@ -88,7 +88,7 @@
 	return serveAs(t, server, server)
 }
 
-// serveAs runs a sidecar behind service, which wraps it.
+// serveAs serves service, a wrapper of the sidecar, on loopback and returns a client.
 func serveAs(t *testing.T, server *entry.Server, service peerpb.SidecarServer) peerpb.SidecarClient {
 	t.Helper()
 	server.Init()
