--- a/internal/batch/run.go
+++ b/internal/batch/run.go
@@ -54,11 +54,11 @@
 		o.plan.Failed(job, refused.Status == http.StatusUnprocessableEntity, now)
 		return endFailed
 	case refusal.IsNotRun(err), errors.Is(err, errVersionMismatch):
-		forward.NoteFailure(ctx, o.roster, server, err)
+		forward.RecordFailure(ctx, o.roster, server, err)
 		o.plan.Interrupted(job, 0, now)
 		return endRefused
 	default:
-		forward.NoteFailure(ctx, o.roster, server, err)
+		forward.RecordFailure(ctx, o.roster, server, err)
 		o.plan.Faulted(job, now)
 		return endFault
 	}
--- a/internal/caller/claim.go
+++ b/internal/caller/claim.go
@@ -6,9 +6,9 @@
 	"io"
 )
 
-// HeaderIdempotency is the request header with the caller's idempotency key:
+// HeaderIdempotencyKey is the request header with the caller's idempotency key:
 // requests of an account to a service with the same key run at most once.
-const HeaderIdempotency = "Idempotency-Key"
+const HeaderIdempotencyKey = "Idempotency-Key"
 
 const maxIdempotencyKeyBytes = 255
 
@@ -16,12 +16,12 @@
 // request has no idempotency key or its method is idempotent. It is a digest of
 // account, key and service, so that no account can affect another's claims.
 func (c *call) claim(service string) (string, error) {
-	key := c.request.Header.Get(HeaderIdempotency)
+	key := c.request.Header.Get(HeaderIdempotencyKey)
 	if key == "" || isIdempotent(c.request.Method) {
 		return "", nil
 	}
 	if len(key) > maxIdempotencyKeyBytes {
-		return "", invalidRequest("%s is longer than %d bytes", HeaderIdempotency, maxIdempotencyKeyBytes)
+		return "", invalidRequest("%s is longer than %d bytes", HeaderIdempotencyKey, maxIdempotencyKeyBytes)
 	}
 	return claimDigest(c.grant.Account(), key, service), nil
 }
--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -298,7 +298,7 @@
 	server := serve(t, respondPlain(http.StatusCreated, 1, false))
 	claimed := func(key, idempotency, method string) string {
 		before := len(server.runner.requests())
-		_ = text(t, server.send(t, method, "/services/ledger/postings", key, "{}", caller.HeaderIdempotency, idempotency))
+		_ = text(t, server.send(t, method, "/services/ledger/postings", key, "{}", caller.HeaderIdempotencyKey, idempotency))
 		return server.runner.requests()[before].GetClaim()
 	}
 	config := config(false)
--- a/internal/claim/claim_property_test.go
+++ b/internal/claim/claim_property_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Learn makes a restarted sidecar copy the claims that its partners keep.
-func (w *world) Learn(t *rapid.T) {
+// CopyClaims makes a restarted sidecar copy the claims that its partners keep.
+func (w *world) CopyClaims(t *rapid.T) {
 	id := w.draw(t)
 	if id == "" || !w.nodes[id].isReady(w.now) {
 		return
@@ -269,8 +269,8 @@
 			"add":     w.Add,
 			"advance": w.Advance,
 			"crash":   w.Crash,
-			"learn":   w.Learn,
-			"relearn": w.Learn,
+			"learn":   w.CopyClaims,
+			"relearn": w.CopyClaims,
 			"remove":  w.Remove,
 			"send":    w.Send,
 			"resend":  w.Send,
--- a/internal/detour/detour.go
+++ b/internal/detour/detour.go
@@ -32,9 +32,9 @@
 	Body []byte
 	// Timeout bounds the wait for the response.
 	Timeout time.Duration
-	// Probe marks a call that may safely be made twice: such calls check whether the
+	// Repeatable marks a call that may safely be made twice: such calls check whether the
 	// store serves this host again.
-	Probe bool
+	Repeatable bool
 }
 
 // Answer is the store's response.
@@ -100,7 +100,7 @@
 	t.once.Do(func() { t.calls = newCallCounter(t.Metrics) })
 	isOutcomeUnknown := false
 	if t.isDirectDown() {
-		if call.Probe && t.claimDirectCheck() {
+		if call.Repeatable && t.claimDirectCheck() {
 			go t.checkDirect(context.WithoutCancel(ctx), call)
 		}
 		answer, result := t.detour(ctx, call)
--- a/internal/detour/detour_test.go
+++ b/internal/detour/detour_test.go
@@ -64,7 +64,7 @@
 	must.Eq(t, 10, peer.calls.Load())
 	status.Store(http.StatusOK)
 	transport.directFailedAt = transport.directFailedAt.Add(-directCheckInterval)
-	_, err := transport.Do(t.Context(), Call{Method: http.MethodPost, Target: "/x", Timeout: 300 * time.Millisecond, Probe: true})
+	_, err := transport.Do(t.Context(), Call{Method: http.MethodPost, Target: "/x", Timeout: 300 * time.Millisecond, Repeatable: true})
 	must.NoError(t, err)
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return !transport.isDirectDown() }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
 	_, err = do(t, transport)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -90,7 +90,7 @@
 			return answer, nil
 		}
 		r.forwarder.Roster.Finish(server)
-		r.noteFailure(ctx, server, err)
+		r.recordFailure(ctx, server, err)
 		last = err
 		if ctx.Err() != nil || !r.policy.recordFailure(err, r.request.left()) {
 			return nil, r.refuse(ctx, err)
@@ -194,13 +194,13 @@
 	return result, nil
 }
 
-func (r *run) noteFailure(ctx context.Context, server *roster.Server, err error) {
-	NoteFailure(ctx, r.forwarder.Roster, server, err)
+func (r *run) recordFailure(ctx context.Context, server *roster.Server, err error) {
+	RecordFailure(ctx, r.forwarder.Roster, server, err)
 }
 
-// NoteFailure reports a failed attempt to the roster. An attempt that ended because its
+// RecordFailure reports a failed attempt to the roster. An attempt that ended because its
 // caller disconnected does not count against the server.
-func NoteFailure(ctx context.Context, servers *roster.Roster, server *roster.Server, err error) {
+func RecordFailure(ctx context.Context, servers *roster.Roster, server *roster.Server, err error) {
 	refused := refusal.Of(err)
 	switch {
 	case refused.Code == backend.CodeWrongServer:
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -73,7 +73,7 @@
 // available, or if the request has no attempt or time left.
 func (s *stream) resume(cause error) bool {
 	s.close()
-	s.run.noteFailure(s.ctx, s.server, cause)
+	s.run.recordFailure(s.ctx, s.server, cause)
 	for s.ctx.Err() == nil && s.run.policy.recordFailure(cause, s.run.request.left()) {
 		server, reason := s.run.forwarder.Roster.Choose(s.run.pool, s.run.tried)
 		if server == nil {
@@ -88,7 +88,7 @@
 			return true
 		}
 		s.run.forwarder.Roster.Finish(server)
-		s.run.noteFailure(s.ctx, server, err)
+		s.run.recordFailure(s.ctx, server, err)
 		cause = err
 	}
 	return false
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -62,8 +62,8 @@
 
 // Wire extracts call parameters from HTTP requests.
 type Wire interface {
-	// ClassifyCall returns the operation that the request asks for.
-	ClassifyCall(request *http.Request) Call
+	// ParseCall returns the operation that the request asks for.
+	ParseCall(request *http.Request) Call
 	// ID returns the request's identity; "" if it has none.
 	ID(request *http.Request) string
 	// Key returns the caller's key; "" if it has none.
@@ -111,7 +111,7 @@
 // ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.once.Do(func() { h.metrics = newMetrics(h.Metrics) })
-	call := h.Wire.ClassifyCall(r)
+	call := h.Wire.ParseCall(r)
 	recorder := &statusRecorder{ResponseWriter: w}
 	began := clock.Now()
 	defer func() { h.metrics.observe(call.Kind, recorder.status, began) }()
--- a/internal/measure/loads.go
+++ b/internal/measure/loads.go
@@ -256,7 +256,7 @@
 		}
 		if !sampler.reportAt.IsZero() && !r.now.Before(sampler.reportAt) {
 			sampler.reportAt = time.Time{}
-			r.schedule.Done(sampler.ID, sampler.version, r.now)
+			r.schedule.RecordLoaded(sampler.ID, sampler.version, r.now)
 		}
 	}
 }
--- a/internal/measure/loadspolicy.go
+++ b/internal/measure/loadspolicy.go
@@ -26,9 +26,9 @@
 	}
 	r.schedule.SetDemand(demands)
 	r.schedule.Observe(samplers, r.now)
-	for _, change := range r.schedule.Next(r.now) {
-		index := slices.IndexFunc(r.samplers, func(sampler *loadsSampler) bool { return sampler.ID == change.Sampler })
-		r.startLoad(r.samplers[index], change.Model, change.Version)
+	for _, load := range r.schedule.Next(r.now) {
+		index := slices.IndexFunc(r.samplers, func(sampler *loadsSampler) bool { return sampler.ID == load.Sampler })
+		r.startLoad(r.samplers[index], load.Model, load.Version)
 	}
 }
 
--- a/internal/measure/weights.go
+++ b/internal/measure/weights.go
@@ -182,11 +182,11 @@
 	}
 	sampler.changing = false
 	if sampler.willFail {
-		r.wave.Failed(sampler.server, r.now)
+		r.wave.RecordFailed(sampler.server, r.now)
 		return
 	}
 	sampler.version = 2
-	r.wave.Done(sampler.server, 2, r.now)
+	r.wave.RecordLoaded(sampler.server, 2, r.now)
 	r.doneTimes = append(r.doneTimes, r.now.Sub(r.start).Seconds())
 }
 
--- a/internal/weight/choice.go
+++ b/internal/weight/choice.go
@@ -15,7 +15,7 @@
 // plan holds, for one round, how many samplers a model has and which samplers may load its newest
 // version.
 type plan struct {
-	Change
+	ScheduledLoad
 
 	demand *Demand
 	// zones lists the samplers that may load the model's newest version, in each zone by
@@ -30,7 +30,7 @@
 	var plans []*plan
 	for i := range s.demands {
 		demand := &s.demands[i]
-		plan := &plan{Change: s.coverage(demand), demand: demand}
+		plan := &plan{ScheduledLoad: s.coverage(demand), demand: demand}
 		if demand.NewestVersion == 0 || plan.Next >= plan.Wanted {
 			continue
 		}
@@ -58,47 +58,47 @@
 		if candidate.isExhausted || candidate.Next >= candidate.Wanted {
 			continue
 		}
-		if best == nil || candidate.isMoreUrgent(best.Change) {
+		if best == nil || candidate.isMoreUrgent(best.ScheduledLoad) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-// isMoreUrgent reports whether c takes precedence over other: its model has a lower service level,
+// isMoreUrgent reports whether l takes precedence over other: its model has a lower service level,
 // or the same level and can use more samplers.
-func (c Change) isMoreUrgent(other Change) bool {
-	if served, otherServed := c.serviceLevel(), other.serviceLevel(); served != otherServed {
+func (l ScheduledLoad) isMoreUrgent(other ScheduledLoad) bool {
+	if served, otherServed := l.serviceLevel(), other.serviceLevel(); served != otherServed {
 		return served < otherServed
 	}
-	return c.Wanted > other.Wanted
+	return l.Wanted > other.Wanted
 }
 
 // serviceLevel returns the lower of two shares of the samplers that the model can use: the share
 // that its open step has, and the share that its next step has plus nextStepOffset.
-func (c Change) serviceLevel() float64 {
-	open := float64(c.Open) / float64(c.Wanted)
-	next := nextStepOffset + float64(c.Next)/float64(c.Wanted)
+func (l ScheduledLoad) serviceLevel() float64 {
+	open := float64(l.Open) / float64(l.Wanted)
+	next := nextStepOffset + float64(l.Next)/float64(l.Wanted)
 	return min(open, next)
 }
 
 // coverage counts the samplers that have a model's versions, including those that are loading
 // them.
-func (s *Schedule) coverage(demand *Demand) Change {
-	change := Change{Model: demand.Model, Version: demand.NewestVersion, Wanted: s.wantedSamplers(demand)}
+func (s *Schedule) coverage(demand *Demand) ScheduledLoad {
+	load := ScheduledLoad{Model: demand.Model, Version: demand.NewestVersion, Wanted: s.wantedSamplers(demand)}
 	for _, sampler := range s.samplers {
 		version := sampler.versions[demand.Model]
 		if sampler.isLoading && sampler.orderedModel == demand.Model {
 			version = max(version, sampler.orderedVersion)
 		}
 		if version >= demand.MinVersion {
-			change.Open++
+			load.Open++
 		}
 		if version >= demand.NextMinVersion {
-			change.Next++
+			load.Next++
 		}
 	}
-	return change
+	return load
 }
 
 // wantedSamplers returns how many samplers a step can use: enough to run all generations that the
--- a/internal/weight/coordinator.go
+++ b/internal/weight/coordinator.go
@@ -231,11 +231,11 @@
 	defer c.mutex.Unlock()
 	if err != nil {
 		c.Decisions.Record(Key(c.Model), "weight", "%s failed to load version %d: %v", server, version, err)
-		c.wave.Failed(server, time.Now())
+		c.wave.RecordFailed(server, time.Now())
 		return
 	}
 	c.Decisions.Record(Key(c.Model), "weight", "%s shows version %d", server, shown)
-	c.wave.Done(server, shown, time.Now())
+	c.wave.RecordLoaded(server, shown, time.Now())
 }
 
 func (c *Coordinator) request(version uint64, term Term) *peerpb.OrderRequest {
--- a/internal/weight/poolcoordinator.go
+++ b/internal/weight/poolcoordinator.go
@@ -133,11 +133,11 @@
 	now := time.Now()
 	schedule.SetDemand(pool.Demand)
 	schedule.Observe(pool.Samplers, now)
-	for _, change := range schedule.Next(now) {
-		sampler := pool.Instances[change.Sampler]
-		c.Decisions.Record(change.Sampler, "weight", "chosen for version %d of %s, which has %d samplers for its open step and %d for the next of %d; %d of %d load",
-			change.Version, change.Model, change.Open, change.Next, change.Wanted, schedule.InFlight(), schedule.Limit())
-		load := Load{Model: change.Model, Version: change.Version, Fence: term.Fence(), DrainFirst: pool.DrainFirst}
+	for _, scheduled := range schedule.Next(now) {
+		sampler := pool.Instances[scheduled.Sampler]
+		c.Decisions.Record(scheduled.Sampler, "weight", "chosen for version %d of %s, which has %d samplers for its open step and %d for the next of %d; %d of %d load",
+			scheduled.Version, scheduled.Model, scheduled.Open, scheduled.Next, scheduled.Wanted, schedule.InFlight(), schedule.Limit())
+		load := Load{Model: scheduled.Model, Version: scheduled.Version, Fence: term.Fence(), DrainFirst: pool.DrainFirst}
 		c.loads.Go(func() { c.load(ctx, term, schedule, sampler, load, cancel) })
 	}
 }
@@ -157,14 +157,14 @@
 	switch {
 	case err == nil:
 		c.Decisions.Record(sampler.ID, "weight", "has version %d of %s after %s", load.Version, load.Model, time.Since(began))
-		schedule.Done(sampler.ID, load.Version, time.Now())
+		schedule.RecordLoaded(sampler.ID, load.Version, time.Now())
 		c.OnLoaded(sampler.ID, load.Model, load.Version)
 	case errors.As(err, &superseded):
 		c.Decisions.Record(sampler.ID, "weight", "a newer holder than term %d has sent it orders", load.Fence)
 		cancel(err)
 	default:
 		c.Decisions.Record(sampler.ID, "weight", "did not load version %d of %s: %v", load.Version, load.Model, err)
-		schedule.Failed(sampler.ID, time.Now())
+		schedule.RecordFailed(sampler.ID, time.Now())
 	}
 }
 
--- a/internal/weight/schedule.go
+++ b/internal/weight/schedule.go
@@ -43,8 +43,8 @@
 	Versions map[string]uint64
 }
 
-// Change is a scheduled load of a version of a model on a sampler.
-type Change struct {
+// ScheduledLoad is the decision to load a version of a model on a sampler.
+type ScheduledLoad struct {
 	Sampler string
 	Model   string
 	Version uint64
@@ -177,12 +177,12 @@
 // InFlight returns the number of loads in progress.
 func (s *Schedule) InFlight() int { return s.inFlight }
 
-// Done records the version of the ordered model that a sampler shows after an order.
+// RecordLoaded records the version of the ordered model that a sampler shows after an order.
 //
 // A swap can fail although the order is answered, and an old order can revert an engine that
 // ignores fencing tokens. So only the version that the sampler shows counts, and if it is too old,
 // the load is ordered again.
-func (s *Schedule) Done(server string, shown uint64, now time.Time) {
+func (s *Schedule) RecordLoaded(server string, shown uint64, now time.Time) {
 	sampler := s.samplers[server]
 	if sampler == nil || !sampler.isLoading {
 		return
@@ -199,8 +199,8 @@
 	s.limiter.recordLoad(duration, (s.loadTime-sampler.loadTime).Seconds()/duration.Seconds())
 }
 
-// Failed records that an order was rejected or not answered.
-func (s *Schedule) Failed(server string, now time.Time) {
+// RecordFailed records that an order was rejected or not answered.
+func (s *Schedule) RecordFailed(server string, now time.Time) {
 	sampler := s.samplers[server]
 	if sampler == nil || !sampler.isLoading {
 		return
@@ -225,7 +225,7 @@
 }
 
 // Next returns the loads to order now.
-func (s *Schedule) Next(now time.Time) []Change {
+func (s *Schedule) Next(now time.Time) []ScheduledLoad {
 	s.updateLoadTime(now)
 	free := s.Limit() - s.InFlight()
 	if free <= 0 {
@@ -233,8 +233,8 @@
 	}
 	plans := s.plans(now)
 	loadsByZone := s.loadsByZone()
-	var changes []Change
-	for len(changes) < free {
+	var loads []ScheduledLoad
+	for len(loads) < free {
 		plan := neediest(plans)
 		if plan == nil {
 			break
@@ -245,7 +245,7 @@
 			continue
 		}
 		plan.Sampler = sampler.server
-		changes = append(changes, plan.Change)
+		loads = append(loads, plan.ScheduledLoad)
 		plan.countLoad(sampler)
 		s.inFlight++
 		sampler.isLoading = true
@@ -253,7 +253,7 @@
 		sampler.orderedModel, sampler.orderedVersion = plan.Model, plan.Version
 		loadsByZone[sampler.zone]++
 	}
-	return changes
+	return loads
 }
 
 // updateLoadTime adds the time of the loads in progress. The mean number of loads in progress
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -21,7 +21,7 @@
 
 // pendingLoad is a load in progress with its end time.
 type pendingLoad struct {
-	Change
+	ScheduledLoad
 
 	endsAt time.Time
 }
@@ -42,15 +42,15 @@
 }
 
 // next returns the loads ordered now.
-func (p *pool) next(demands ...Demand) []Change {
+func (p *pool) next(demands ...Demand) []ScheduledLoad {
 	p.schedule.SetDemand(demands)
 	p.schedule.Observe(p.samplers, p.now)
-	changes := p.schedule.Next(p.now)
-	for _, change := range changes {
-		p.loads[fmt.Sprintf("%s %d", change.Model, change.Version)]++
-		p.pending[change.Sampler] = pendingLoad{Change: change, endsAt: p.now.Add(time.Second)}
+	loads := p.schedule.Next(p.now)
+	for _, load := range loads {
+		p.loads[fmt.Sprintf("%s %d", load.Model, load.Version)]++
+		p.pending[load.Sampler] = pendingLoad{ScheduledLoad: load, endsAt: p.now.Add(time.Second)}
 	}
-	return changes
+	return loads
 }
 
 // advance advances the time and ends the loads that are due.
@@ -61,7 +61,7 @@
 		if isLoading && !p.now.Before(load.endsAt) {
 			delete(p.pending, load.Sampler)
 			p.samplers[i].Versions[load.Model] = load.Version
-			p.schedule.Done(load.Sampler, load.Version, p.now)
+			p.schedule.RecordLoaded(load.Sampler, load.Version, p.now)
 		}
 	}
 }
@@ -96,8 +96,8 @@
 	a := Demand{Model: "a", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 32}
 	b := Demand{Model: "b", NewestVersion: 6, MinVersion: 5, NextMinVersion: 6, Runs: 32}
 	c := Demand{Model: "c", NewestVersion: 5, MinVersion: 4, NextMinVersion: 5, Runs: 48}
-	for _, change := range p.next(a, b, c) {
-		must.Eq(t, "c", change.Model)
+	for _, load := range p.next(a, b, c) {
+		must.Eq(t, "c", load.Model)
 	}
 }
 
@@ -137,9 +137,9 @@
 			if p.usable("b", 3) == 0 {
 				other = Demand{Model: "b"}
 			}
-			changes := p.next(demand, other)
-			must.Eq(t, test.want, changes[0].Sampler)
-			must.Eq(t, 7, changes[0].Version)
+			loads := p.next(demand, other)
+			must.Eq(t, test.want, loads[0].Sampler)
+			must.Eq(t, 7, loads[0].Version)
 		})
 	}
 }
@@ -172,10 +172,10 @@
 	p := newPool(6)
 	demand := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}
 	for range 60 {
-		for _, change := range p.next(demand) {
-			if change.Sampler == "s00" {
-				delete(p.pending, change.Sampler)
-				p.schedule.Failed(change.Sampler, p.now)
+		for _, load := range p.next(demand) {
+			if load.Sampler == "s00" {
+				delete(p.pending, load.Sampler)
+				p.schedule.RecordFailed(load.Sampler, p.now)
 			}
 		}
 		p.advance(200 * time.Millisecond)
--- a/internal/weight/wave.go
+++ b/internal/weight/wave.go
@@ -51,10 +51,10 @@
 // Next returns the samplers to order now: samplers in the zones with the fewest loads first, and
 // within a zone the least busy first.
 func (w *Wave) Next(now time.Time) []string {
-	changes := w.Schedule.Next(now)
+	loads := w.Schedule.Next(now)
 	var chosen []string
-	for _, change := range changes {
-		chosen = append(chosen, change.Sampler)
+	for _, load := range loads {
+		chosen = append(chosen, load.Sampler)
 	}
 	return chosen
 }
--- a/internal/weight/wave_test.go
+++ b/internal/weight/wave_test.go
@@ -33,7 +33,7 @@
 		must.LessEq(t, 316, wave.InFlight())
 		now = now.Add(time.Second)
 		for _, server := range chosen {
-			wave.Done(server, 2, now)
+			wave.RecordLoaded(server, 2, now)
 		}
 	}
 	must.LessEq(t, 24*time.Second, now.Sub(start))
@@ -47,14 +47,14 @@
 	t.Run("a swap that fails is retried after a pause", func(t *testing.T) {
 		wave := newWave(1, 1)
 		must.Len(t, 1, wave.Next(start))
-		wave.Failed("s0000", start)
+		wave.RecordFailed("s0000", start)
 		must.SliceEmpty(t, wave.Next(start))
 		must.Len(t, 1, wave.Next(start.Add(minBackoff)))
 	})
 	t.Run("an answer that shows the old version counts as failed", func(t *testing.T) {
 		wave := newWave(1, 1)
 		must.Len(t, 1, wave.Next(start))
-		wave.Done("s0000", 1, start)
+		wave.RecordLoaded("s0000", 1, start)
 		must.Eq(t, 1, wave.Behind())
 		must.SliceEmpty(t, wave.Next(start))
 		must.Len(t, 1, wave.Next(start.Add(minBackoff)))
@@ -62,7 +62,7 @@
 	t.Run("a sampler set back is ordered again", func(t *testing.T) {
 		wave := newWave(1, 1)
 		wave.Next(start)
-		wave.Done("s0000", 2, start)
+		wave.RecordLoaded("s0000", 2, start)
 		must.Eq(t, 0, wave.Behind())
 		wave.Observe(samplers(1, 1), start.Add(DefaultLag))
 		must.Eq(t, 1, wave.Behind())
@@ -71,7 +71,7 @@
 	t.Run("a report that lags is not believed", func(t *testing.T) {
 		wave := newWave(1, 1)
 		wave.Next(start)
-		wave.Done("s0000", 2, start)
+		wave.RecordLoaded("s0000", 2, start)
 		wave.Observe(samplers(1, 1), start.Add(DefaultLag/2))
 		must.Eq(t, 0, wave.Behind())
 	})
@@ -80,7 +80,7 @@
 		wave.Next(start)
 		must.True(t, wave.Announce(3))
 		must.False(t, wave.Announce(2))
-		wave.Done("s0000", 2, start)
+		wave.RecordLoaded("s0000", 2, start)
 		must.Len(t, 1, wave.Next(start))
 	})
 	t.Run("a sampler that starts later is ordered too", func(t *testing.T) {
@@ -116,7 +116,7 @@
 		now = now.Add(time.Second)
 		wave.Observe(live, now)
 		for _, server := range wave.Next(now) {
-			wave.Failed(server, now)
+			wave.RecordFailed(server, now)
 		}
 	}
 }
--- a/test/gateway/scaling_test.go
+++ b/test/gateway/scaling_test.go
@@ -50,7 +50,7 @@
 func TestPoolGrows(t *testing.T) {
 	d, pool := newScalingDeployment(t)
 	g := d.start(t, "g1")
-	pool.SetWork(50 * time.Millisecond)
+	pool.SetServiceTime(50 * time.Millisecond)
 	g.startLoad(t, 7)
 	await(t, "all servers are ordered", func() bool { return pool.Wanted() == 3 })
 	await(t, "all servers are registered", func() bool { return len(pool.Servers()) == 3 })
@@ -61,7 +61,7 @@
 func TestOrderWithoutAnswer(t *testing.T) {
 	d, pool := newScalingDeployment(t)
 	g := d.start(t, "g1")
-	pool.SetWork(50 * time.Millisecond)
+	pool.SetServiceTime(50 * time.Millisecond)
 	pool.DropOrders(2)
 	g.startLoad(t, 7)
 	await(t, "all servers are ordered", func() bool { return pool.Wanted() == 3 })
@@ -72,7 +72,7 @@
 func TestNextHolderOrders(t *testing.T) {
 	d, pool := newScalingDeployment(t)
 	first, second := d.start(t, "g1"), d.start(t, "g2")
-	pool.SetWork(50 * time.Millisecond)
+	pool.SetServiceTime(50 * time.Millisecond)
 	stop := second.startLoad(t, 5)
 	await(t, "a second server is ordered", func() bool { return pool.Wanted() == 2 })
 	holders := pool.Holders()
