--- a/internal/bramleyhatch/dutyholder_test.go
+++ b/internal/bramleyhatch/dutyholder_test.go
@@ -14,7 +14,7 @@
 // Guards against a host that resumes the duty of another host. A new host replaces
 // the other host under the same name, while the other host may still be alive
 // behind a partition.
-func TestDutyHolderHeldBy(t *testing.T) {
+func TestDutyHolderPriorClaim(t *testing.T) {
 	var tracked dutyHolder
 	data, err := proto.Marshal(statepb.Holder_builder{Process: "g1", Address: "10.0.0.1:7"}.Build())
 	must.NoError(t, err)
--- a/internal/cold/senders_test.go
+++ b/internal/cold/senders_test.go
@@ -76,7 +76,7 @@
 		senders, now := newSettledSenders("a", "b")
 		must.Eq(t, 0, senders.Quota("s", 13, now))
 	})
-	t.Run("a user that has gone counts still", func(t *testing.T) {
+	t.Run("a removed sender is still counted", func(t *testing.T) {
 		senders, now := newSettledSenders("a", "a", "b")
 		senders.Remove("b", now)
 		now = now.Add(10 * time.Second)
--- a/internal/fleet/zone_test.go
+++ b/internal/fleet/zone_test.go
@@ -157,7 +157,7 @@
 
 // Guards against a server that is never stopped because one of its requests never ends: the wait
 // for a drain is bounded.
-func TestDrainHasBound(t *testing.T) {
+func TestDrainTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		zone := newZoneFixture()
 		zone.sidecars.run("s1", 1)
--- a/internal/roster/coldlimits_test.go
+++ b/internal/roster/coldlimits_test.go
@@ -44,7 +44,7 @@
 	t.Run("gets this process's share of generations", func(t *testing.T) {
 		mustPlace(t, withCold(coldSampler()), 2)
 	})
-	t.Run("an ended one counts as sent", func(t *testing.T) {
+	t.Run("an ended request counts as sent", func(t *testing.T) {
 		roster := withCold(coldSampler())
 		roster.Finish(roster.Place(need))
 		mustPlace(t, roster, 1)
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -190,7 +190,7 @@
 
 // Guards against restoring a sampler's old address when a registration of its earlier start arrives
 // late.
-func TestOlderStartIsPassedOver(t *testing.T) {
+func TestOlderStartIsIgnored(t *testing.T) {
 	older, newer := sampler("s1", 2), sampler("s1", 2)
 	newer.StartedAtMillis, newer.Address = 2, "127.0.0.1:2"
 	roster := newRoster(older, newer, older)
--- a/internal/roster/zones_test.go
+++ b/internal/roster/zones_test.go
@@ -33,7 +33,7 @@
 		roster.Set(withZone(sampler("s3", 2), "a"))
 		must.Eq(t, []string{"s2"}, entryIDs(roster))
 	})
-	t.Run("what runs there ends by itself", func(t *testing.T) {
+	t.Run("running requests continue", func(t *testing.T) {
 		roster := newRoster(sampler("s1", 2))
 		server := roster.Place(need)
 		roster.DrainZone("a")
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -61,7 +61,7 @@
 	mustAnswer(t, newPool(t, processInfo{"s1", server.address, "assist", 0}), idempotent(), "abc")
 }
 
-func TestRunCrossedFrames(t *testing.T) {
+func TestRunDropsForeignFrames(t *testing.T) {
 	// Guards against answers that contain frames of another request, or a frame twice.
 	// After a resend, a stream can carry the frames of a late answer to another request,
 	// and duplicates. Only the request's own frames count, once each.
@@ -144,7 +144,7 @@
 	must.Less(t, readTimeout, time.Since(began))
 }
 
-func TestRunBeats(t *testing.T) {
+func TestRunHeartbeats(t *testing.T) {
 	// An engine with a long queue sends nothing for a while. Heartbeats show that the
 	// connection is alive, so the request must not be sent again.
 	server := startFakeSidecar(t, func(request *peerpb.RunRequest, stream frameStream) error {
--- a/internal/weight/limiter_test.go
+++ b/internal/weight/limiter_test.go
@@ -29,7 +29,7 @@
 		l.recordLoad(3*time.Second, 2)
 		must.GreaterEq(t, 2, l.limit(5))
 	})
-	t.Run("a store that carries more again", func(t *testing.T) {
+	t.Run("store capacity recovers", func(t *testing.T) {
 		var l limiter
 		recordLoads(&l, 20)
 		for range 40 {
