--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -20,7 +20,7 @@
 	Outcome peerpb.Outcome
 	// Status is the HTTP status for the caller.
 	Status int
-	// Code is a short name of the reason, such as "rate_limited".
+	// Code is a short name of the reason, such as "draining".
 	Code    string
 	Message string
 	// RetryAfter is how long the caller should wait before a retry; 0 if unspecified.
