--- a/internal/platform/api.go
+++ b/internal/platform/api.go
@@ -18,9 +18,9 @@
 	Data []byte `json:"value"`
 	// Revision of the change that wrote the value; all keys share one sequence.
 	Revision uint64 `json:"revision"`
-	// Lease is the lease whose end removes the value; 0 means none.
+	// Lease is the ID of the lease that the value is bound to; 0 means none.
 	Lease uint64 `json:"lease,omitempty"`
-	// Deleted marks a watch event that removed the key.
+	// Deleted marks a watch event for the removal of the key.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
@@ -39,8 +39,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// ListReply is the response of GET /v1/kv?prefix= and of GET /v1/watch?prefix=&after=,
-// which waits up to wait for a change after the revision.
+// ListReply is the response of GET /v1/kv?prefix= and of GET /v1/watch?prefix=&after=. A watch
+// waits for a change after the revision, at most for its wait parameter.
 type ListReply struct {
 	Values []Value `json:"values"`
 	// Revision is the newest revision of the service.
@@ -59,9 +59,9 @@
 	ID uint64 `json:"id"`
 }
 
-// Order is the body of POST /v1/orders: start or stop a backend server.
-// The platform executes each order ID once, and refuses (409) a fencing token
-// lower than one that it has seen for the zone.
+// Order is the body of POST /v1/orders, which starts or stops a backend server. The platform
+// executes each order ID once. It refuses (409) an order whose fencing token is lower than that of
+// an earlier order for the zone.
 type Order struct {
 	ID     string `json:"id"`
 	Zone   string `json:"zone"`
@@ -102,7 +102,7 @@
 	Requests     uint64 `json:"requests"`
 	PromptTokens uint64 `json:"prompt_tokens"`
 	OutputTokens uint64 `json:"output_tokens"`
-	// Late is the start of the window to which late usage belongs; 0 if it is not late.
+	// Late is the start of the window to which late usage belongs; 0 if the usage is not late.
 	Late int64 `json:"late,omitempty"`
 }
 
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -20,8 +20,8 @@
 
 const maxAnswerBytes = 64 << 20
 
-// ConflictError says that a compare-and-swap found another revision, or that
-// an order had an outdated fencing token.
+// ConflictError reports that a compare-and-swap found an unexpected revision, or that an order had
+// an outdated fencing token.
 type ConflictError struct {
 	Key string
 	// Revision is the current revision of the key.
@@ -31,8 +31,8 @@
 	Current []Value
 }
 
-// Find returns the current value of one of the commit's keys. It returns false if
-// the key doesn't exist or the store didn't return it.
+// Find returns the current value of one of the commit's keys. It returns false if the key doesn't
+// exist or the store didn't return its value.
 func (e *ConflictError) Find(key string) (Value, bool) {
 	for _, value := range e.Current {
 		if value.Key == key && value.Revision != 0 {
@@ -42,32 +42,32 @@
 	return Value{}, false
 }
 
-// CompactedError says that the store no longer has the changes since a revision.
+// CompactedError reports that the store no longer has the changes since a revision.
 type CompactedError struct {
 	Prefix string
 	After  uint64
 }
 
-// Error returns a message with the prefix and the revision.
+// Error implements the error interface.
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("platform: changes of %s since revision %d are no longer known", e.Prefix, e.After)
+	return fmt.Sprintf("platform: changes to %s since revision %d have been compacted", e.Prefix, e.After)
 }
 
-// Error returns a message with the key and its current revision.
+// Error implements the error interface.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("platform: %s has changed, now at revision %d", e.Key, e.Revision)
 }
 
-// NotFoundError says that a key or lease does not exist.
+// NotFoundError reports that a key or lease does not exist.
 type NotFoundError struct {
 	Key string
 }
 
-// Error returns a message with the key.
+// Error implements the error interface.
 func (e *NotFoundError) Error() string { return "platform: " + e.Key + " does not exist" }
 
-// UnavailableError says that the platform did not respond or could not process the
-// call. A change may still have taken effect: read the value back before deciding.
+// UnavailableError reports that the platform did not respond or could not process the call. A
+// change may still have taken effect: read the value back before deciding.
 type UnavailableError struct {
 	Operation string
 	// Status is the HTTP status, or 0 if there was no response.
@@ -75,7 +75,7 @@
 	Cause  error
 }
 
-// Error returns a message with the operation and its cause or status.
+// Error describes the operation and its cause, or the HTTP status if there is no cause.
 func (e *UnavailableError) Error() string {
 	if e.Cause != nil {
 		return "platform: " + e.Operation + ": " + e.Cause.Error()
@@ -89,15 +89,15 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// Unwrap returns e.Cause.
+// Unwrap returns the cause of the error.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// Client calls the platform. Exported fields must be set before the first call.
-// It never retries a call: each task decides that for itself.
+// Client calls the platform. Exported fields must be set before the first call. Client never
+// retries a call: each caller decides whether to retry.
 type Client struct {
 	// Address is the base URL.
 	Address string
-	// Timeout limits each call; Watch may take its wait in addition.
+	// Timeout limits each call; for Watch, the wait is added.
 	Timeout time.Duration
 	// OnResponse is called after each response with status 200, 404 or 409; may be nil.
 	OnResponse func()
@@ -144,19 +144,20 @@
 	return reply, err
 }
 
-// Order sends an order for a backend server. It calls guard immediately before
-// sending the order; a guard error is returned and means that no order was sent.
+// Order sends an order for a backend server. It calls guard immediately before sending the order;
+// if guard fails, Order returns its error and sends no order.
 func (c *Client) Order(ctx context.Context, order Order, guard func() error) error {
 	return c.sendGuarded(ctx, PathOrder, "order "+order.ID, order, guard)
 }
 
-// RenewLease extends a lease from now, or returns a NotFoundError if it has expired.
+// RenewLease extends a lease to length from now, or returns a NotFoundError if the lease has
+// expired.
 func (c *Client) RenewLease(ctx context.Context, lease uint64, length time.Duration) error {
 	request := LeaseRequest{ID: lease, Length: length.Milliseconds()}
 	return c.call(ctx, http.MethodPut, PathLease, nil, "lease", request, &LeaseReply{})
 }
 
-// Report sends the usage of a window. It calls guard as Order does.
+// Report sends the usage of a window. Like Order, it calls guard immediately before sending.
 func (c *Client) Report(ctx context.Context, usage Usage, guard func() error) error {
 	return c.sendGuarded(ctx, PathUsage, "usage", usage, guard)
 }
@@ -168,8 +169,8 @@
 	return servers, err
 }
 
-// CompareAndSwap writes a value if the key has the expected revision; 0 means that the key
-// must not exist. Lease 0 means none. It returns the new revision.
+// CompareAndSwap writes a value if the key has the expected revision, and returns the new revision.
+// Expected revision 0 means that the key must not exist; lease 0 means none.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease uint64) (uint64, error) {
 	var reply SwapReply
 	request := SwapRequest{Key: key, Data: data, Expect: expect, Lease: lease}
@@ -177,8 +178,8 @@
 	return reply.Revision, err
 }
 
-// Watch waits up to wait for changes, after a revision, to keys with the prefix.
-// An empty reply means that there were none.
+// Watch waits at most wait for changes to keys with the prefix after a revision. The reply is empty
+// if there were none.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (ListReply, error) {
 	var reply ListReply
 	query := url.Values{
--- a/internal/platform/guardedbody.go
+++ b/internal/platform/guardedbody.go
@@ -7,11 +7,11 @@
 
 // guardedBody is the body of an order or report that calls a guard before each read.
 //
-// A duty holder that is suspended after checking its term, and resumes when another
-// process holds the duty, would otherwise still send the request. net/http reads
-// the body after it has a connection and before it flushes the request, so only
-// the write itself follows this check. Headers already sent have no effect, since
-// the body that they announce never arrives.
+// A duty holder that is suspended after checking its term, and resumes when another process holds
+// the duty, would otherwise still send the request. net/http reads the body after it has a
+// connection and before it flushes the request, so only the write to the connection follows the
+// guard's check. Headers that were already sent have no effect, because the announced body never
+// arrives.
 type guardedBody struct {
 	reader *bytes.Reader
 	guard  func() error
--- a/internal/platform/platformtest/store.go
+++ b/internal/platform/platformtest/store.go
@@ -1,5 +1,4 @@
-// Package platformtest provides an in-memory key-value service for tests of
-// packages that use the platform's.
+// Package platformtest provides an in-memory fake of the platform's key-value service.
 package platformtest
 
 import (
@@ -61,8 +60,8 @@
 	return s.revision, nil
 }
 
-// checkExpectations returns a *platform.ConflictError with the current values if a
-// key has another revision than the commit expects.
+// checkExpectations returns a *platform.ConflictError with the current values if a key doesn't have
+// the revision that the commit expects.
 func (s *Store) checkExpectations(commit platform.Commit) error {
 	conflict := &platform.ConflictError{}
 	for _, expect := range commit.Expect {
@@ -134,7 +133,7 @@
 	return lease, nil
 }
 
-// RenewLease extends a lease from now.
+// RenewLease extends a lease to length from now.
 func (s *Store) RenewLease(_ context.Context, lease uint64, length time.Duration) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -162,7 +161,7 @@
 	s.notifyWatchers()
 }
 
-// BeforeNextSwap makes the next swap call hook first, once. It simulates a concurrent writer.
+// BeforeNextSwap calls hook once, at the start of the next swap. It simulates a concurrent writer.
 func (s *Store) BeforeNextSwap(hook func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -215,8 +214,7 @@
 	return s.list(prefix, 0), nil
 }
 
-// LoseAnswers makes the next swaps and commits take effect but fail as if the
-// response was lost.
+// LoseAnswers makes the next swaps and commits take effect but fail as if the response were lost.
 func (s *Store) LoseAnswers(number int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -270,7 +268,7 @@
 	return s.writes
 }
 
-// Watch waits up to wait for a change after the revision.
+// Watch waits at most wait for a change after the revision.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (platform.ListReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
