--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,7 +23,7 @@
 	Problem string
 }
 
-// Error returns a message with the file, section, key and problem.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("%s: [%s]: %s", e.File, e.Section, e.Problem)
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("%s: [%s] %s: %s", e.File, e.Section, e.Key, e.Problem)
 }
 
-// Load reads the file into message, each of whose fields is a section.
-// The returned error joins one *Error for each invalid entry.
+// Load reads a settings file into message, which has a field for each section. The returned error
+// joins one *Error for each invalid entry.
 func Load(file string, message proto.Message) error {
 	document, err := Open(file)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return document, nil
 }
 
-// Decode reads one section into message, each of whose fields is a key.
-// The returned error joins one *Error for each invalid entry.
+// Decode reads one section into message, which has a field for each key. The returned error joins
+// one *Error for each invalid entry.
 func Decode(file string, section *ini.Section, message proto.Message) error {
 	return decodeKeys(file, section.Name(), section.KeysHash(), message.ProtoReflect())
 }
@@ -125,7 +125,7 @@
 	return setField(message, field, setting, text)
 }
 
-// Describe returns the schema's description of a setting, empty if it has none.
+// Describe returns the schema's description of a setting, or an empty one if the schema has none.
 func Describe(field protoreflect.FieldDescriptor) *settingspb.Setting {
 	setting, ok := proto.GetExtension(field.Options(), settingspb.E_Setting).(*settingspb.Setting)
 	if !ok || setting == nil {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -87,7 +87,7 @@
 
 func parseFloat(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
 
-// number is the constraint of settings that have bounds.
+// number constrains the types of settings that can have bounds.
 type number interface {
 	~int32 | ~int64 | ~float64
 }
