--- a/internal/secure/identity.go
+++ b/internal/secure/identity.go
@@ -67,7 +67,7 @@
 		return nil, settingsError("certificate", err.Error())
 	}
 	if pair.Leaf.Subject.CommonName != name {
-		return nil, settingsError("certificate", "is for "+pair.Leaf.Subject.CommonName+", this process is "+name)
+		return nil, settingsError("certificate", "is for "+pair.Leaf.Subject.CommonName+", but this process is "+name)
 	}
 	return identity, nil
 }
@@ -175,7 +175,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, eris.Errorf("%s contains no certificate", file)
+		return nil, eris.Errorf("read authority: %s contains no certificate", file)
 	}
 	return pool, nil
 }
--- a/internal/secure/identity_test.go
+++ b/internal/secure/identity_test.go
@@ -58,7 +58,7 @@
 	return a
 }
 
-// issue writes a new certificate and key for a name and returns settings that name them.
+// issue writes a new certificate and key for a name and returns settings with their paths.
 func (a *authority) issue(t *testing.T, folder, name string, dnsNames ...string) *settingspb.Secure {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -151,9 +151,9 @@
 	return status.Code(err)
 }
 
-// Guards against calls to an entry from a host outside the deployment or from a
-// compromised sidecar. The host must not get in; the sidecar must not impersonate
-// another process or make calls reserved for entries.
+// Guards against calls to an entry from a host outside the deployment or from a compromised
+// sidecar. Calls from the host must be rejected, and the sidecar must not impersonate another
+// process or make calls reserved for entries.
 func TestCallAuthorization(t *testing.T) {
 	a, other := newTestAuthority(t), newTestAuthority(t)
 	address := serveAs(t, a.identity(t, "e1", NameEntry))
--- a/internal/secure/permit.go
+++ b/internal/secure/permit.go
@@ -46,9 +46,8 @@
 
 // permit authorizes a call by the role and name in the caller's certificate.
 //
-// Every process of the deployment has a certificate signed by the authority.
-// Without the check of the name, any of them could impersonate the others and
-// take them out of service or replace their addresses with its own.
+// Every process of the deployment has a certificate signed by the authority. Without the check of
+// the name, any process could impersonate another, take it out of service or replace its address.
 func permit(ctx context.Context, method string, request any) error {
 	name, role := callerIdentity(ctx)
 	if role == "" {
--- a/internal/secure/reloader.go
+++ b/internal/secure/reloader.go
@@ -26,11 +26,11 @@
 	modTimes  []time.Time
 }
 
-// get returns the last value that was loaded, after reloading it if the files changed.
+// get returns the loaded value, after reloading it if the files changed.
 //
-// Certificates are replaced while the process runs. A file that is being written
-// may be truncated, and handshakes would fail until the next check. If a reload
-// fails, the previous value stays in use as long as it is valid.
+// Certificates are replaced while the process runs. A file that is being written may be truncated,
+// and handshakes would fail until the next check. If a reload fails, get returns the previous
+// value, which works until its certificate expires.
 func (r *reloader[T]) get() (T, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -48,7 +48,7 @@
 	}
 	r.checkedAt = time.Now()
 	if err != nil {
-		klog.Errorf("secure: %v; keeping the previously loaded value", err)
+		klog.Errorf("secure: reload failed, keeping the previous value: %v", err)
 		return r.value, nil
 	}
 	r.value, r.modTimes = value, modTimes
