--- a/internal/logging/output.go
+++ b/internal/logging/output.go
@@ -20,8 +20,8 @@
 	// maxQueuedLines limits the lines that wait for the reader. It holds a few seconds
 	// of a busy gateway's log, about 1 MB.
 	maxQueuedLines = 4096
-	// maxLinesPerSecond and maxBurstLines limit lines other than those of failures. A
-	// busy gateway writes some dozens per second; ten times that is a repeating fault.
+	// maxLinesPerSecond and maxBurstLines limit lines that are not about failures. A busy gateway
+	// writes a few dozen lines per second; ten times as many indicate a repeating fault.
 	maxLinesPerSecond = 400
 	maxBurstLines     = 2000
 	// dropReportInterval is the interval between reports of dropped lines.
@@ -32,10 +32,9 @@
 
 // Output queues lines and writes them in its own goroutine.
 //
-// A pipe whose reader has stopped buffers 64 KB and then blocks each write, which
-// would block every request that logs a line. Output drops and counts lines
-// instead when its queue is full. Lines of failures are dropped last: the queue
-// limits them, the rate doesn't.
+// A pipe whose reader has stopped buffers 64 KB and then blocks each write, which would block every
+// request that logs a line. Output drops and counts lines instead when its queue is full. Lines
+// about failures are exempt from the rate limit and are dropped only when the queue is full.
 type Output struct {
 	writer        io.Writer
 	queue         chan []byte
@@ -48,7 +47,7 @@
 
 var _ io.Writer = &Output{}
 
-// NewOutput returns an output to writer. Its run method must be started.
+// NewOutput returns an output to writer. The caller must start its run method.
 func NewOutput(writer io.Writer) *Output {
 	return &Output{
 		writer:        writer,
@@ -59,8 +58,8 @@
 	}
 }
 
-// Start redirects klog to an output to writer. stop writes the queued lines and
-// waits briefly for the reader to take them.
+// Start redirects klog to an Output that writes to writer. stop writes the queued lines and waits
+// briefly for the reader to consume them.
 func Start(writer io.Writer) (stop func(), err error) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
@@ -90,7 +89,7 @@
 	return len(line), nil
 }
 
-// processOutput is the output of the process.
+// processOutput is the Output that Start set up for this process.
 var processOutput atomic.Pointer[Output]
 
 // Dropped returns the number of lines dropped so far by the output of this process.
@@ -129,7 +128,7 @@
 			o.writeLine(line)
 		case <-ticker.C:
 			if dropped := o.dropped.Load(); dropped > reported {
-				o.writeLine(fmt.Appendf(nil, "W log: %d lines were dropped, %d in all\n", dropped-reported, dropped))
+				o.writeLine(fmt.Appendf(nil, "W log: %d lines were dropped, %d in total\n", dropped-reported, dropped))
 				reported = dropped
 			}
 		case <-o.stopRequested:
