--- a/test/gateway/early_test.go
+++ b/test/gateway/early_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against generation of a step's texts being delayed until the store answers.
+// Guards against generation of a step's texts being delayed until the store responds.
 func TestBatchWhileStoreIsAway(t *testing.T) {
 	const items = 4
 	d := newDeployment(t)
--- a/test/gateway/fixture_test.go
+++ b/test/gateway/fixture_test.go
@@ -267,9 +267,9 @@
 	})
 }
 
-// awaitLease waits until the gateway accepts batches: it reports ready as soon as it can
-// serve callers, and gets its lease some store calls later. The check submits a batch of
-// its own and ends it at once.
+// awaitLease waits until the gateway accepts batches: a gateway reports ready as soon as it can
+// serve callers, and obtains its lease a few store calls later. awaitLease submits a batch and ends
+// it at once.
 func (g *gateway) awaitLease(t *testing.T) {
 	t.Helper()
 	const id = "b0"
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Guards against a repeated non-idempotent request. The response to a posting is lost: a
-// resend would count it twice, and reporting it as not run would be untrue.
+// Guards against a repeated non-idempotent request. The response to a posting is lost: a resend
+// would run the posting twice, and reporting the posting as not run would be false.
 func TestPostingRunsOnce(t *testing.T) {
 	d := newDeployment(t)
 	first, second := d.NewSampler(t, "a1", "app", ""), d.NewSampler(t, "a2", "app", "")
@@ -153,8 +153,8 @@
 		}
 		return sum
 	}
-	// Waits for every item that has a slot: an earlier end may rightly keep the last of
-	// them from reaching the sampler.
+	// Wait until all four slots run items: ending the batch earlier may correctly keep an item from
+	// reaching the sampler.
 	await(t, "four items run", func() bool { return countRuns() == 4 })
 	for range 2 {
 		must.Eq(t, http.StatusOK, other.send(t, http.MethodDelete, "/bramleyhatch/lots/b1", "key-acme", "", nil).status)
@@ -192,9 +192,9 @@
 	must.SliceNotEmpty(t, good.Resumed())
 }
 
-// Guards against counting timeouts as failures. A slow sampler and a slow scorer answer
-// several times that a run timed out, and once that it failed; the next runs would succeed,
-// but with timeouts counted the text would be given up.
+// Guards against counting timeouts as failures. A slow sampler and a slow scorer respond several
+// times that a run timed out, and once that the run failed. The next runs would succeed, but if
+// timeouts counted as failures, the gateway would abandon the text first.
 func TestTimeoutsAreNotFailures(t *testing.T) {
 	d := newDeployment(t)
 	scorer, sampler := d.NewSampler(t, "a1", "app", ""), d.NewSampler(t, "s1", "lm", "m")
@@ -208,8 +208,8 @@
 	mustBeComplete(t, g.awaitResults(t, 2), 2, 5)
 }
 
-// A new weight version is published. Samplers must load it in waves, each order under a
-// fencing token, and later steps allow no older version.
+// A new weight version is published. Samplers must load the version in waves, by orders with
+// fencing tokens, and later steps allow no older version.
 func TestNewWeights(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
@@ -247,8 +247,8 @@
 	must.Error(t, g.send(t, http.MethodPost, "/stream/x", "key-acme", "r2", nil).err)
 }
 
-// A sampler dies while a caller reads its stream. Another one must continue the same
-// response after the last event that the caller has.
+// A sampler dies while a caller reads its stream. Another sampler must continue the same response
+// after the last event that the caller received.
 func TestStreamResumes(t *testing.T) {
 	d := newDeployment(t)
 	once := func(_ string, runs int) wiretest.Fault {
@@ -260,7 +260,8 @@
 	bad, good := d.NewSampler(t, "s1", "lm", "m"), d.NewSampler(t, "s2", "lm", "m")
 	bad.SetFault(once)
 	g := d.start(t, "g1")
-	// Samplers are chosen at random: requests are sent until the bad one has got one.
+	// Samplers are chosen at random: requests are sent until a stream of the faulty sampler has
+	// been resumed.
 	const minRequests, maxRequests = 4, 50
 	for i := 1; i <= maxRequests && (i <= minRequests || len(good.Resumed()) == 0); i++ {
 		id := "r" + strconv.Itoa(i)
--- a/test/gateway/scaling_test.go
+++ b/test/gateway/scaling_test.go
@@ -12,7 +12,8 @@
 	"github.com/bramleyhatch/bramleyhatch/platform/wiretest"
 )
 
-// newScalingDeployment returns a deployment whose pool "app" has one to three servers, as ordered.
+// newScalingDeployment returns a deployment whose pool "app" has one to three servers, as ordered
+// by a duty holder.
 func newScalingDeployment(t *testing.T) (*deployment, *wiretest.Scaling) {
 	t.Helper()
 	d := newDeployment(t)
@@ -45,8 +46,8 @@
 	return stop
 }
 
-// Guards against a pool that doesn't grow: there are more callers than one server has slots
-// for, and without further servers they wait or are refused until they leave.
+// Guards against a pool that doesn't grow: the callers outnumber the slots of one server, and
+// without more servers, callers wait or are refused until the load ends.
 func TestPoolGrows(t *testing.T) {
 	d, pool := newScalingDeployment(t)
 	g := d.start(t, "g1")
@@ -67,8 +68,8 @@
 	await(t, "all servers are ordered", func() bool { return pool.Wanted() == 3 })
 }
 
-// The holder of the order duty dies. The next one must order under a higher fencing token,
-// and orders of the two must not alternate.
+// The holder of the order duty dies. The next holder must send orders under a higher fencing token,
+// and orders of the two holders must not alternate.
 func TestNextHolderOrders(t *testing.T) {
 	d, pool := newScalingDeployment(t)
 	first, second := d.start(t, "g1"), d.start(t, "g2")
--- a/test/gateway/store_test.go
+++ b/test/gateway/store_test.go
@@ -11,8 +11,8 @@
 	"github.com/bramleyhatch/bramleyhatch/platform/wiretest"
 )
 
-// The owner of a batch dies while its texts are incomplete. Another gateway must take over
-// the batch, resume the texts after what a keeper holds, and list no item twice.
+// The owner of a batch dies while its texts are incomplete. Another gateway must take over the
+// batch, resume the texts after the part stored by a keeper, and list no item twice.
 func TestOwnerDies(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
@@ -23,18 +23,18 @@
 	gateways[0].submit(t, 4)
 	await(t, "texts are being generated", func() bool { return sampler.Runs("b1-i0") > 0 })
 	time.Sleep(time.Second)
-	// Either gateway may own the batch. The first loses the store and stops, so that the
-	// second has to take over a batch that the first owns.
+	// Either gateway may own the batch. The first gateway loses the store and stops, so that the
+	// second gateway has to take over a batch owned by the first.
 	gateways[0].storeEndpoint.SetUnavailable(true)
 	gateways[0].cancel()
 	page := gateways[1].awaitResults(t, 4)
 	mustBeComplete(t, page, 4, 60)
 }
 
-// Guards against a restarted owner that doesn't wait for the keeper. All processes restart
-// within a second, and the keeper, which reads its disk first, registers a little later than
-// the gateways: its texts would go unused, and all would be generated again while the
-// trainer waits.
+// Guards against a restarted owner that doesn't wait for the keeper. All processes restart within a
+// second, and the keeper, which reads its disk first, registers a little later than the gateways:
+// the keeper's texts would be ignored, and all texts would be generated again while the trainer
+// waits.
 func TestKeeperRegistersLate(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
@@ -56,8 +56,8 @@
 	must.SliceLen(t, 4, sampler.Resumed())
 }
 
-// The store refuses one gateway and serves the others. A key that is withdrawn meanwhile
-// must be refused there as well, and batches must be accepted.
+// The store refuses one gateway and serves the others. The refused gateway must still reject a key
+// that is withdrawn meanwhile, and accept batches.
 func TestGatewayRefusedByStore(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
@@ -77,9 +77,8 @@
 }
 
 // Guards against treating a failed detour as the store's answer. The store refuses several
-// gateways, and one that asks a peer to make its call may ask another refused one: its
-// batches would be refused and withdrawn keys stay valid there, although a third gateway
-// reaches the store.
+// gateways, and a refused gateway may ask another refused gateway to make its call. The first would
+// then refuse batches and accept withdrawn keys, although a third gateway reaches the store.
 func TestSeveralGatewaysRefusedByStore(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
@@ -107,8 +106,8 @@
 	mustBeComplete(t, gateways[2].awaitResults(t, 2), 2, 5)
 }
 
-// The store compacts its history while a watch is silent. Keys deleted meanwhile appear in
-// no change event; the gateway must notice that they are gone.
+// The store compacts its history while a watch is silent. Keys deleted meanwhile appear in no
+// change event; the gateway must still detect the deletion.
 func TestHistoryDropped(t *testing.T) {
 	d := newDeployment(t)
 	d.NewSampler(t, "a1", "app", "")
--- a/test/gateway/zones_test.go
+++ b/test/gateway/zones_test.go
@@ -36,7 +36,7 @@
 		g.awaitResults(t, 6)
 		must.Eq(t, 0, localServer.Total())
 		must.Eq(t, 0, drainedSampler.Total())
-		// Both gateways may run the items: the first has no lease once it loses the store.
+		// Both gateways may run the items, because g0 has no lease after it loses the store.
 		must.GreaterEq(t, 20+6, remoteServer.Total())
 		must.GreaterEq(t, 6, sampler.Total())
 		g.awaitMetric(t, "bramleyhatch_gateway_drained_zones 1")
