--- a/test/soak/deployment_test.go
+++ b/test/soak/deployment_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// group is a group of goroutines with a stop signal.
+// group tracks goroutines and carries their stop signal.
 type group struct {
 	sync.WaitGroup
 
--- a/test/soak/link_test.go
+++ b/test/soak/link_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// mode is how a link treats the data that it forwards.
-type mode int32
+// linkMode is how a link treats the data that it forwards.
+type linkMode int32
 
 const (
-	open mode = iota
+	open linkMode = iota
 	// slow delays each chunk.
 	slow
 	// silent forwards nothing in either direction, without an error.
@@ -65,9 +65,9 @@
 	}
 }
 
-// forward copies data from one connection to the other, and holds it back while the mode is
-// silent or blocked.
-func (l *link) forward(to, from net.Conn, blocked mode) {
+// forward copies data from one connection to the other, and holds the data back while the link's
+// mode is silent or equals blocked.
+func (l *link) forward(to, from net.Conn, blocked linkMode) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -76,10 +76,10 @@
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			for current := mode(l.mode.Load()); current == silent || current == blocked; current = mode(l.mode.Load()) {
+			for current := linkMode(l.mode.Load()); current == silent || current == blocked; current = linkMode(l.mode.Load()) {
 				time.Sleep(5 * time.Millisecond)
 			}
-			if mode(l.mode.Load()) == slow {
+			if linkMode(l.mode.Load()) == slow {
 				time.Sleep(40 * time.Millisecond)
 			}
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
--- a/test/soak/run_test.go
+++ b/test/soak/run_test.go
@@ -25,8 +25,8 @@
 	faultCount    = 14
 	faultInterval = 700 * time.Millisecond
 	itemsPerBatch = 6
-	// settleTimeout limits how long all batches take to complete once every fault has
-	// ended: leases expire, batches are taken over and texts completed.
+	// settleTimeout limits how long all batches take to complete after the last fault has ended. In
+	// that time, leases expire, batches are taken over and texts are completed.
 	settleTimeout = 30 * time.Second
 )
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// spoilAnswers makes servers fail one in ten requests: cut off, refused or answered with
+// spoilAnswers makes servers fail one in ten requests, with a truncated response, a refusal or
 // another request's response.
 func (d *deployment) spoilAnswers(seed uint64) {
 	for _, server := range append(append([]*wiretest.Sampler{}, d.samplers...), d.plain...) {
@@ -124,7 +124,7 @@
 	}
 }
 
-func (l *link) set(mode mode, duration time.Duration) {
+func (l *link) set(mode linkMode, duration time.Duration) {
 	l.mode.Store(int32(mode))
 	time.AfterFunc(duration, func() { l.mode.Store(int32(open)) })
 }
@@ -171,10 +171,10 @@
 		path := []string{"/look/x", "/post/x"}[i%2]
 		status, body := send(p, http.MethodPost, path, id, []byte(id), 3*time.Second)
 		if status == http.StatusOK && body != "answer to "+id {
-			c.t.Errorf("%s got %q", id, body)
+			c.t.Errorf("request %s: unexpected response %q", id, body)
 		}
 		if status == http.StatusUnauthorized || status == http.StatusNotFound {
-			c.t.Errorf("%s was refused with %d", id, status)
+			c.t.Errorf("request %s was refused with status %d", id, status)
 		}
 		c.mutex.Lock()
 		if c.statuses == nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// check checks that no posting ran twice, and that none reported as not run did run.
+// check verifies that no posting ran twice, and that no posting reported as not run has run.
 func (c *callers) check() {
 	c.t.Helper()
 	c.mutex.Lock()
@@ -268,12 +268,12 @@
 	return false
 }
 
-// read reads a batch from its start, compares the results with those read before and
-// reports whether all are present.
+// read reads a batch from its start, compares its results with previously read results and reports
+// whether all results are present.
 func (r *trainer) read(p *process, id string) bool {
 	status, body := send(p, http.MethodGet, "/bramleyhatch/lots/"+id+"?after=0", id, nil, 3*time.Second)
 	if status == http.StatusNotFound {
-		r.t.Errorf("%s was accepted but is unknown to %s", id, p.name)
+		r.t.Errorf("batch %s was accepted but is unknown to gateway %s", id, p.name)
 	}
 	if status != http.StatusOK {
 		return false
@@ -286,7 +286,7 @@
 	before := r.seen[id]
 	for i := range min(len(before), len(page.Results)) {
 		if before[i] != page.Results[i] {
-			r.t.Errorf("result %d of %s changed from %v to %v at %s", i, id, before[i], page.Results[i], p.name)
+			r.t.Errorf("result %d of batch %s changed from %v to %v at gateway %s", i, id, before[i], page.Results[i], p.name)
 		}
 	}
 	if len(page.Results) > len(before) {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -27,7 +27,7 @@
 var regressions = []uint64{
 	105, // same symptom as 137
 	137, // a sampler failed once, its probe by an item was inconclusive, and it got no more items
-	21,  // another connection took a gateway's port during its restart: a fault of the soak's port choice
+	21,  // another connection reused a gateway's port during its restart: a fault in the soak's choice of ports
 }
 
 func TestMain(m *testing.M) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// drainRandom returns the source of drain times; nil for the regressions, which have one
-// zone.
+// drainRandom returns the random source of drain times, or nil for the regression seeds, which run
+// with one zone.
 func drainRandom(seed uint64) *rand.Rand {
 	if slices.Contains(regressions, seed) {
 		return nil
--- a/test/soak/zones_test.go
+++ b/test/soak/zones_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// checkDrain checks that the zone's servers get nothing from any gateway once drainTimeout
+// checkDrain checks that the zone's servers receive no requests from any gateway once drainTimeout
 // has passed, and are used again after the drain ends.
 func (d *deployment) checkDrain(t *testing.T) {
 	t.Helper()
