--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -13,7 +13,7 @@
 const (
 	fairnessDuration      = 600.0 // seconds
 	fairnessSlots         = 16
-	fairnessTokenRate     = 50.0 // tokens a second in a slot
+	fairnessTokenRate     = 50.0 // tokens per second and slot
 	fairnessQueueSize     = 256
 	fairnessSmallAccounts = 6
 	fairnessTimeout       = 120.0 // seconds that a request may wait in the queue
@@ -68,9 +68,9 @@
 	return results
 }
 
-// fairnessJobs returns the jobs in order of arrival: the greedy account offers
-// twice the capacity, the bursty one half of it in bursts of 80, each small one
-// a third of its share. Jobs cost less than estimated.
+// fairnessJobs returns the jobs in order of arrival. The greedy account requests twice the
+// capacity, the bursty account half the capacity in bursts of 80, and each small account a third of
+// its share. Jobs cost less than estimated.
 func fairnessJobs(random *rand.Rand) []job {
 	var jobs []job
 	add := func(account int, at float64) {
@@ -144,9 +144,9 @@
 	}
 }
 
-// figures returns the smallest share of its max-min fair share that an account got,
-// and the worst waits and refusals. The wait of the greedy account is left out, since
-// it asks for more than the capacity.
+// figures returns the smallest share of its max-min fair share that any account received, and the
+// worst waits and refusals. The wait of the greedy account is excluded, because that account
+// requests more than the capacity.
 func (r *fairnessRun) figures(jobs []job) []Figure {
 	var demand [accountCount]float64
 	var sent [accountCount]int
@@ -173,8 +173,8 @@
 	}
 }
 
-// maxMinShares divides a capacity max-min fairly: an account that asks for less
-// than an equal share gets all it asks for, the others share the rest equally.
+// maxMinShares divides a capacity max-min fairly: an account that requests less than an equal share
+// receives its full demand, and the other accounts share the rest equally.
 func maxMinShares(demand []float64, capacity float64) []float64 {
 	shares := make([]float64, len(demand))
 	order := make([]int, len(demand))
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -41,7 +41,7 @@
 	}}
 }
 
-// sizingPolicy returns the number of servers wanted; provisioned are live or starting.
+// sizingPolicy returns the wanted number of servers; provisioned counts live and starting servers.
 type sizingPolicy func(now time.Time, need fleet.Need, provisioned int) int
 
 func newSizerPolicy(target float64, scaleDownDelay time.Duration, slack float64) sizingPolicy {
@@ -53,7 +53,8 @@
 	return func(time.Time, fleet.Need, int) int { return servers }
 }
 
-// thresholdPolicy adds a tenth above four fifths of the slots and removes a tenth below a half.
+// thresholdPolicy adds a tenth of the servers above a utilization of four fifths, and removes a
+// tenth below a half.
 func thresholdPolicy() sizingPolicy {
 	return func(_ time.Time, need fleet.Need, provisioned int) int {
 		utilization := (need.Running + need.Queued) / (float64(max(provisioned, 1)) * need.Slots)
@@ -69,7 +70,7 @@
 	}
 }
 
-// arrivals models the requests a second over a day.
+// arrivals models the requests per second over a day.
 type arrivals struct {
 	random *rand.Rand
 	burst  float64
@@ -85,7 +86,8 @@
 	return max(0, (daily+a.burst*daily)*noise) * fleetPeakRunning / fleetServiceTime.Seconds()
 }
 
-// zoneFleet counts a zone's live servers and holds when starting and draining ones are done.
+// zoneFleet holds the number of a zone's live servers, and the times at which its starting and
+// draining servers are done.
 type zoneFleet struct {
 	live     int
 	starting []time.Time
@@ -128,7 +130,7 @@
 	minServerHours float64
 	orders         int
 	waitSeconds    float64
-	// needs holds the last fleetReportLag needs; the policy sees the oldest of them.
+	// needs holds the last fleetReportLag needs; the policy receives the oldest of them.
 	needs []fleet.Need
 }
 
@@ -161,7 +163,7 @@
 	r.resize(now, policy)
 }
 
-// updateOutage takes a zone down and brings it back without servers.
+// updateOutage starts and ends the outage of a zone, which has no servers when the outage ends.
 func (r *fleetRun) updateOutage(elapsed time.Duration) {
 	zone := r.zones[fleetZones[0]]
 	if elapsed == fleetOutageStart {
--- a/internal/measure/limits.go
+++ b/internal/measure/limits.go
@@ -50,7 +50,8 @@
 // admitter enforces the limit at one entry.
 type admitter interface {
 	admit(account string, now time.Time) bool
-	// demands returns what the entry sends to the others, which pass it to mergeDemands.
+	// demands returns the demands that the entry sends to the other entries, which pass them to
+	// mergeDemands.
 	demands(now time.Time) []*peerpb.Demand
 	mergeDemands(demands []*peerpb.Demand, now time.Time)
 }
@@ -122,12 +123,12 @@
 // trafficSource generates the requests of one account.
 type trafficSource struct {
 	account string
-	// rate returns the requests a second at an entry.
+	// rate returns the requests per second at an entry.
 	rate func(entry int, seconds float64) float64
 }
 
-// trafficSources returns a greedy account mostly at one entry, a bursty one at another
-// entry for each burst, one with bursts at all entries at once, and a small one.
+// trafficSources returns a greedy account mostly at one entry, a bursty account that changes
+// entries with each burst, an account with simultaneous bursts at all entries, and a small account.
 func trafficSources(entries int) []trafficSource {
 	perEntry := func(total float64) float64 { return total / float64(entries) }
 	return []trafficSource{
@@ -265,9 +266,9 @@
 	}}
 }
 
-// accountFigures returns three shares over windows of 5 s: the worst excess of the
-// admitted requests over the limit, the part of the limit left unused while requests
-// were refused, and the part of its entitlement that the account got.
+// accountFigures returns three shares over windows of 5 s: the worst excess of the admitted
+// requests over the limit, the part of the limit left unused while requests were refused, and the
+// part of its entitlement that the account received.
 func accountFigures(steps []requestCounts) (overshoot, unused, share float64) {
 	due, served, unusedSum, windows := 0.0, 0.0, 0.0, 0.0
 	allowed := limitRate * limitWindowSteps * limitStep.Seconds()
--- a/internal/measure/loads.go
+++ b/internal/measure/loads.go
@@ -46,8 +46,8 @@
 	MaxObserveDelay time.Duration
 }
 
-// LoadsDeployments returns the deployments on which loads are measured: they vary
-// everything that the decision must not depend on.
+// LoadsDeployments returns the deployments on which loads are measured. The deployments differ in
+// everything that the load schedule must not depend on.
 func LoadsDeployments() []LoadsDeployment {
 	return []LoadsDeployment{
 		{Name: "3 models", Samplers: 11, Slots: 12, StepSizes: []int{70, 70, 70}, LoadTime: 900 * time.Millisecond, FullSpeedLoads: 2},
@@ -66,7 +66,7 @@
 	}
 }
 
-// Loads compares policies for which sampler loads which version next, on one deployment.
+// Loads compares policies that choose the next sampler and version to load, on one deployment.
 func Loads(deployment LoadsDeployment) Experiment {
 	return Experiment{Name: "Loads, " + deployment.Name, Run: func(seed uint64) []Result {
 		var results []Result
@@ -87,11 +87,11 @@
 	weight.SamplerState
 
 	slowdown float64
-	// remaining is the time that a load still needs at full speed; 0 while none runs.
+	// remaining is the time that a load still needs at full speed; 0 while no load runs.
 	remaining time.Duration
 	model     string
 	version   uint64
-	// reportAt is when the end of a load will be observed; zero while none is pending.
+	// reportAt is when the end of a load will be observed; zero while no observation is pending.
 	reportAt time.Time
 	running  []*loadsGeneration
 }
@@ -113,8 +113,8 @@
 	generations int
 }
 
-// loadsTrainer opens step k once version k is announced; the step accepts versions
-// from k - 1 on, and training on it makes version k + 2.
+// loadsTrainer opens step k once version k is announced; the step accepts version k - 1 and newer,
+// and training on the step produces version k + 2.
 type loadsTrainer struct {
 	model    string
 	stepSize int
@@ -283,8 +283,8 @@
 	return active
 }
 
-// generate places generations, older steps of a model and longer generations
-// first, and advances the running ones.
+// generate places waiting generations, with older steps of a model and longer generations first,
+// and advances running generations.
 func (r *loadsRun) generate() {
 	for _, trainer := range r.trainers {
 		for _, step := range trainer.open {
@@ -306,8 +306,8 @@
 	}
 }
 
-// place assigns a step's generations to the samplers with the fewest running ones
-// among those with a version that the step accepts.
+// place assigns a step's generations to the samplers with the fewest running generations among
+// those with a version that the step accepts.
 func (r *loadsRun) place(step *loadsStep) {
 	for len(step.waiting) > 0 {
 		var best *loadsSampler
--- a/internal/measure/loads_test.go
+++ b/internal/measure/loads_test.go
@@ -20,10 +20,10 @@
 	return 0
 }
 
-// Guards against a load schedule that suits only some deployments: they differ in
-// the number of models and samplers, step sizes and load times. On each of them, a
-// step takes at most the time of one load longer than with samplers that need none,
-// and no more steps are late than under any baseline.
+// Guards against a load schedule that suits only some deployments: they differ in the number of
+// models and samplers, step sizes and load times. On each deployment, a step takes at most one load
+// time longer than with samplers that need no loads, and no more steps are late than under any
+// baseline.
 func TestLoadsOnManyDeployments(t *testing.T) {
 	const worst, late = "worst model p90 s", "late share"
 	for _, deployment := range LoadsDeployments() {
--- a/internal/measure/loadspolicy.go
+++ b/internal/measure/loadspolicy.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// decideByPartition gives each model a fixed part of the samplers and updates one model
-// after the other, at most a third of the samplers at a time.
+// decideByPartition gives each model a fixed part of the samplers and updates one model after
+// another, at most a third of the samplers at a time.
 func decideByPartition(r *loadsRun) {
 	free := max(1, len(r.samplers)/3) - r.activeLoads()
 	for m, trainer := range r.trainers {
@@ -50,8 +50,8 @@
 	}
 }
 
-// decideReplicateAll loads every version on every sampler, the one furthest behind
-// first, with as many loads at a time as the store serves at full speed.
+// decideReplicateAll loads every version on every sampler, starting with the sampler furthest
+// behind, and runs as many loads at a time as the store serves at full speed.
 func decideReplicateAll(r *loadsRun) {
 	for r.activeLoads() < r.deployment.FullSpeedLoads {
 		var best *loadsSampler
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -63,14 +63,14 @@
 		table.Policies = append(table.Policies, result.Policy)
 		cells := make([]Spread, len(table.Columns))
 		for column := range cells {
-			cells[column] = spread(runs, row, column)
+			cells[column] = newSpread(runs, row, column)
 		}
 		table.Cells = append(table.Cells, cells)
 	}
 	return table
 }
 
-func spread(runs [][]Result, row, column int) Spread {
+func newSpread(runs [][]Result, row, column int) Spread {
 	values := make([]float64, len(runs))
 	for i, run := range runs {
 		values[i] = run[row].Figures[column].Value
--- a/internal/measure/routing.go
+++ b/internal/measure/routing.go
@@ -22,10 +22,11 @@
 	entries  int
 	rate     float64
 	prefixes int
-	// interval and lag are those of load reports.
+	// interval is the time between load reports, and lag is their delay.
 	interval time.Duration
 	lag      time.Duration
-	// length of a run, of which skip is not measured: entries know no prefixes then.
+	// length is the duration of a run. Its first part, skip, is not measured, because entries know
+	// no prefixes yet.
 	length time.Duration
 	skip   time.Duration
 }
@@ -69,7 +70,7 @@
 	}}
 }
 
-// routingPolicy chooses one of an entry's servers; reports says whether it uses load reports.
+// routingPolicy chooses one of an entry's servers; reports is set if the policy uses load reports.
 type routingPolicy struct {
 	name    string
 	reports bool
@@ -206,7 +207,7 @@
 			continue
 		}
 		r.now = next
-		r.arrive()
+		r.routeArrival()
 		next += r.random.ExpFloat64() / r.rate
 	}
 	return r.result()
@@ -231,11 +232,11 @@
 func (r *routingRun) recordReports(seq int) {
 	at := uint64(float64(seq) * r.interval.Seconds() * reportSeqPerSecond)
 	for _, sampler := range r.samplers {
-		sampler.reports = append(sampler.reports, sampler.report(at))
+		sampler.reports = append(sampler.reports, sampler.loadReport(at))
 	}
 }
 
-func (s *routingSampler) report(seq uint64) route.Report {
+func (s *routingSampler) loadReport(seq uint64) route.Report {
 	return route.Report{Seq: seq + 1, Running: int64(s.running), Queued: int64(len(s.queue)), Slots: routingSlots}
 }
 
@@ -257,7 +258,7 @@
 	}
 }
 
-func (r *routingRun) arrive() {
+func (r *routingRun) routeArrival() {
 	index := r.random.IntN(len(r.entries))
 	entry := r.entries[index]
 	entry.now = r.time(r.now)
@@ -274,7 +275,7 @@
 	}
 }
 
-// startQueued starts queued requests in free slots.
+// startQueued starts queued requests while slots are free.
 func (r *routingRun) startQueued(sampler *routingSampler) {
 	for sampler.running < routingSlots && len(sampler.queue) > 0 {
 		request := sampler.queue[0]
@@ -320,8 +321,8 @@
 	}
 	r.startQueued(sampler)
 	if request.entry >= 0 && r.policy.reports {
-		// The end of an answer carries a load report.
-		report := sampler.report(uint64(r.now * reportSeqPerSecond))
+		// The end of a response carries a load report.
+		report := sampler.loadReport(uint64(r.now * reportSeqPerSecond))
 		report.Time = r.time(r.now)
 		r.entries[request.entry].servers[request.server].UpdateReport(report)
 		r.reports++
--- a/internal/measure/staleness.go
+++ b/internal/measure/staleness.go
@@ -10,8 +10,9 @@
 // announceInterval is the time between versions in the staleness experiment.
 const announceInterval = 70 * time.Second
 
-// Staleness compares stopping attempts once their samples would be stale with checking at the
-// end. Weights change every announceInterval, independent of the trainer.
+// Staleness compares stopping attempts as soon as their samples would be stale with checking
+// samples only at the end of attempts. Weights change every announceInterval, independently of the
+// trainer.
 func Staleness() Experiment {
 	policies := []stragglerPolicy{
 		{name: "stopped once doomed", announceInterval: announceInterval},
--- a/internal/measure/stragglers.go
+++ b/internal/measure/stragglers.go
@@ -67,7 +67,7 @@
 	speed   float64
 	running int
 	version uint64
-	// downUntil is when its restart after a crash is complete.
+	// downUntil is when the sampler's restart after a crash completes.
 	downUntil time.Time
 	swapAt    time.Time
 }
@@ -128,7 +128,7 @@
 }
 
 func (r *stragglerRun) run() Result {
-	r.open(1)
+	r.openStep(1)
 	start := r.now
 	for len(r.stepTimes) < stragglerSteps {
 		r.now = r.now.Add(stragglerTick)
@@ -149,7 +149,7 @@
 	}}
 }
 
-func (r *stragglerRun) open(number uint64) {
+func (r *stragglerRun) openStep(number uint64) {
 	request := peerpb.OpenRequest_builder{Trainer: "t", Step: number, Model: "m", Staleness: stragglerMaxStaleness}.Build()
 	for range stragglerGroups {
 		request.SetPrompts(append(request.GetPrompts(), peerpb.Prompt_builder{Samples: stragglerGroupSize}.Build()))
@@ -163,8 +163,8 @@
 	r.crashAt = r.now.Add(crashAfter)
 }
 
-// minStepTime returns a lower bound of the step's time: that of the longest answer at
-// tokensPerSecond, or of all tokens spread over all samplers.
+// minStepTime returns a lower bound of the step's time: the time to generate the longest response
+// at tokensPerSecond, or all tokens spread over all samplers.
 func (r *stragglerRun) minStepTime() float64 {
 	longest, sum := 0.0, 0.0
 	for slot := range r.step.Slots() {
@@ -256,10 +256,10 @@
 	}
 }
 
-// dispatch starts attempts on the samplers with the fewest running ones.
+// dispatch starts attempts on the samplers with the fewest running attempts.
 func (r *stragglerRun) dispatch() {
 	for {
-		if r.leastBusy(0) == nil {
+		if r.leastBusySampler(0) == nil {
 			return
 		}
 		attempt, ok := r.step.Next(r.now)
@@ -269,7 +269,7 @@
 		if !ok {
 			return
 		}
-		sampler := r.leastBusy(attempt.MinVersion())
+		sampler := r.leastBusySampler(attempt.MinVersion())
 		if sampler == nil {
 			r.step.Refuse(attempt, 0, r.now)
 			continue
@@ -281,7 +281,8 @@
 	}
 }
 
-// retryTimedOut starts a retry under the baseline with a fixed number of retries.
+// retryTimedOut starts the retry of a timed-out attempt, for the baseline with a fixed number of
+// retries.
 func (r *stragglerRun) retryTimedOut() (rollout.Attempt, bool) {
 	if !r.policy.retriesOnTimeout {
 		return rollout.Attempt{}, false
@@ -301,8 +302,9 @@
 	})
 }
 
-// leastBusy returns the available sampler with the fewest attempts among those at minVersion or newer.
-func (r *stragglerRun) leastBusy(minVersion uint64) *stragglerSampler {
+// leastBusySampler returns the available sampler with the fewest attempts among those at minVersion
+// or newer.
+func (r *stragglerRun) leastBusySampler(minVersion uint64) *stragglerSampler {
 	var best *stragglerSampler
 	offset := r.random.IntN(len(r.samplers))
 	for i := range r.samplers {
@@ -317,8 +319,8 @@
 	return best
 }
 
-// length returns the token count of the slot's answer, which is the same for each
-// attempt: second runs use the same seed.
+// length returns the token count of the slot's response, which is the same for each attempt,
+// because second runs use the same seed.
 func (r *stragglerRun) length(slot uint32) float64 {
 	random := rand.New(rand.NewPCG(r.seed*1e6+r.step.Number(), uint64(slot)))
 	return math.Ceil(min(maxTokens, medianTokens*math.Exp(tokensSigma*random.NormFloat64())))
@@ -351,7 +353,7 @@
 	if r.isComplete && !training {
 		r.staleSamples += r.step.Counts().Stale()
 		r.trainEnd = r.now.Add(stragglerTrainTime)
-		r.open(r.step.Number() + 1)
+		r.openStep(r.step.Number() + 1)
 	}
 }
 
--- a/internal/measure/weights.go
+++ b/internal/measure/weights.go
@@ -43,7 +43,7 @@
 type weightsPolicy struct {
 	name  string
 	share float64
-	// parallel changes that many samplers at a time instead of following weight.Wave; 0 follows it.
+	// parallel is the number of samplers changed at a time; 0 follows weight.Wave instead.
 	parallel int
 }
 
@@ -52,7 +52,7 @@
 	server  string
 	zone    string
 	version uint64
-	// remaining is the time that the fetch still needs at full speed, then that of the load.
+	// remaining is the time that the fetch, and after it the load, still needs at full speed.
 	remaining float64
 	loading   bool
 	changing  bool
@@ -97,7 +97,7 @@
 func (r *weightsRun) run() Result {
 	r.wave.Announce(2)
 	for len(r.doneTimes) < weightsSamplers && r.now.Sub(r.start) < weightsTimeout {
-		r.observe()
+		r.updateWave()
 		r.startChanges()
 		r.advance()
 		r.now = r.now.Add(weightsTick)
@@ -114,7 +114,7 @@
 	}}
 }
 
-func (r *weightsRun) observe() {
+func (r *weightsRun) updateWave() {
 	live := make([]weight.Sampler, 0, len(r.samplers))
 	for _, sampler := range r.samplers {
 		live = append(live, weight.Sampler{Server: sampler.server, Zone: sampler.zone, Version: sampler.version})
@@ -122,7 +122,7 @@
 	r.wave.Observe(live, r.now)
 }
 
-// startChanges starts changes as weight.Wave says, or a fixed number at a time.
+// startChanges starts changes according to weight.Wave, or a fixed number at a time.
 func (r *weightsRun) startChanges() {
 	changing := 0
 	for _, sampler := range r.samplers {
@@ -190,7 +190,8 @@
 	r.doneTimes = append(r.doneTimes, r.now.Sub(r.start).Seconds())
 }
 
-// recordCapacity records the remaining capacity; a sampler that changes has none.
+// recordCapacity records the remaining capacity; a sampler that changes its version contributes
+// none.
 func (r *weightsRun) recordCapacity() {
 	changing := 0
 	zones := map[string]int{}
