--- a/cmd/standin/cmd/recordcmd.go
+++ b/cmd/standin/cmd/recordcmd.go
@@ -19,8 +19,8 @@
 	Platform string `arg:"" help:"Base URL of the platform."`
 }
 
-// Run prints how many servers were ordered to start and to stop, and each order
-// that the platform accepted after one with a higher fencing token.
+// Run prints how many servers were ordered to start and to stop, and each order that the platform
+// accepted after an order with a higher fencing token.
 func (o *ordersCmd) Run(c *config) error {
 	record, err := readRecord(o.Platform)
 	if err != nil {
--- a/cmd/standin/cmd/trainercmd.go
+++ b/cmd/standin/cmd/trainercmd.go
@@ -19,7 +19,7 @@
 	Samples   int           `default:"8" help:"Samples per group."`
 	MaxTokens int           `default:"32" help:"Tokens per sample."`
 	Staleness uint64        `default:"1" help:"Maximum number of weight versions that a sample may lag behind."`
-	Announce  int           `default:"0" help:"Announce new weights once, after this many samples of a step; 0 never does."`
+	Announce  int           `default:"0" help:"Announce new weights once, after this many samples of a step; 0 disables this."`
 	Version   uint64        `default:"1" help:"Initial weight version."`
 	Timeout   time.Duration `default:"2m" help:"Timeout of all steps together."`
 }
--- a/cmd/standin/internal/demo/demo.go
+++ b/cmd/standin/internal/demo/demo.go
@@ -236,7 +236,7 @@
 
 func (d *Demo) readyFile(name string) string { return filepath.Join(d.Folder, name+".ready") }
 
-// loadSettings writes a settings file and loads it in the way that the programs do.
+// loadSettings writes a settings file and loads it as the programs do.
 func (d *Demo) loadSettings(name, text string, message proto.Message) error {
 	file := filepath.Join(d.Folder, name+".ini")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -255,7 +255,7 @@
 		}
 		select {
 		case err := <-d.exits:
-			return addresses, errors.Join(fmt.Errorf("%s did not start", name), err)
+			return addresses, errors.Join(fmt.Errorf("process %s did not start", name), err)
 		case <-ctx.Done():
 			return addresses, ctx.Err()
 		case <-time.After(retryInterval):
--- a/cmd/standin/internal/demo/workload.go
+++ b/cmd/standin/internal/demo/workload.go
@@ -105,7 +105,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%w, last: %w", ctx.Err(), err)
+			return fmt.Errorf("%w (last error: %w)", ctx.Err(), err)
 		case <-time.After(retryInterval):
 		}
 	}
--- a/cmd/standin/internal/engine/engine.go
+++ b/cmd/standin/internal/engine/engine.go
@@ -20,9 +20,9 @@
 	Hang bool `json:"hang"`
 	// Slow multiplies the time of prefill and of each token; 0 means 1.
 	Slow float64 `json:"slow"`
-	// Cut closes the connection of each response after this many tokens; 0 never does.
+	// Cut closes the connection of each response after this many tokens; 0 disables the fault.
 	Cut int `json:"cut"`
-	// FailSwaps is how many further weight swaps fail.
+	// FailSwaps is the number of further weight swaps that fail.
 	FailSwaps int `json:"fail_swaps"`
 	// IgnoreFences accepts orders with a stale fencing token.
 	IgnoreFences bool `json:"ignore_fences"`
@@ -32,14 +32,14 @@
 	Version uint64 `json:"version"`
 }
 
-// Engine is the stand-in. Exported fields are set before Routes is called.
+// Engine simulates a model engine. Exported fields must be set before Routes is called.
 type Engine struct {
 	Model string
 	// Slots is the maximum number of running requests.
 	Slots int
 	// Queue is the maximum number of queued requests.
 	Queue int
-	// TokenTime is the time to generate one token of a request, whatever else runs.
+	// TokenTime is the time to generate one token of a request, regardless of other requests.
 	TokenTime time.Duration
 	// PrefillTime is the time to process one prompt token that is not cached.
 	PrefillTime time.Duration
@@ -128,7 +128,8 @@
 	return true
 }
 
-// releaseSlot passes the slot to the longest waiter of the lowest priority number.
+// releaseSlot passes the slot to the request that has waited longest among those with the lowest
+// priority number.
 func (e *Engine) releaseSlot() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/cmd/standin/internal/engine/generate.go
+++ b/cmd/standin/internal/engine/generate.go
@@ -31,7 +31,7 @@
 	ResumeTokens []int32   `json:"resume_tokens"`
 }
 
-// promptText returns the prompt, or the messages joined to one.
+// promptText returns the prompt, or the concatenated messages of a chat.
 func (c completionRequest) promptText() string {
 	if len(c.Messages) == 0 {
 		return c.Prompt
@@ -127,7 +127,7 @@
 	g.writeAndFlush("data: [DONE]\n\n")
 }
 
-// wait waits for the duration and while Hang is set; it returns false if ctx ends first.
+// wait blocks for the duration and while Hang is set; it returns false if ctx ends first.
 func (g *generation) wait(ctx context.Context, duration time.Duration) bool {
 	faults, _ := g.engine.state()
 	if faults.Slow > 0 {
@@ -153,7 +153,7 @@
 	}
 }
 
-// choice returns token i, which is always the same for the same prompt, seed and i.
+// choice returns a response choice with token i, which depends only on prompt, seed and i.
 func (g *generation) choice(i int) choice {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s %d %d", g.request.promptText(), g.request.Seed, i)
--- a/cmd/standin/internal/ledger/ledger.go
+++ b/cmd/standin/internal/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger is a stand-in for a plain HTTP service: records, whose reads may be
-// repeated, and hour postings, which must not run twice.
+// Package ledger is a stand-in for a plain HTTP service with idempotent reads of records and
+// non-idempotent hour postings.
 package ledger
 
 import (
@@ -31,12 +31,12 @@
 type Record struct {
 	// Runs counts the postings of each member.
 	Runs map[string]int `json:"runs"`
-	// Headers counts the requests by the names of their headers.
+	// Headers counts the requests by header name.
 	Headers map[string]int `json:"headers"`
 	Total   int            `json:"total"`
 }
 
-// Ledger is the stand-in.
+// Ledger simulates a plain HTTP service.
 type Ledger struct {
 	mutex  sync.Mutex
 	faults Faults
@@ -92,7 +92,8 @@
 	}
 }
 
-// wait delays the response as the faults say; it returns false if the request is canceled first.
+// wait delays the response according to the faults; it returns false if the request is canceled
+// first.
 func (l *Ledger) wait(r *http.Request) bool {
 	l.mutex.Lock()
 	faults := l.faults
--- a/cmd/standin/internal/platform/control.go
+++ b/cmd/standin/internal/platform/control.go
@@ -23,13 +23,13 @@
 	Outage bool `json:"outage"`
 	// Latency delays each call of the key-value service, milliseconds.
 	Latency int64 `json:"latency"`
-	// LoseAnswers is how many further changes take effect without a response.
+	// LoseAnswers is the number of further changes that take effect without a response.
 	LoseAnswers int `json:"lose_answers"`
 	// SilentWatches keeps watches open without ever responding.
 	SilentWatches bool `json:"silent_watches"`
 	// OldWatches makes watches return the oldest event of their prefix.
 	OldWatches bool `json:"old_watches"`
-	// IgnoreFences accepts orders with a stale fencing token or a passed deadline.
+	// IgnoreFences accepts orders with a stale fencing token or an expired deadline.
 	IgnoreFences bool `json:"ignore_fences"`
 }
 
@@ -60,7 +60,8 @@
 	}
 }
 
-// admit counts a call of the key-value service; if it rejects the call, it responds itself.
+// admit counts a call of the key-value service and reports whether the call may proceed. It
+// responds to rejected calls.
 func (c *control) admit(w http.ResponseWriter, r *http.Request, isWrite bool) bool {
 	c.mutex.Lock()
 	faults := c.faults
--- a/cmd/standin/internal/platform/platform.go
+++ b/cmd/standin/internal/platform/platform.go
@@ -14,7 +14,7 @@
 	"github.com/bramleyhatch/bramleyhatch/internal/platform"
 )
 
-// Platform is the stand-in. Exported fields are set before Routes is called.
+// Platform simulates the platform. Exported fields must be set before Routes is called.
 type Platform struct {
 	// StartDelay is the time from a start order until the backend server is live.
 	StartDelay time.Duration
@@ -156,7 +156,7 @@
 	for {
 		reply, changed := p.store.eventsAfter(query.Get("prefix"), after, time.Now())
 		if len(reply.Values) > 0 && !p.control.currentFaults().SilentWatches {
-			answer.JSON(w, http.StatusOK, p.onlyOldest(reply))
+			answer.JSON(w, http.StatusOK, p.keepOldest(reply))
 			return
 		}
 		select {
@@ -174,8 +174,8 @@
 	}
 }
 
-// onlyOldest drops all but the oldest event if OldWatches is set.
-func (p *Platform) onlyOldest(reply platform.ListReply) platform.ListReply {
+// keepOldest drops all but the oldest event if OldWatches is set.
+func (p *Platform) keepOldest(reply platform.ListReply) platform.ListReply {
 	if !p.control.currentFaults().OldWatches || len(reply.Values) == 0 {
 		return reply
 	}
--- a/cmd/standin/internal/relay/relay.go
+++ b/cmd/standin/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay forwards TCP connections. It can close them, or silently drop their
-// data while new connections work.
+// Package relay forwards TCP connections. It can close them, or silently drop the data of existing
+// connections while new connections work.
 package relay
 
 import (
@@ -18,7 +18,7 @@
 // Relay is a TCP relay. Exported fields are set before Start.
 type Relay struct {
 	From string
-	// To is the address that it connects to; /control/to changes it.
+	// To is the address to which connections are relayed; /control/to changes it.
 	To string
 
 	listener net.Listener
@@ -28,7 +28,7 @@
 	connections map[*connection]bool
 }
 
-// connection is a connection accepted from a client and the one dialed to the target.
+// connection pairs a client's connection with the connection dialed to the target.
 type connection struct {
 	client net.Conn
 	target net.Conn
@@ -40,16 +40,17 @@
 func (r *Relay) Routes() []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodGet, Path: "/control/address", Handler: r.handleAddress},
-		// cut closes all connections, and new ones at once until heal.
+		// cut closes all connections, and until heal also every new connection.
 		{Method: http.MethodPost, Path: "/control/cut", Handler: r.handleCut},
-		// silence drops all further data of the current connections for good; new ones work.
+		// silence permanently drops all further data of the current connections; new connections
+		// work.
 		{Method: http.MethodPost, Path: "/control/silence", Handler: r.handleSilence},
 		{Method: http.MethodPost, Path: "/control/heal", Handler: r.handleHeal},
 		{Method: http.MethodPost, Path: "/control/to", Handler: r.handleTo},
 	}
 }
 
-// Start listens, and relays in the background.
+// Start listens, and relays connections in the background.
 func (r *Relay) Start() error {
 	r.connections = map[*connection]bool{}
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", r.From)
@@ -95,7 +96,7 @@
 	r.mutex.Unlock()
 }
 
-// forward copies data until either end closes; a silent connection drops it and stays open.
+// forward copies data until either end closes; a silenced connection drops the data and stays open.
 func (c *connection) forward(to, from net.Conn) {
 	buffer := make([]byte, bufferBytes)
 	for {
--- a/cmd/standin/internal/trainer/trainer.go
+++ b/cmd/standin/internal/trainer/trainer.go
@@ -20,7 +20,7 @@
 	retryInterval = 100 * time.Millisecond
 )
 
-// Trainer is the stand-in. Exported fields are set before Step is called.
+// Trainer simulates a trainer. Exported fields must be set before Step is called.
 type Trainer struct {
 	Entries   []string
 	Key       string
@@ -30,7 +30,8 @@
 	Samples   int
 	MaxTokens int
 	Staleness uint64
-	// AnnounceAfter is how many samples of a step arrive before weights are announced, once; 0 never.
+	// AnnounceAfter is the number of received samples of a step after which weights are announced
+	// once; 0 disables the announcement.
 	AnnounceAfter int
 	Version       uint64
 
@@ -47,12 +48,12 @@
 		t.faults = append(t.faults, fmt.Sprintf("received %d samples, want %d", len(t.received), want))
 	}
 	if len(t.faults) > 0 {
-		return fmt.Errorf("%d faults, first: %s", len(t.faults), t.faults[0])
+		return fmt.Errorf("%d faults in samples, first: %s", len(t.faults), t.faults[0])
 	}
 	return nil
 }
 
-// Print writes the number of samples by the newest weight version of each.
+// Print writes the number of samples for each weight version, by a sample's newest version.
 func (t *Trainer) Print(w io.Writer) {
 	byVersion := map[uint64]int{}
 	for _, sample := range t.received {
@@ -77,7 +78,7 @@
 // Step opens a step and pulls its samples until all are delivered.
 func (t *Trainer) Step(ctx context.Context, step uint64) error {
 	t.client.Name, t.client.Key = t.Name, t.Key
-	if err := t.open(ctx, step); err != nil {
+	if err := t.openStep(ctx, step); err != nil {
 		return err
 	}
 	seenSlots := map[uint32]bool{}
@@ -103,7 +104,7 @@
 	}
 }
 
-func (t *Trainer) open(ctx context.Context, number uint64) error {
+func (t *Trainer) openStep(ctx context.Context, number uint64) error {
 	step := client.Step{Number: number, Model: t.Model, Staleness: t.Staleness, MaxTokens: t.MaxTokens, Temperature: 1}
 	for i := range t.Groups {
 		step.Groups = append(step.Groups, client.Group{Prompt: fmt.Sprintf("step %d group %d", number, i), Samples: t.Samples})
@@ -143,7 +144,7 @@
 	t.faults = append(t.faults, fmt.Sprintf(format, arguments...))
 }
 
-// announce announces the next weight version once enough samples of the step arrived.
+// announce sends the next weight version to an entry once enough samples of the step have arrived.
 func (t *Trainer) announce(ctx context.Context, received int) error {
 	if t.AnnounceAfter == 0 || received < t.AnnounceAfter {
 		return nil
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// callWithRetry sends a request to the entries in rotation until one succeeds or refuses
-// it for good. Each request must be safe to repeat.
+// callWithRetry sends a request to the entries in rotation until an entry accepts or permanently
+// refuses the request. Each request must be safe to repeat.
 func (t *Trainer) callWithRetry(ctx context.Context, request func() error) error {
 	var lastErr error
 	for ctx.Err() == nil {
@@ -176,7 +177,7 @@
 	return fmt.Errorf("trainer %s: %w (last error: %w)", t.Name, ctx.Err(), lastErr)
 }
 
-// isFinal reports whether a retry would be refused in the same way.
+// isFinal reports whether an error is permanent, so that a retry would be refused as well.
 func isFinal(err error) bool {
 	var refused *client.RefusedError
 	if !errors.As(err, &refused) {
--- a/cmd/standin/internal/weights/weights.go
+++ b/cmd/standin/internal/weights/weights.go
@@ -1,4 +1,4 @@
-// Package weights is a stand-in for the weight store, which is rate-limited.
+// Package weights is a stand-in for the rate-limited weight store.
 package weights
 
 import (
@@ -12,7 +12,7 @@
 
 const chunkBytes = 64 << 10
 
-// Weights is the stand-in. Exported fields are set before Routes is called.
+// Weights simulates a weight store. Exported fields must be set before Routes is called.
 type Weights struct {
 	// Size is the size of a version, bytes.
 	Size int
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs stand-ins for the systems that bramleyhatch talks to, and
-// an end-to-end demo on loopback.
+// Command standin runs stand-ins for the systems that bramleyhatch connects to, and an end-to-end
+// demo on loopback.
 package main
 
 import (
