--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -43,7 +43,7 @@
 
 // Run prints the tables and writes them to the CSV file, if any.
 func (t *tablesCmd) Run() error {
-	tables, err := tables(*t)
+	tables, err := runExperiments(*t)
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	return writeCSV(t.CSV, tables)
 }
 
-func tables(options tablesCmd) ([]measure.Table, error) {
+func runExperiments(options tablesCmd) ([]measure.Table, error) {
 	var tables []measure.Table
 	for _, experiment := range measure.Experiments() {
 		if options.List {
--- a/cmd/measure/processes.go
+++ b/cmd/measure/processes.go
@@ -22,7 +22,7 @@
 	forceTimeout = 30 * time.Second
 	pollInterval = 50 * time.Millisecond
 	accountKey   = "measure-key"
-	// zoneCount is the number of zones, which processes are assigned to in turn.
+	// zoneCount is the number of zones, to which processes are assigned in rotation.
 	zoneCount = 7
 )
 
