--- a/internal/caller/send.go
+++ b/internal/caller/send.go
@@ -25,7 +25,7 @@
 	c.setWriteDeadline()
 	//nolint:gosec // The response is for the caller's own request and has a matching content type.
 	if _, err := c.writer.Write(data); err != nil {
-		return eris.Wrap(err, "write response to the caller")
+		return eris.Wrap(err, "write to the caller")
 	}
 	if flusher, ok := c.writer.(http.Flusher); ok {
 		flusher.Flush()
--- a/internal/keeper/journal.go
+++ b/internal/keeper/journal.go
@@ -111,7 +111,7 @@
 func (j *journal) append(record *statepb.Record) error {
 	body, err := proto.Marshal(record)
 	if err != nil {
-		return eris.Wrap(err, "encode journal record")
+		return eris.Wrap(err, "encode record")
 	}
 	data := make([]byte, headerBytes, headerBytes+len(body))
 	binary.BigEndian.PutUint32(data, uint32(len(body)))
@@ -120,10 +120,10 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if _, err := j.file.WriteAt(data, j.size); err != nil {
-		return eris.Wrap(err, "append record to journal")
+		return eris.Wrap(err, "write texts")
 	}
 	if err := j.file.Sync(); err != nil {
-		return eris.Wrap(err, "sync journal")
+		return eris.Wrap(err, "sync texts")
 	}
 	j.size += int64(len(data))
 	return nil
@@ -143,7 +143,7 @@
 	name := filepath.Join(j.folder, journalFile)
 	file, err := os.OpenFile(name+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		return eris.Wrap(err, "create new journal file")
+		return eris.Wrap(err, "make new texts")
 	}
 	next.file = file
 	for _, record := range records {
@@ -152,11 +152,11 @@
 		}
 	}
 	if err := os.Rename(name+".new", name); err != nil {
-		return errors.Join(eris.Wrap(err, "replace journal file"), file.Close())
+		return errors.Join(eris.Wrap(err, "rename texts"), file.Close())
 	}
 	old := j.file
 	j.file, j.size = file, next.size
-	return errors.Join(eris.Wrap(old.Close(), "close old journal file"), j.syncFolder())
+	return errors.Join(eris.Wrap(old.Close(), "close old texts"), j.syncFolder())
 }
 
 // syncFolder syncs the directory entry of the journal. Without the sync, a power loss
@@ -164,9 +164,9 @@
 func (j *journal) syncFolder() error {
 	folder, err := os.Open(j.folder)
 	if err != nil {
-		return eris.Wrap(err, "open journal folder")
+		return eris.Wrap(err, "open folder")
 	}
-	return errors.Join(eris.Wrap(folder.Sync(), "sync journal folder"), folder.Close())
+	return errors.Join(eris.Wrap(folder.Sync(), "sync folder"), folder.Close())
 }
 
 func (j *journal) close() error {
--- a/internal/keeper/server.go
+++ b/internal/keeper/server.go
@@ -200,7 +200,7 @@
 		records = append(records, record.Build())
 	}
 	klog.InfoS("keeper: compacting the journal", "bytes", s.journal.fileBytes(), "batches", len(records))
-	return eris.Wrap(s.journal.rewrite(records), "compact journal")
+	return eris.Wrap(s.journal.rewrite(records), "rewrite texts")
 }
 
 func clonePartial(partial *statepb.Partial) *statepb.Partial {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -66,13 +66,13 @@
 	case protoreflect.MessageKind:
 		return parseMessage(field, setting, text)
 	default:
-		return protoreflect.Value{}, fmt.Errorf("unsupported setting type %s", field.Kind())
+		return protoreflect.Value{}, fmt.Errorf("type %s is not read from settings", field.Kind())
 	}
 }
 
 func parseMessage(field protoreflect.FieldDescriptor, setting *settingspb.Setting, text string) (protoreflect.Value, error) {
 	if field.Message().FullName() != durationName {
-		return protoreflect.Value{}, fmt.Errorf("unsupported setting type %s", field.Message().FullName())
+		return protoreflect.Value{}, fmt.Errorf("type %s is not read from settings", field.Message().FullName())
 	}
 	value, err := parseInRange(setting, text, "a time such as 250ms, 5s or 1h", time.ParseDuration)
 	return protoreflect.ValueOfMessage(durationpb.New(value).ProtoReflect()), err
@@ -99,12 +99,12 @@
 	}
 	if minText := setting.GetMin(); minText != "" {
 		if minimum, err := parse(minText); err == nil && value < minimum {
-			return value, fmt.Errorf("%s is below the minimum %s", text, minText)
+			return value, fmt.Errorf("%s is below the least value %s", text, minText)
 		}
 	}
 	if maxText := setting.GetMax(); maxText != "" {
 		if maximum, err := parse(maxText); err == nil && value > maximum {
-			return value, fmt.Errorf("%s is above the maximum %s", text, maxText)
+			return value, fmt.Errorf("%s is above the greatest value %s", text, maxText)
 		}
 	}
 	return value, nil
