--- a/test/scenario/deploy_test.go
+++ b/test/scenario/deploy_test.go
@@ -45,10 +45,10 @@
 // deploy starts a small deployment and waits until it serves:
 // deploy [KIND:VALUE...], where KIND is entry, sidecar, engine or ledger.
 //
-// It starts platform, weights; entries e1 (zone-a), e2 (zone-b); engines engine1,
-// engine2 with sidecars s1 (zone-a), s2 (zone-b); plain services book1, book2 with
-// sidecars s3 (zone-a), s4 (zone-b). Relay rN proxies connections to sidecar sN, relay bN
-// those from it to its backend server. Keys: member-key, choir-key, trainer-key.
+// It starts the stand-ins platform and weights; entries e1 (zone-a), e2 (zone-b); engines engine1,
+// engine2 with sidecars s1 (zone-a), s2 (zone-b); plain services book1, book2 with sidecars s3
+// (zone-a), s4 (zone-b). Relay rN proxies connections to sidecar sN; relay bN proxies connections
+// from sidecar sN to its backend server. Keys: member-key, choir-key, trainer-key.
 func deploy(ts *testscript.TestScript, _ bool, args []string) {
 	extra := map[string][]string{}
 	for _, arg := range args {
--- a/test/scenario/verbs_test.go
+++ b/test/scenario/verbs_test.go
@@ -59,7 +59,7 @@
 	p.args = append([]string{args[1], "--ready", p.ready}, args[2:]...)
 	addresses := fleetOf(ts).start(ts, p)
 	ts.Setenv(name, "http://"+addresses["address"])
-	// A restarted process listens on the same address, which other processes know.
+	// A restarted process must listen on the same address, which other processes keep using.
 	p.args = append(p.args, "--listen", addresses["address"])
 	if args[1] == "relay" {
 		ts.Setenv(name+"_from", relayAddress(ts, "http://"+addresses["address"]))
@@ -101,7 +101,7 @@
 	ts.Check(os.WriteFile(file, []byte(formatINI(settings)), 0o600))
 	p.args = []string{kind, "--settings", file}
 	addresses := fleetOf(ts).start(ts, p)
-	// A restarted process listens on the same address, which other processes know.
+	// A restarted process must listen on the same address, which other processes keep using.
 	settings = append(settings, "process.peer="+addresses["peer"])
 	if addresses["caller"] != "" {
 		settings = append(settings, "caller.listen="+addresses["caller"])
