--- a/internal/batch/board_test.go
+++ b/internal/batch/board_test.go
@@ -325,7 +325,7 @@
 }
 
 // The texts of a step complete at the same moment. Scored all at once, they take every slot of
-// the plain service, and members' lookups queue behind them.
+// the scoring service, and requests of other callers queue behind them.
 func TestConcurrentScoresAreBounded(t *testing.T) {
 	scorer := &scorer{capacity: 2, release: make(chan struct{})}
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
--- a/internal/batch/changes.go
+++ b/internal/batch/changes.go
@@ -47,7 +47,7 @@
 		klog.InfoS("batch: ended", "batch", id)
 		owned.ended = true
 		owned.end()
-		b.endEarly(owned)
+		b.endEarlyRun(owned)
 		b.startTask(func() { b.Keeper.Drop(b.ctx, id) })
 	}
 }
@@ -88,10 +88,10 @@
 		klog.InfoS("batch: stopped because another process owns it now", "batch", id, "owner", process)
 		owned.cancel()
 		delete(b.owned, id)
-		b.endEarly(owned)
+		b.endEarlyRun(owned)
 	case process == b.Process && owned != nil:
 		owned.ledger.setOwnership(Ownership{Revision: change.Revision, Lease: change.Lease})
-		b.endEarly(owned)
+		b.endEarlyRun(owned)
 	default:
 		b.resume(id)
 	}
--- a/internal/batch/claim.go
+++ b/internal/batch/claim.go
@@ -41,8 +41,8 @@
 	return ids
 }
 
-// claimDelay returns how long after a batch has lost its owner this process may claim it. The
-// mutex must be held.
+// claimDelay returns the time between the loss of a batch's owner and the earliest claim of the
+// batch by this process. The mutex must be held.
 //
 // The last owner claims first: it may have lost only its lease in a store outage and still hold
 // all text generated for the batch. If the last owner is leaving, other processes do not wait for
@@ -79,7 +79,7 @@
 		klog.InfoS("batch: claimed again", "batch", id, "owner", ownership.Revision)
 		owned.ledger.setOwnership(ownership)
 		b.lock()
-		b.endEarly(owned)
+		b.endEarlyRun(owned)
 		delete(b.claiming, id)
 		delete(b.unowned, id)
 		b.mutex.Unlock()
--- a/internal/batch/claim_test.go
+++ b/internal/batch/claim_test.go
@@ -68,8 +68,8 @@
 }
 
 // A trainer has two steps in progress when all gateways restart, and the younger one is loaded
-// first. Treated as the older, it took every slot, and the step that the trainer waits for
-// stalled for 2.5 s.
+// first. Treated as the older step, the younger one took every slot, and the step that the
+// trainer waits for stalled for 2.5 s.
 func TestOlderStepIsFirst(t *testing.T) {
 	p := startProcess(t, &platformtest.Store{}, "g1", "g1")
 	for _, step := range []uint64{1, 0, 2} {
@@ -91,8 +91,8 @@
 	must.False(t, isFirst("b2"))
 }
 
-// A gateway claims a batch and is asked to stop before it has loaded it. Without a handover it
-// ran the batch for two more seconds, and the texts generated meanwhile were lost when it exited.
+// A gateway claims a batch and is asked to stop before the batch is loaded. Without a handover the
+// gateway ran the batch for two more seconds and lost the texts generated meanwhile when it exited.
 func TestStoppedWhileClaiming(t *testing.T) {
 	store := &platformtest.Store{}
 	first := startProcess(t, store, "g1", "g1")
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -19,7 +19,7 @@
 	noopPeer
 
 	board func() *Board
-	// late is the delay of its answer.
+	// late is the delay of an answer to HandOver.
 	late time.Duration
 }
 
@@ -131,7 +131,7 @@
 func TestNoHandoverInDoubt(t *testing.T) {
 	ownStore, first, second := setUpDrainWithLateStore(t)
 	second.GroupDelay = time.Hour
-	ownStore.set(lost)
+	ownStore.set(answerLost)
 	first.owned["b1"].ledger.enqueue(outcome("i0"), true)
 	await(t, func() bool {
 		page, err := first.ReadStored(t.Context(), "b1", "", 0)
@@ -156,7 +156,7 @@
 }
 
 // The next owner is on a small host and answers late. If the previous owner gives up waiting
-// and goes through the store, its readers have to wait for the watch.
+// and goes through the store, the readers of the batch have to wait for the watch.
 func TestHandoverToSlowHost(t *testing.T) {
 	_, first, second := setUpDrain(t)
 	first.Peers = nextOwner{board: func() *Board { return second.Board }, late: takeoverTimeout + 100*time.Millisecond}
@@ -186,7 +186,7 @@
 // gateway does not know which outcomes are listed and cannot hand the batch over.
 func TestHandoverWaitsForAWrite(t *testing.T) {
 	ownStore, first, second := setUpDrainWithLateStore(t)
-	ownStore.set(late)
+	ownStore.set(answerLate)
 	first.owned["b1"].ledger.enqueue(outcome("i0"), true)
 	await(t, func() bool { return first.owned["b1"].ledger.read(0).isInDoubt })
 	time.AfterFunc(100*time.Millisecond, ownStore.finish)
--- a/internal/batch/earlyrun.go
+++ b/internal/batch/earlyrun.go
@@ -108,7 +108,7 @@
 	b.Keeper.Drop(b.ctx, id)
 	b.lock()
 	defer b.mutex.Unlock()
-	b.endEarly(owned)
+	b.endEarlyRun(owned)
 }
 
 // tryCommitEarly tries once to commit an early batch to the store.
@@ -126,8 +126,8 @@
 	return b.claiming[id]
 }
 
-// endEarly ends the early run of a batch, if it has one. The mutex must be held.
-func (b *Board) endEarly(owned *ownedBatch) {
+// endEarlyRun ends the early run of a batch, if it has one. The mutex must be held.
+func (b *Board) endEarlyRun(owned *ownedBatch) {
 	if owned == nil || owned.early == nil || owned.early.isDone {
 		return
 	}
@@ -167,7 +167,7 @@
 		return
 	}
 	owned.ledger.setOwnership(ownership)
-	b.endEarly(owned)
+	b.endEarlyRun(owned)
 }
 
 // awaitEarly waits until the early run of a batch or the context ends, and returns nil if the
--- a/internal/batch/keep_test.go
+++ b/internal/batch/keep_test.go
@@ -26,7 +26,7 @@
 }
 
 // An owner's link is saturated, and its keeper does not answer in time. Resending all texts of
-// its steps twice a second kept the link saturated: the owner's writes of outcomes got no
+// the owner's steps twice a second kept the link saturated: the owner's writes of outcomes got no
 // answers, and its trainers waited for steps that were complete.
 func TestKeepingBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// A gateway stops while its keeper is being replaced. When it made a single attempt before giving
-// up the batch, the next owner had to generate 60 texts of a step again.
+// A gateway stops while its keeper is being replaced. When the gateway made a single attempt before
+// giving up the batch, the next owner had to generate 60 texts of a step again.
 func TestLastTextsAreRetried(t *testing.T) {
 	keeper := &movingKeeper{}
 	plan := newPlan(100)
--- a/internal/batch/ledger.go
+++ b/internal/batch/ledger.go
@@ -182,8 +182,8 @@
 //
 // A write without an answer may be committed seconds later. The retry sends the same chunk under
 // the same key: the store keeps whichever arrives first and rejects the later one with a conflict
-// that contains the chunk. Under another key, or with more outcomes in the chunk, it could keep
-// both.
+// that contains the chunk. Under another key, or with more outcomes in the chunk, the store could
+// keep both.
 func (l *ledger) write(ctx context.Context) {
 	began := clock.Now()
 	l.mutex.Lock()
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -24,8 +24,8 @@
 	// many times the usual gap, and longer than a weight load.
 	silenceTimeout = 1500 * time.Millisecond
 	// minStallTimeout is the lower bound of the time without an event after which a run counts as
-	// stalled: longer than a pause caused by CPU throttling. stallEvents is the same time as a
-	// multiple of the server's event interval.
+	// stalled: longer than a pause caused by CPU throttling. The time is stallEvents times the
+	// server's event interval if that is longer.
 	minStallTimeout = 600 * time.Millisecond
 	stallEvents     = 8
 	// runTimeout bounds one run; samplers stop a run after the same time.
@@ -225,8 +225,8 @@
 	return true
 }
 
-// moveSlowRun ends a run on a slow sampler if another one has a free slot and no item waits for
-// it: the run continues on the faster one after its last event.
+// moveSlowRun ends a run on a slow sampler if a faster sampler has a free slot and no item waits
+// for a slot: the run continues on the faster sampler after its last event.
 //
 // Without the move, the longest item of a step, on a sampler slowed by a fault, keeps its trainer
 // waiting while other slots are idle.
--- a/internal/batch/plan_test.go
+++ b/internal/batch/plan_test.go
@@ -129,9 +129,9 @@
 	must.Eq(t, []uint64{4}, pendingOf(plan)[0].GetVersions())
 }
 
-// A few texts make their scorer fail every time. Retried ten times a second while the batch is
-// open, they keep a plain service busy while members wait for their balances. The limit on failed
-// answers prevents this.
+// The scoring of a few texts always fails. Retried ten times a second until the batch ends, they
+// would keep the scoring service busy and delay other callers. The limit on failed answers
+// prevents this.
 func TestScorerThatAlwaysFails(t *testing.T) {
 	plan := newPlan(100)
 	scoring := mustGenerate(t, plan, mustStart(t, plan, start, "i0"), 3, "a")
--- a/internal/batch/remove.go
+++ b/internal/batch/remove.go
@@ -19,8 +19,8 @@
 // from the store: its own, and those without an owner for which it is the first candidate. A
 // batch that its trainer never ended counts too: its items were given up long before.
 //
-// A process that exits no longer removes the batches that it owned. If no other process removed
-// them, the store would grow by the batches of each process's last minutes.
+// The batches of a process that has exited are left to the other processes. If none of them
+// removed these batches, the store would grow by the batches of each process's last minutes.
 func (b *Board) expired(now clock.Boot) []string {
 	b.lock()
 	defer b.mutex.Unlock()
--- a/internal/batch/shown_test.go
+++ b/internal/batch/shown_test.go
@@ -21,12 +21,13 @@
 
 const (
 	answered writeBehavior = iota
-	// late writes are committed at once, and their answers come when the test calls finish.
-	late
-	// lost writes are committed, and their answers never come.
-	lost
-	// deferred writes are committed when the test calls finish, and their answers never come.
-	deferred
+	// answerLate: the write is committed at once, but its answer arrives when the test calls finish.
+	answerLate
+	// answerLost: the write is committed, but its answer never arrives.
+	answerLost
+	// commitDeferred: the write is committed when the test calls finish, and its answer never
+	// arrives.
+	commitDeferred
 )
 
 // lateAnswerTimeout bounds the wait for a late answer, like the call timeout of the real store.
@@ -61,15 +62,15 @@
 	l.mutex.Lock()
 	next, release := l.next, l.release
 	l.next = answered
-	if next == deferred {
+	if next == commitDeferred {
 		l.deferredCommits = append(l.deferredCommits, commit)
 	}
 	l.mutex.Unlock()
-	if next == deferred {
+	if next == commitDeferred {
 		return 0, &platform.UnavailableError{Operation: "commit"}
 	}
 	revision, err := l.Store.Commit(ctx, commit)
-	if next == late {
+	if next == answerLate {
 		select {
 		case <-release:
 		case <-ctx.Done():
@@ -78,7 +79,7 @@
 			return 0, &platform.UnavailableError{Operation: "commit"}
 		}
 	}
-	if next == lost {
+	if next == answerLost {
 		return 0, &platform.UnavailableError{Operation: "commit"}
 	}
 	return revision, err
@@ -144,7 +145,7 @@
 	store := &platformtest.Store{}
 	first, ownStore := startLateProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
-	ownStore.set(late)
+	ownStore.set(answerLate)
 	first.owned["b1"].ledger.enqueue(outcome("i0"), true)
 	await(t, func() bool {
 		page, err := first.ReadStored(t.Context(), "b1", "", 0)
@@ -216,7 +217,7 @@
 	store := &platformtest.Store{}
 	first, ownStore := startLateProcess(t, store, "g1", "g1")
 	must.NoError(t, first.Accept(t.Context(), newBatch(10, 20)))
-	ownStore.set(deferred)
+	ownStore.set(commitDeferred)
 	ledger := first.owned["b1"].ledger
 	ledger.enqueue(outcome("i0"), true)
 	await(t, func() bool {
@@ -293,7 +294,7 @@
 			name := rapid.SampledFrom(names).Draw(rt, "process")
 			switch rapid.SampledFrom([]string{"add", "add", "read", "read", "read", "lapse", "finish"}).Draw(rt, "step") {
 			case "add":
-				stores[name].set(writeBehavior(rapid.IntRange(int(answered), int(deferred)).Draw(rt, "write behavior")))
+				stores[name].set(writeBehavior(rapid.IntRange(int(answered), int(commitDeferred)).Draw(rt, "write behavior")))
 				if added < len(items) && processes[name].add(fmt.Sprintf("i%d", added)) {
 					added++
 				}
