--- a/internal/weight/schedule.go
+++ b/internal/weight/schedule.go
@@ -9,7 +9,7 @@
 const (
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// DefaultLag is how long after a load a load report may still show the previous version.
+	// DefaultLag is the time after a load in which a load report may still show the previous version.
 	DefaultLag = 3 * time.Second
 )
 
@@ -63,7 +63,7 @@
 type Schedule struct {
 	// Share is the maximum share of the samplers that load at the same time.
 	Share float64
-	// Lag is how long after a load a load report may still show the previous version.
+	// Lag is the time after a load in which a load report may still show the previous version.
 	Lag time.Duration
 
 	samplers map[string]*sampler
@@ -92,8 +92,8 @@
 	orderedVersion uint64
 	isLoading      bool
 	orderedAt      time.Time
-	// loadTime is the schedule's loadTime when the order was sent.
-	loadTime time.Duration
+	// loadTimeAtOrder is the schedule's total load time when the order was sent.
+	loadTimeAtOrder time.Duration
 	// answeredAt is when the sampler last answered an order.
 	answeredAt time.Time
 	failures   int
@@ -196,7 +196,7 @@
 	}
 	sampler.failures = 0
 	duration := now.Sub(sampler.orderedAt)
-	s.limiter.recordLoad(duration, (s.loadTime-sampler.loadTime).Seconds()/duration.Seconds())
+	s.limiter.recordLoad(duration, (s.loadTime-sampler.loadTimeAtOrder).Seconds()/duration.Seconds())
 }
 
 // RecordFailed records that an order was rejected or not answered.
@@ -249,7 +249,7 @@
 		plan.countLoad(sampler)
 		s.inFlight++
 		sampler.isLoading = true
-		sampler.orderedAt, sampler.loadTime = now, s.loadTime
+		sampler.orderedAt, sampler.loadTimeAtOrder = now, s.loadTime
 		sampler.orderedModel, sampler.orderedVersion = plan.Model, plan.Version
 		loadsByZone[sampler.zone]++
 	}
--- a/internal/weight/schedule_test.go
+++ b/internal/weight/schedule_test.go
@@ -166,8 +166,8 @@
 	must.Eq(t, 3, p.loads["a 4"])
 }
 
-// Guards against one sampler blocking the others: the failing sampler answers no order and is
-// ordered repeatedly.
+// Guards against one sampler blocking the others: the failing sampler answers no order, and its
+// load is ordered repeatedly.
 func TestOneSamplerFails(t *testing.T) {
 	p := newPool(6)
 	demand := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}
@@ -183,8 +183,8 @@
 	must.Eq(t, 5, p.usable("a", 2))
 }
 
-// A sampler restarts while it loads and loses all its weights. The restarted sampler must be
-// ordered again: an answer to the earlier order says nothing about its weights.
+// A sampler restarts during a load and loses all its weights. The load must be ordered again: an
+// answer to the earlier order says nothing about the weights of the restarted sampler.
 func TestSamplerStartsAgain(t *testing.T) {
 	p := newPool(1)
 	demand := Demand{Model: "a", NewestVersion: 2, MinVersion: 2, NextMinVersion: 2}
--- a/internal/weight/steps.go
+++ b/internal/weight/steps.go
@@ -72,8 +72,8 @@
 //
 // A trainer requests its next step as soon as it has announced a version. The next step accepts
 // versions as far behind the announced version as the previous step did. So the oldest version that
-// the next step accepts is known once its version is announced, and for the step after the next it
-// is one version newer.
+// the next step accepts is known once the version is announced; the oldest version that the step
+// after the next accepts is one version newer.
 func (s *Steps) Demand(model string) Demand {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
