--- a/internal/rollout/holder.go
+++ b/internal/rollout/holder.go
@@ -50,8 +50,8 @@
 // Holder runs the steps of one trainer. It may outlive its term: while the
 // platform's store is unavailable no other process can take over the duty, and
 // generation and the delivery of committed samples continue. It commits samples
-// through compare-and-swap, so its next write fails after a successor's first
-// write, and it drops the step.
+// through compare-and-swap: after a successor's first write, the next write of this
+// holder fails, and this holder drops the step.
 //
 // Exported fields must be set before Run.
 type Holder struct {
--- a/internal/rollout/holder_test.go
+++ b/internal/rollout/holder_test.go
@@ -240,8 +240,8 @@
 }
 
 // The holder is paused just before the write that binds places, and resumes after a
-// successor has taken over the step. If its write took effect, the two would deliver
-// the same places for different slots.
+// successor has taken over the step. If the former holder's write took effect, the
+// two would deliver the same places for different slots.
 func TestPausedHolderCannotCommit(t *testing.T) {
 	store := &pausingStore{fakeStore: newFakeStore(), paused: make(chan struct{}), resume: make(chan struct{})}
 	replicator := newFakeReplicator("b")
--- a/internal/rollout/interleaving_test.go
+++ b/internal/rollout/interleaving_test.go
@@ -21,8 +21,8 @@
 	step    *Step
 	record  *record.Record
 	running []Attempt
-	// proposed is being written to the store; if written, the store holds it but
-	// the actor has not committed it.
+	// proposed is the state that is being written to the store; written is true if the
+	// store holds that state but the actor has not committed it.
 	proposed []byte
 	written  bool
 }
@@ -35,8 +35,8 @@
 	fence         uint64
 	newestVersion uint64
 	now           time.Time
-	// nextPlace is the place that the trainer pulls from next; sampleByPlace holds
-	// all samples ever delivered.
+	// nextPlace is the position in the trainer's stream at which its next pull starts;
+	// sampleByPlace holds all samples ever delivered.
 	nextPlace     uint64
 	sampleByPlace map[uint64]*peerpb.Sample
 	placeBySlot   map[uint32]uint64
--- a/internal/rollout/pull.go
+++ b/internal/rollout/pull.go
@@ -22,7 +22,7 @@
 // Done reports whether the trainer now has the whole step.
 func (r PullResult) Done() bool { return r.done }
 
-// Next returns the place to pull from next.
+// Next returns the place in the trainer's stream at which its next pull starts.
 func (r PullResult) Next() uint64 { return r.next }
 
 // Samples returns the samples in the order of their places, without gaps.
--- a/internal/rollout/slot.go
+++ b/internal/rollout/slot.go
@@ -9,9 +9,9 @@
 // slot is one sample required by a step.
 //
 // Its states are empty, running, finished (the sample is in memory), replicated
-// (another process holds its bytes too), committed (the store binds its place to this
-// sample) and acknowledged. A sample that is lost or stale returns the slot to empty;
-// a place, once assigned, stays.
+// (another process holds its bytes too), committed (the store binds the slot's place to
+// this sample) and acknowledged. A sample that is lost or stale returns the slot to
+// empty; a place, once assigned, stays.
 type slot struct {
 	index uint32
 	group uint32
@@ -57,7 +57,7 @@
 	return !s.acknowledged && s.sample == nil && !s.isMissing()
 }
 
-// isMissing reports whether the store binds a sample to the slot that this process has
+// isMissing reports whether the store assigns the slot a sample that this process has
 // not fetched yet.
 func (s *slot) isMissing() bool {
 	return s.sample == nil && len(s.digest) > 0
