--- a/internal/bramleyhatch/scaling.go
+++ b/internal/bramleyhatch/scaling.go
@@ -15,7 +15,7 @@
 func (g *Gateway) scalePools(ctx context.Context, term *duty.Term, client *platform.DutyClient) error {
 	settings := g.Settings.GetDuty()
 	demands := &gateway.DemandCollector{Hosts: g.hosts, Own: g.peerServer}
-	counter := &fleet.Counter{
+	controller := &fleet.CountController{
 		Platform:     client,
 		Pools:        func(ctx context.Context) []fleet.CountedPool { return g.scaledPools(ctx, demands) },
 		Decisions:    g.Decisions,
@@ -26,7 +26,7 @@
 		OrderTimeout: settings.GetOrder().AsDuration(),
 		Fenced:       settings.GetFenced(),
 	}
-	return counter.Run(ctx, term)
+	return controller.Run(ctx, term)
 }
 
 // scaledPools returns the pools that the system scales. It queries the other
--- a/internal/bramleyhatch/sidecarbackend.go
+++ b/internal/bramleyhatch/sidecarbackend.go
@@ -100,7 +100,7 @@
 	}
 	fleet := &statepb.Fleet{}
 	if err := proto.Unmarshal(fact.GetValue(), fleet); err != nil {
-		klog.Errorf("backend: cannot parse the fleet in fact %s: %v", fact.GetName(), err)
+		klog.Errorf("backend: cannot parse the fleet from the fact %q: %v", fact.GetName(), err)
 		return nil
 	}
 	return fleet
--- a/internal/bramleyhatch/sidecarkeys.go
+++ b/internal/bramleyhatch/sidecarkeys.go
@@ -28,7 +28,7 @@
 func (k *callerKeys) apply(fact *peerpb.Fact) {
 	config := &listpb.Config{}
 	if err := proto.Unmarshal(fact.GetValue(), config); err != nil {
-		klog.Errorf("key: cannot parse the configuration in fact %s: %v", fact.GetName(), err)
+		klog.Errorf("key: cannot parse the configuration from the fact %q: %v", fact.GetName(), err)
 		return
 	}
 	hashes := map[string]bool{}
--- a/internal/fleet/counter.go
+++ b/internal/fleet/countcontroller.go
@@ -20,9 +20,9 @@
 	SetServerCount(ctx context.Context, count Count, fence uint64, guard func() error) error
 }
 
-// Counter keeps pools at their target size while this process holds the duty, on platforms that
-// start and stop servers by number. Exported fields are set before Run.
-type Counter struct {
+// CountController keeps pools at their target size while this process holds the duty, on platforms
+// that start and stop servers by number. Exported fields are set before Run.
+type CountController struct {
 	Platform CountPlatform
 	// Pools returns the current pools.
 	Pools     func(ctx context.Context) []CountedPool
@@ -42,7 +42,7 @@
 
 // Run performs the duty until its term ends. If the platform doesn't check fencing tokens, the
 // first order waits until no order of an earlier term can be in flight.
-func (c *Counter) Run(ctx context.Context, term Term) error {
+func (c *CountController) Run(ctx context.Context, term Term) error {
 	if !c.Fenced && !pause.For(ctx, c.Lease+c.OrderTimeout) {
 		return nil
 	}
@@ -60,7 +60,7 @@
 }
 
 // order sends the orders due for a pool. An error means that the term has ended.
-func (c *Counter) order(ctx context.Context, term Term, planner *CountPlanner, pool CountedPool) error {
+func (c *CountController) order(ctx context.Context, term Term, planner *CountPlanner, pool CountedPool) error {
 	for _, count := range planner.Due(time.Now(), pool) {
 		err := c.send(ctx, term, count)
 		c.Decisions.Record(count.Pool, "order", "zone %s is to have %d servers, has %d; running %.1f, waiting %.1f, slots %.0f; term %d (%v)",
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func (c *Counter) send(ctx context.Context, term Term, count Count) error {
+func (c *CountController) send(ctx context.Context, term Term, count Count) error {
 	ctx, cancel := context.WithTimeout(ctx, c.OrderTimeout)
 	defer cancel()
 	guard := func() error {
