--- a/internal/gateway/detour.go
+++ b/internal/gateway/detour.go
@@ -49,7 +49,7 @@
 		status := int(reply.GetStatus())
 		switch {
 		case err != nil:
-			klog.InfoS("hosts: store request through a peer failed", "host", name, "err", err.Error())
+			klog.InfoS("hosts: relaying a store request through a peer failed", "host", name, "err", err.Error())
 			result = detour.OutcomeUnknown
 		case platform.IsRejected(status):
 			h.recordDetourRejected(name)
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -50,10 +50,10 @@
 	detourHost string
 	// watchers are the names of all gateways, ordered by rank as watchers of the store.
 	watchers []string
-	// watchFailedAt is the time of the last failed call to a watcher, by name.
+	// watchFailedAt maps a watcher to the time of the last failed call to it.
 	watchFailedAt map[string]clock.Boot
-	// rejectedAt is the time of the store's last rejection of a request relayed for
-	// this process, by relaying gateway.
+	// rejectedAt maps a gateway to the time when the store last rejected a request that it
+	// relayed for this process.
 	rejectedAt map[string]clock.Boot
 }
 
--- a/test/soak/zones_test.go
+++ b/test/soak/zones_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// drainKey drains the zone of the gateways, whose servers they prefer.
+	// drainKey is the store key that drains z1. The gateways are in z1 and prefer its servers.
 	drainKey  = "op/evacuate/z1"
 	otherZone = "z2"
 	// drainTimeout limits how long a gateway that reaches the store may use a drained zone.
