--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -65,7 +65,7 @@
 func (e *Exchanger) syncTable(ctx context.Context, address string) {
 	for range maxJoinRounds {
 		if err := e.exchange(ctx, address); err != nil {
-			klog.Warningf("member: exchange with %s, a seed or listed host, failed: %v", address, err)
+			klog.Warningf("member: no answer from %s, a seed or listed host: %v", address, err)
 			return
 		}
 		if !e.Members.TableDiffers() {
